--- /dev/null
+++ b/tests/golden/cases.py
@@ -0,0 +1,621 @@
+"""Direct calls of the package's encoders and decoders on fixed inputs, and of its command line.
+
+The one place of the golden tests that knows names inside the package: a rename there is followed
+here. Every result is made of plain values; records are shown without the names of their fields.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import io
+import json
+import tempfile
+import tomllib
+import urllib.request
+from collections.abc import Callable, Iterator
+from dataclasses import astuple
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+import anyio
+import cbor2
+
+import ploverhall
+from ploverhall import settings
+from ploverhall.bookkeeping import images, replica
+from ploverhall.cli import main
+from ploverhall.coordination import tokens
+from ploverhall.coordination.boards import Inbox, Outbox
+from ploverhall.coordination.shards import Layout
+from ploverhall.protocol import carry, cloud, jobs, peers, workers
+from ploverhall.protocol.state import Refused, Store, Unknown
+from ploverhall.reach.ways import Ways
+from ploverhall.upkeep import orders
+from ploverhall.upkeep.budget import Rules
+
+from . import inputs
+
+REFUSALS = (
+    carry.Malformed,
+    peers.Malformed,
+    workers.Malformed,
+    orders.Malformed,
+    jobs.Malformed,
+    settings.SettingsError,
+)
+
+
+def outcome(decode: Callable[..., Any], *args: Any) -> Any:
+    """What a decoder makes of a value, or why it refuses it."""
+    try:
+        return decode(*args)
+    except REFUSALS as e:
+        return f"refused: {e}"
+
+
+# -- published interfaces -----------------------------------------------------------------------
+
+
+def heartbeats() -> list[Any]:
+    """Reports as they are understood: the whole record, with its tasks."""
+
+    def decode(body: bytes) -> Any:
+        report = workers.decode(body)
+        listed = [[list(key), list(astuple(task))] for key, task in report.tasks().items()]
+        return [
+            report.machine,
+            report.addr,
+            report.type,
+            report.zone,
+            report.spot,
+            report.session,
+            report.seq,
+            report.token,
+            report.notice_s,
+            listed,
+        ]
+
+    listed = [
+        {"chick": f"j-000001/{i}", "hatch": i, "stance": stance, "cause": cause, "kept": kept}
+        for i, (stance, cause, kept) in enumerate(
+            (
+                ("pulling", None, None),
+                ("waiting", None, None),
+                ("running", "", False),
+                ("flushing", None, True),
+                ("ended", "done", True),
+                ("ended", "error", False),
+                ("of a later release", None, None),
+            )
+        )
+    ]
+    least = {k: v for k, v in inputs.REPORT.items() if k not in ("driftwood", "warningS", "chicks")}
+    changed: list[dict[str, Any]] = [
+        {"chicks": listed},
+        {"warningS": 30},
+        {"driftwood": True, "new": 1},
+        {"tide": 1 << 64},
+        {"chicks": None},
+    ]
+    bodies = [least, *({**inputs.REPORT, **change} for change in changed)]
+    return [{"body": body, "read": outcome(decode, json.dumps(body).encode())} for body in bodies]
+
+
+def commands() -> list[Any]:
+    """Commands to machines."""
+    key = ("j-000412", 3, 2)
+    calls = [workers.run(key), workers.kill(key, 1.5), workers.reap(key)]
+    return [
+        workers.answer(5, calls),
+        workers.direct(5, 1, calls),
+        workers.homing("c1"),
+        workers.homing(None),
+    ]
+
+
+def cloud_answers() -> list[Any]:
+    """What the cloud says, with what may be left out of it."""
+    least = {"name": "t", "cores": 1, "gpus": 0, "ramGb": 2}
+    whole = {
+        **least,
+        "localGb": 3,
+        "pullGbPerS": 4,
+        "price": 5,
+        "lowPrice": 6,
+        "startupS": 7,
+        "marshes": ["a"],
+        "new": 1,
+    }
+    machine = {"id": "n-1", "breed": "t", "marsh": "a", "stance": "booting"}
+    pages = [
+        {"perches": [machine]},
+        {
+            "perches": [{**machine, "endpoint": "x:1", "driftwood": True, "heldS": 2}],
+            "hasNext": True,
+        },
+    ]
+    listed = [cloud.listed(page) for page in pages]
+    return [
+        [cloud.types({"breeds": [one]})["t"].record() for one in (least, whole)],
+        [[[list(astuple(m)) for m in machines], more] for machines, more in listed],
+        cloud.rent("r-1", "t", "a", True, 3),
+    ]
+
+
+def store_answers() -> dict[str, Any]:
+    """What each request to the state service looks like, and what is made of each answer."""
+    answers: dict[str, tuple[int, Any]] = {
+        "found": (200, {"path": "a", "v": [1], "feather": 4}),
+        "none": (404, {"moult": 9}),
+        "refused": (503, {"error": "trouble"}),
+        "too many": (429, {}),
+        "gateway": (502, None),
+        "failed": (409, {"failed": ["a"], "moult": 9}),
+        "done": (200, {"moult": 9}),
+        "no lease": (400, {"error": "no such lease"}),
+        "too old": (410, {}),
+        "lease": (200, {"tether": 7}),
+        "extended": (200, {}),
+        "news": (
+            200,
+            {
+                "moult": 9,
+                "news": [{"put": "a", "v": 1, "feather": 8}, {"delete": "b", "feather": 9}],
+            },
+        ),
+        "page": (
+            200,
+            {"items": [{"path": "a", "v": 1, "feather": 8}], "hasNext": False, "moult": 9},
+        ),
+        "odd": (200, []),
+    }
+    calls: dict[str, Callable[[Store], Any]] = {
+        "get": lambda s: s.get("a b/ü"),
+        "read": lambda s: s.read("c/"),
+        "watch": lambda s: s.watch("p/", 5, 1000),
+        "txn": lambda s: s.txn({"a": 1}, {"b": 2, "c": 3}, ["d"], 7, frozenset("c")),
+        "grant": lambda s: s.grant(4.0),
+        "renew": lambda s: s.renew(7),
+    }
+    return {
+        name: {a: _asked(call, answer) for a, answer in answers.items()}
+        for name, call in calls.items()
+    }
+
+
+def _asked(call: Callable[[Store], Any], answer: tuple[int, Any]) -> Any:
+    sent: list[Any] = []
+
+    class Service:
+        async def call(
+            self,
+            method: str,
+            target: str,
+            body: object = None,
+            timeout: float = 3.0,
+            hold: float = 0.0,
+        ) -> Any:
+            sent.append([method, target, body])
+            return answer
+
+    async def ask() -> Any:
+        try:
+            return await call(Store(Service(), 1000.0, 1000.0))
+        except Refused:
+            return "surely not executed"
+        except Unknown:
+            return "outcome unknown"
+
+    return {"sent": sent, "read": plain(anyio.run(ask))}
+
+
+def plain(value: Any) -> Any:
+    """Tuples, records and bytes as JSON has them."""
+    if hasattr(value, "__dataclass_fields__"):
+        return plain(list(astuple(value)))
+    if isinstance(value, dict):
+        return {str(k): plain(v) for k, v in value.items()}
+    if isinstance(value, (list, tuple)):
+        return [plain(v) for v in value]
+    if isinstance(value, (set, frozenset)):
+        return sorted(plain(v) for v in value)
+    return f"hex:{value.hex()}" if isinstance(value, bytes) else value
+
+
+# -- the link between controllers ---------------------------------------------------------------
+
+
+def cancellation_gossip() -> list[Any]:
+    """What is read of cancellation messages, the older form included, and how it is sent again."""
+    whole = {
+        "seen": 9,
+        "life": "x",
+        "at": 1.5,
+        "up": 2.0,
+        "read": True,
+        "echo": ["y", 3.0],
+        "cancelled": [[7, "j-000001"]],
+    }
+    odd: list[Any] = [{"seen": 5}, {"seen": 5, "new": 1}, [], {}]
+    odd += [{**whole, key: "wrong" if key != "life" else 5} for key in whole]
+    odd += [
+        {**whole, "cancelled": [[0, "j-000001"]]},
+        {**whole, "cancelled": [[1, "x"]]},
+        {**whole, "up": -1},
+        {**whole, "echo": [1, 2]},
+    ]
+    return [
+        {"value": v, "read": outcome(lambda v: peers.pack_word(peers.word(v)), v)}
+        for v in (whole, *odd)
+    ]
+
+
+def relay_messages() -> list[Any]:
+    """Relayed requests and answers, byte for byte and read back."""
+    ask = {
+        "life": "x",
+        "number": 3,
+        "what": "state",
+        "until": 1.7e9,
+        "hops": 2,
+        "to": "",
+        "method": "GET",
+        "target": "/kv/a",
+        "hold": 0,
+        "body": b"{}",
+    }
+    told = {"life": "x", "number": 3, "status": 200, "refused": False, "body": b"[1]"}
+    out: list[Any] = []
+    for kind, read, good in (
+        (carry.QUESTION, carry.question, ask),
+        (carry.ANSWER, carry.answer, told),
+    ):
+        wrong = [{k: v for k, v in good.items() if k != key} for key in good]
+        for value in (good, {**good, "new": 1}, *wrong, []):
+            out.append(
+                outcome(
+                    lambda v, read=read, kind=kind: cbor2.dumps(carry.pack(kind, 1, read(v))).hex(),
+                    value,
+                )
+            )
+    targets = (
+        ("cloud", "/hosts"),
+        ("cloud", "/kv"),
+        ("do", "x:1 /do"),
+        ("do", "x:1 /no"),
+        ("report", ""),
+        ("nothing", ""),
+    )
+    out += [
+        [what, target, plain(outcome(carry.question, {**ask, "what": what, "target": target}))]
+        for what, target in targets
+    ]
+    return out
+
+
+def channel_values() -> dict[str, Any]:
+    """Keys and values of state channels; the older values lack their last places."""
+    key = ("j-000412", 3, 2)
+    values: list[Any] = [
+        peers.JobNews(None, [1.0], 1),
+        peers.JobNews([1], [1.0], 1, 1),
+        peers.Candidate(1, [0.5], {"a": 1}, ["n-1"]),
+        peers.PermitNews("n-1", 2, 3, None),
+        peers.OfferNews("j-1", "n-1", "a", 0.5, 2),
+        peers.StartNews("gone", "why", 1, 2),
+        peers.StartNews("gone", "why", 1, 2, 3),
+        peers.MachineNews("t", "a", 0, [1.0], 1, 0, 0, 0, 1, [1.0]),
+        peers.DemandNews([1], 2, None, [0.5]),
+        peers.NodeNews(0.5, {0: 5}, {0: 1.5}),
+        peers.NodeNews(0.5, {0: 5}, {}, 2.0),
+    ]
+    keys = [
+        peers.job_key("j-1"),
+        peers.candidate_key("j-1"),
+        peers.permit_key(key),
+        peers.start_key(key),
+        peers.offer_key(7),
+    ]
+    return {
+        "keys": keys,
+        "split": plain(peers.split_key(peers.permit_key(key))),
+        "values": plain(values),
+        "bytes": [cbor2.dumps(v).hex() for v in values],
+    }
+
+
+def channel_messages() -> dict[str, Any]:
+    """A state channel's messages as they are sent, and which of them a receiver takes."""
+    box = Outbox()
+    board = box.board("s", 0, 1, 5)
+    sent = []
+    for changes in ({"ja": [1]}, {"jb": [2], "ja": None}, {"jd": [4]}):
+        board.update(changes)
+        sent += box.collect("c1", 1, lambda role: "c1")
+    sent += box.collect("c1", 2, lambda role: "c1")  # a new connection: all of it
+    box.board("s", 0, 1, 6).put("jc", [3])
+    sent += box.collect("c1", 2, lambda role: "c1")
+    inbox = Inbox()
+    order = (1, 0, 0, 1, 3, 2, 4, 3)
+    return {
+        "sent": [cbor2.dumps(m).hex() for m in sent],
+        "taken": [inbox.take(sent[i]) for i in order],
+        "state": plain(list(inbox.boards.values())),
+    }
+
+
+def link_reports() -> list[Any]:
+    """What is understood of a controller's report on its links."""
+    whole: dict[str, Any] = {
+        "life": "x",
+        "can": ["state", "do"],
+        "good": ["state", "cloud"],
+        "hears": ["c2"],
+        "through": {"cloud": "c2"},
+        "cut": {1: 5},
+    }
+    out = []
+    for word in (
+        whole,
+        {},
+        *({k: v for k, v in whole.items() if k != key} for key in whole),
+        dict.fromkeys(whole, 5),
+    ):
+        ways = Ways(["c1", "c2"])
+        ways.heard("c1", word, 1.0)
+        out.append(
+            [
+                ways.carries("c1", "state", 1.5),
+                ways.can("c1", "do"),
+                ways.cut_off("c1", 1),
+                ways.well("c1", 1.5),
+                ways.to_service("state", "state", 1.5),
+                ways.to_member("c2", "do", 1.5),
+                plain(ways.said["c1"]),
+            ]
+        )
+    return out
+
+
+def shard_map() -> dict[str, Any]:
+    """Which shard a team and a machine belong to: all releases that run side by side agree."""
+    layout = Layout([("c0", "a"), ("c1", "b"), ("c2", "a")], ["t3", "t1", "t2", "t0"])
+    return {
+        "teams": layout.team_shard,
+        "machines": {f"n-{i:06d}": [layout.part(z, f"n-{i:06d}") for z in "abx"] for i in range(8)},
+    }
+
+
+# -- the state service --------------------------------------------------------------------------
+
+
+def stored_forms() -> dict[str, Any]:
+    """Keys, tokens and records, written and read."""
+    team = "Team é/1 " + "x" * 120
+    held = {"n-1": {"i": 0.5, "k": 2.0}, "n-2": {"k": 2.0}, "n-3": {}}
+    packed = [images.pack(held, limit) for limit in (4096, 40)]
+    record = inputs.STORED["p/type/t"]
+    job = jobs.parse({**inputs.SUBMISSION, "breeds": ["t", "s"], "duskS": 5, "marsh": "a"}, 1.7e9)
+    ends = [inputs.STORED[f"p/job/j-{n:06d}"] for n in (5, 6, 7, 8)]
+    listed = {k: (v, 1) for k, v in inputs.STORED.items()}
+    return {
+        "keys": [
+            f(t)
+            for f in (replica.cell_prefix, replica.progress_prefix, replica.grants_key)
+            for t in ("t", "a b", team)
+        ]
+        + [images.prefix(3)],
+        "tokens": [
+            _token(epoch, holder)
+            for epoch, holder in ((5, 0), (5, 30), (5, 31), (5, None), (1 << 43, 2))
+        ],
+        "images": plain([packed, [images.unpack(p) for p in packed]]),
+        "types": plain([cloud.type_from_record(record), cloud.type_from_record(record).record()]),
+        "jobs": plain([job.record(), jobs.from_record([*job.record(), "later"]), job]),
+        "ends": plain([[list(replica.ended(e, 4)) for e in ends], replica.end_record("done", 3)]),
+        "orders": plain([[o, o.record()] for o in orders.all_of(listed)]),
+    }
+
+
+def _token(epoch: int, holder: int | None) -> list[Any]:
+    token = tokens.first(epoch, holder)
+    changed = [tokens.raised(token), tokens.marked(token, 7), tokens.marked(token + 9, 3)]
+    return [
+        token,
+        tokens.epoch_of(token),
+        tokens.holder_of(token),
+        tokens.right_of(token + 9),
+        *changed,
+    ]
+
+
+# -- settings, options, command line ------------------------------------------------------------
+
+
+def platform_settings() -> dict[str, Any]:
+    """The settings as parsed, and the error for each field that is missing or wrong."""
+    good = tomllib.loads(inputs.SETTINGS)
+
+    def read(data: Any) -> Any:
+        parsed = settings.parse(data)
+        return plain([parsed, parsed.nodes])
+
+    wrong: dict[str, Any] = {}
+    wrong_values: tuple[Any, ...] = (None, "x", [], -1)
+    for way in _paths(good):
+        name = ".".join(map(str, way))
+        for value in wrong_values:
+            result = outcome(read, _changed(good, way, value))
+            wrong[f"{name} {value!r}"] = result if isinstance(result, str) else "taken"
+    return {"read": read(good), "wrong": wrong}
+
+
+def _paths(data: Any, way: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    found = (
+        data.items()
+        if isinstance(data, dict)
+        else enumerate(data)
+        if isinstance(data, list)
+        else ()
+    )
+    for key, value in found:
+        yield (*way, key)
+        yield from _paths(value, (*way, key))
+
+
+def _changed(data: Any, way: tuple[Any, ...], value: Any) -> Any:
+    """A copy with one field set, or without it (None)."""
+    out = json.loads(json.dumps(data))
+    at = out
+    for key in way[:-1]:
+        at = at[key]
+    if value is None:
+        del at[way[-1]]
+    else:
+        at[way[-1]] = value
+    return out
+
+
+def operator_options() -> dict[str, Any]:
+    """The schema, what is read of each option, and the budgets that follow from them."""
+    rules = Rules(inputs.OPTIONS["budget"])
+    named = (("x", "x", "x"), ("t", "x", "x"), ("t", "c", "x"), ("t", "c", "j-000001"))
+    with tempfile.TemporaryDirectory() as home:
+        file = Path(home) / "options.json"
+
+        def read(data: Any) -> Any:
+            file.write_text(json.dumps(data))
+            return plain(settings.load_options(file))
+
+        wrong = {
+            key: str(outcome(read, {key: "wrong"})).replace(str(file), "FILE")
+            for key in ("hold_s", "carry", "budget", "unknown")
+        }
+        whole = read(inputs.OPTIONS)
+    schema = json.loads((Path(ploverhall.__file__).parent / "options.schema.json").read_text())
+    return {
+        "schema": schema,
+        "defaults": plain(settings.Options()),
+        "read": whole,
+        "wrong": wrong,
+        "budgets": plain([Rules().default, *(rules.of(*names) for names in named)]),
+    }
+
+
+HELP = ((), ("serve",), ("check-config",), ("status",), ("drain",), ("upkeep",))
+DRAIN = (
+    "drain",
+    "h:1",
+    "--machine",
+    "n-1",
+    "--machine",
+    "n-2",
+    "--zone",
+    "a",
+    "--type",
+    "t",
+    "--kind",
+    "spot",
+    "--part",
+    "2",
+    "--at-once",
+    "3",
+    "--note",
+    "why",
+    "--id",
+    "u-1",
+)
+COMMANDS = (
+    ("status", "h:1", "--json"),
+    ("status", "h:1", "--json", "--job", "j-1", "--team", "a b", "--machine", "n-1"),
+    DRAIN,
+    (*DRAIN, "--dry-run"),
+    ("upkeep", "list", "h:1"),
+    ("upkeep", "show", "h:1", "u-1"),
+    ("upkeep", "pause", "h:1", "u-1"),
+    ("upkeep", "resume", "h:1", "u-1"),
+    ("upkeep", "stop", "h:1", "u-1"),
+    ("upkeep", "stop", "h:1"),
+    ("--version",),
+)
+ORDER: dict[str, Any] = {
+    "id": "u-1",
+    "machines": None,
+    "zone": "a",
+    "type": None,
+    "spot": None,
+    "part": None,
+    "at_once": 4,
+    "state": "running",
+    "at": 1.7e9,
+    "note": None,
+    "left": 1,
+    "being_emptied": [],
+    "waits": "",
+}
+SAID: dict[str, Any] = {
+    **ORDER,
+    "orders": [ORDER],
+    "stops_that_wait": {},
+    "machines": 1,
+    "rounds_at_least": 1,
+    "teams": {},
+    "not_asked": [],
+    "asked": "c0",
+    "controllers": {},
+    "told": None,
+    "untold": None,
+}
+
+
+def command_line() -> dict[str, Any]:
+    """Help, the requests that each command sends, its exit code, and what it prints as JSON."""
+    with tempfile.TemporaryDirectory() as home:
+        file = Path(home) / "settings.toml"
+        file.write_text(inputs.SETTINGS)
+        checked = _command(("check-config", "--config", str(file)))
+    return {
+        "help": {" ".join(c) or "(none)": _command((*c, "--help")) for c in HELP},
+        "check-config": checked,
+        "commands": {" ".join(c): _command(c) for c in COMMANDS},
+    }
+
+
+def _command(argv: tuple[str, ...]) -> dict[str, Any]:
+    sent: list[Any] = []
+
+    def answered(request: Any, timeout: float = 0.0, **more: Any) -> Any:
+        asked = (
+            request
+            if isinstance(request, urllib.request.Request)
+            else urllib.request.Request(request)
+        )
+        sent.append(
+            [
+                asked.get_method(),
+                asked.full_url,
+                asked.data.decode() if isinstance(asked.data, bytes) else None,
+            ]
+        )
+        reply = io.BytesIO(json.dumps(SAID).encode())
+        reply.status = 200  # type: ignore[attr-defined]
+        return reply
+
+    printed, said = io.StringIO(), io.StringIO()
+    with (
+        mock.patch.object(urllib.request, "urlopen", answered),
+        mock.patch.dict("os.environ", {"COLUMNS": "100"}),
+        contextlib.redirect_stdout(printed),
+        contextlib.redirect_stderr(said),
+    ):
+        try:
+            code: Any = main(list(argv))
+        except SystemExit as e:
+            code = e.code
+    shown = (
+        {"printed": printed.getvalue()}
+        if {"--help", "--json", "--version", "check-config"} & set(argv)
+        else {}
+    )
+    return {"exit": code, "sent": sent, **shown}
