--- a/ploverhall/control/node.py
+++ b/ploverhall/control/node.py
@@ -18,7 +18,7 @@
 from ploverhall.control.membership import Membership
 from ploverhall.control.renting import Renting
 from ploverhall.control.reports import Reports
-from ploverhall.control.requests import Requests
+from ploverhall.control.requests import Requests, is_report
 from ploverhall.control.roles import Roles
 from ploverhall.control.routing import Routing
 from ploverhall.control.shared import SHARE, Held, Shared
@@ -41,6 +41,7 @@
 from ploverhall.reach.ways import Ways
 from ploverhall.seams import Seams
 from ploverhall.settings import Settings
+from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http import Server
 
 
@@ -65,7 +66,8 @@
             shared, self.carrying, carry.CLOUD, shared.client(*s.cloud, keep=2), probe="/flavors",
             rate=s.cloud_rps, refusals=False, repeatable=("/hosts",),
         )  # fmt: skip
-        self.workers = Workers(shared, self.carrying, self._probe)
+        self.limiter = ConnectionLimiter(SocketLimits.of_platform(s.max_sockets), is_report, stale_s=s.lease_s)
+        self.workers = Workers(shared, self.carrying, self._probe, self.limiter.room_for_outgoing)
         self.cancellations = Cancellations(
             [p.name for p in s.peers], s.cancel_s, s.lease_s, s.options.cut_off_s, shared.clock(), self.carrying.calls.life
         )
@@ -108,7 +110,8 @@
         s, seams = self.settings, self.shared.seams
         async with anyio.create_task_group() as tg:
             self.tasks = tg
-            server = Server(self.requests.handle, cap=max(8, int(s.max_sockets * 0.8)), net=seams.net, clock=seams.clock)
+            cap = self.limiter.limits.accepted
+            server = Server(self.requests.handle, cap, net=seams.net, clock=seams.clock, limiter=self.limiter)
             tg.start_soon(server.run, *s.bind)
             tg.start_soon(self.links.listener.run, *s.peer_listen)
             for link in self.links.links.values():
--- a/ploverhall/control/requests.py
+++ b/ploverhall/control/requests.py
@@ -16,9 +16,15 @@
 from ploverhall.transport.http import Reply
 from ploverhall.transport.wire import Request
 
+REPORT_PATH = "/v1/report"
 STATE_S = 2.5  # the state service's last answer, by whichever way, is no older
 
 
+def is_report(request: Request) -> bool:
+    """Whether a request is a worker's: its agent keeps the connection for the next report."""
+    return request.path == REPORT_PATH
+
+
 class Requests:
     """One controller's front door."""
 
@@ -30,7 +36,7 @@
     async def handle(self, q: Request) -> Reply:
         """Route one request."""
         try:
-            if q.path == "/v1/report":
+            if q.path == REPORT_PATH:
                 return await self.reports.report(q) if q.method == "POST" else Reply(405, {"error": "method"})
             if q.path == "/healthz":
                 return Reply(200, {"ok": True}) if self.healthy() else Reply(503, {"ok": False})
--- a/ploverhall/control/workers.py
+++ b/ploverhall/control/workers.py
@@ -15,7 +15,8 @@
 from ploverhall.protocol import carry, workers
 from ploverhall.protocol.carry import Question
 from ploverhall.reach.homing import Homing
-from ploverhall.transport.http import Client, Unreachable
+from ploverhall.transport.client_pool import ClientPool
+from ploverhall.transport.http import Unreachable
 
 DIRECT_S = 1.5  # how long a worker has to answer
 MORE_S = 0.3  # and a member that asks it
@@ -25,12 +26,12 @@
 
 
 class Workers:
-    """One kept connection to each worker that was ever sent something, and what is known of who reaches this controller."""
+    """Kept connections to the workers that were sent something, and what is known of who reaches this controller."""
 
-    def __init__(self, shared: Shared, carrying: Carrying, start: Callable[[str, str], None]) -> None:
+    def __init__(self, shared: Shared, carrying: Carrying, start: Callable[[str, str], None], room: Callable[[], int]) -> None:
         self.shared, self.carrying = shared, carrying
         self.start = start  # a probe, as a task of its own
-        self.clients: dict[str, Client] = {}
+        self.clients = ClientPool(lambda host, port: shared.client(host, port, keep=1), room)
         self.homing = Homing()
         self.direct_at: dict[int, float] = {}  # per shard: the newest report that came by itself
 
@@ -51,14 +52,11 @@
 
     async def _ask(self, addr: str, method: str, path: str, body: Any = None) -> tuple[int, object]:
         """One request to a worker by the own link."""
-        client = self.clients.get(addr)
-        if client is None:
-            host, _, port = addr.rpartition(":")
-            if not host or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-                raise Unreachable("not an address")  # a worker says where it is: whatever it says must end nothing here
-            client = self.clients[addr] = self.shared.client(host, int(port), keep=1)
+        host, _, port = addr.rpartition(":")
+        if not host or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
+            raise Unreachable("not an address")  # a worker says where it is: whatever it says must end nothing here
         try:
-            return await client.call(method, path, body, DIRECT_S)
+            return await self.clients.call(host, int(port), method, path, body, DIRECT_S)
         except ValueError as e:  # no name of a host either
             raise Unreachable(f"{addr!r}: {e}") from e
 
@@ -131,6 +129,7 @@
         """Try the links to workers that are away."""
         while True:
             await anyio.sleep(PROBE_EVERY_S)
+            await self.clients.trim()
             for name in self.homing.to_probe(self.shared.clock()):
                 owner = next((h.owner for h in self.shared.held.values() if name in h.owner.machines), None)
                 if owner is None:
--- a/ploverhall/coordination/renter.py
+++ b/ploverhall/coordination/renter.py
@@ -24,6 +24,7 @@
 UNHEARD_S = 300.0  # where most of its zone is not heard, after this: nothing runs there any more
 SOME = 4  # so many machines of a zone say something about the zone
 GONE_TOLD = 300  # machines that went last: owners are told without asking
+GONE_KEPT = 10_000  # machines known to be gone: a list that lags may still name every one of a whole fleet
 SLOT_S = 15.0  # arrivals are counted in slots of this length
 
 
@@ -247,7 +248,7 @@
             self.suspects.pop(name, None)
             self.gone.pop(name, None)  # the newest stand last
             self.gone[name] = now
-        while len(self.gone) > 2000:
+        while len(self.gone) > GONE_KEPT:
             del self.gone[next(iter(self.gone))]
 
     # -- decisions ---------------------------------------------------------------------------
--- a/ploverhall/protocol/carry.py
+++ b/ploverhall/protocol/carry.py
@@ -11,7 +11,7 @@
 QUESTION, ANSWER, WORD = "x", "y", "h"
 STATE, CLOUD, REPORT, DO = "state", "cloud", "report", "do"
 KINDS = (STATE, CLOUD, REPORT, DO)
-MOST_BODY = 1024 * 1024  # bytes of one question or answer
+MOST_BODY = 4 * 1024 * 1024  # bytes of one question or answer: a watch answers with all changes since it was last asked
 TARGETS = {STATE: ("/kv", "/multi", "/grants", "/watch"), CLOUD: ("/flavors", "/hosts"), DO: ("/do", "/show")}
 
 
--- a/ploverhall/protocol/workers.py
+++ b/ploverhall/protocol/workers.py
@@ -11,6 +11,7 @@
 # task states as they are called inside
 STATES = {"pulling": "fetching", "waiting": "waiting", "running": "running", "flushing": "saving", "ended": "exited"}
 EXITED = "exited"
+TASK_NAMES = 65_536  # names kept as parsed: 16 tasks on each of 4,000 machines
 Key = tuple[str, int, int]  # job, task, attempt
 
 
@@ -83,7 +84,7 @@
         return out
 
 
-@lru_cache(maxsize=16_384)
+@lru_cache(maxsize=TASK_NAMES)
 def split_task(name: str) -> tuple[str, int]:
     """`j-000412/3` -> ("j-000412", 3)."""
     job, _, index = name.rpartition("/")
--- a/ploverhall/reach/calls.py
+++ b/ploverhall/reach/calls.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MOST_OPEN = 256  # questions asked and not answered
-MOST_WAITING = 256  # messages for one member that have not gone out
-MOST_BYTES = 4 * 1024 * 1024  # of them
-MOST_AT_ONCE = 64  # questions of one member that are worked on here
+MOST_OPEN = 4096  # questions asked and not answered: a report of each of 4,000 workers
+MOST_WAITING = 2048  # messages for one member that have not gone out
+MOST_BYTES = 8 * 1024 * 1024  # of them
+MOST_AT_ONCE = 2048  # questions of one member that are worked on here: a frame may bring a report of each worker of a shard
 SKEW_S = 2.0  # by how much times of day may differ: a question that comes so late after its end is dropped unread
 
 
--- /dev/null
+++ b/ploverhall/transport/client_pool.py
@@ -0,0 +1,56 @@
+"""Clients of many addresses, each with one kept connection, within a number of open sockets.
+
+Used for the commands to workers. Without a bound the kept connections of all workers that were ever
+sent a command, gone ones included, fill the process's sockets.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from ploverhall.transport.http import Client
+
+
+@dataclass(slots=True)
+class PooledClient:
+    """A client, and how many calls use it now."""
+
+    client: Client
+    calls: int = 0
+
+
+class ClientPool:
+    """Makes clients as they are needed, and closes the longest unused ones when there are too many."""
+
+    def __init__(self, make: Callable[[str, int], Client], room: Callable[[], int]) -> None:
+        """`room` says how many connections may be kept at the moment."""
+        self.make = make
+        self.room = room
+        self.clients: dict[tuple[str, int], PooledClient] = {}  # the longest unused first
+
+    async def call(
+        self, host: str, port: int, method: str, target: str, body: object, timeout: float
+    ) -> tuple[int, object]:
+        """One request; status and JSON. Raises Unreachable as `Client.call` does."""
+        key = (host, port)
+        pooled = self.clients.pop(key, None)
+        if pooled is None:
+            pooled = PooledClient(self.make(host, port))
+        self.clients[key] = pooled
+        pooled.calls += 1
+        try:
+            await self.trim()
+            return await pooled.client.call(method, target, body, timeout)
+        finally:
+            pooled.calls -= 1
+
+    async def trim(self) -> None:
+        """Close the longest unused connections beyond the room that there is."""
+        excess = len(self.clients) - self.room()
+        if excess <= 0:
+            return
+        unused = [key for key, pooled in self.clients.items() if pooled.calls == 0][:excess]
+        removed = [self.clients.pop(key) for key in unused]  # before any wait: nobody takes them now
+        for pooled in removed:
+            await pooled.client.aclose()
--- a/ploverhall/transport/http.py
+++ b/ploverhall/transport/http.py
@@ -5,13 +5,14 @@
 import time
 from collections import deque
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Protocol
 
 import anyio
 import anyio.abc
 import orjson
 
+from ploverhall.transport.connection_limit import Connection, ConnectionLimiter
 from ploverhall.transport.net import TCP, Net
 from ploverhall.transport.wire import Bad, Request, RequestReader, ResponseReader
 
@@ -52,25 +53,21 @@
     return head.encode() + b"\r\n" + (b"" if head_only else body)
 
 
-@dataclass(slots=True, eq=False)
-class _Connection:
-    """One client: until when it has to do something, and what ends it if it does not."""
-
-    due: float
-    scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-
-
 class Server:
-    """Serves one listener. Connections over the cap are told 503 and closed, so others keep their sockets."""
+    """Serves one listener. Connections over the cap are told 503 and closed, so others keep their sockets.
+
+    A `limiter` shares the connections in time where agents hold too many of them.
+    """
 
     def __init__(self, handler: Handler, cap: int, idle_s: float = 120.0, slow_s: float = 10.0,
-                 net: Net = TCP, clock: Callable[[], float] = time.monotonic) -> None:
+                 net: Net = TCP, clock: Callable[[], float] = time.monotonic, limiter: ConnectionLimiter | None = None) -> None:
         self.net, self.clock = net, clock
         self.handler = handler
         self.cap = cap
         self.idle_s = idle_s
         self.slow_s = slow_s
-        self.connections: dict[_Connection, None] = {}  # in the order they came: a set's would be that of their addresses in memory
+        self.limiter = limiter
+        self.connections: dict[Connection, None] = {}  # in the order they came: a set's would be that of their addresses in memory
 
     async def run(self, host: str, port: int) -> None:
         """Listen and serve until cancelled."""
@@ -86,14 +83,18 @@
             for c in self.connections:
                 if now > c.due:
                     c.scope.cancel()
+            if self.limiter is not None:
+                self.limiter.evict(now)
 
     async def _serve(self, stream: anyio.abc.ByteStream) -> None:
-        c = _Connection(self.clock() + self.idle_s)
+        c = Connection(self.clock() + self.idle_s)
         self.connections[c] = None
+        if self.limiter is not None:
+            self.limiter.opened(c)
         try:
             with c.scope:
                 async with stream:
-                    if len(self.connections) > self.cap:
+                    if len(self.connections) > self.cap and not self._evict():
                         c.due = self.clock() + self.slow_s
                         await stream.send(encode(Reply(503, {"error": "busy"}, 1.0, True)))
                         return
@@ -102,8 +103,24 @@
             pass
         finally:
             self.connections.pop(c, None)
-
-    async def _talk(self, stream: anyio.abc.ByteStream, c: _Connection) -> None:
+            if self.limiter is not None:
+                self.limiter.closed(c)
+
+    def _evict(self) -> bool:
+        """Make room for a new connection; False where there is none to be made."""
+        return self.limiter is not None and self.limiter.evict(self.clock()) > 0
+
+    async def _answer(self, request: Request, c: Connection) -> Reply:
+        """What a request is answered, and whether its connection is closed after that."""
+        if self.limiter is None:
+            return await self.handler(request)
+        if not self.limiter.admit(c, request):
+            return Reply(503, {"error": "busy"}, 1.0, True)
+        reply = await self.handler(request)
+        reply.close = reply.close or self.limiter.must_close(c)
+        return reply
+
+    async def _talk(self, stream: anyio.abc.ByteStream, c: Connection) -> None:
         reader = RequestReader()
         while True:
             bad: Bad | None = None
@@ -116,7 +133,7 @@
             while reader.ready:
                 q = reader.ready.popleft()
                 c.due = float("inf")  # the handler keeps its own time
-                reply = await self.handler(q)
+                reply = await self._answer(q, c)
                 reply.close = reply.close or q.close
                 c.due = self.clock() + self.slow_s
                 await stream.send(encode(reply, q.method == "HEAD"))
@@ -126,6 +143,8 @@
                     return
                 begun = False
                 c.due = self.clock() + self.idle_s
+                if self.limiter is not None:
+                    self.limiter.answered(c, self.clock())
             if bad is not None:
                 c.due = self.clock() + self.slow_s
                 await stream.send(encode(Reply(bad.status, {"error": str(bad)}, None, True)))
@@ -181,6 +200,11 @@
         except orjson.JSONDecodeError as e:
             raise Unreachable(f"{method} {target}: not JSON") from e
 
+    async def aclose(self) -> None:
+        """Close the kept connections. The client can still be used: it connects again."""
+        while self.idle:
+            await anyio.aclose_forcefully(self.idle.pop()[0])
+
     async def _take(self) -> tuple[anyio.abc.ByteStream, ResponseReader]:
         while self.idle:
             stream, reader, since = self.idle.pop()
--- a/ploverhall/transport/net.py
+++ b/ploverhall/transport/net.py
@@ -12,6 +12,7 @@
 import anyio
 from anyio.abc import ByteStream
 
+BACKLOG = 4096  # connections that wait to be accepted: every agent comes at once after a pause
 Handler = Callable[[Any], Awaitable[None]]
 
 
@@ -22,7 +23,7 @@
         """A new connection; OSError when it is refused or reset. It may hang: the caller keeps the time."""
         ...
 
-    async def serve(self, host: str, port: int, handler: Handler, backlog: int = 512) -> None:
+    async def serve(self, host: str, port: int, handler: Handler, backlog: int = BACKLOG) -> None:
         """Accept connections until cancelled, each with a handler of its own."""
         ...
 
@@ -34,7 +35,7 @@
         """See Net."""
         return await anyio.connect_tcp(host, port)
 
-    async def serve(self, host: str, port: int, handler: Handler, backlog: int = 512) -> None:
+    async def serve(self, host: str, port: int, handler: Handler, backlog: int = BACKLOG) -> None:
         """See Net."""
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=backlog)
         await listener.serve(handler)
--- a/ploverhall/upkeep/budget.py
+++ b/ploverhall/upkeep/budget.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 MINUTE_S = 60.0
+RULES_KEPT = 16_384  # jobs whose rules are kept as looked up
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +36,7 @@
         given = given or {}
         self.default = _with(Rule(), given.get("default", {}))
         self.given = given
-        self.of = lru_cache(maxsize=4096)(self._of)
+        self.of = lru_cache(maxsize=RULES_KEPT)(self._of)
 
     def _of(self, team: str, klass: str, job: str) -> Rule:
         rule = self.default
