--- a/ploverhall/bookkeeping/images.py
+++ b/ploverhall/bookkeeping/images.py
@@ -11,6 +11,7 @@
 
 import orjson
 
+ENTRY_BYTES = 100  # what a change of one key takes besides its value
 Images = dict[str, dict[str, float]]  # machine -> image -> GB, least recent first
 
 
@@ -47,6 +48,20 @@
     return out
 
 
+def batches(values: dict[str, Any], most_ops: int, most_bytes: int) -> list[dict[str, Any]]:
+    """Keys and values in groups that each fit into one transaction."""
+    out: list[dict[str, Any]] = [{}]
+    size = 0
+    for key, value in values.items():
+        entry = len(orjson.dumps(value)) + 2 * len(key) + ENTRY_BYTES
+        if out[-1] and (len(out[-1]) >= most_ops or size + entry > most_bytes):
+            out.append({})
+            size = 0
+        out[-1][key] = value
+        size += entry
+    return out
+
+
 def unpack(values: list[Any]) -> Images:
     """The inverse of pack."""
     out: Images = {}
--- a/ploverhall/control/renting.py
+++ b/ploverhall/control/renting.py
@@ -25,6 +25,8 @@
 from ploverhall.upkeep import orders
 
 TYPES_EVERY_S, TYPES_AGAIN_S = 60.0, 2.0
+LIST_EVERY_S = 2.0  # between two reads of the machine list, or longer where it has many pages
+LIST_SHARE = 0.5  # of the cloud's limit of requests that reading the list may use
 
 
 class Renting:
@@ -35,6 +37,7 @@
         self.lease = lease  # this controller's, while it has one
         self.renter_orphan = 0.0
         self.pending: list[tuple[str, Rent]] = []
+        self.list_every_s = LIST_EVERY_S
 
     def stood_still(self) -> None:
         """What was to be rented was wanted then; others may rent by now."""
@@ -77,7 +80,7 @@
                         last_types = now if await self._store_types(renter.types) else now - TYPES_EVERY_S + TYPES_AGAIN_S
                     elif self.shared.types and not renter.types:
                         renter.types = self.shared.types
-                if now - last_list > 2.0:
+                if now - last_list > self.list_every_s:
                     last_list = now
                     await self._list(renter, now)
                 if now - last_plan > 1.0:
@@ -160,16 +163,21 @@
 
     async def _list(self, renter: Renter, now: float) -> None:
         items: list[cloud.Listed] = []
-        after = ""
+        after, pages = "", 0
+        rps = self.shared.settings.cloud_rps
         while True:
             status, answer = await self.cloud.call("GET", f"/hosts?limit=500{'&from=' + after if after else ''}", timeout=3)
             if status != 200:
                 return
             page, more = cloud.listed(answer)
             items += page
+            pages += 1
             if not more or not page:
                 break
             after = page[-1].name
+            if pages >= rps:
+                await anyio.sleep(1.0 / rps)  # the cloud refuses more, and a list that breaks off is of no use
+        self.list_every_s = max(LIST_EVERY_S, pages / (LIST_SHARE * rps))
         renter.on_list(items, now, self.shared.clock())
 
     async def _return(self, renter: Renter, names: list[str]) -> None:
--- a/ploverhall/control/writing.py
+++ b/ploverhall/control/writing.py
@@ -25,7 +25,7 @@
 )  # fmt: skip
 from ploverhall.control.routing import Routing
 from ploverhall.control.shared import Held, Shared
-from ploverhall.coordination.ledger import Txn
+from ploverhall.coordination.ledger import TXN_BYTES, Txn
 from ploverhall.coordination.source import Source
 from ploverhall.protocol.state import Refused, Unknown
 from ploverhall.upkeep.budget import Rules
@@ -104,14 +104,17 @@
                     continue  # a hint can wait for a quiet moment
                 fleet.images_changed = False
                 values = images.pack({m.name: m.images for m in fleet.machines.values()}, self.shared.settings.value_bytes)
-                puts = {f"{prefix}{i}": v for i, v in enumerate(values[: self.shared.settings.txn_ops // 2])}
-                old = sorted(keys - puts.keys())[:2]
-                try:
-                    _, failed = await self.shared.store.txn({f"{SHARD}{held.shard}": held.epoch}, puts, old)
-                    if not failed:
-                        keys = (keys | puts.keys()) - set(old)
-                except (Refused, Unknown):
-                    fleet.images_changed = True
+                wanted = {f"{prefix}{i}": v for i, v in enumerate(values)}
+                # one transaction may not take them all: they are hints, so it does no harm that they land apart
+                for puts in images.batches(wanted, self.shared.settings.txn_ops // 2, TXN_BYTES):
+                    old = sorted(keys - wanted.keys())[:2]
+                    try:
+                        _, failed = await self.shared.store.txn({f"{SHARD}{held.shard}": held.epoch}, puts, old)
+                        if not failed:
+                            keys = (keys | puts.keys()) - set(old)
+                    except (Refused, Unknown):
+                        fleet.images_changed = True
+                        break
 
     async def archive_loop(self) -> None:
         """Jobs that ended long ago leave every controller's memory: a bound on it, after days of swarms.
