--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -96,11 +96,17 @@
                 self.agents[connection] = None
         return connection not in self.agents or len(self.agents) <= self.limits.agents
 
-    def must_close(self, connection: Connection) -> bool:
-        """Whether a connection is closed after the answer that is about to be sent on it."""
+    def must_close(self, connection: Connection, now: float) -> bool:
+        """Whether a connection is closed after the answer that is about to be sent on it.
+
+        An agent that reports takes the place of one that does not any more.
+        """
         if len(self.accepted) > self.limits.crowded:
             return True
-        return connection in self.agents and len(self.agents) > self.limits.shared
+        if connection not in self.agents:
+            return False
+        self.evict(now)
+        return len(self.agents) > self.limits.shared
 
     def answered(self, connection: Connection, now: float) -> None:
         """An answer has been sent, and the connection stays open."""
--- a/ploverhall/transport/http.py
+++ b/ploverhall/transport/http.py
@@ -117,7 +117,7 @@
         if not self.limiter.admit(c, request):
             return Reply(503, {"error": "busy"}, 1.0, True)
         reply = await self.handler(request)
-        reply.close = reply.close or self.limiter.must_close(c)
+        reply.close = reply.close or self.limiter.must_close(c, self.clock())
         return reply
 
     async def _talk(self, stream: anyio.abc.ByteStream, c: Connection) -> None:
--- /dev/null
+++ b/tests/test_connection_limit.py
@@ -0,0 +1,246 @@
+"""More agents than sockets: connections are shared in time, and users are still answered."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from random import Random
+
+import anyio
+import anyio.abc
+import orjson
+import pytest
+
+from ploverhall.bookkeeping import images
+from ploverhall.control.requests import REPORT_PATH, is_report
+from ploverhall.transport.client_pool import ClientPool
+from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
+from ploverhall.transport.http import Client, Reply, Server, Unreachable
+from ploverhall.transport.wire import Request
+
+from .played import Loop, Network
+
+MAX_SOCKETS = 200
+REPORT_S = 2.0
+LEASE_S = 8.0
+LIMITS = SocketLimits.of_platform(MAX_SOCKETS)
+
+
+@dataclass
+class Controller:
+    """One server, its agents and users."""
+
+    tasks: anyio.abc.TaskGroup
+    loop: Loop
+    net: Network
+    limiter: ConnectionLimiter | None
+    most_open: int = 0
+    answered: dict[str, int] = field(default_factory=dict)
+    failed: dict[str, int] = field(default_factory=dict)
+
+    async def start(self) -> None:
+        self.server = Server(
+            self._handle, LIMITS.accepted, net=self.net.of("c0"), clock=self.loop.time, limiter=self.limiter
+        )
+        self.tasks.start_soon(self.server.run, "c0", 80)
+        await anyio.sleep(0.01)
+
+    async def _handle(self, request: Request) -> Reply:
+        self.most_open = max(self.most_open, len(self.server.connections))
+        await anyio.sleep(0.01)
+        return Reply(200, {"path": request.path})
+
+    async def agent(self, name: str, reports: int = 1_000_000) -> None:
+        """Reports every REPORT_S, give or take a quarter, on one kept connection."""
+        rng = Random(name)
+        client = Client("c0", 80, keep=1, net=self.net.of(name), clock=self.loop.time)
+        await anyio.sleep(REPORT_S * rng.random())
+        for _ in range(reports):
+            await self.ask(client, name, "POST", REPORT_PATH)
+            await anyio.sleep(REPORT_S * (0.75 + 0.5 * rng.random()))
+
+    async def ask(self, client: Client, name: str, method: str, path: str) -> None:
+        try:
+            status, _ = await client.call(method, path, {}, 2.0)
+        except Unreachable:
+            status = 0
+        counted = self.answered if status == 200 else self.failed
+        counted[name] = counted.get(name, 0) + 1
+
+    async def users(self, count: int) -> None:
+        """Each comes with a new connection."""
+        for i in range(count):
+            name = f"user-{i}"
+            client = Client("c0", 80, net=self.net.of(name), clock=self.loop.time)
+            await self.ask(client, name, "GET", "/api/jobs/j-1")
+            await client.aclose()
+            await anyio.sleep(0.3)
+
+    def count(self, prefix: str) -> tuple[int, int]:
+        """Answered and failed requests."""
+        return tuple(  # type: ignore[return-value]
+            sum(n for name, n in counted.items() if name.startswith(prefix))
+            for counted in (self.answered, self.failed)
+        )
+
+
+def run(scene: Callable[[Controller], Awaitable[None]], limited: bool = True) -> Controller:
+    """A scene in virtual time."""
+    out: list[Controller] = []
+
+    async def main() -> None:
+        loop = asyncio.get_running_loop()
+        assert isinstance(loop, Loop)
+        async with anyio.create_task_group() as tasks:
+            limiter = ConnectionLimiter(LIMITS, is_report, LEASE_S) if limited else None
+            controller = Controller(tasks, loop, Network(Random(1), loop.time), limiter)
+            out.append(controller)
+            await controller.start()
+            await scene(controller)
+            tasks.cancel_scope.cancel()
+
+    anyio.run(main, backend_options={"loop_factory": Loop})
+    return out[0]
+
+
+@pytest.mark.parametrize("agents", [MAX_SOCKETS, 3 * MAX_SOCKETS])
+def test_users_and_all_agents_are_answered_with_more_agents_than_sockets(agents: int) -> None:
+    async def scene(controller: Controller) -> None:
+        for i in range(agents):
+            controller.tasks.start_soon(controller.agent, f"agent-{i}")
+        await anyio.sleep(2 * REPORT_S)
+        await controller.users(60)
+
+    controller = run(scene)
+    assert controller.count("user") == (60, 0)
+    assert controller.count("agent")[1] == 0
+    assert min(controller.answered[f"agent-{i}"] for i in range(agents)) >= 7
+    assert controller.most_open < LIMITS.accepted
+
+
+def test_reconnects_are_spread_over_the_report_interval() -> None:
+    connects: list[float] = []
+
+    async def scene(controller: Controller) -> None:
+        real = controller.net.connect
+
+        async def connect(src: str, dst: str, port: int) -> object:
+            connects.append(controller.loop.time())
+            return await real(src, dst, port)
+
+        for i in range(4 * MAX_SOCKETS):
+            controller.tasks.start_soon(controller.agent, f"agent-{i}")
+        await anyio.sleep(5 * REPORT_S)
+        controller.net.connect = connect  # type: ignore[method-assign, assignment]
+        await anyio.sleep(10 * REPORT_S)
+
+    run(scene)
+    slots = [0] * 40
+    for at in connects:
+        slots[int((at - connects[0]) / (10 * REPORT_S) * 40) % 40] += 1
+    excess = 4 * MAX_SOCKETS - LIMITS.shared
+    assert len(connects) <= 1.1 * 10 * excess, "only those beyond the limit connect again, once for each report"
+    assert max(slots) < 2 * sum(slots) / len(slots)
+
+
+@pytest.mark.parametrize("agents", [1, LIMITS.shared])
+def test_not_one_packet_differs_below_the_limit(agents: int) -> None:
+    async def scene(controller: Controller) -> None:
+        for i in range(agents):
+            controller.tasks.start_soon(controller.agent, f"agent-{i}")
+        await controller.users(30)
+
+    assert run(scene).net.checksum == run(scene, limited=False).net.checksum
+
+
+def test_connections_of_agents_that_went_elsewhere_make_room() -> None:
+    """Without that, those that report would connect anew for ever while others' connections stand idle for 120 s."""
+
+    async def scene(controller: Controller) -> None:
+        for i in range(LIMITS.shared):
+            controller.tasks.start_soon(controller.agent, f"gone-{i}", 1)
+        await anyio.sleep(2 * REPORT_S)
+        for i in range(LIMITS.shared):
+            controller.tasks.start_soon(controller.agent, f"agent-{i}")
+        await anyio.sleep(LEASE_S + 4 * REPORT_S)
+        assert controller.limiter is not None
+        assert len(controller.limiter.idle) > 0.9 * LIMITS.shared
+        assert min(controller.limiter.idle.values()) > controller.loop.time() - 1.5 * REPORT_S
+
+    controller = run(scene)
+    assert controller.count("agent")[1] == 0
+
+
+def test_agents_that_wait_for_answers_leave_a_reserve_for_users() -> None:
+    async def scene(controller: Controller) -> None:
+        async def slow(request: Request) -> Reply:
+            await anyio.sleep(30.0 if is_report(request) else 0.0)
+            return Reply(200)
+
+        controller.server.handler = slow
+        for i in range(2 * MAX_SOCKETS):
+            controller.tasks.start_soon(controller.agent, f"agent-{i}")
+        await anyio.sleep(1.25 * REPORT_S)
+        await controller.users(5)
+
+    controller = run(scene)
+    assert controller.count("user") == (5, 0)
+    assert controller.limiter is not None
+    assert len(controller.limiter.agents) <= LIMITS.agents + 1
+
+
+def test_users_connections_are_closed_after_their_answers_near_the_limit() -> None:
+    async def scene(controller: Controller) -> None:
+        clients = [
+            Client("c0", 80, net=controller.net.of(f"user-{i}"), clock=controller.loop.time)
+            for i in range(MAX_SOCKETS)
+        ]
+        for i, client in enumerate(clients):
+            await controller.ask(client, f"user-{i}", "GET", "/api/jobs/j-1")
+            await anyio.sleep(0.1)
+
+    controller = run(scene)
+    assert controller.count("user") == (MAX_SOCKETS, 0)
+
+
+def test_limits_leave_sockets_for_the_controllers_own_calls() -> None:
+    for sockets in (16, 50, 200, 500, 1686, 2377, 7600):
+        limits = SocketLimits.of_platform(sockets)
+        assert 0 < limits.shared < limits.agents < limits.accepted < limits.total < sockets
+        assert limits.agents < limits.crowded <= limits.accepted == max(8, int(0.8 * sockets))
+
+
+def test_kept_connections_to_workers_are_closed_beyond_the_room_the_longest_unused_first() -> None:
+    async def scene(controller: Controller) -> None:
+        room = 5
+
+        def make(host: str, port: int) -> Client:
+            return Client(host, port, keep=1, net=controller.net.of("caller"), clock=controller.loop.time)
+
+        for i in range(20):
+            server = Server(controller._handle, 10, net=controller.net.of(f"w{i}"), clock=controller.loop.time)
+            controller.tasks.start_soon(server.run, f"w{i}", 9)
+        await anyio.sleep(0.01)
+        pool = ClientPool(make, lambda: room)
+        for i in range(20):
+            assert (await pool.call(f"w{i}", 9, "GET", "/show", None, 1.0))[0] == 200
+        assert [host for host, _ in pool.clients] == [f"w{i}" for i in range(15, 20)]
+        room = 2
+        await pool.trim()
+        assert [host for host, _ in pool.clients] == ["w18", "w19"]
+        await anyio.sleep(0.1)
+        kept = [s for s in controller.net.streams if s.here == "caller" and not s.closed]
+        assert len(kept) == 2
+
+    run(scene)
+
+
+def test_images_of_a_shard_of_4000_machines_fit_into_transactions() -> None:
+    """They were written in one: beyond 64 KiB the state service refused it, each time."""
+    known = {f"n-{i:06d}": {f"img-{(i + k) % 60:02d}": 2.5 for k in range(12)} for i in range(1334)}
+    values = {f"i/0/{i}": v for i, v in enumerate(images.pack(known, 16 * 1024))}
+    groups = images.batches(values, 24, 56_000)
+    assert len(groups) > 1 and {k: v for g in groups for k, v in g.items()} == values
+    assert all(len(orjson.dumps(g)) < 60_000 for g in groups)
+    assert images.batches({}, 24, 56_000) == [{}]
