--- a/ploverhall/bookkeeping/replica.py
+++ b/ploverhall/bookkeeping/replica.py
@@ -38,7 +38,11 @@
 def _plain(name: str) -> str:
     """Key-safe and injective: the state service's keys hold no spaces and 200 bytes at most."""
     out = "".join(c if c.isalnum() and c.isascii() or c in "-_." else f"%{ord(c):x}," for c in name)
-    return out if len(out) <= 120 else f"{out[:100]}~{len(out)}~{sum((i + 1) * ord(c) for i, c in enumerate(out)):x}"
+    return (
+        out
+        if len(out) <= 120
+        else f"{out[:100]}~{len(out)}~{sum((i + 1) * ord(c) for i, c in enumerate(out)):x}"
+    )
 
 
 class Ended(NamedTuple):
@@ -56,7 +60,11 @@
 
 def ended(value: dict[str, Any], version: int) -> Ended:
     """The inverse of end_record."""
-    return Ended(jobs.DONE if value.get("s") == jobs.DONE else jobs.WITHDRAWN, int(value.get("n") or 0), version)
+    return Ended(
+        jobs.DONE if value.get("s") == jobs.DONE else jobs.WITHDRAWN,
+        int(value.get("n") or 0),
+        version,
+    )
 
 
 @dataclass(slots=True)
@@ -69,14 +77,22 @@
     ended: dict[str, Ended] = field(default_factory=dict)  # the oldest first
     keys: dict[str, tuple[Any, int]] = field(default_factory=dict)  # everything else, small
     changed_jobs: list[str] = field(default_factory=list)
-    unreadable: set[str] = field(default_factory=set)  # accepted jobs whose record says nothing to this release
-    left: dict[str, int] = field(default_factory=dict)  # members' keys that are gone: the revision at which they went
+    unreadable: set[str] = field(
+        default_factory=set
+    )  # accepted jobs whose record says nothing to this release
+    left: dict[str, int] = field(
+        default_factory=dict
+    )  # members' keys that are gone: the revision at which they went
     loaded: int = 0  # what went before this revision, and came again, was not seen
 
     def load(self, found: dict[str, tuple[Any, int]], rev: int) -> None:
         """Start over from a listing whose first page had this revision. What is known to be newer than that stays."""
-        versions = {JOB + j: version for j, (_, version) in self.live.items()} | {JOB + j: e.version for j, e in self.ended.items()}
-        versions |= {JOB + j: 0 for j in self.unreadable} | {k: version for k, (_, version) in self.keys.items()}
+        versions = {JOB + j: version for j, (_, version) in self.live.items()} | {
+            JOB + j: e.version for j, e in self.ended.items()
+        }
+        versions |= {JOB + j: 0 for j in self.unreadable} | {
+            k: version for k, (_, version) in self.keys.items()
+        }
         for key, version in versions.items():
             if key not in found and version <= rev:
                 self._apply(key, None, rev)
--- a/ploverhall/control/carrying.py
+++ b/ploverhall/control/carrying.py
@@ -20,7 +20,9 @@
 
 WORD_EVERY_S = 0.5
 LATE_S = 0.5  # its own work comes first: so far behind it carries nothing
-UP_S = 0.25  # how soon it is seen that there is no connection any more over which it could be answered
+UP_S = (
+    0.25  # how soon it is seen that there is no connection any more over which it could be answered
+)
 Handler = Callable[[str, Question], Awaitable[tuple[int, bytes]]]
 
 
@@ -31,9 +33,23 @@
 class Carrying:
     """Both sides: what is asked of others, and what others ask."""
 
-    def __init__(self, shared: Shared, hearing: Hearing, ways: Ways, poke: Callable[[str], None],
-                 up: Callable[[str], bool], start: Callable[[str, Question], None]) -> None:
-        self.shared, self.hearing, self.ways, self.poke, self.up, self.start = shared, hearing, ways, poke, up, start
+    def __init__(
+        self,
+        shared: Shared,
+        hearing: Hearing,
+        ways: Ways,
+        poke: Callable[[str], None],
+        up: Callable[[str], bool],
+        start: Callable[[str, Question], None],
+    ) -> None:
+        self.shared, self.hearing, self.ways, self.poke, self.up, self.start = (
+            shared,
+            hearing,
+            ways,
+            poke,
+            up,
+            start,
+        )
         self.calls = Calls(f"{shared.rng.getrandbits(64):x}")
         self.waiting: dict[int, tuple[anyio.Event, list[Answer]]] = {}
         self.handlers: dict[str, Handler] = {}
@@ -43,8 +59,19 @@
 
     # -- asking --------------------------------------------------------------------------------
 
-    async def ask(self, via: str, what: str, *, timeout: float, method: str = "", target: str = "", hold: float = 0.0, body: bytes = b"",
-                  to: str = "", hops: int = 2) -> tuple[int, bytes]:
+    async def ask(
+        self,
+        via: str,
+        what: str,
+        *,
+        timeout: float,
+        method: str = "",
+        target: str = "",
+        hold: float = 0.0,
+        body: bytes = b"",
+        to: str = "",
+        hops: int = 2,
+    ) -> tuple[int, bytes]:
         """One question to a member: (status, body). NotCarried: surely not executed; Unreachable: that is not known."""
         shared = self.shared
         until = shared.clock() + timeout + hold
@@ -54,11 +81,24 @@
         number = self.calls.ask(via, until)
         if number is None:
             raise NotCarried("too many open questions")
-        q = Question(self.calls.life, number, what, shared.wall() + timeout + hold, hops, to, method, target, hold, body)
+        q = Question(
+            self.calls.life,
+            number,
+            what,
+            shared.wall() + timeout + hold,
+            hops,
+            to,
+            method,
+            target,
+            hold,
+            body,
+        )
         done: tuple[anyio.Event, list[Answer]] = (anyio.Event(), [])
         self.waiting[number] = done
         try:
-            if not self.calls.put(via, carry.pack(carry.QUESTION, shared.me, q), len(body) + len(target) + 200, until):
+            if not self.calls.put(
+                via, carry.pack(carry.QUESTION, shared.me, q), len(body) + len(target) + 200, until
+            ):
                 raise NotCarried("too much waits for it")
             self.poke(via)
             while (left := until - shared.clock()) > 0 and not done[1] and self.up(via):
@@ -87,7 +127,11 @@
         try:
             status, body = await self.handlers[q.what](by, q)
             if len(body) > carry.MOST_BODY:
-                status, refused, body = 0, False, b""  # it has been executed: only its answer can't be carried
+                status, refused, body = (
+                    0,
+                    False,
+                    b"",
+                )  # it has been executed: only its answer can't be carried
         except NotCarried:
             pass
         except Unreachable:
@@ -103,7 +147,12 @@
         """Put an answer in the member's queue; where there is no room for it, it will have to ask again."""
         left = q.until - self.shared.wall()
         a = Answer(q.life, q.number, status, refused, body)
-        self.calls.put(by, carry.pack(carry.ANSWER, self.shared.me, a), len(body) + 100, self.shared.clock() + left)
+        self.calls.put(
+            by,
+            carry.pack(carry.ANSWER, self.shared.me, a),
+            len(body) + 100,
+            self.shared.clock() + left,
+        )
         self.poke(by)
 
     # -- on the links --------------------------------------------------------------------------
@@ -115,7 +164,17 @@
             self.word_at[node] = now
             heard = [n for n in self.ways.said if self.hearing.heard(n, now)]
             can = list(carry.KINDS) if self.shared.settings.options.carry else []
-            out.append([carry.WORD, self.shared.me, 0, 0, True, {"life": self.calls.life, "can": can, "hears": heard, **self.reached()}, 0])
+            out.append(
+                [
+                    carry.WORD,
+                    self.shared.me,
+                    0,
+                    0,
+                    True,
+                    {"life": self.calls.life, "can": can, "hears": heard, **self.reached()},
+                    0,
+                ]
+            )
         return out
 
     def deliver(self, node: str, message: Message) -> None:
@@ -130,7 +189,11 @@
                 q = carry.question(value)
                 if too_late(q.until, self.shared.wall()):
                     self.calls.refused += 1  # held back on its way: whoever asked has long gone on
-                elif q.what not in self.handlers or self.late() > LATE_S or not self.calls.begin(node):
+                elif (
+                    q.what not in self.handlers
+                    or self.late() > LATE_S
+                    or not self.calls.begin(node)
+                ):
                     self._answer(node, q, 0, True, b"")
                 else:
                     self.start(node, q)
--- a/ploverhall/control/engine.py
+++ b/ploverhall/control/engine.py
@@ -27,11 +27,26 @@
 class Engine:
     """Steps of all roles held here."""
 
-    def __init__(self, shared: Shared, hearing: Hearing, routing: Routing, *, poke: Callable[..., None], ask: Callable[[], None],
-                 stood_still: Callable[[float, float], None], right: Callable[[float], int],
-                 direct: Callable[[Owner, Machine, dict[str, Any]], None]) -> None:
+    def __init__(
+        self,
+        shared: Shared,
+        hearing: Hearing,
+        routing: Routing,
+        *,
+        poke: Callable[..., None],
+        ask: Callable[[], None],
+        stood_still: Callable[[float, float], None],
+        right: Callable[[float], int],
+        direct: Callable[[Owner, Machine, dict[str, Any]], None],
+    ) -> None:
         self.shared, self.hearing, self.routing = shared, hearing, routing
-        self.poke_peers, self.ask, self.stood_still, self.right, self.direct = poke, ask, stood_still, right, direct
+        self.poke_peers, self.ask, self.stood_still, self.right, self.direct = (
+            poke,
+            ask,
+            stood_still,
+            right,
+            direct,
+        )
         self.views_at = 0.0
         self.late = 0.0  # by how much the newest step came late
         self.lag = 0.0  # longest that a step has come late, since it was last told
@@ -42,7 +57,9 @@
         shared = self.shared
         last = shared.clock()
         while True:
-            impatient = any(h.source is not None and h.source.impatient for h in shared.held.values())
+            impatient = any(
+                h.source is not None and h.source.impatient for h in shared.held.values()
+            )
             with anyio.move_on_after(ENGINE_IDLE_S / 2 if impatient else ENGINE_IDLE_S):
                 await shared.wake.wait()
             shared.wake = anyio.Event()
@@ -50,7 +67,9 @@
             late = now - last - ENGINE_IDLE_S - ENGINE_EVERY_S
             if late > STOOD_S:
                 self.stood_still(late, now)
-                await anyio.sleep(READ_FIRST_S)  # what has queued up is read before time passes for others
+                await anyio.sleep(
+                    READ_FIRST_S
+                )  # what has queued up is read before time passes for others
                 now = shared.clock()
             self.late, self.lag = late, max(self.lag, late)
             last = now
@@ -72,7 +91,11 @@
                     self.routing.take(message)
                 if not local:
                     break
-            self.poke_peers(*dict.fromkeys(self.routing.holders.get(key[2]) for key in sorted(shared.outbox.fresh)))
+            self.poke_peers(
+                *dict.fromkeys(
+                    self.routing.holders.get(key[2]) for key in sorted(shared.outbox.fresh)
+                )
+            )
             await anyio.sleep(ENGINE_EVERY_S)
 
     def _step(self, held: Held, now: float) -> None:
@@ -105,7 +128,9 @@
             to_renter.update(h.owner.take_machine_news(now))
             to_renter.put("?", h.owner.suspects(now) or None)
             if h.source is not None:
-                outbox.board("d", h.shard, boards.RENTER, h.epoch).replace(h.source.demand(now, shared.wall()))
+                outbox.board("d", h.shard, boards.RENTER, h.epoch).replace(
+                    h.source.demand(now, shared.wall())
+                )
                 counts = h.source.take_counts()
                 for part in shards:
                     outbox.board("c", h.shard, part, h.epoch).update(counts)
@@ -128,7 +153,9 @@
             "processor_lag_s": round(self.lag, 2) if self.lag > LAG_S else 0.0,
             "changes_wait_s": round(w, 2) if (w := shared.store.writes.wait(1)) > LAG_S else 0.0,
             "values_to_write": float(backlog) if backlog > shared.settings.txn_ops else 0.0,
-            "tasks_waiting": float(sum(js.waiting() for s in sources for w in s.waits.values() for js in w.values())),
+            "tasks_waiting": float(
+                sum(js.waiting() for s in sources for w in s.waits.values() for js in w.values())
+            ),
             "kinds_refused": float(sum(1 for until, _ in refused.values() if until > now)),
-        }  # fmt: skip
+        }
         return {k: v for k, v in found.items() if v}
--- a/ploverhall/control/following.py
+++ b/ploverhall/control/following.py
@@ -10,7 +10,7 @@
 from ploverhall import log
 from ploverhall.bookkeeping.replica import (
     PREFIX,
-)  # fmt: skip
+)
 from ploverhall.control.shared import Shared
 from ploverhall.coordination.answers import Proof
 from ploverhall.protocol.state import Event, Refused, Unknown
@@ -21,7 +21,9 @@
 class Following:
     """This node's copy of the store: kept by watch, and proven current for those who must know."""
 
-    def __init__(self, shared: Shared, news: Callable[[], None], proved: Callable[[float], None]) -> None:
+    def __init__(
+        self, shared: Shared, news: Callable[[], None], proved: Callable[[float], None]
+    ) -> None:
         self.shared = shared
         self.news = news  # the copy has changed
         self.proved = proved  # a read begun then has shown who holds what
@@ -72,7 +74,12 @@
         self.shared.replica.apply(*answer)
         self.shared.replica.ready = True
         self.read_at = max(self.read_at, begun)
-        log.info("state read", rev=self.shared.replica.rev, live=len(self.shared.replica.live), ended=len(self.shared.replica.ended))
+        log.info(
+            "state read",
+            rev=self.shared.replica.rev,
+            live=len(self.shared.replica.live),
+            ended=len(self.shared.replica.ended),
+        )
         self.news()
 
     async def proof(self) -> Proof | None:
--- a/ploverhall/control/hearing.py
+++ b/ploverhall/control/hearing.py
@@ -16,7 +16,9 @@
 
     def __init__(self, shared: Shared) -> None:
         self.shared = shared
-        self.peer_news: dict[str, tuple[float, NodeNews]] = {}  # node -> when heard, and what it said
+        self.peer_news: dict[
+            str, tuple[float, NodeNews]
+        ] = {}  # node -> when heard, and what it said
 
     def take(self, node: str, news: NodeNews) -> None:
         """A peer has spoken."""
@@ -28,24 +30,44 @@
 
     def others_reach_state(self, now: float) -> bool:
         """Whether the state service has just answered a peer."""
-        return any(self.heard(n, now) and news.age + now - at < FRESH_S for n, (at, news) in self.peer_news.items())
+        return any(
+            self.heard(n, now) and news.age + now - at < FRESH_S
+            for n, (at, news) in self.peer_news.items()
+        )
 
     def quiet(self, node: str, shard: int, now: float) -> bool:
         """Whether a shard's holder can be heard, and says that none of its workers reports to it any more."""
-        return self.heard(node, now) and self.peer_news[node][1].quiet.get(shard, 0.0) > 1.3 * self.shared.settings.report_s + 0.3
+        return (
+            self.heard(node, now)
+            and self.peer_news[node][1].quiet.get(shard, 0.0)
+            > 1.3 * self.shared.settings.report_s + 0.3
+        )
 
     def quiet_for(self, now: float) -> dict[int, float]:
         """How long no worker of a shard held here has reported."""
-        return {h.shard: now - h.owner.reported for h in self.shared.held.values() if h.owner.reported and h.owner.machines}
+        return {
+            h.shard: now - h.owner.reported
+            for h in self.shared.held.values()
+            if h.owner.reported and h.owner.machines
+        }
 
     def own(self, now: float) -> NodeNews:
         """What this controller says of itself."""
         store, held = self.shared.store, self.shared.held.values()
-        return NodeNews(now - store.last_ok, {h.shard: h.epoch for h in held}, self.quiet_for(now), store.writes.used())
+        return NodeNews(
+            now - store.last_ok,
+            {h.shard: h.epoch for h in held},
+            self.quiet_for(now),
+            store.writes.used(),
+        )
 
     def share(self, now: float) -> None:
         """This controller's slice of the state service's changes: its own, and part of what the others leave unused."""
         s = self.shared.settings
         own = s.state_write_rps * SHARE / len(s.nodes)
-        left = sum(max(0.0, own - news.writes) for name, (_, news) in self.peer_news.items() if self.heard(name, now))
+        left = sum(
+            max(0.0, own - news.writes)
+            for name, (_, news) in self.peer_news.items()
+            if self.heard(name, now)
+        )
         self.shared.store.writes.rate = own + LENT * left / max(1, len(s.peers))
--- a/ploverhall/control/links.py
+++ b/ploverhall/control/links.py
@@ -24,17 +24,37 @@
 class Links:
     """One link to each peer, and the listener for theirs."""
 
-    def __init__(self, shared: Shared, hearing: Hearing, routing: Routing, roles: Roles, telling: Telling,
-                 cancellations: Cancellations, carrying: Carrying, cancelled: Callable[[list[Cancelled]], None]) -> None:
-        self.shared, self.hearing, self.routing, self.roles, self.telling = shared, hearing, routing, roles, telling
+    def __init__(
+        self,
+        shared: Shared,
+        hearing: Hearing,
+        routing: Routing,
+        roles: Roles,
+        telling: Telling,
+        cancellations: Cancellations,
+        carrying: Carrying,
+        cancelled: Callable[[list[Cancelled]], None],
+    ) -> None:
+        self.shared, self.hearing, self.routing, self.roles, self.telling = (
+            shared,
+            hearing,
+            routing,
+            roles,
+            telling,
+        )
         self.cancellations, self.carrying = cancellations, carrying
         self.cancelled = cancelled  # acts on what a peer says has been cancelled
         s, seams = shared.settings, shared.seams
-        self.links = {p.name: Link(s.name, p.name, p.host, p.port, self.collect, seams.net, seams.clock) for p in s.peers}
+        self.links = {
+            p.name: Link(s.name, p.name, p.host, p.port, self.collect, seams.net, seams.clock)
+            for p in s.peers
+        }
         self.listener = Listener(self.deliver, seams.net, seams.clock)
         self.news_at: dict[str, float] = {}
         self.known_sent: dict[str, int] = {}  # per peer: the watermark that it was told
-        self.refused_at: dict[str, float] = {}  # per peer: when a word of its that is in no form was last named in the log
+        self.refused_at: dict[
+            str, float
+        ] = {}  # per peer: when a word of its that is in no form was last named in the log
         self.numbers = 0
 
     def up(self) -> list[str]:
@@ -55,7 +75,9 @@
         if told:
             self.news_at[node] = now
             out.append(["n", shared.me, 0, 0, True, self.hearing.own(now), 0])
-        if told or self.known_sent.get(node, 0) < min(shared.cancelled_rev, max(shared.replica.rev, self.cancellations.informed)):
+        if told or self.known_sent.get(node, 0) < min(
+            shared.cancelled_rev, max(shared.replica.rev, self.cancellations.informed)
+        ):
             # a message of its own, in the form of a board: a release that does not know it takes it for one of nobody's
             said = self.cancellations.word(node, shared.replica.rev, now)
             self.known_sent[node] = said.known
--- a/ploverhall/control/membership.py
+++ b/ploverhall/control/membership.py
@@ -12,7 +12,7 @@
     NODE,
     SHARD,
     Ended,
-)  # fmt: skip
+)
 from ploverhall.control.following import Following
 from ploverhall.control.hearing import Hearing
 from ploverhall.control.roles import Roles
@@ -30,15 +30,32 @@
 
 READ_S = 2.5  # the copy is proven current at least this often
 ALONE_S = 1.0  # its lease may end so late
-TAKE_AGAIN_S = 10.0  # a shard that is taken from a live holder and lost again is left alone for this long
+TAKE_AGAIN_S = (
+    10.0  # a shard that is taken from a live holder and lost again is left alone for this long
+)
 
 
 class Membership:
     """Which shards this node holds: its lease, claims, takeovers and hand-backs."""
 
-    def __init__(self, shared: Shared, hearing: Hearing, following: Following, roles: Roles, cancellations: Cancellations,
-                 ways: Ways, workers: Workers, all_up: Callable[[], bool]) -> None:
-        self.shared, self.hearing, self.following, self.roles, self.ways = shared, hearing, following, roles, ways
+    def __init__(
+        self,
+        shared: Shared,
+        hearing: Hearing,
+        following: Following,
+        roles: Roles,
+        cancellations: Cancellations,
+        ways: Ways,
+        workers: Workers,
+        all_up: Callable[[], bool],
+    ) -> None:
+        self.shared, self.hearing, self.following, self.roles, self.ways = (
+            shared,
+            hearing,
+            following,
+            roles,
+            ways,
+        )
         self.cancellations, self.workers = cancellations, workers
         s = shared.settings
         self.rights = Rights(s.cancel_s, s.lease_s, s.skew_s, s.options.cut_off_s)
@@ -67,13 +84,17 @@
                 self.cancellations.gone(name, now, left)
                 continue
             can, seen = value.get("can"), value.get("seen")
-            self.cancellations.present(name, isinstance(can, list) and CAN in can, seen if isinstance(seen, int) else 0)
+            self.cancellations.present(
+                name, isinstance(can, list) and CAN in can, seen if isinstance(seen, int) else 0
+            )
 
     def may_tell(self, end: Ended) -> bool:
         """Whether a user may be told how a job ended: of a cancellation, only once all know of it (coordination.cancellations)."""
         if end.how == DONE:
             return True
-        return self.shared.replica.rev >= end.version and self.cancellations.may_tell(end.version, self.shared.clock())
+        return self.shared.replica.rev >= end.version and self.cancellations.may_tell(
+            end.version, self.shared.clock()
+        )
 
     def may_archive(self, end: Ended) -> bool:
         """Whether nobody can need to be told of a job's end any more who has not read the store since."""
@@ -99,12 +120,17 @@
         """Whether there is anybody besides this controller's workers: neither store nor peers for longer than its lease lives."""
         last = max(self.renewed, self.following.read_at, self.shared.started)
         alone = now - last > self.shared.settings.options.shard_lease_s + ALONE_S
-        self.alone.look(alone and not any(self.hearing.heard(p.name, now) for p in self.shared.settings.peers), now)
+        self.alone.look(
+            alone and not any(self.hearing.heard(p.name, now) for p in self.shared.settings.peers),
+            now,
+        )
 
     def right(self, now: float) -> int:
         """What tokens that leave now say of who may answer their workers later (coordination.afterlife)."""
         self._contact()
-        return self.rights.given(now - self.cancellations.contact(now), self.cancellations.fence, self.shared.wall())
+        return self.rights.given(
+            now - self.cancellations.contact(now), self.cancellations.fence, self.shared.wall()
+        )
 
     async def lease_loop(self) -> None:
         """Keep a lease and the key that shows this node is up."""
@@ -129,7 +155,10 @@
                     self.renewed = begun
                     if begun - self.following.read_at > READ_S:
                         self.following.ask()  # a watch that holds shows for seconds nothing of whether there is contact
-                    if self.following.read_at > self.granted and NODE + self.shared.settings.name not in self.shared.replica.keys:
+                    if (
+                        self.following.read_at > self.granted
+                        and NODE + self.shared.settings.name not in self.shared.replica.keys
+                    ):
                         # the lease lives, but the key is gone (a put of an earlier life came late, and went with that life's
                         # lease): others count this one as ended, and for how long it may still answer workers
                         if await self._show(lease):
@@ -145,9 +174,14 @@
 
         Tethered to that lease: without one it would outlive the process, and be taken for it for ever.
         """
-        key, seen = NODE + self.shared.settings.name, max(self.shared.replica.rev, self.cancellations.informed)
+        key, seen = (
+            NODE + self.shared.settings.name,
+            max(self.shared.replica.rev, self.cancellations.informed),
+        )
         value = {"zone": self.shared.settings.zone, "can": [CAN, orders.CAN], "seen": seen}
-        _, failed = await self.shared.store.txn({}, {key: value}, [], lease, frozenset({key}), urgent=True)
+        _, failed = await self.shared.store.txn(
+            {}, {key: value}, [], lease, frozenset({key}), urgent=True
+        )
         if not failed:
             self.shown = seen
         return not failed
@@ -170,7 +204,9 @@
         holder, version = self.shared.replica.holder(shard)
         held = self.shared.held.get(shard)
         if held is not None and held.owner.spent:
-            self.roles.lose(shard, "its tokens are used up")  # claimed again at once, with the next epoch's
+            self.roles.lose(
+                shard, "its tokens are used up"
+            )  # claimed again at once, with the next epoch's
             held = None
         if held is not None and version != held.epoch and self.shared.replica.rev >= held.epoch:
             # another holds it, or its key went with a lease that ended while this controller stood still
@@ -188,8 +224,17 @@
             self.moves.left(shard, now)
         if held is not None:
             # all links of the home have to be good for long enough, or it loses the shard again at once
-            well = same and home_version > 0 and self.hearing.heard(home, now) and self.ways.well(home, now)
-            if shard != self.shared.me and self.moves.home_is(shard, well, now) and now - self.taken_at.get(shard, -1e9) > 30.0:
+            well = (
+                same
+                and home_version > 0
+                and self.hearing.heard(home, now)
+                and self.ways.well(home, now)
+            )
+            if (
+                shard != self.shared.me
+                and self.moves.home_is(shard, well, now)
+                and now - self.taken_at.get(shard, -1e9) > 30.0
+            ):
                 # not while its workers don't reach it: it would lose the part, and they their leases, once more
                 if await self.workers.reached_by(home, held.owner):
                     await self._hand_back(held)
@@ -203,10 +248,14 @@
                 # answers are lost: 15 claims instead of 5 for three ends, and workers waited for up to 13 s
                 self._hold(shard, version)
             else:
-                await self._claim(shard, version)  # of an earlier life, or one that this process has let go
+                await self._claim(
+                    shard, version
+                )  # of an earlier life, or one that this process has let go
         elif holder is None:
             since = self.orphans.setdefault(shard, now)
-            alive = [n for n in self.shared.layout.nodes if self.shared.replica.alive(n) and n != home] or [name]
+            alive = [
+                n for n in self.shared.layout.nodes if self.shared.replica.alive(n) and n != home
+            ] or [name]
             delay = self.shared.layout.claim_delay(name, shard, alive, len(self.shared.held))
             if shard != self.shared.me and home_version:
                 delay += 3.0  # its home is up and will claim it
@@ -216,7 +265,11 @@
                 await self._claim(shard, 0)
             return
         elif now - self.taken_at.get(shard, -1e9) > TAKE_AGAIN_S and self.stranded.should_take(
-            shard, self.hearing.heard(holder, now), now, shard == self.shared.me, self.hearing.quiet(holder, shard, now)
+            shard,
+            self.hearing.heard(holder, now),
+            now,
+            shard == self.shared.me,
+            self.hearing.quiet(holder, shard, now),
         ):
             log.info("workers can't reach their controller", shard=shard, holder=holder)
             self.taken_at[shard] = now
@@ -227,7 +280,9 @@
         key = f"{SHARD}{shard}"
         value = {"node": self.shared.settings.name, "lease": self.lease}
         try:
-            epoch, failed = await self.shared.store.txn({key: version}, {key: value}, [], self.lease, frozenset({key}), urgent=True)
+            epoch, failed = await self.shared.store.txn(
+                {key: version}, {key: value}, [], self.lease, frozenset({key}), urgent=True
+            )
         except (Refused, Unknown):
             return
         if failed == ["no such lease"]:
--- a/ploverhall/control/node.py
+++ b/ploverhall/control/node.py
@@ -56,54 +56,119 @@
         self.hearing = Hearing(shared)
         self.routing = Routing(shared, self.hearing)
         self.ways = Ways([p.name for p in s.peers])
-        self.carrying = Carrying(shared, self.hearing, self.ways, lambda name: self.links.poke(name), self._up, self._serve)
+        self.carrying = Carrying(
+            shared,
+            self.hearing,
+            self.ways,
+            lambda name: self.links.poke(name),
+            self._up,
+            self._serve,
+        )
         self.state = Wire(
-            shared, self.carrying, carry.STATE, shared.client(*s.state, keep=12), probe=f"/kv/{RENTER}",
-            rate=s.state_rps * SHARE / len(s.nodes), refusals=True, repeatable=("/grants",),
-        )  # fmt: skip
+            shared,
+            self.carrying,
+            carry.STATE,
+            shared.client(*s.state, keep=12),
+            probe=f"/kv/{RENTER}",
+            rate=s.state_rps * SHARE / len(s.nodes),
+            refusals=True,
+            repeatable=("/grants",),
+        )
         shared.store.caller = self.state
         self.cloud = Wire(
-            shared, self.carrying, carry.CLOUD, shared.client(*s.cloud, keep=2), probe="/flavors",
-            rate=s.cloud_rps, refusals=False, repeatable=("/hosts",),
-        )  # fmt: skip
-        self.limiter = ConnectionLimiter(SocketLimits.of_platform(s.max_sockets), is_report, stale_s=s.lease_s)
+            shared,
+            self.carrying,
+            carry.CLOUD,
+            shared.client(*s.cloud, keep=2),
+            probe="/flavors",
+            rate=s.cloud_rps,
+            refusals=False,
+            repeatable=("/hosts",),
+        )
+        self.limiter = ConnectionLimiter(
+            SocketLimits.of_platform(s.max_sockets), is_report, stale_s=s.lease_s
+        )
         self.workers = Workers(shared, self.carrying, self._probe, self.limiter.room_for_outgoing)
         self.cancellations = Cancellations(
-            [p.name for p in s.peers], s.cancel_s, s.lease_s, s.options.cut_off_s, shared.clock(), self.carrying.calls.life
+            [p.name for p in s.peers],
+            s.cancel_s,
+            s.lease_s,
+            s.options.cut_off_s,
+            shared.clock(),
+            self.carrying.calls.life,
         )
         self.following = Following(shared, self.news, lambda begun: self.roles.proved(begun))
         self.roles = Roles(shared, self.routing, self._begin)
         self.membership = Membership(
-            shared, self.hearing, self.following, self.roles, self.cancellations, self.ways, self.workers,
-            lambda: len(self.links.up()) == len(s.peers)
+            shared,
+            self.hearing,
+            self.following,
+            self.roles,
+            self.cancellations,
+            self.ways,
+            self.workers,
+            lambda: len(self.links.up()) == len(s.peers),
         )
         self.writing = Writing(
-            shared, self.routing, current=self.following.current, news=self.news,
-            may_archive=self.membership.may_archive, deposed=self._deposed,
-        )  # fmt: skip
+            shared,
+            self.routing,
+            current=self.following.current,
+            news=self.news,
+            may_archive=self.membership.may_archive,
+            deposed=self._deposed,
+        )
         self.renting = Renting(shared, self.routing, lambda: self.membership.lease, self.cloud)
         self.view = View(shared, self.hearing, lambda: self.engine.short(), self._reach_view)
-        self.telling = Telling(shared, self.view, lambda: self.links.up(), lambda name: self.links.poke(name))
+        self.telling = Telling(
+            shared, self.view, lambda: self.links.up(), lambda name: self.links.poke(name)
+        )
         self.links = Links(
-            shared, self.hearing, self.routing, self.roles, self.telling, self.cancellations, self.carrying, self._cancelled
+            shared,
+            self.hearing,
+            self.routing,
+            self.roles,
+            self.telling,
+            self.cancellations,
+            self.carrying,
+            self._cancelled,
         )
         self.engine = Engine(
-            shared, self.hearing, self.routing,
-            poke=self.links.poke, ask=self.following.ask, stood_still=self._stood_still, right=self.membership.right,
+            shared,
+            self.hearing,
+            self.routing,
+            poke=self.links.poke,
+            ask=self.following.ask,
+            stood_still=self._stood_still,
+            right=self.membership.right,
             direct=self._direct,
-        )  # fmt: skip
+        )
         answers = Answers(shared.replica, self.membership.may_tell, self.routing.progress)
         self.users = Users(shared, self.following, answers, self.news)
-        self.reports = Reports(shared, self.hearing, self.routing, self.membership, self.ways, self.carrying, self.workers)
+        self.reports = Reports(
+            shared,
+            self.hearing,
+            self.routing,
+            self.membership,
+            self.ways,
+            self.carrying,
+            self.workers,
+        )
         self.requests = Requests(
-            shared, self.hearing, self.membership, self.telling, self.users, self.reports,
+            shared,
+            self.hearing,
+            self.membership,
+            self.telling,
+            self.users,
+            self.reports,
             Upkeep(shared, self.following, self.telling, self.news),
-        )  # fmt: skip
+        )
         self.carrying.reached, self.carrying.late = self._reached, lambda: self.engine.late
         self.carrying.handlers = {
-            carry.STATE: self.state.carried, carry.CLOUD: self.cloud.carried,
-            carry.REPORT: self.reports.carried, carry.DO: self.workers.carried,
-        }  # fmt: skip
+            carry.STATE: self.state.carried,
+            carry.CLOUD: self.cloud.carried,
+            carry.REPORT: self.reports.carried,
+            carry.DO: self.workers.carried,
+        }
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -111,16 +176,26 @@
         async with anyio.create_task_group() as tg:
             self.tasks = tg
             cap = self.limiter.limits.accepted
-            server = Server(self.requests.handle, cap, net=seams.net, clock=seams.clock, limiter=self.limiter)
+            server = Server(
+                self.requests.handle, cap, net=seams.net, clock=seams.clock, limiter=self.limiter
+            )
             tg.start_soon(server.run, *s.bind)
             tg.start_soon(self.links.listener.run, *s.peer_listen)
             for link in self.links.links.values():
                 tg.start_soon(link.run)
             for loop in (
-                self.membership.lease_loop, self.following.watch_loop, self.following.prove_loop, self.membership.shard_loop,
-                self.engine.loop, self.renting.loop, self.telling.loop, self.writing.archive_loop,
-                self.state.loop, self.cloud.loop, self.workers.probe_loop,
-            ):  # fmt: skip
+                self.membership.lease_loop,
+                self.following.watch_loop,
+                self.following.prove_loop,
+                self.membership.shard_loop,
+                self.engine.loop,
+                self.renting.loop,
+                self.telling.loop,
+                self.writing.archive_loop,
+                self.state.loop,
+                self.cloud.loop,
+                self.workers.probe_loop,
+            ):
                 tg.start_soon(self._guarded, loop)
             log.info("started", node=s.name, zone=s.zone, shards=len(s.nodes))
 
@@ -130,7 +205,12 @@
             try:
                 await loop()
             except Exception as e:
-                log.error("loop failed", loop=getattr(loop, "__qualname__", "?"), error=repr(e), at=where(e))
+                log.error(
+                    "loop failed",
+                    loop=getattr(loop, "__qualname__", "?"),
+                    error=repr(e),
+                    at=where(e),
+                )
                 await anyio.sleep(0.5)
 
     def _begin(self, held: Held) -> None:
@@ -156,7 +236,9 @@
         for c in new:
             replica.put_own(JOB + c.job, end_record(WITHDRAWN, 0), c.version)
         if new:
-            log.info("cancelled jobs named by another controller", jobs=len(new), to=new[-1].version)
+            log.info(
+                "cancelled jobs named by another controller", jobs=len(new), to=new[-1].version
+            )
             self.news()
 
     def _up(self, name: str) -> bool:
@@ -169,13 +251,22 @@
         """What people are told of this controller's links."""
         through = {w.service: via for w in (self.state, self.cloud) if (via := w.way()) is not None}
         calls = self.carrying.calls
-        return {"through": through, "away": len(self.workers.homing.away), "carried": calls.carried, "not_carried": calls.refused}
+        return {
+            "through": through,
+            "away": len(self.workers.homing.away),
+            "carried": calls.carried,
+            "not_carried": calls.refused,
+        }
 
     def _reached(self) -> dict[str, Any]:
         """What this controller tells the others of its links."""
         wires = (self.state, self.cloud)
         through = {w.service: via for w in wires if (via := w.way()) is not None}
-        return {"good": [w.service for w in wires if w.gauge.good], "through": through, "cut": self.workers.cut(self.shared.clock())}
+        return {
+            "good": [w.service for w in wires if w.gauge.good],
+            "through": through,
+            "cut": self.workers.cut(self.shared.clock()),
+        }
 
     def _stood_still(self, s: float, now: float) -> None:
         self.roles.stood_still(s, now)
@@ -194,7 +285,9 @@
                 log.debug("withdrawn", job=j)  # whoever wrote it may not know that it has landed
                 cancelled = max(cancelled, e.version)
         if cancelled > shared.cancelled_rev:
-            shared.cancelled_rev = cancelled  # the users' answers wait for everybody's word that it has been read
+            shared.cancelled_rev = (
+                cancelled  # the users' answers wait for everybody's word that it has been read
+            )
             self.links.poke(*self.links.links)
         for jid in sorted(shared.replica.unreadable - self.named):
             self.named.add(jid)
--- a/ploverhall/control/renting.py
+++ b/ploverhall/control/renting.py
@@ -13,7 +13,7 @@
     RENTER,
     TYPE,
     TYPES,
-)  # fmt: skip
+)
 from ploverhall.control.routing import Routing
 from ploverhall.control.shared import Shared
 from ploverhall.coordination import boards
@@ -32,7 +32,9 @@
 class Renting:
     """The renter's role: held by lease, played by calls to the cloud."""
 
-    def __init__(self, shared: Shared, routing: Routing, lease: Callable[[], int | None], cloud: Caller) -> None:
+    def __init__(
+        self, shared: Shared, routing: Routing, lease: Callable[[], int | None], cloud: Caller
+    ) -> None:
         self.shared, self.routing, self.cloud = shared, routing, cloud
         self.lease = lease  # this controller's, while it has one
         self.renter_orphan = 0.0
@@ -60,7 +62,9 @@
                 pending.clear()
                 if holder is None:
                     self.renter_orphan = self.renter_orphan or now
-                    if now - self.renter_orphan < 0.1 + 0.5 * ((self.shared.me + version) % len(self.shared.layout.nodes)):
+                    if now - self.renter_orphan < 0.1 + 0.5 * (
+                        (self.shared.me + version) % len(self.shared.layout.nodes)
+                    ):
                         continue
                 elif holder != self.shared.settings.name:
                     self.renter_orphan = 0.0
@@ -77,7 +81,11 @@
                     if status == 200:
                         renter.types = cloud.types(answer)
                         # until all are written nobody can take a job: what is not known to have landed is written again soon
-                        last_types = now if await self._store_types(renter.types) else now - TYPES_EVERY_S + TYPES_AGAIN_S
+                        last_types = (
+                            now
+                            if await self._store_types(renter.types)
+                            else now - TYPES_EVERY_S + TYPES_AGAIN_S
+                        )
                     elif self.shared.types and not renter.types:
                         renter.types = self.shared.types
                 if now - last_list > self.list_every_s:
@@ -85,7 +93,9 @@
                     await self._list(renter, now)
                 if now - last_plan > 1.0:
                     last_plan = now
-                    renter.orders = [o for o in orders.all_of(self.shared.replica.keys) if not o.over]
+                    renter.orders = [
+                        o for o in orders.all_of(self.shared.replica.keys) if not o.over
+                    ]
                     await self._finish(renter, now)
                     plan = renter.plan(now, self.shared.wall())
                     if not pending:
@@ -94,12 +104,25 @@
                         await self._return(renter, plan.give_back[i : i + 100])
                 while pending and self.shared.renter is renter:
                     plea, r = pending[0]
-                    status, answer = await self.cloud.call("POST", "/hosts", cloud.rent(plea, *r.kind, r.count), timeout=3)
+                    status, answer = await self.cloud.call(
+                        "POST", "/hosts", cloud.rent(plea, *r.kind, r.count), timeout=3
+                    )
                     if status == 200:
                         names = list(answer["perches"])  # type: ignore[index]
-                        log.info("rented", type=r.kind[0], zone=r.kind[1], spot=int(r.kind[2]), asked=r.count, got=len(names))
+                        log.info(
+                            "rented",
+                            type=r.kind[0],
+                            zone=r.kind[1],
+                            spot=int(r.kind[2]),
+                            asked=r.count,
+                            got=len(names),
+                        )
                         renter.on_rented(names, r.kind, r.count, self.shared.clock())
-                    elif status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
+                    elif (
+                        status == 503
+                        and isinstance(answer, dict)
+                        and answer.get("error") == "no capacity"
+                    ):
                         log.info("no capacity", type=r.kind[0], zone=r.kind[1], spot=int(r.kind[2]))
                         renter.on_refused(r.kind, self.shared.clock())
                     elif status in (429, 503):
@@ -113,16 +136,22 @@
     async def _claim_renter(self, version: int, now: float) -> bool:
         try:
             epoch, failed = await self.shared.store.txn(
-                {RENTER: version}, {RENTER: {"node": self.shared.settings.name}}, [],
-                self.lease(), frozenset({RENTER}), urgent=True,
-            )  # fmt: skip
+                {RENTER: version},
+                {RENTER: {"node": self.shared.settings.name}},
+                [],
+                self.lease(),
+                frozenset({RENTER}),
+                urgent=True,
+            )
         except (Refused, Unknown):
             return False
         if failed:
             return False
         s = self.shared.settings
         self.shared.replica.put_own(RENTER, {"node": s.name}, epoch)
-        self.shared.renter = Renter(epoch, s.options.idle_return_s, s.options.spare, s.list_lag_s, s.lease_s, now)
+        self.shared.renter = Renter(
+            epoch, s.options.idle_return_s, s.options.spare, s.list_lag_s, s.lease_s, now
+        )
         self.shared.renter.types = self.shared.types or {}
         self.shared.renter.aims = self.shared.aims
         self.renter_orphan = 0.0
@@ -137,21 +166,31 @@
     async def _finish(self, renter: Renter, now: float) -> None:
         """Write which orders are done, one a round, and forget those that were over long ago."""
         wall = self.shared.wall()
-        over = [o for o in orders.all_of(self.shared.replica.keys) if o.over and wall - o.at > orders.KEPT_S]
+        over = [
+            o
+            for o in orders.all_of(self.shared.replica.keys)
+            if o.over and wall - o.at > orders.KEPT_S
+        ]
         try:
             for o in renter.finished(now)[:1]:
                 done = replace(o, state=orders.DONE, at=wall)
-                await self.shared.store.txn({orders.ORDER + o.id: o.version}, {orders.ORDER + o.id: done.record()}, [])
+                await self.shared.store.txn(
+                    {orders.ORDER + o.id: o.version}, {orders.ORDER + o.id: done.record()}, []
+                )
                 log.info("order done", order=o.id)
             for o in over[:1]:
-                await self.shared.store.txn({orders.ORDER + o.id: o.version}, {}, [orders.ORDER + o.id])
+                await self.shared.store.txn(
+                    {orders.ORDER + o.id: o.version}, {}, [orders.ORDER + o.id]
+                )
         except (Refused, Unknown):
             pass  # the next round looks again at what is there
 
     async def _store_types(self, types: dict[str, MachineType]) -> bool:
         """Keep the machine types for starts while the cloud is down; whether they are known to be there."""
         stored = self.shared.replica.types()
-        if stored is not None and {n: t.vec for n, t in stored.items()} == {n: t.vec for n, t in types.items()}:
+        if stored is not None and {n: t.vec for n, t in stored.items()} == {
+            n: t.vec for n, t in types.items()
+        }:
             return True
         try:
             for t in types.values():
@@ -166,7 +205,9 @@
         after, pages = "", 0
         rps = self.shared.settings.cloud_rps
         while True:
-            status, answer = await self.cloud.call("GET", f"/hosts?limit=500{'&from=' + after if after else ''}", timeout=3)
+            status, answer = await self.cloud.call(
+                "GET", f"/hosts?limit=500{'&from=' + after if after else ''}", timeout=3
+            )
             if status != 200:
                 return
             page, more = cloud.listed(answer)
@@ -176,7 +217,9 @@
                 break
             after = page[-1].name
             if pages >= rps:
-                await anyio.sleep(1.0 / rps)  # the cloud refuses more, and a list that breaks off is of no use
+                await anyio.sleep(
+                    1.0 / rps
+                )  # the cloud refuses more, and a list that breaks off is of no use
         self.list_every_s = max(LIST_EVERY_S, pages / (LIST_SHARE * rps))
         renter.on_list(items, now, self.shared.clock())
 
--- a/ploverhall/control/reports.py
+++ b/ploverhall/control/reports.py
@@ -29,9 +29,22 @@
 class Reports:
     """What workers report."""
 
-    def __init__(self, shared: Shared, hearing: Hearing, routing: Routing, membership: Membership, ways: Ways, carrying: Carrying,
-                 links: Workers) -> None:
-        self.shared, self.hearing, self.routing, self.membership = shared, hearing, routing, membership
+    def __init__(
+        self,
+        shared: Shared,
+        hearing: Hearing,
+        routing: Routing,
+        membership: Membership,
+        ways: Ways,
+        carrying: Carrying,
+        links: Workers,
+    ) -> None:
+        self.shared, self.hearing, self.routing, self.membership = (
+            shared,
+            hearing,
+            routing,
+            membership,
+        )
         self.ways, self.carrying, self.workers = ways, carrying, links
         self.after_at = -1e9  # when a worker of this controller's earlier life was last answered
 
@@ -85,7 +98,9 @@
             other = self._sent_on(r, None, now)
             return Reply(200, answer) if other is None else Reply(421, workers.homing(other))
         holder, epoch = self.shared.replica.holder(part)
-        served = tokens.epoch_of(r.token) == epoch  # it has left that holder: its answers did not come
+        served = (
+            tokens.epoch_of(r.token) == epoch
+        )  # it has left that holder: its answers did not come
         # or it has been sent there, by this controller or another, and could not reach it
         late = 0 < tokens.epoch_of(r.token) < epoch and self.routing.settled(part, now)
         back = late or self.membership.stranded.back(part, r.machine, now)
@@ -98,7 +113,9 @@
             self.membership.stranded.note(part, r.machine, served, now)
             self.membership.shard_wake.set()
             if self.hearing.quiet(holder, part, now):
-                return Reply(421, {})  # sent back there it would hang; somebody takes the shard in a moment
+                return Reply(
+                    421, {}
+                )  # sent back there it would hang; somebody takes the shard in a moment
         return Reply(421, workers.homing(node if node != me else None))
 
     def _sent_on(self, r: Report, held: Held | None, now: float) -> str | None:
@@ -113,27 +130,49 @@
         """What a worker is answered whose part this controller held in an earlier life, before it holds it again; None: nothing."""
         replica = self.shared.replica
         # what another controller has named as cancelled is over before the store has been read, too
-        over = {key[0] for key in r.tasks() if (key[0] in replica.ended or (replica.ready and key[0] not in replica.live))}
-        answer = self.membership.rights.answer(r, self.shared.me, replica.holder(part)[1], over, self.shared.wall())
+        over = {
+            key[0]
+            for key in r.tasks()
+            if (key[0] in replica.ended or (replica.ready and key[0] not in replica.live))
+        }
+        answer = self.membership.rights.answer(
+            r, self.shared.me, replica.holder(part)[1], over, self.shared.wall()
+        )
         if answer is not None and now - self.after_at > AFTER_S:
             log.info("answers for its earlier life", shard=part, epoch=tokens.epoch_of(r.token))
         self.after_at = now if answer is not None else self.after_at
         return answer
 
-    async def _through(self, body: bytes, r: Report, part: int, node: str, avoid: frozenset[str] = frozenset(),
-                       hops: int = 2) -> Reply | None:
+    async def _through(
+        self,
+        body: bytes,
+        r: Report,
+        part: int,
+        node: str,
+        avoid: frozenset[str] = frozenset(),
+        hops: int = 2,
+    ) -> Reply | None:
         """Put a report through to the holder of its part, and answer what that one answers; None where there is no way."""
-        via = self.ways.to_member(node, REPORT, self.shared.clock(), avoid, hops) if self.shared.settings.options.carry else None
+        via = (
+            self.ways.to_member(node, REPORT, self.shared.clock(), avoid, hops)
+            if self.shared.settings.options.carry
+            else None
+        )
         if via is None:
             return None
         try:
-            status, raw = await self.carrying.ask(via, REPORT, timeout=CARRY_S * hops / 2, to=node, body=body, hops=hops)
+            status, raw = await self.carrying.ask(
+                via, REPORT, timeout=CARRY_S * hops / 2, to=node, body=body, hops=hops
+            )
             answer = orjson.loads(raw)
         except (NotCarried, Unreachable, orjson.JSONDecodeError):
             return None
         if status not in (200, 421) or not isinstance(answer, dict):
             return None
-        if status == 200 and tokens.epoch_of(answer.get("crest", 0)) < self.shared.replica.holder(part)[1]:
+        if (
+            status == 200
+            and tokens.epoch_of(answer.get("crest", 0)) < self.shared.replica.holder(part)[1]
+        ):
             return None  # from a holder that has been deposed meanwhile: the worker would drop it, and stay while its lease runs out
         return Reply(status, answer)
 
--- a/ploverhall/control/requests.py
+++ b/ploverhall/control/requests.py
@@ -28,20 +28,41 @@
 class Requests:
     """One controller's front door."""
 
-    def __init__(self, shared: Shared, hearing: Hearing, membership: Membership, telling: Telling, users: Users, reports: Reports,
-                 upkeep: Upkeep) -> None:
-        self.shared, self.hearing, self.membership, self.telling = shared, hearing, membership, telling
+    def __init__(
+        self,
+        shared: Shared,
+        hearing: Hearing,
+        membership: Membership,
+        telling: Telling,
+        users: Users,
+        reports: Reports,
+        upkeep: Upkeep,
+    ) -> None:
+        self.shared, self.hearing, self.membership, self.telling = (
+            shared,
+            hearing,
+            membership,
+            telling,
+        )
         self.users, self.reports, self.upkeep = users, reports, upkeep
 
     async def handle(self, q: Request) -> Reply:
         """Route one request."""
         try:
             if q.path == REPORT_PATH:
-                return await self.reports.report(q) if q.method == "POST" else Reply(405, {"error": "method"})
+                return (
+                    await self.reports.report(q)
+                    if q.method == "POST"
+                    else Reply(405, {"error": "method"})
+                )
             if q.path == "/healthz":
                 return Reply(200, {"ok": True}) if self.healthy() else Reply(503, {"ok": False})
             if q.path == "/api/jobs":
-                return await self.users.submit(q.body) if q.method == "POST" else Reply(405, {"error": "method"})
+                return (
+                    await self.users.submit(q.body)
+                    if q.method == "POST"
+                    else Reply(405, {"error": "method"})
+                )
             if q.path.startswith("/api/jobs/"):
                 jid, _, verb = q.path[len("/api/jobs/") :].partition("/")
                 if q.method == "GET" and not verb:
@@ -49,7 +70,9 @@
                 if q.method == "POST" and verb == "withdraw":
                     return await self.users.withdraw(jid)
             if q.path == "/status" and q.method == "GET":
-                return await self._status({k: v for k, v in q.query.items() if k in ("job", "team", "machine") and v})
+                return await self._status(
+                    {k: v for k, v in q.query.items() if k in ("job", "team", "machine") and v}
+                )
             if q.path == "/upkeep" or q.path.startswith("/upkeep/"):
                 return await self.upkeep.handle(q)
             return Reply(404, {"error": "no such path"})
@@ -60,14 +83,25 @@
     def healthy(self) -> bool:
         """Ready, not the only one that the state service refuses, and not alone with its workers."""
         now = self.shared.clock()
-        if not self.shared.replica.ready or self.shared.types is None or self.membership.alone.since is not None:
+        if (
+            not self.shared.replica.ready
+            or self.shared.types is None
+            or self.membership.alone.since is not None
+        ):
             return False
         return now - self.shared.store.last_ok < STATE_S or not self.hearing.others_reach_state(now)
 
     async def _status(self, chosen: dict[str, str]) -> Reply:
         """What controllers see, for people; of one job also what its user is told now, or why nothing."""
         out = await self.telling.answer(chosen)
-        told = await self.users.known(chosen["job"]) if jobs.ID.match(chosen.get("job", "")) else None
-        return Reply(200, {
-            **out, "told": told.view if isinstance(told, Known) else None, "untold": told.why if isinstance(told, NotNow) else None,
-        })  # fmt: skip
+        told = (
+            await self.users.known(chosen["job"]) if jobs.ID.match(chosen.get("job", "")) else None
+        )
+        return Reply(
+            200,
+            {
+                **out,
+                "told": told.view if isinstance(told, Known) else None,
+                "untold": told.why if isinstance(told, NotNow) else None,
+            },
+        )
--- a/ploverhall/control/roles.py
+++ b/ploverhall/control/roles.py
@@ -21,8 +21,18 @@
     def take(self, shard: int, epoch: int) -> None:
         """A shard is held from now on: serve its workers at once, its teams when their cells are read."""
         shared, s = self.shared, self.shared.settings
-        owner = Owner(shard, epoch, len(shared.layout.nodes), s.lease_s, s.report_s, s.options.hold_s, s.options.sample,
-                      shared.rng, shared.clock(), shared.me)  # fmt: skip
+        owner = Owner(
+            shard,
+            epoch,
+            len(shared.layout.nodes),
+            s.lease_s,
+            s.report_s,
+            s.options.hold_s,
+            s.options.sample,
+            shared.rng,
+            shared.clock(),
+            shared.me,
+        )
         owner.types = shared.types or {}
         owner.fleet.job_vec = shared.job_vec
         owner.job_over = shared.replica.ended.__contains__
@@ -59,7 +69,9 @@
 
     def stood_still(self, s: float, now: float) -> None:
         """A step came far later than it was due: what was believed before is old, and what came meanwhile is unread."""
-        log.warn("stood still", seconds=round(s, 1), shards=",".join(map(str, self.shared.held)) or "-")
+        log.warn(
+            "stood still", seconds=round(s, 1), shards=",".join(map(str, self.shared.held)) or "-"
+        )
         self.shared.stood_at, self.shared.stood_s = now, s
         for h in self.shared.held.values():
             h.owner.stood_still(s, now)
@@ -88,6 +100,10 @@
             else:
                 for held in shared.held.values():
                     held.owner.job_ended(jid)
-                    if held.source is not None and jid in held.source.jobs and held.source.jobs[jid].job is not None:
+                    if (
+                        held.source is not None
+                        and jid in held.source.jobs
+                        and held.source.jobs[jid].job is not None
+                    ):
                         held.source.on_job(None, jid, 0, now)
                         held.wake.set()
--- a/ploverhall/control/routing.py
+++ b/ploverhall/control/routing.py
@@ -9,7 +9,9 @@
 from ploverhall.coordination.source import Source
 from ploverhall.protocol.jobs import Job
 
-FOUND_S = 4.5  # a worker that is sent to a holder that it can't reach waits for 4 s there, and 1 s more
+FOUND_S = (
+    4.5  # a worker that is sent to a holder that it can't reach waits for 4 s there, and 1 s more
+)
 
 
 class Routing:
@@ -17,8 +19,12 @@
 
     def __init__(self, shared: Shared, hearing: Hearing) -> None:
         self.shared, self.hearing = shared, hearing
-        self.holders: dict[int, str | None] = {}  # by role, as of the last event that may have changed it
-        self.epochs: dict[int, tuple[int, float]] = {}  # per shard: its epoch in the store, and since when it is known here
+        self.holders: dict[
+            int, str | None
+        ] = {}  # by role, as of the last event that may have changed it
+        self.epochs: dict[
+            int, tuple[int, float]
+        ] = {}  # per shard: its epoch in the store, and since when it is known here
         self.version = 0  # rises with every change of `holders`
 
     def route(self) -> None:
@@ -31,7 +37,10 @@
             epoch = self.shared.replica.holder(shard)[1]
             if self.epochs.get(shard, (-1, 0.0))[0] != epoch:
                 self.epochs[shard] = (epoch, now)
-        holders = {role: self.holder(role) for role in (*range(len(self.shared.layout.nodes)), boards.RENTER)}
+        holders = {
+            role: self.holder(role)
+            for role in (*range(len(self.shared.layout.nodes)), boards.RENTER)
+        }
         if holders != self.holders:
             self.holders = holders
             self.version += 1
@@ -86,9 +95,15 @@
             held.source.on_owner(src, epoch, full, changes, now)
             held.wake.set()
         elif kind == "r":
-            state = shared.inbox.boards[kind, src, dst][1] if (kind, src, dst) in shared.inbox.boards else changes
+            state = (
+                shared.inbox.boards[kind, src, dst][1]
+                if (kind, src, dst) in shared.inbox.boards
+                else changes
+            )
             held.owner.set_drain(state.get("drain") or [])
-            if "empty" in state:  # a renter that has just begun does not know yet which machines were being emptied
+            if (
+                "empty" in state
+            ):  # a renter that has just begun does not know yet which machines were being emptied
                 held.owner.set_empty(state["empty"])
             held.owner.machine_gone(state.get("gone") or [])
 
@@ -98,7 +113,9 @@
         held = self.shared.held.get(shard)
         if held is not None and held.source is not None:
             return held.source.progress(job.id)
-        for dst in self.shared.held:  # what was said to a shard that is not held here any more is as old as that
+        for dst in (
+            self.shared.held
+        ):  # what was said to a shard that is not held here any more is as old as that
             counts = self.shared.inbox.boards.get(("c", shard, dst))
             if counts is not None and job.id in counts[1]:
                 done, running = counts[1][job.id]
--- a/ploverhall/control/shared.py
+++ b/ploverhall/control/shared.py
@@ -50,16 +50,26 @@
         self.aims = Aims(s.objectives)
         self.me = self.layout.index[s.name]
         share = SHARE / len(s.nodes)
-        self.store = Store(self.client(*s.state, keep=12), s.state_rps * share, s.state_write_rps * share, seams.clock)
+        self.store = Store(
+            self.client(*s.state, keep=12),
+            s.state_rps * share,
+            s.state_write_rps * share,
+            seams.clock,
+        )
         self.replica = Replica()
         self.outbox, self.inbox = Outbox(), Inbox()
         self.held: dict[int, Held] = {}
         self.renter: Renter | None = None
         self.types: dict[str, MachineType] | None = None
-        self.cancelled_rev = 0  # the newest revision at which a job was cancelled, as far as is known here
+        self.cancelled_rev = (
+            0  # the newest revision at which a job was cancelled, as far as is known here
+        )
         self.wake = anyio.Event()  # of the engine
         self.started = self.clock()
-        self.stood_at, self.stood_s = -1e9, 0.0  # when this process last stood still, and for how long
+        self.stood_at, self.stood_s = (
+            -1e9,
+            0.0,
+        )  # when this process last stood still, and for how long
 
     def client(self, host: str, port: int, keep: int = 8) -> Client:
         """Calls to one address."""
--- a/ploverhall/control/telling.py
+++ b/ploverhall/control/telling.py
@@ -24,13 +24,22 @@
 class Telling:
     """Views of all controllers, and the troubles that the log has named."""
 
-    def __init__(self, shared: Shared, view: View, up: Callable[[], list[str]], poke: Callable[[str], None]) -> None:
+    def __init__(
+        self, shared: Shared, view: View, up: Callable[[], list[str]], poke: Callable[[str], None]
+    ) -> None:
         self.shared, self.own = shared, view
-        self.up, self.poke = up, poke  # the peers there is a connection to, and how to say that there is something for one
-        self.views: dict[str, tuple[float, dict[str, Any]]] = {}  # other controllers': when heard, and what
+        self.up, self.poke = (
+            up,
+            poke,
+        )  # the peers there is a connection to, and how to say that there is something for one
+        self.views: dict[
+            str, tuple[float, dict[str, Any]]
+        ] = {}  # other controllers': when heard, and what
         self.sent: dict[str, float] = {}
         self.view: dict[str, Any] = {}
-        self.questions: dict[int, tuple[dict[str, str], dict[str, Any], anyio.Event]] = {}  # asked here: what, answers, all in
+        self.questions: dict[
+            int, tuple[dict[str, str], dict[str, Any], anyio.Event]
+        ] = {}  # asked here: what, answers, all in
         self.asked = 0
         self.out: dict[str, list[Message]] = {}  # questions and answers to be sent
         self.troubles: dict[str, str] = {}
@@ -67,7 +76,11 @@
         elif number in self.questions:
             _, answers, done = self.questions[number]
             answers[node] = value
-            self.views[node] = (self.shared.clock(), value) if not self.questions[number][0] else self.views.get(node, (0.0, {}))
+            self.views[node] = (
+                (self.shared.clock(), value)
+                if not self.questions[number][0]
+                else self.views.get(node, (0.0, {}))
+            )
             if len(answers) == len(self.shared.settings.peers):
                 done.set()
 
@@ -94,13 +107,18 @@
             for queue in self.out.values():
                 queue[:] = [m for m in queue if m[0] != "q" or m[6] != number]
         now = self.shared.clock()
-        views: dict[str, Any] = {self.shared.settings.name: {"age_s": 0.0, "view": self.own.of(chosen)}}
+        views: dict[str, Any] = {
+            self.shared.settings.name: {"age_s": 0.0, "view": self.own.of(chosen)}
+        }
         for peer in self.shared.settings.peers:
             if peer.name in answers:
                 views[peer.name] = {"age_s": 0.0, "view": answers[peer.name]}
             elif peer.name in self.views:
                 heard, view = self.views[peer.name]
-                views[peer.name] = {"age_s": round(now - heard, 1), "view": status.choose(view, chosen)}
+                views[peer.name] = {
+                    "age_s": round(now - heard, 1),
+                    "view": status.choose(view, chosen),
+                }
             else:
                 views[peer.name] = {"age_s": None, "view": None}
         return {"asked": self.shared.settings.name, "controllers": views}
--- a/ploverhall/control/upkeep.py
+++ b/ploverhall/control/upkeep.py
@@ -24,7 +24,9 @@
 class Upkeep:
     """What an operator asks."""
 
-    def __init__(self, shared: Shared, following: Following, telling: Telling, news: Callable[[], None]) -> None:
+    def __init__(
+        self, shared: Shared, following: Following, telling: Telling, news: Callable[[], None]
+    ) -> None:
         self.shared, self.following, self.telling, self.news = shared, following, telling, news
         self.rules = Rules(shared.settings.options.budget)
 
@@ -48,21 +50,33 @@
         except Malformed as e:
             return Reply(400, {"error": str(e)})
         except (Refused, Unknown):
-            return Reply(503, {"error": "not stored: ask again, the same order is placed once"}, 1.0)
+            return Reply(
+                503, {"error": "not stored: ask again, the same order is placed once"}, 1.0
+            )
 
     def _known(self) -> list[Order]:
         return orders.all_of(self.shared.replica.keys)
 
     async def _place(self, body: dict[str, Any]) -> Reply:
-        order = replace(orders.parse(body.get("id"), {k: v for k, v in body.items() if k != "state"}), at=self.shared.wall())
+        order = replace(
+            orders.parse(body.get("id"), {k: v for k, v in body.items() if k != "state"}),
+            at=self.shared.wall(),
+        )
         if not self.shared.replica.ready or not await self.following.current():
             return Reply(503, {"error": "state unknown"}, 1.0)
         known = next((o for o in self._known() if o.id == order.id), None)
         if known is not None:
             same = replace(known, at=0.0, state=order.state, version=0) == replace(order, at=0.0)
-            return Reply(200, {"id": known.id, **known.record()}) if same else Reply(409, {"error": "another order has this id"})
+            return (
+                Reply(200, {"id": known.id, **known.record()})
+                if same
+                else Reply(409, {"error": "another order has this id"})
+            )
         if older := self._older():
-            return Reply(409, {"error": f"{', '.join(older)} can't carry out orders: a release before this one"})
+            return Reply(
+                409,
+                {"error": f"{', '.join(older)} can't carry out orders: a release before this one"},
+            )
         if sum(1 for o in self._known() if not o.over) >= orders.MOST:
             return Reply(429, {"error": f"{orders.MOST} orders are not over"}, 30.0)
         if len(orjson.dumps(order.record())) > self.shared.settings.value_bytes - 64:
@@ -71,7 +85,11 @@
         rev, failed = await self.shared.store.txn({key: 0}, {key: order.record()}, [])
         if failed:
             return Reply(503, {"error": "state unknown"}, 1.0)
-        log.info("order placed", order=order.id, **{k: v for k, v in order.record().items() if v not in (None, "")})
+        log.info(
+            "order placed",
+            order=order.id,
+            **{k: v for k, v in order.record().items() if v not in (None, "")},
+        )
         self.shared.replica.put_own(key, order.record(), rev)
         self.news()
         return Reply(201, {"id": order.id, **order.record()})
@@ -96,9 +114,15 @@
             return Reply(404, {"error": "no such order"})
         if order.over:
             same = order.state == VERBS[verb]
-            return Reply(200, {"id": jid, **order.record()}) if same else Reply(409, {"error": f"it is {order.state}"})
+            return (
+                Reply(200, {"id": jid, **order.record()})
+                if same
+                else Reply(409, {"error": f"it is {order.state}"})
+            )
         # written where nothing changes, too: a change asked for before, of unknown outcome, could land after this answer
-        changed = replace(order, state=VERBS[verb], at=self.shared.wall() if verb == "stop" else order.at)
+        changed = replace(
+            order, state=VERBS[verb], at=self.shared.wall() if verb == "stop" else order.at
+        )
         key = ORDER + jid
         rev, failed = await self.shared.store.txn({key: order.version}, {key: changed.record()}, [])
         if failed:
@@ -137,6 +161,11 @@
                     mine[kind] = mine.get(kind, 0) + n
         rounds = -(-machines // order.at_once)
         for team, kinds in teams.items():
-            rounds = max(rounds, -(-kinds.get("service", 0) // max(1, self.rules.of(team, "", "").team_down)))
+            rounds = max(
+                rounds, -(-kinds.get("service", 0) // max(1, self.rules.of(team, "", "").team_down))
+            )
         unheard = sorted(set(self.shared.layout.nodes) - views.keys())
-        return Reply(200, {"machines": machines, "teams": teams, "rounds_at_least": rounds, "not_asked": unheard})
+        return Reply(
+            200,
+            {"machines": machines, "teams": teams, "rounds_at_least": rounds, "not_asked": unheard},
+        )
--- a/ploverhall/control/users.py
+++ b/ploverhall/control/users.py
@@ -12,24 +12,42 @@
 from ploverhall.bookkeeping.replica import ARCHIVE, JOB, end_record
 from ploverhall.control.following import Following
 from ploverhall.control.shared import Shared
-from ploverhall.coordination.answers import UNPROVED, UNTOLD, Answer, Answers, InArchive, Known, NeverAccepted, NotNow
+from ploverhall.coordination.answers import (
+    UNPROVED,
+    UNTOLD,
+    Answer,
+    Answers,
+    InArchive,
+    Known,
+    NeverAccepted,
+    NotNow,
+)
 from ploverhall.coordination.fleet import fits
 from ploverhall.protocol import jobs
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.state import Refused, Unknown
 from ploverhall.transport.http import Reply
 
-AGAIN_S = 1.5  # a change whose outcome is not known so soon is written again: its user waits for 5 s
+AGAIN_S = (
+    1.5  # a change whose outcome is not known so soon is written again: its user waits for 5 s
+)
 SETTLE_S = 1.0  # how long a cancellation's answer waits for the other controllers' word before its user is sent away
 PUT_OFF_S, MOST_PUT_OFF = 20.0, 1000  # a question is sent away for so long at most
-WAIT_S, GUEST_WAIT_S = 1.5, 0.5  # a submission that would wait for longer is refused at once, and told when to come back
+WAIT_S, GUEST_WAIT_S = (
+    1.5,
+    0.5,
+)  # a submission that would wait for longer is refused at once, and told when to come back
 
 
 def _reply(answer: Answer) -> Reply:
     """An answer as it goes out."""
     if isinstance(answer, Known):
         return Reply(200, answer.view)
-    return Reply(503, {"error": answer.why}, 1.0) if isinstance(answer, NotNow) else Reply(404, {"error": "no such job"})
+    return (
+        Reply(503, {"error": answer.why}, 1.0)
+        if isinstance(answer, NotNow)
+        else Reply(404, {"error": "no such job"})
+    )
 
 
 def _refused(status: int, why: str, **known: str) -> Reply:
@@ -41,9 +59,13 @@
 class Users:
     """What users ask."""
 
-    def __init__(self, shared: Shared, following: Following, answers: Answers, news: Callable[[], None]) -> None:
+    def __init__(
+        self, shared: Shared, following: Following, answers: Answers, news: Callable[[], None]
+    ) -> None:
         self.shared, self.following, self.answers, self.news = shared, following, answers, news
-        self.put_off: dict[str, float] = {}  # old or unknown jobs that were not looked up, and since when
+        self.put_off: dict[
+            str, float
+        ] = {}  # old or unknown jobs that were not looked up, and since when
         self.storing = 0  # submissions that wait to be written
 
     def why_never(self, job: Job) -> str | None:
@@ -52,7 +74,11 @@
         if team is None:
             return "unknown team"
         types = self.shared.types or {}
-        allowed = [t for t in types.values() if fits(job.vec, t.vec) and (job.types is None or t.name in job.types)]
+        allowed = [
+            t
+            for t in types.values()
+            if fits(job.vec, t.vec) and (job.types is None or t.name in job.types)
+        ]
         zones = {z for t in allowed for z in t.zones if job.zone in (None, z)}
         if not zones:
             return "no machine type fits a task"
@@ -60,7 +86,9 @@
             # of an array the others run after these, of a service half the replicas do
             return "no machine type fits a task in a zone that the gang's other tasks leave to it"
         n = 1 if job.kind == "array" else job.n
-        if (team.cpus_max > 0 and n * job.cpus > team.cpus_max + 1e-6) or (team.gpus_max > 0 and n * job.gpus > team.gpus_max + 1e-6):
+        if (team.cpus_max > 0 and n * job.cpus > team.cpus_max + 1e-6) or (
+            team.gpus_max > 0 and n * job.gpus > team.gpus_max + 1e-6
+        ):
             return "more than the team's limit"
         return None
 
@@ -79,7 +107,11 @@
         if (why := self.why_never(job)) is not None:
             # what was accepted once stays accepted, whatever the cloud sells by now
             known = await self.known(job.id)
-            return _refused(422, why, job=job.id) if isinstance(known, NeverAccepted) else _reply(known)
+            return (
+                _refused(422, why, job=job.id)
+                if isinstance(known, NeverAccepted)
+                else _reply(known)
+            )
         record = job.record()
         if len(orjson.dumps(record)) > self.shared.settings.value_bytes - 64:
             return _refused(400, "description too long to be kept", job=job.id)
@@ -90,7 +122,9 @@
             return Reply(429, {"error": "busy"}, wait + 1)
         self.storing += 1
         try:
-            rev, failed = await self._write({JOB + job.id: 0, ARCHIVE + job.id: 0}, JOB + job.id, record)
+            rev, failed = await self._write(
+                {JOB + job.id: 0, ARCHIVE + job.id: 0}, JOB + job.id, record
+            )
         except (Refused, Unknown):
             return Reply(503, {"error": "not stored"}, 1.0)
         finally:
@@ -119,13 +153,17 @@
     async def poll(self, jid: str) -> Reply:
         """GET /api/jobs/{id}."""
         if not jobs.ID.match(jid):
-            return _reply(NeverAccepted())  # nobody can have submitted it; and it goes into no request of ours
+            return _reply(
+                NeverAccepted()
+            )  # nobody can have submitted it; and it goes into no request of ours
         return _reply(await self.known(jid))
 
     async def known(self, jid: str) -> Answer:
         """What may be told of a job, proved where it has to be."""
         asked = self.shared.clock()
-        answer = self.answers.final(jid) or self.answers.proved(jid, asked, await self.following.proof())
+        answer = self.answers.final(jid) or self.answers.proved(
+            jid, asked, await self.following.proof()
+        )
         if answer is UNTOLD:
             self.following.ask()  # it may be the copy that is behind
         if not isinstance(answer, InArchive):
--- a/ploverhall/control/wire.py
+++ b/ploverhall/control/wire.py
@@ -28,16 +28,30 @@
 class Wire:
     """One outside service."""
 
-    def __init__(self, shared: Shared, carrying: Carrying, service: str, client: Client, *, probe: str, rate: float,
-                 refusals: bool, repeatable: tuple[str, ...]) -> None:
+    def __init__(
+        self,
+        shared: Shared,
+        carrying: Carrying,
+        service: str,
+        client: Client,
+        *,
+        probe: str,
+        rate: float,
+        refusals: bool,
+        repeatable: tuple[str, ...],
+    ) -> None:
         self.shared, self.carrying, self.service, self.client = shared, carrying, service, client
         self.probe = probe  # a cheap read
         self.refusals = refusals  # its 503 says that it executed nothing, and any other 5xx that something between is in trouble
         self.repeatable = repeatable  # targets that may be asked twice
         self.gauge = Gauge()
-        self.flying: dict[int, tuple[float, anyio.CancelScope]] = {}  # when each should have been answered, and what gives it up
+        self.flying: dict[
+            int, tuple[float, anyio.CancelScope]
+        ] = {}  # when each should have been answered, and what gives it up
         self.number = 0
-        self.lent = {p.name: Budget(rate, shared.clock) for p in shared.settings.peers}  # what each may ask here: its own slice
+        self.lent = {
+            p.name: Budget(rate, shared.clock) for p in shared.settings.peers
+        }  # what each may ask here: its own slice
         self.probed = -1e9
 
     def way(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
@@ -49,9 +63,13 @@
     def _another(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
         if not self.shared.settings.options.carry:
             return None
-        return self.carrying.ways.to_service(self.service, self.service, self.shared.clock(), avoid, hops)
+        return self.carrying.ways.to_service(
+            self.service, self.service, self.shared.clock(), avoid, hops
+        )
 
-    async def call(self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0) -> tuple[int, object]:
+    async def call(
+        self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
+    ) -> tuple[int, object]:
         """One request: (status, JSON). Unreachable: it may or may not have been executed, now or later."""
         until = self.shared.clock() + timeout + hold
         via = self.way()
@@ -74,7 +92,13 @@
         target = target if not hold else _held(target, hold)
         try:
             status, raw = await self.carrying.ask(
-                via, self.service, timeout=min(timeout, left), method=method, target=target, hold=hold, body=data
+                via,
+                self.service,
+                timeout=min(timeout, left),
+                method=method,
+                target=target,
+                hold=hold,
+                body=data,
             )
         except NotCarried:
             return 503, {"error": "no way"}
@@ -83,7 +107,9 @@
         except orjson.JSONDecodeError as e:
             raise Unreachable(f"{method} {target}: not JSON") from e
 
-    async def _direct(self, method: str, target: str, body: object, timeout: float, hold: float) -> tuple[int, object]:
+    async def _direct(
+        self, method: str, target: str, body: object, timeout: float, hold: float
+    ) -> tuple[int, object]:
         """By the own link, measured; given up when the link turns out to be bad and there is a way."""
         clock = self.shared.clock
         begun = clock()
@@ -118,7 +144,12 @@
             now = self.shared.clock()
             if self.gauge.good != good:
                 good = self.gauge.good
-                log.info("link good" if good else "link bad", to=self.service, through=self.way() or "-", turns=self.gauge.turns)
+                log.info(
+                    "link good" if good else "link bad",
+                    to=self.service,
+                    through=self.way() or "-",
+                    turns=self.gauge.turns,
+                )
             if now - last > TICK_S + LATE_S:
                 self.gauge.last = now
             last = now
@@ -160,7 +191,14 @@
             if q.hops < 2 or via is None:
                 raise NotCarried("not reached from here either")
             return await self.carrying.ask(
-                via, self.service, timeout=left, method=q.method, target=q.target, hold=q.hold, body=q.body, hops=q.hops - 1
+                via,
+                self.service,
+                timeout=left,
+                method=q.method,
+                target=q.target,
+                hold=q.hold,
+                body=q.body,
+                hops=q.hops - 1,
             )
         try:
             body = orjson.loads(q.body) if q.body else None
--- a/ploverhall/control/workers.py
+++ b/ploverhall/control/workers.py
@@ -28,7 +28,13 @@
 class Workers:
     """Kept connections to the workers that were sent something, and what is known of who reaches this controller."""
 
-    def __init__(self, shared: Shared, carrying: Carrying, start: Callable[[str, str], None], room: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        shared: Shared,
+        carrying: Carrying,
+        start: Callable[[str, str], None],
+        room: Callable[[], int],
+    ) -> None:
         self.shared, self.carrying = shared, carrying
         self.start = start  # a probe, as a task of its own
         self.clients = ClientPool(lambda host, port: shared.client(host, port, keep=1), room)
@@ -46,7 +52,11 @@
         out = {}
         for h in self.shared.held.values():
             at = self.direct_at.get(h.shard, -1e9)
-            if h.owner.machines and now - max(at, h.owner.started + (COME_S if at < h.owner.started else 0.0)) > silent:
+            if (
+                h.owner.machines
+                and now - max(at, h.owner.started + (COME_S if at < h.owner.started else 0.0))
+                > silent
+            ):
                 out[h.shard] = h.epoch
         return out
 
@@ -54,7 +64,9 @@
         """One request to a worker by the own link."""
         host, _, port = addr.rpartition(":")
         if not host or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-            raise Unreachable("not an address")  # a worker says where it is: whatever it says must end nothing here
+            raise Unreachable(
+                "not an address"
+            )  # a worker says where it is: whatever it says must end nothing here
         try:
             return await self.clients.call(host, int(port), method, path, body, DIRECT_S)
         except ValueError as e:  # no name of a host either
@@ -71,7 +83,13 @@
         try:
             if via is not None and self.carrying.ways.carries(via, carry.DO, now):
                 status, raw = await self.carrying.ask(
-                    via, carry.DO, timeout=DIRECT_S + MORE_S, method="POST", target=f"{m.addr} /do", body=orjson.dumps(body), hops=1
+                    via,
+                    carry.DO,
+                    timeout=DIRECT_S + MORE_S,
+                    method="POST",
+                    target=f"{m.addr} /do",
+                    body=orjson.dumps(body),
+                    hops=1,
                 )
                 answer = orjson.loads(raw)
             else:
@@ -87,7 +105,9 @@
         """A member has a command for a worker that reports here."""
         addr, _, path = q.target.rpartition(" ")
         try:
-            status, out = await self._ask(addr, q.method, path, orjson.loads(q.body) if q.body else None)
+            status, out = await self._ask(
+                addr, q.method, path, orjson.loads(q.body) if q.body else None
+            )
         except orjson.JSONDecodeError as e:
             raise NotCarried("not JSON") from e
         return status, orjson.dumps(out)
@@ -102,14 +122,23 @@
         now = self.shared.clock()
         if not self.carrying.ways.carries(member, carry.DO, now):
             return not self.carrying.ways.can(member, carry.DO)
-        some = [m for m in owner.machines.values() if now - m.last_report < 2 * self.shared.settings.report_s]
+        some = [
+            m
+            for m in owner.machines.values()
+            if now - m.last_report < 2 * self.shared.settings.report_s
+        ]
         some = self.shared.rng.sample(some, min(SOME, len(some)))
         reached: list[bool] = []
 
         async def ask(m: Machine) -> None:
             try:
                 status, _ = await self.carrying.ask(
-                    member, carry.DO, timeout=DIRECT_S + MORE_S, method="GET", target=f"{m.addr} /show", hops=1
+                    member,
+                    carry.DO,
+                    timeout=DIRECT_S + MORE_S,
+                    method="GET",
+                    target=f"{m.addr} /show",
+                    hops=1,
                 )
                 reached.append(status == 200)
             except (Unreachable, NotCarried):
@@ -131,7 +160,9 @@
             await anyio.sleep(PROBE_EVERY_S)
             await self.clients.trim()
             for name in self.homing.to_probe(self.shared.clock()):
-                owner = next((h.owner for h in self.shared.held.values() if name in h.owner.machines), None)
+                owner = next(
+                    (h.owner for h in self.shared.held.values() if name in h.owner.machines), None
+                )
                 if owner is None:
                     self.homing.probed(name, False, self.shared.clock())
                 else:
--- a/ploverhall/control/writing.py
+++ b/ploverhall/control/writing.py
@@ -22,7 +22,7 @@
     end_record,
     grants_key,
     progress_prefix,
-)  # fmt: skip
+)
 from ploverhall.control.routing import Routing
 from ploverhall.control.shared import Held, Shared
 from ploverhall.coordination.ledger import TXN_BYTES, Txn
@@ -32,14 +32,25 @@
 
 IMAGES_EVERY_S = 4.0
 ARCHIVE_EVERY_S = 1.0
-KEPT, PATIENCE_S = 1.0, 0.5  # a write leaves a change for the next submission, unless it has waited for so long
+KEPT, PATIENCE_S = (
+    1.0,
+    0.5,
+)  # a write leaves a change for the next submission, unless it has waited for so long
 
 
 class Writing:
     """What a source and an owner keep in the state service: cells, ends, images."""
 
-    def __init__(self, shared: Shared, routing: Routing, *, current: Callable[[], Awaitable[bool]], news: Callable[[], None],
-                 may_archive: Callable[[Ended], bool], deposed: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        shared: Shared,
+        routing: Routing,
+        *,
+        current: Callable[[], Awaitable[bool]],
+        news: Callable[[], None],
+        may_archive: Callable[[Ended], bool],
+        deposed: Callable[[int], None],
+    ) -> None:
         self.shared, self.routing = shared, routing
         self.current, self.news, self.may_archive = current, news, may_archive
         self.rules = Rules(shared.settings.options.budget)
@@ -72,7 +83,9 @@
                 source.install_grants(t.name, *grants[t.name])
             held.source = source
             self.routing.tell_owners(held, source, now)
-            self.routing.replay(held.shard, ("o",))  # it may not have known the starts that this was about
+            self.routing.replay(
+                held.shard, ("o",)
+            )  # it may not have known the starts that this was about
             log.info("source ready", shard=held.shard, epoch=held.epoch, jobs=len(source.jobs))
             self.shared.poke()
             await self._writer(held, source)
@@ -100,16 +113,24 @@
             keys = set(found)
             while not held.lost:
                 await anyio.sleep(IMAGES_EVERY_S)
-                if not fleet.images_changed or self.shared.store.writes.wait(self.shared.store.writes.burst / 2) > 0:
+                if (
+                    not fleet.images_changed
+                    or self.shared.store.writes.wait(self.shared.store.writes.burst / 2) > 0
+                ):
                     continue  # a hint can wait for a quiet moment
                 fleet.images_changed = False
-                values = images.pack({m.name: m.images for m in fleet.machines.values()}, self.shared.settings.value_bytes)
+                values = images.pack(
+                    {m.name: m.images for m in fleet.machines.values()},
+                    self.shared.settings.value_bytes,
+                )
                 wanted = {f"{prefix}{i}": v for i, v in enumerate(values)}
                 # one transaction may not take them all: they are hints, so it does no harm that they land apart
                 for puts in images.batches(wanted, self.shared.settings.txn_ops // 2, TXN_BYTES):
                     old = sorted(keys - wanted.keys())[:2]
                     try:
-                        _, failed = await self.shared.store.txn({f"{SHARD}{held.shard}": held.epoch}, puts, old)
+                        _, failed = await self.shared.store.txn(
+                            {f"{SHARD}{held.shard}": held.epoch}, puts, old
+                        )
                         if not failed:
                             keys = (keys | puts.keys()) - set(old)
                     except (Refused, Unknown):
@@ -130,7 +151,9 @@
             oldest = islice(replica.ended.items(), surplus)
             # what is archived may be told by whoever reads it there, and is named to nobody any more
             old = ((j, e) for j, e in oldest if crc32(j.encode()) % len(s.nodes) == self.shared.me)
-            mine = list(islice(((j, e) for j, e in old if self.may_archive(e)), max(1, s.txn_ops // 2 - 1)))
+            mine = list(
+                islice(((j, e) for j, e in old if self.may_archive(e)), max(1, s.txn_ops // 2 - 1))
+            )
             if not mine:
                 continue
             puts: dict[str, Any] = {ARCHIVE + j: end_record(e.how, e.done) for j, e in mine}
@@ -139,7 +162,9 @@
             try:
                 # the watch takes them out of memory, together with the news that there is an archive: sooner, a poll
                 # would be told that there is no such job
-                await store.txn({JOB + j: e.version for j, e in mine}, puts, [JOB + j for j, _ in mine])
+                await store.txn(
+                    {JOB + j: e.version for j, e in mine}, puts, [JOB + j for j, _ in mine]
+                )
             except (Refused, Unknown):
                 continue
 
@@ -153,7 +178,9 @@
                     await held.wake.wait()
                 continue
             try:
-                revision, failed = await self.shared.store.txn(txn.guards, txn.puts, txn.deletes, reserve=KEPT, patience=PATIENCE_S)
+                revision, failed = await self.shared.store.txn(
+                    txn.guards, txn.puts, txn.deletes, reserve=KEPT, patience=PATIENCE_S
+                )
             except Refused:
                 await anyio.sleep(0.15 + 0.15 * self.shared.rng.random())
                 continue
@@ -185,7 +212,9 @@
             source.install_cell(team, found, self.shared.clock())
         for team in txn.grants:
             source.install_grants(team, *await self._read_one(grants_key(team)))
-        self.routing.replay(held.shard, ("o",))  # it may not have known the starts that this was about
+        self.routing.replay(
+            held.shard, ("o",)
+        )  # it may not have known the starts that this was about
         if txn.ends:
             await self.current()
         self.news()
--- a/ploverhall/coordination/afterlife.py
+++ b/ploverhall/coordination/afterlife.py
@@ -50,7 +50,11 @@
     @property
     def known_s(self) -> float:
         """For how long after a knowing answer a worker may be answered, for the sake of what may be told meanwhile."""
-        return min(MOST_S, self.cut_off_s - SURE_S, self.cancel_s - self.lease_s * DRIFT - MARGIN_S - 2 * self.skew_s)
+        return min(
+            MOST_S,
+            self.cut_off_s - SURE_S,
+            self.cancel_s - self.lease_s * DRIFT - MARGIN_S - 2 * self.skew_s,
+        )
 
     def given(self, age: float, fence: float, wall: float) -> int:
         """The right that an answer or command carries which leaves now; contact is `age` old, and may grow as old as `fence`."""
@@ -71,7 +75,9 @@
         ahead = (right - 1 - step) % STEPS  # steps until that time of day comes, or comes again
         return (ahead if ahead <= STEPS / 2 else ahead - STEPS) * STEP_S - 2 * self.skew_s
 
-    def answer(self, r: Report, me: int, newest: int, over: Container[str], wall: float) -> dict[str, Any] | None:
+    def answer(
+        self, r: Report, me: int, newest: int, over: Container[str], wall: float
+    ) -> dict[str, Any] | None:
         """What this life answers a worker that bears a token of its earlier one; None where it may not answer.
 
         `me`: this controller's index; `newest`: the epoch of the worker's part as far as anybody here knows; `over`: which jobs
@@ -84,8 +90,16 @@
         if left <= 0.0:
             return None
         # counted from this report on, what was sure becomes a time of day: a third life must not count from its own first report
-        token = tokens.marked(r.token, 1 + int((wall + left) // STEP_S) % STEPS) if right == SURE else r.token
+        token = (
+            tokens.marked(r.token, 1 + int((wall + left) // STEP_S) % STEPS)
+            if right == SURE
+            else r.token
+        )
         if token is None:
             return None
-        calls = [workers.kill(key, 0.0) for key, t in r.tasks().items() if t.state != EXITED and key[0] in over]
+        calls = [
+            workers.kill(key, 0.0)
+            for key, t in r.tasks().items()
+            if t.state != EXITED and key[0] in over
+        ]
         return workers.answer(token, calls)
--- a/ploverhall/coordination/aims.py
+++ b/ploverhall/coordination/aims.py
@@ -32,7 +32,12 @@
         self.by_class: dict[str, Aim] = {}
         for o in objectives:
             kind, klass, within = o.get("kind"), o.get("class"), o.get("within_s")
-            if not isinstance(klass, str) or isinstance(within, bool) or not isinstance(within, (int, float)) or not within > 0:
+            if (
+                not isinstance(klass, str)
+                or isinstance(within, bool)
+                or not isinstance(within, (int, float))
+                or not within > 0
+            ):
                 continue
             old = self.by_class.get(klass, NONE)
             if kind == "wait":
--- a/ploverhall/coordination/alone.py
+++ b/ploverhall/coordination/alone.py
@@ -17,7 +17,10 @@
 
 from dataclasses import dataclass, field
 
-TIMEOUT_S, PAUSE_S = 4.0, 1.0  # a worker waits so long for an answer, and then so long before it tries the next controller
+TIMEOUT_S, PAUSE_S = (
+    4.0,
+    1.0,
+)  # a worker waits so long for an answer, and then so long before it tries the next controller
 SCOUTS, BUSY_SCOUTS = 3, 1  # one that is busy loses its tasks if this controller ends just then
 AGAIN_S, MOST_AGAIN_S = 15.0, 60.0
 
@@ -26,7 +29,9 @@
 class Alone:
     """The scouts of one spell of being alone."""
 
-    others: list[str]  # the other controllers; the one after which a worker tries this one comes first, then the one before that
+    others: list[
+        str
+    ]  # the other controllers; the one after which a worker tries this one comes first, then the one before that
     report_s: float
     lease_s: float
     since: float | None = None
@@ -45,7 +50,13 @@
         """Whether this controller reaches nobody but its workers."""
         if not alone:
             if self.since is not None:
-                self.since, self.served, self.turn, self.next_round, self.again_s = None, False, 0, 0.0, AGAIN_S
+                self.since, self.served, self.turn, self.next_round, self.again_s = (
+                    None,
+                    False,
+                    0,
+                    0.0,
+                    AGAIN_S,
+                )
                 self.away.clear()
         elif self.since is None:
             self.since = now
@@ -61,14 +72,21 @@
             return self.others[self.turn]
         if machine in self.away:  # nobody has answered it
             self.away.clear()
-            self.next_round, self.again_s = now + self.again_s, min(MOST_AGAIN_S, 2.0 * self.again_s)
+            self.next_round, self.again_s = (
+                now + self.again_s,
+                min(MOST_AGAIN_S, 2.0 * self.again_s),
+            )
             self.turn = (self.turn + 1) % len(self.others)
             return None
         if self.away and now - max(self.away.values()) > self.back_s:
             self.served = True
             return self.others[self.turn]
         fresh = not self.away or now - min(self.away.values()) < self.report_s
-        if now >= self.next_round and fresh and len(self.away) < (SCOUTS if answered_s is None else BUSY_SCOUTS):
+        if (
+            now >= self.next_round
+            and fresh
+            and len(self.away) < (SCOUTS if answered_s is None else BUSY_SCOUTS)
+        ):
             if answered_s is None or answered_s + self.back_s < self.lease_s:
                 self.away[machine] = now
                 return self.others[self.turn]
--- a/ploverhall/coordination/answers.py
+++ b/ploverhall/coordination/answers.py
@@ -63,7 +63,12 @@
 class Answers:
     """One controller's."""
 
-    def __init__(self, replica: Replica, may_tell: Callable[[Ended], bool], progress: Callable[[jobs.Job], tuple[int, int]]) -> None:
+    def __init__(
+        self,
+        replica: Replica,
+        may_tell: Callable[[Ended], bool],
+        progress: Callable[[jobs.Job], tuple[int, int]],
+    ) -> None:
         self.replica = replica
         self.may_tell = may_tell
         self.progress = progress  # a live job's tasks done and running, for display
@@ -83,12 +88,16 @@
             return UNPROVED
         if (live := self.replica.live.get(jid)) is not None:
             done, running = self.progress(live[0])
-            return Known(jobs.view(jid, jobs.RUNNING if running else jobs.QUEUED, done, running), False)
+            return Known(
+                jobs.view(jid, jobs.RUNNING if running else jobs.QUEUED, done, running), False
+            )
         if jid in self.replica.unreadable:
             return Known(jobs.view(jid, jobs.QUEUED), False)
         return InArchive() if ARCHIVED in self.replica.keys else NeverAccepted()
 
-    def archived(self, jid: str, value: dict[str, Any] | None, version: int) -> Known | NeverAccepted:
+    def archived(
+        self, jid: str, value: dict[str, Any] | None, version: int
+    ) -> Known | NeverAccepted:
         """What a look into the archive has brought, begun after the proof."""
         if value is None:
             return NeverAccepted()
--- a/ploverhall/coordination/boards.py
+++ b/ploverhall/coordination/boards.py
@@ -30,7 +30,9 @@
     dirty: set[str] = field(default_factory=set)
     sent: tuple[str, int] | None = None
     number: int = 0
-    fresh: set[tuple[str, int, int]] = field(default_factory=set)  # shared by all boards of an outbox: those with something new
+    fresh: set[tuple[str, int, int]] = field(
+        default_factory=set
+    )  # shared by all boards of an outbox: those with something new
 
     def put(self, key: str, value: Any) -> None:
         """Set or remove (None) one key."""
@@ -60,8 +62,12 @@
 
     def __init__(self) -> None:
         self.boards: dict[tuple[str, int, int], Board] = {}
-        self.fresh: set[tuple[str, int, int]] = set()  # boards with something that has not been sent
-        self.routes: dict[str, tuple[int, int | None]] = {}  # per node: the generation and the routing that all its boards were sent under
+        self.fresh: set[tuple[str, int, int]] = (
+            set()
+        )  # boards with something that has not been sent
+        self.routes: dict[
+            str, tuple[int, int | None]
+        ] = {}  # per node: the generation and the routing that all its boards were sent under
 
     def board(self, kind: str, src: int, dst: int, epoch: int) -> Board:
         """The board of a role; a new epoch starts it anew."""
@@ -78,7 +84,13 @@
             del self.boards[key]
             self.fresh.discard(key)
 
-    def collect(self, node: str, generation: int, holder: Callable[[int], str | None], routing: int | None = None) -> list[Message]:
+    def collect(
+        self,
+        node: str,
+        generation: int,
+        holder: Callable[[int], str | None],
+        routing: int | None = None,
+    ) -> list[Message]:
         """What has to go to a node now.
 
         `routing` changes whenever `holder` may answer otherwise than before: only then, and on a new connection, is
--- a/ploverhall/coordination/cancellations.py
+++ b/ploverhall/coordination/cancellations.py
@@ -57,19 +57,31 @@
     left: int = -1  # the revision at which its key went, as far as this controller has seen
     owed: float = -1e9  # when its newest word came that has been answered
     sure: float = -1e9  # when the newest own word left that it has answered
-    word: tuple[str, float] | None = None  # its newest word, to be answered: its life, and its clock then
+    word: tuple[str, float] | None = (
+        None  # its newest word, to be answered: its life, and its clock then
+    )
     heard: float = -1e9  # when that came
 
 
 class Cancellations:
     """The other controllers, what each knows, and what passes between them."""
 
-    def __init__(self, others: Iterable[str], cancel_s: float, lease_s: float, cut_off_s: float, now: float, life: str = "") -> None:
+    def __init__(
+        self,
+        others: Iterable[str],
+        cancel_s: float,
+        lease_s: float,
+        cut_off_s: float,
+        now: float,
+        life: str = "",
+    ) -> None:
         self.cancel_s, self.lease_s, self.life, self.started = cancel_s, lease_s, life, now
         self.cut_off_s = min(cut_off_s, MOST_PATIENCE_S + cancel_s - lease_s * DRIFT - MARGIN_S)
         # a controller that has just started does not know for how long a key has been gone
         self.members = {name: Member(absent=now, owed=now) for name in others}
-        self.read_at = -1e9  # this one's own contact with the store: it had read all, and its key was there
+        self.read_at = (
+            -1e9
+        )  # this one's own contact with the store: it had read all, and its key was there
         self.own: list[Cancelled] = []  # cancellations that not all are known to know, by revision
         self.informed = 0  # this one's watermark, as far as others have brought it
         self.lapsed = False  # it was without contact for so long that others may have forgotten what it does not know
@@ -104,12 +116,17 @@
     def word(self, name: str, read: int, now: float) -> Word:
         """What a member is told now; `read`: the revision that this controller has read up to, 0 before it has read at all."""
         m, known = self.members[name], max(read, self.informed)
-        news, echo = self.own[bisect_right(self.own, Cancelled(m.known, "~")) :] if read else [], m.word
+        news, echo = (
+            self.own[bisect_right(self.own, Cancelled(m.known, "~")) :] if read else [],
+            m.word,
+        )
         if len(news) > MOST_NAMED:
             news, echo = news[:MOST_NAMED], None
             known = min(known, news[-1].version)
         if echo is not None:
-            m.owed = m.heard  # not from now on: the same word may come back to its sender many times
+            m.owed = (
+                m.heard
+            )  # not from now on: the same word may come back to its sender many times
         return Word(known, self.life, now, now - self.started, read > 0, echo, news)
 
     def take(self, name: str, word: Word, now: float) -> list[Cancelled]:
@@ -136,7 +153,9 @@
         return word.cancelled
 
     def _prune(self, now: float) -> None:
-        least = min((m.known for m in self.members.values() if not self._over(m, now)), default=None)
+        least = min(
+            (m.known for m in self.members.values() if not self._over(m, now)), default=None
+        )
         if least is None:
             self.own.clear()
         else:
@@ -193,10 +212,12 @@
     def waits_for(self, version: int, now: float) -> list[str]:
         """Whom the telling of a cancellation waits for, for people."""
         return sorted(
-            n for n, m in self.members.items()
+            n
+            for n, m in self.members.items()
             # who is there and tells at once itself stops by the old time: nothing has to wait for it
-            if m.known < version and (m.can if m.absent is None else now - self._owed(m) < self.patience)
-        )  # fmt: skip
+            if m.known < version
+            and (m.can if m.absent is None else now - self._owed(m) < self.patience)
+        )
 
     def may_forget(self, version: int, now: float) -> bool:
         """Whether nobody can need to be told of a cancellation any more who has not read the store since."""
--- a/ploverhall/coordination/fleet.py
+++ b/ploverhall/coordination/fleet.py
@@ -17,7 +17,9 @@
 
 Vec = tuple[float, float, float]
 Place = tuple[str, str, bool]  # type, zone, spot
-Class = tuple[int, bool, str, str, bool]  # what decides who may stop a task: rank, within its team's guarantee, team, kind, called
+Class = tuple[
+    int, bool, str, str, bool
+]  # what decides who may stop a task: rank, within its team's guarantee, team, kind, called
 Level = tuple[int, int]  # whole units free, and the free cores' power of two
 EPS = 1e-6
 MANY = 1 << 30  # as often as anybody asks
@@ -61,8 +63,12 @@
     why: str = ""  # it is gone, for people
     victims: tuple[Key, ...] = ()
     ran_at: float | None = None  # when it was first seen running
-    late: bool = False  # it began in its job's turn, after a long wait: higher ranks don't stop it again
-    evict: bool = False  # a gang's task whose room is needed: its source stops the whole gang in order
+    late: bool = (
+        False  # it began in its job's turn, after a long wait: higher ranks don't stop it again
+    )
+    evict: bool = (
+        False  # a gang's task whose room is needed: its source stops the whole gang in order
+    )
 
 
 @dataclass(slots=True)
@@ -141,12 +147,17 @@
     faulty_until: float = 0.0
     faulty_since: float = 0.0
     condemned: bool = False  # faulty for long enough to be given back
-    faults: dict[str, float] = field(default_factory=dict)  # job -> when it failed here; without jobs that fail everywhere
+    faults: dict[str, float] = field(
+        default_factory=dict
+    )  # job -> when it failed here; without jobs that fail everywhere
     inflight: set[Key] = field(default_factory=set)  # keys of runs in an unanswered /do
     busy: bool = False  # a /do is unanswered
     direct_after: float = 0.0
     unanswered: int = 0  # direct commands in a row that it has not answered
-    reported: tuple[int, int] = (0, 0)  # session and number of the newest report, which answers to commands may have overtaken
+    reported: tuple[int, int] = (
+        0,
+        0,
+    )  # session and number of the newest report, which answers to commands may have overtaken
     copy: bool = False  # the last message was no newer than that
     sent: set[Key] = field(default_factory=set)  # keys of runs in the answer to its newest report
     doubt: int = 0  # the token that it has to show before it counts as hearing again; 0: nothing speaks against that
@@ -160,7 +171,9 @@
     firm: Vec = NOTHING
     bucket: list[Machine] | None = None  # where it stands in the index
     spot_in_bucket: int = 0
-    stops: dict[Key, Class] = field(default_factory=dict)  # its tasks that somebody might stop, as of the last look
+    stops: dict[Key, Class] = field(
+        default_factory=dict
+    )  # its tasks that somebody might stop, as of the last look
     stop_classes: frozenset[Class] = frozenset()
     stop_at: int = 0  # of the fleet's counter, when it last gained such a task or room besides them
 
@@ -188,16 +201,26 @@
         self.info: dict[str, Info] = {}
         self.job_vec: Callable[[str], Vec | None] = lambda jid: None
         self.index: dict[Place, dict[Level, list[Machine]]] = {}
-        self.warm: dict[tuple[Place, str], dict[str, Machine]] = {}  # machines in the index that hold an image and have a unit free
+        self.warm: dict[
+            tuple[Place, str], dict[str, Machine]
+        ] = {}  # machines in the index that hold an image and have a unit free
         self.holders: dict[str, dict[str, Machine]] = {}  # image -> all machines that hold it
-        self.stoppable: Counter[Class] = Counter()  # usable machines with tasks of that class that could be stopped; none is no key
-        self.stop_order: dict[str, Machine] = {}  # these machines, the one that gained something last at the end
+        self.stoppable: Counter[Class] = (
+            Counter()
+        )  # usable machines with tasks of that class that could be stopped; none is no key
+        self.stop_order: dict[
+            str, Machine
+        ] = {}  # these machines, the one that gained something last at the end
         self.stop_count = 0  # rises with every such gain
         self.touched: dict[str, Machine] = {}
         self.gained: dict[str, Machine] = {}  # machines with more room than at the last look
-        self.remembered: dict[str, dict[str, float]] = {}  # images that an earlier owner knew of, on machines not yet seen
+        self.remembered: dict[
+            str, dict[str, float]
+        ] = {}  # images that an earlier owner knew of, on machines not yet seen
         self.images_changed = False
-        self.looks = self.tries = 0  # machines looked at, and asked for room: what the tests of growth count
+        self.looks = self.tries = (
+            0  # machines looked at, and asked for room: what the tests of growth count
+        )
 
     # -- room --------------------------------------------------------------------------------
 
@@ -227,17 +250,30 @@
         for key, p in m.permits.items():
             info = self.info.get(key[0])
             t = m.tasks.get(key)
-            if info is not None and info.yields and not p.gone and not p.refused and (t is None or t.state != EXITED):
+            if (
+                info is not None
+                and info.yields
+                and not p.gone
+                and not p.refused
+                and (t is None or t.state != EXITED)
+            ):
                 room = add(room, p.vec)
         return room
 
     def unusable(self, m: Machine, now: float) -> bool:
         """Whether nothing new may go there."""
         return (
-            m.expired or m.draining or m.cordoned or m.notice_s is not None or not m.took or m.faulty_until > now
-            or now - m.last_report > self.silent_s or m.name in self.proven_gone
-            or m.doubt > 0 or now < m.heard_again + m.rest_s
-        )  # fmt: skip
+            m.expired
+            or m.draining
+            or m.cordoned
+            or m.notice_s is not None
+            or not m.took
+            or m.faulty_until > now
+            or now - m.last_report > self.silent_s
+            or m.name in self.proven_gone
+            or m.doubt > 0
+            or now < m.heard_again + m.rest_s
+        )
 
     # -- the index ---------------------------------------------------------------------------
 
@@ -282,7 +318,11 @@
             if info is None or info.rank == 0 or info.kind == "service":
                 continue  # a replica is never stopped for others: its user feels it at once
             t = m.tasks.get(key)
-            if t is not None and t.state in ("running", "fetching") and not (p.gone or p.refused or p.stop is not None or p.evict):
+            if (
+                t is not None
+                and t.state in ("running", "fetching")
+                and not (p.gone or p.refused or p.stop is not None or p.evict)
+            ):
                 out[key] = (0, *info.stop_class[1:]) if p.late else info.stop_class
         return out
 
@@ -372,7 +412,9 @@
                 self.remembered[name] = held
             else:
                 self._unindex(m)
-                self.stock(m, {**{i: gb for i, gb in held.items() if i not in m.images}, **m.images})
+                self.stock(
+                    m, {**{i: gb for i, gb in held.items() if i not in m.images}, **m.images}
+                )
                 self.touch(m)
 
     def stock(self, m: Machine, images: dict[str, float]) -> None:
@@ -386,9 +428,12 @@
     def places(self, job: Job) -> list[Place]:
         """Where a job may run, as the workers themselves report type, zone and kind."""
         return [
-            p for p in self.index
-            if (job.types is None or p[0] in job.types) and (job.zone is None or job.zone == p[1]) and (job.spot or not p[2])
-        ]  # fmt: skip
+            p
+            for p in self.index
+            if (job.types is None or p[0] in job.types)
+            and (job.zone is None or job.zone == p[1])
+            and (job.spot or not p[2])
+        ]
 
     def at_most(self, vec: Vec, places: Iterable[Place]) -> int:
         """No more tasks than this fit there: a bound read off the index, without looking at a machine."""
@@ -402,7 +447,9 @@
                     n += len(bucket) * min(each, times(vec[0], 2.0**level / 4 + EPS * vec[0]))
         return n
 
-    def find(self, job: Job, places: list[Place], avoid: frozenset[str], sample: int, rng: Random) -> list[Machine]:
+    def find(
+        self, job: Job, places: list[Place], avoid: frozenset[str], sample: int, rng: Random
+    ) -> list[Machine]:
         """A sample of the machines with room for a task, the fullest first, and of those that hold its image besides."""
         vec = job.vec
         out: list[Machine] = []
--- a/ploverhall/coordination/grants.py
+++ b/ploverhall/coordination/grants.py
@@ -24,13 +24,23 @@
 class Grants(Writes):
     """What owners have asked for, and what was granted."""
 
-    def __init__(self, shard: int, epoch: int, teams: list[Team], zones: tuple[str, ...], value_bytes: int, txn_ops: int) -> None:
+    def __init__(
+        self,
+        shard: int,
+        epoch: int,
+        teams: list[Team],
+        zones: tuple[str, ...],
+        value_bytes: int,
+        txn_ops: int,
+    ) -> None:
         super().__init__(shard, epoch, teams, zones, value_bytes, txn_ops)
         self.rules = Rules()
         self.most_grants = min(MOST_GRANTS, int(value_bytes * 0.9) // GRANT_BYTES)
         self.asks: dict[Key, float] = {}  # since when
         self.refusals: dict[Key, str] = {}  # why it is not granted yet, for people
-        self.granted: dict[str, dict[Key, bool]] = {t.name: {} for t in teams}  # by team; True: it is written
+        self.granted: dict[str, dict[Key, bool]] = {
+            t.name: {} for t in teams
+        }  # by team; True: it is written
         self.grant_versions: dict[str, int] = {t.name: 0 for t in teams}
         self.dirty_grants: set[str] = set()
         self.spent: dict[str, Spent] = {t.name: Spent() for t in teams}
@@ -60,7 +70,14 @@
         for key in sorted(self.asks, key=lambda k: (self.asks[k], k)):
             js = self.jobs.get(key[0])
             e = js.entries.get(key[1]) if js is not None else None
-            if js is None or e is None or js.job is None or e.over or e.attempt != key[2] or e.stop is not None:
+            if (
+                js is None
+                or e is None
+                or js.job is None
+                or e.over
+                or e.attempt != key[2]
+                or e.stop is not None
+            ):
                 del self.asks[key]  # it is over, or stops already
                 self.refusals.pop(key, None)
                 continue
@@ -68,10 +85,14 @@
             if key in granted:
                 continue
             if js.team not in downs:
-                downs[js.team] = sum(self._down(j) for j in self.jobs.values() if j.team == js.team and j.ran)
+                downs[js.team] = sum(
+                    self._down(j) for j in self.jobs.values() if j.team == js.team and j.ran
+                )
             rule = self.rules.of(js.team, js.job.klass, js.id)
             facts = self._facts(js, e, downs[js.team], now)
-            members = [o for o in js.entries.values() if not o.over] if js.job.kind == "gang" else [e]
+            members = (
+                [o for o in js.entries.values() if not o.over] if js.job.kind == "gang" else [e]
+            )
             why = why_not(rule, facts, self.spent[js.team].lately(now), wall)
             if not why and len(granted) + len(members) > self.most_grants:
                 why = "so many of its team are being stopped"
@@ -92,7 +113,11 @@
 
     def _up(self, js: JobState) -> int:
         granted = self.granted[js.team]
-        return sum(1 for e in js.entries.values() if e.running and e.stop is None and (e.job, e.task, e.attempt) not in granted)
+        return sum(
+            1
+            for e in js.entries.values()
+            if e.running and e.stop is None and (e.job, e.task, e.attempt) not in granted
+        )
 
     def _facts(self, js: JobState, e: Entry, team_down: int, now: float) -> Facts:
         job = js.job
@@ -101,7 +126,15 @@
         size = js.n if job.kind == "gang" else 1
         lost = 0.0 if job.checkpoint_s > 0 or job.kind == "service" else ran * size
         left = max(0.0, job.estimate_s - ran) if job.kind != "service" else float("inf")
-        return Facts(job.kind, js.n, self._up(js), team_down, lost, left, now - self.asks[e.job, e.task, e.attempt])
+        return Facts(
+            job.kind,
+            js.n,
+            self._up(js),
+            team_down,
+            lost,
+            left,
+            now - self.asks[e.job, e.task, e.attempt],
+        )
 
     def _carry_out(self, js: JobState, e: Entry) -> None:
         """A grant is written: stop it, saving where it can; a gang's tasks all with the same time to save."""
@@ -121,7 +154,11 @@
         for team in sorted(self.dirty_grants):
             granted, key = self.granted[team], grants_key(team)
             size = GRANT_BYTES * len(granted) + 100
-            if txn.ops + 1 > self.most_ops or len(txn.guards) + 1 > self._max_guards or txn.size + size > TXN_BYTES:
+            if (
+                txn.ops + 1 > self.most_ops
+                or len(txn.guards) + 1 > self._max_guards
+                or txn.size + size > TXN_BYTES
+            ):
                 break
             for k in [k for k in granted if not self._alive(k)]:
                 del granted[k]
--- a/ploverhall/coordination/ledger.py
+++ b/ploverhall/coordination/ledger.py
@@ -58,7 +58,15 @@
 
     def record(self) -> list[Any]:
         """The form kept in the cell."""
-        return [self.task, self.attempt, self.machine, self.part, self.zone, self.epoch, self.ticket]
+        return [
+            self.task,
+            self.attempt,
+            self.machine,
+            self.part,
+            self.zone,
+            self.epoch,
+            self.ticket,
+        ]
 
     @property
     def running(self) -> bool:
@@ -139,10 +147,14 @@
     vec: Vec
     job: Job | None = None  # None: over, only its tasks remain
     version: int = 0
-    entries: dict[int, Entry] = field(default_factory=dict)  # by task; one start of a task at a time
+    entries: dict[int, Entry] = field(
+        default_factory=dict
+    )  # by task; one start of a task at a time
     zones: dict[str, int] = field(default_factory=dict)  # entries by zone
     unlanded: dict[int, int] = field(default_factory=dict)  # permits being written, by part
-    tickets: set[tuple[int, int, int]] = field(default_factory=set)  # part, epoch and ticket of its entries
+    tickets: set[tuple[int, int, int]] = field(
+        default_factory=set
+    )  # part, epoch and ticket of its entries
     running: int = 0
     done: bytearray = field(default_factory=bytearray)
     done_count: int = 0
@@ -152,9 +164,13 @@
     again: list[int] = field(default_factory=list)
     offers: dict[tuple[int, int], Offer] = field(default_factory=dict)
     not_before: float = 0.0
-    failed_on: dict[str, float] = field(default_factory=dict)  # machines that are avoided, and since when
+    failed_on: dict[str, float] = field(
+        default_factory=dict
+    )  # machines that are avoided, and since when
     task_failures: dict[int, int] = field(default_factory=dict)
-    resting: dict[int, float] = field(default_factory=dict)  # tasks that failed, and when they may be tried again
+    resting: dict[int, float] = field(
+        default_factory=dict
+    )  # tasks that failed, and when they may be tried again
     broken: bool = False  # it fails wherever it starts: its own fault, not the machines'
     tries: int = 0  # since it has been taken for broken
     failures: int = 0  # in all, for display
@@ -222,7 +238,10 @@
 
     def works(self, now: float) -> bool:
         """Whether any of its tasks has been seen to do what it should: it completed, or it runs on."""
-        return self.done_count > 0 or any(e.running and e.ran_at is not None and now - e.ran_at > WORKED_S for e in self.entries.values())
+        return self.done_count > 0 or any(
+            e.running and e.ran_at is not None and now - e.ran_at > WORKED_S
+            for e in self.entries.values()
+        )
 
 
 @dataclass(slots=True)
@@ -289,7 +308,15 @@
 class Ledger:
     """The jobs of one shard's teams, and every start of theirs that may be somewhere."""
 
-    def __init__(self, shard: int, epoch: int, teams: list[Team], zones: tuple[str, ...], value_bytes: int, txn_ops: int) -> None:
+    def __init__(
+        self,
+        shard: int,
+        epoch: int,
+        teams: list[Team],
+        zones: tuple[str, ...],
+        value_bytes: int,
+        txn_ops: int,
+    ) -> None:
         self.shard, self.epoch = shard, epoch
         self.teams = {t.name: t for t in teams}
         self.zones = zones
@@ -297,14 +324,22 @@
         self.chunk_bytes = min(int(value_bytes * FILL), TXN_BYTES // 2)
         self.jobs: dict[str, JobState] = {}
         self.chunks: dict[str, dict[int, Chunk]] = {t.name: {} for t in teams}
-        self.dirty_chunks: dict[Chunk, bool] = {}  # to be written; True: holds permits that wait for it
-        self.fences: set[tuple[str, int]] = set()  # chunks that a write of unknown outcome may still change
+        self.dirty_chunks: dict[
+            Chunk, bool
+        ] = {}  # to be written; True: holds permits that wait for it
+        self.fences: set[tuple[str, int]] = (
+            set()
+        )  # chunks that a write of unknown outcome may still change
         self.ending: dict[str, JobState] = {}  # complete, the record of it is still to be written
         self.garbage: list[str] = []  # progress records of jobs that are over
         self.used: dict[str, Vec] = {t.name: (0.0, 0.0, 0.0) for t in teams}
-        self.by_age: dict[str, list[tuple[float, str]]] = {t.name: [] for t in teams}  # live jobs, oldest first
+        self.by_age: dict[str, list[tuple[float, str]]] = {
+            t.name: [] for t in teams
+        }  # live jobs, oldest first
         self.within: dict[str, set[str]] = {t.name: set() for t in teams}
-        self.waits: dict[str, dict[str, JobState]] = {t.name: {} for t in teams}  # jobs with tasks that wait
+        self.waits: dict[str, dict[str, JobState]] = {
+            t.name: {} for t in teams
+        }  # jobs with tasks that wait
         self.offer_job: dict[tuple[int, int], str] = {}
         self.changed: set[str] = set()  # jobs that owners must hear of
         self.counted: set[str] = set()  # jobs whose numbers for display have changed
@@ -321,7 +356,9 @@
         self.impatient = False  # a worse answer is being held back for a moment
         self.deaths: deque[Death] = deque(maxlen=REMEMBERED)
         self.ends: deque[End] = deque(maxlen=REMEMBERED)
-        self.usual: dict[str, float] = {}  # by class: how long its gangs and services wait until all their tasks run, lately
+        self.usual: dict[
+            str, float
+        ] = {}  # by class: how long its gangs and services wait until all their tasks run, lately
         self.usual_work: dict[str, float] = {}  # by class: task seconds of its arrays, lately
         self.visits = 0  # jobs and entries looked at: what the tests of growth count
         self.aims = Aims()
@@ -345,7 +382,9 @@
                 for task, attempt, machine, part, zone, epoch, ticket in entries:
                     js = self.jobs.get(jid)
                     if js is None:
-                        js = self.jobs[jid] = JobState(jid, team, (vec[0], vec[1], vec[2]), since=now, came=now)
+                        js = self.jobs[jid] = JobState(
+                            jid, team, (vec[0], vec[1], vec[2]), since=now, came=now
+                        )
                     seen.add((jid, task, attempt))
                     e = js.entries.get(task)
                     if e is not None and e.attempt == attempt:
@@ -355,7 +394,18 @@
                         if e is not None:
                             self._remove(js, e)
                             self.jobs[jid] = js
-                        e = Entry(jid, task, attempt, machine, part, zone, epoch, ticket, chunk, landed=True)
+                        e = Entry(
+                            jid,
+                            task,
+                            attempt,
+                            machine,
+                            part,
+                            zone,
+                            epoch,
+                            ticket,
+                            chunk,
+                            landed=True,
+                        )
                         if js.job is None:
                             e.stop = 0.0
                         self._insert(js, e)
@@ -365,7 +415,11 @@
         for chunk in old.values():
             for e in list(chunk.entries.values()):
                 js = self.jobs.get(e.job)
-                if js is not None and js.entries.get(e.task) is e and (e.job, e.task, e.attempt) not in seen:
+                if (
+                    js is not None
+                    and js.entries.get(e.task) is e
+                    and (e.job, e.task, e.attempt) not in seen
+                ):
                     self._remove(js, e)  # it never landed, or its removal did
                     js.put_back(e.task)
 
@@ -398,9 +452,23 @@
                 return
             if js.job is not None:
                 how = "done" if js.complete else "withdrawn"
-                self.ends.append(End(now, jid, js.team, how, js.n if js.complete else js.done_count, js.n, js.failures, js.last_failure))
+                self.ends.append(
+                    End(
+                        now,
+                        jid,
+                        js.team,
+                        how,
+                        js.n if js.complete else js.done_count,
+                        js.n,
+                        js.failures,
+                        js.last_failure,
+                    )
+                )
                 self.by_age[js.team].remove((js.job.at, jid))
-                self.garbage += [f"{progress_prefix(js.team)}{jid}/{k}" for k in js.stored_progress | js.dirty_progress]
+                self.garbage += [
+                    f"{progress_prefix(js.team)}{jid}/{k}"
+                    for k in js.stored_progress | js.dirty_progress
+                ]
             self.reorder.add(js.team)
             self.ending.pop(jid, None)
             js.job, js.version = None, 0
@@ -476,7 +544,9 @@
     def _tell(self, e: Entry) -> None:
         """The owner of a permit must hear of it."""
         if e.landed:
-            self.permit_news[e.part, peers.permit_key((e.job, e.task, e.attempt))] = PermitNews(e.machine, e.epoch, e.ticket, e.stop)
+            self.permit_news[e.part, peers.permit_key((e.job, e.task, e.attempt))] = PermitNews(
+                e.machine, e.epoch, e.ticket, e.stop
+            )
 
     def _stop(self, e: Entry, grace: float) -> None:
         if e.stop != grace:
@@ -537,4 +607,9 @@
         job = js.job
         assert job is not None
         rank = 0.0 if js.overdue and not js.began else float(job.rank)
-        return (2.0 if js.broken else 0.0 if job.rank == 0 else 1.0, 0.0 if js.within else 1.0, rank, js.due or 0.0)
+        return (
+            2.0 if js.broken else 0.0 if job.rank == 0 else 1.0,
+            0.0 if js.within else 1.0,
+            rank,
+            js.due or 0.0,
+        )
--- a/ploverhall/coordination/owner.py
+++ b/ploverhall/coordination/owner.py
@@ -16,14 +16,24 @@
 from ploverhall.protocol import peers, workers
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job, from_record
-from ploverhall.protocol.peers import NOTICE_EMPTY, Candidate, JobNews, MachineNews, PermitNews, StartNews
+from ploverhall.protocol.peers import (
+    NOTICE_EMPTY,
+    Candidate,
+    JobNews,
+    MachineNews,
+    PermitNews,
+    StartNews,
+)
 from ploverhall.protocol.workers import EXITED, Key, Report
 
 TOKEN_BITS = tokens.TOKEN_BITS
 FAULTS_S = 300.0  # how long a failure on a machine counts against it
 FAULTY_S = 600.0  # how long a machine on which two jobs have failed is not trusted
 DOUBT_S = 20.0  # before it is given back: a job that fails everywhere is found out sooner
-SILENT_S, LONG_SILENT_S = 5.0, 60.0  # a worker that has not answered a command is sent none for so long: each costs a token
+SILENT_S, LONG_SILENT_S = (
+    5.0,
+    60.0,
+)  # a worker that has not answered a command is sent none for so long: each costs a token
 UNANSWERED = 8  # after so many it is long: its reports bring it what it has to do
 FLAPS_S = 60.0  # a machine that stops hearing again so soon rests, twice as long each time
 REST_S, MOST_REST_S = 5.0, 120.0
@@ -33,12 +43,25 @@
 class Owner:
     """Decides for the machines of one part."""
 
-    def __init__(self, part: int, epoch: int, sources: int, lease_s: float, report_s: float, hold_s: float, sample: int,
-                 rng: Random, now: float, holder: int | None = None) -> None:
+    def __init__(
+        self,
+        part: int,
+        epoch: int,
+        sources: int,
+        lease_s: float,
+        report_s: float,
+        hold_s: float,
+        sample: int,
+        rng: Random,
+        now: float,
+        holder: int | None = None,
+    ) -> None:
         self.part, self.epoch, self.sources = part, epoch, sources
         self.lease_s = lease_s
         self.first = tokens.first(epoch, holder)  # what every worker is given to begin with
-        self.right = 0  # what tokens that leave now say of who may answer later (coordination.afterlife)
+        self.right = (
+            0  # what tokens that leave now say of who may answer later (coordination.afterlife)
+        )
         self.spent = False  # a token could not be raised any more: a new epoch is wanted
         self.started = now
         self.fleet = Fleet(report_s)
@@ -56,7 +79,9 @@
         self.changed: set[Key] = set()  # starts whose sources must hear of them
         self.news: dict[tuple[int, str], Any] = self.placement.news
         self.work: dict[str, Machine] = {}  # machines that may need a command
-        self.heard: dict[str, Machine] = {}  # all machines, the one that has been silent for longest first
+        self.heard: dict[
+            str, Machine
+        ] = {}  # all machines, the one that has been silent for longest first
         self.doubted: dict[str, Machine] = {}  # machines on which two jobs have failed
         self.unheard: dict[str, Machine] = {}  # machines that may not hear what they are told
         self.seen: dict[str, Machine | None] = {}  # machines the renter must hear of
@@ -64,9 +89,15 @@
         self.deposed_by = 0
         self.next_sweep = 0.0
         self.reported = 0.0  # when any worker last reported
-        self.proved = now  # begin of the newest read of the store that showed this owner's epoch in force
-        self.unproved = False  # a lease has run out by this clock, and a read must show who holds the part
-        self.job_over: Callable[[str], bool] = lambda jid: False  # by this node's own copy of the store
+        self.proved = (
+            now  # begin of the newest read of the store that showed this owner's epoch in force
+        )
+        self.unproved = (
+            False  # a lease has run out by this clock, and a read must show who holds the part
+        )
+        self.job_over: Callable[[str], bool] = lambda jid: (
+            False
+        )  # by this node's own copy of the store
 
     @property
     def types(self) -> dict[str, MachineType]:
@@ -103,7 +134,9 @@
                 self._job(key[1:], JobNews(*value))
         # a permit takes the room held for it before fewer candidates wanted give that room away
         for key, value in by_kind.get(peers.PERMIT, ()):
-            self._permit(peers.split_key(key), src, PermitNews(*value) if value is not None else None, now)
+            self._permit(
+                peers.split_key(key), src, PermitNews(*value) if value is not None else None, now
+            )
         for key, value in by_kind.get(peers.CANDIDATE, ()):
             job = self.jobs.get(key[1:])
             if value is None or job is None:
@@ -127,7 +160,14 @@
         job = self.jobs[jid]
         before = self.fleet.info.get(jid)
         self.fleet.info[jid] = Info(
-            job.rank, bool(news.within), job.team, job.kind, job.checkpoint_s, job.save_s, job.spot, bool(news.broken),
+            job.rank,
+            bool(news.within),
+            job.team,
+            job.kind,
+            job.checkpoint_s,
+            job.save_s,
+            job.spot,
+            bool(news.broken),
             before is not None and before.called,
         )
         if before is None or before.stop_class != self.fleet.info[jid].stop_class:
@@ -150,8 +190,16 @@
             return
         if p is None:
             job = self.jobs.get(key[0])
-            p = Permit(key, src, news.machine, news.epoch, news.ticket, self.vecs.get(key[0], (0.0, 0.0, 0.0)),
-                       job.image if job else "", job.image_gb if job else 0.0)  # fmt: skip
+            p = Permit(
+                key,
+                src,
+                news.machine,
+                news.epoch,
+                news.ticket,
+                self.vecs.get(key[0], (0.0, 0.0, 0.0)),
+                job.image if job else "",
+                job.image_gb if job else 0.0,
+            )
             self._admit(p, news.stop, now)
             if self.job_over(key[0]) or job is None:
                 p.stop = 0.0  # it was over before this owner heard of the permit
@@ -190,14 +238,19 @@
         m = self.machines.get(p.machine)
         held = self.placement.tickets.get(p.key[0], {}) if p.epoch == self.epoch else {}
         # the hold time may have ended while the permit was written; the room may be held again, for the same candidate
-        ticket = held.get(p.ticket) or next((t for t in held.values() if t.machine == p.machine), None)
+        ticket = held.get(p.ticket) or next(
+            (t for t in held.values() if t.machine == p.machine), None
+        )
         if ticket is not None:
             p.late = ticket.late
             self.placement.free(ticket, again=False)
         if p.epoch == self.epoch and (
-            m is None or m.expired or self.fleet.unusable(m, now) or stop is not None
+            m is None
+            or m.expired
+            or self.fleet.unusable(m, now)
+            or stop is not None
             or not (ticket is not None or fits(p.vec, self.fleet.room(m)))
-        ):  # fmt: skip
+        ):
             p.refused = True
         self.fleet.permits.setdefault(p.machine, {})[p.key] = p
         if m is not None:
@@ -222,7 +275,12 @@
             self.changed.add(key)
             mine = self.fleet.info.get(p.key[0])
             by_guarantee = not info.within and mine is not None and info.rank <= mine.rank
-            if mine is not None and mine.within and not mine.called and (by_guarantee or info.stop_class[-1]):
+            if (
+                mine is not None
+                and mine.within
+                and not mine.called
+                and (by_guarantee or info.stop_class[-1])
+            ):
                 mine.called = True  # as what it takes the room of had it: else whom that one stopped would stop this one
                 for q in self.by_job[p.key[0]].values():
                     self._touch(self.machines.get(q.machine))
@@ -239,7 +297,9 @@
 
     # -- what workers report -----------------------------------------------------------------
 
-    def on_report(self, r: Report, now: float, direct: bool = False, carried: bool = False) -> Machine | None:
+    def on_report(
+        self, r: Report, now: float, direct: bool = False, carried: bool = False
+    ) -> Machine | None:
         """Take in a report. None: its token is above this owner's, so this owner has been deposed.
 
         Only a message newer than all before it says anything. Any other is marked (`Machine.copy`): it doesn't even show that the
@@ -250,7 +310,16 @@
             return None
         m = self.machines.get(r.machine)
         if m is None:
-            m = Machine(r.machine, r.addr, r.type, r.zone, r.spot, self.first, doubt=self.first, doubted_at=now)
+            m = Machine(
+                r.machine,
+                r.addr,
+                r.type,
+                r.zone,
+                r.spot,
+                self.first,
+                doubt=self.first,
+                doubted_at=now,
+            )
             if r.machine in self.fleet.proven_gone:
                 m.copy = True  # sent before it went; it is not remembered
                 return m
@@ -268,7 +337,10 @@
         m.copy = (r.session, r.seq) <= (m.reported if not direct else (m.session, m.seq))
         if m.copy:
             return m
-        left = carried and m.reported == (r.session, r.seq - 1)  # this one's answer to the last report has not come: it went on
+        left = carried and m.reported == (
+            r.session,
+            r.seq - 1,
+        )  # this one's answer to the last report has not come: it went on
         if not direct:
             m.reported = (r.session, r.seq)
             self.reported = now
@@ -286,12 +358,24 @@
         elif left or 0 < m.session < r.session:
             self._doubt(m, now)  # or its lease ran out, though it was heard
         same = r.listed == m.listed
-        news = (not same or r.session != m.session or r.token != m.seen_token or (r.notice_s is None) != (m.notice_s is None)
-                or m.expired or not m.took)  # fmt: skip
+        news = (
+            not same
+            or r.session != m.session
+            or r.token != m.seen_token
+            or (r.notice_s is None) != (m.notice_s is None)
+            or m.expired
+            or not m.took
+        )
         if not direct:
             m.expired = False
         m.addr = r.addr
-        m.session, m.seq, m.seen_token, m.notice_s, m.took = r.session, r.seq, r.token, r.notice_s, took
+        m.session, m.seq, m.seen_token, m.notice_s, m.took = (
+            r.session,
+            r.seq,
+            r.token,
+            r.notice_s,
+            took,
+        )
         if not same:
             self._tasks(m, r, now)
         elif r.notice_s is not None:
@@ -301,7 +385,9 @@
             if any(k not in m.tasks and k in m.permits and not m.permits[k].gone for k in m.sent):
                 self._doubt(m, now)
             m.sent.clear()
-        if news:  # most reports say nothing new: no proof can follow from them that did not follow before
+        if (
+            news
+        ):  # most reports say nothing new: no proof can follow from them that did not follow before
             self._act(m)
             for p in m.permits.values():
                 self._check(p)
@@ -323,7 +409,11 @@
         m.doubt = 0  # it leaves `unheard` with the next sweep that finds its rest over
         if m.deaf:
             m.deaf = False
-            m.rest_s = min(MOST_REST_S, max(REST_S, 2.0 * m.rest_s)) if now - m.heard_again < m.rest_s + FLAPS_S else 0.0
+            m.rest_s = (
+                min(MOST_REST_S, max(REST_S, 2.0 * m.rest_s))
+                if now - m.heard_again < m.rest_s + FLAPS_S
+                else 0.0
+            )
             m.heard_again = now
         self._touch(m)
 
@@ -340,7 +430,11 @@
         self.changed.update(key for key in m.tasks if key not in tasks)
         m.tasks, m.listed = tasks, r.listed
         for key, t in tasks.items():
-            if t.state not in (EXITED, "fetching") and (held := m.permits.get(key)) is not None and held.image:
+            if (
+                t.state not in (EXITED, "fetching")
+                and (held := m.permits.get(key)) is not None
+                and held.image
+            ):
                 self.fleet.has_image(m, held.image, held.image_gb)
 
     def _fault(self, m: Machine, jid: str, now: float) -> None:
@@ -362,7 +456,12 @@
     def _acquit(self, jid: str) -> None:
         """A job fails everywhere: the machines that it failed on are not to blame for it."""
         for m in self.machines.values():
-            if m.faults.pop(jid, None) is not None and len(m.faults) < 2 and m.faulty_until and not m.condemned:
+            if (
+                m.faults.pop(jid, None) is not None
+                and len(m.faults) < 2
+                and m.faulty_until
+                and not m.condemned
+            ):
                 m.faulty_until = m.faulty_since = 0.0
                 self._touch(m)
 
@@ -374,14 +473,24 @@
         if p.machine in self.fleet.proven_gone:
             p.gone, p.why = True, "its machine is gone"
         elif p.refused and p.run_token == 0 and p.epoch == self.epoch:
-            p.gone, p.why = True, "its room was taken"  # this owner offered the room and has never sent the run
+            p.gone, p.why = (
+                True,
+                "its room was taken",
+            )  # this owner offered the room and has never sent the run
         elif m is not None and p.key not in m.tasks and m.took:
             if p.run_token:
                 # the newest list omits it under a token raised since the last run left, or the session rose
                 p.gone = m.seen_token > p.run_token or m.session > p.run_session
-                p.why = "its worker's lease ran out" if m.session > p.run_session else "its worker no longer has it"
+                p.why = (
+                    "its worker's lease ran out"
+                    if m.session > p.run_session
+                    else "its worker no longer has it"
+                )
             elif p.epoch < self.epoch:
-                p.gone, p.why = True, "its worker no longer has it"  # earlier runs bear tokens below the one the worker has taken
+                p.gone, p.why = (
+                    True,
+                    "its worker no longer has it",
+                )  # earlier runs bear tokens below the one the worker has taken
             elif p.stop is not None and p.epoch == self.epoch:
                 p.gone = True  # never sent
         if p.gone:
@@ -424,7 +533,10 @@
                 self._act(m)
                 for p in m.permits.values():
                     if p.run_token or p.epoch < self.epoch or p.key in m.tasks:
-                        p.gone, p.why = True, p.why or "its worker was silent until its lease ran out"
+                        p.gone, p.why = (
+                            True,
+                            p.why or "its worker was silent until its lease ran out",
+                        )
                     else:
                         p.refused = True
                         self._check(p)
@@ -441,12 +553,22 @@
                     del self.unheard[m.name]
                     self._touch(m)
                 continue
-            if not m.deaf and now - m.doubted_at > 2.5 * self.fleet.report_s + 2.0 and m.last_report > m.doubted_at:
+            if (
+                not m.deaf
+                and now - m.doubted_at > 2.5 * self.fleet.report_s + 2.0
+                and m.last_report > m.doubted_at
+            ):
                 m.deaf = True
                 self._touch(m)
                 for p in m.permits.values():
                     info = self.fleet.info.get(p.key[0])
-                    if info is not None and info.kind == "gang" and p.key not in m.tasks and not p.gone and p.stop is None:
+                    if (
+                        info is not None
+                        and info.kind == "gang"
+                        and p.key not in m.tasks
+                        and not p.gone
+                        and p.stop is None
+                    ):
                         p.evict = True  # the others wait for it in vain
                         self.changed.add(p.key)
         for m in list(self.doubted.values()):
@@ -496,7 +618,11 @@
                 self.placement.release(m)
         self.fleet.settle(now)
         if self.preempting:
-            for p in [p for p in self.preempting.values() if p.gone or not self._blocked(p, self.machines.get(p.machine))]:
+            for p in [
+                p
+                for p in self.preempting.values()
+                if p.gone or not self._blocked(p, self.machines.get(p.machine))
+            ]:
                 del self.preempting[p.key]
         self.placement.victims = {v for p in self.preempting.values() for v in p.victims}
         self.placement.place(now)
@@ -508,7 +634,10 @@
     def _blocked(self, p: Permit, m: Machine | None) -> bool:
         """Whether work that leaves for it is still there."""
         return m is not None and any(
-            v in m.permits and not m.permits[v].gone and not ((t := m.tasks.get(v)) is not None and t.state == EXITED) for v in p.victims
+            v in m.permits
+            and not m.permits[v].gone
+            and not ((t := m.tasks.get(v)) is not None and t.state == EXITED)
+            for v in p.victims
         )
 
     def _raise(self, m: Machine) -> bool:
@@ -522,9 +651,14 @@
 
     def _runnable(self, p: Permit, m: Machine) -> bool:
         return (
-            not p.gone and not p.refused and p.stop is None and p.epoch == self.epoch
-            and p.key not in m.tasks and m.took and not self._blocked(p, m)
-        )  # fmt: skip
+            not p.gone
+            and not p.refused
+            and p.stop is None
+            and p.epoch == self.epoch
+            and p.key not in m.tasks
+            and m.took
+            and not self._blocked(p, m)
+        )
 
     def commands(self, m: Machine, now: float, direct: bool = False) -> list[dict[str, Any]]:
         """What the worker has to do for the wanted state; marks runs as sent under the machine's token."""
@@ -537,7 +671,11 @@
         for p in m.permits.values():
             t = m.tasks.get(p.key)
             if t is not None:
-                if p.stop is not None and t.state != EXITED and (t.state != "saving" or p.stop == 0.0):
+                if (
+                    p.stop is not None
+                    and t.state != EXITED
+                    and (t.state != "saving" or p.stop == 0.0)
+                ):
                     if not direct or p.killed != p.stop:
                         out.append(workers.kill(p.key, p.stop))
                         p.killed = p.stop
@@ -546,7 +684,13 @@
                     continue  # it ran in a session that is over; the source decides what follows
                 if not direct or not p.direct:
                     runs.append(p)
-            elif p.run_token and not p.gone and p.key not in m.tasks and p.stop is not None and m.token <= p.run_token:
+            elif (
+                p.run_token
+                and not p.gone
+                and p.key not in m.tasks
+                and p.stop is not None
+                and m.token <= p.run_token
+            ):
                 # a run may be on its way: only a list under a higher token proves that it is not there
                 self._raise(m)
         if not direct:
@@ -563,7 +707,9 @@
                     out.append(workers.kill(key, 0.0))  # nobody has permitted it
                 else:
                     if key in m.inflight:
-                        if not self._raise(m):  # a run of it may still arrive; after reap it would start again
+                        if not self._raise(
+                            m
+                        ):  # a run of it may still arrive; after reap it would start again
                             continue
                         m.inflight.clear()
                     out.append(workers.reap(key))
@@ -606,7 +752,9 @@
             m.unanswered += 1
             m.direct_after = now + (SILENT_S if m.unanswered < UNANSWERED else LONG_SILENT_S)
             self.dirty = True
-        elif self.machines.get(m.name) is m:  # a late answer brings no machine back that is gone: the sweep would never see it
+        elif (
+            self.machines.get(m.name) is m
+        ):  # a late answer brings no machine back that is gone: the sweep would never see it
             m.unanswered = 0
             self.on_report(r, now, direct=True)
         if self.machines.get(m.name) is m:
@@ -623,7 +771,11 @@
             notice = 1 if m is not None and m.notice_s is not None else 2 if p.evict else asked
             suspect = m is not None and task.why == "error" and any(j != p.key[0] for j in m.faults)
             return StartNews(task.state, task.why, int(task.saved), notice, int(suspect))
-        return StartNews("gone", p.why, 0, 0) if p.gone else StartNews("permitted", "", 0, 2 if p.evict else 0)
+        return (
+            StartNews("gone", p.why, 0, 0)
+            if p.gone
+            else StartNews("permitted", "", 0, 2 if p.evict else 0)
+        )
 
     def take_news(self) -> dict[tuple[int, str], Any]:
         """What has changed for the sources since the last time: (source, key) -> value."""
@@ -643,7 +795,9 @@
         for name, permits in self.fleet.permits.items():
             if permits:
                 m = self.machines.get(name)
-                if (m is None or (not m.took and now - m.last_report > self.lease_s)) and any(not p.gone for p in permits.values()):
+                if (m is None or (not m.took and now - m.last_report > self.lease_s)) and any(
+                    not p.gone for p in permits.values()
+                ):
                     out.append(name)
         return sorted(out)
 
@@ -651,19 +805,32 @@
         """What the renter needs to know of a machine."""
         if m.expired or self.machines.get(m.name) is not m:
             return None
-        empty = not m.tasks and not m.tickets and all(p.gone for p in m.permits.values()) and not m.busy
-        firm = any(i is not None and not i.spot for i in (self.fleet.info.get(k[0]) for k in m.permits))
+        empty = (
+            not m.tasks and not m.tickets and all(p.gone for p in m.permits.values()) and not m.busy
+        )
+        firm = any(
+            i is not None and not i.spot for i in (self.fleet.info.get(k[0]) for k in m.permits)
+        )
         room = self.fleet.room(m)
         return MachineNews(
-            m.type, m.zone, int(m.spot), [round(x, 3) for x in room], int(empty),
-            1 if m.draining else 2 if m.cordoned else 0, int(m.notice_s is not None or m.deaf or not m.took),
-            int(m.condemned), int(firm), [round(x, 3) for x in self.fleet.firm_room(m, room)],
-        )  # fmt: skip
+            m.type,
+            m.zone,
+            int(m.spot),
+            [round(x, 3) for x in room],
+            int(empty),
+            1 if m.draining else 2 if m.cordoned else 0,
+            int(m.notice_s is not None or m.deaf or not m.took),
+            int(m.condemned),
+            int(firm),
+            [round(x, 3) for x in self.fleet.firm_room(m, room)],
+        )
 
     def take_machine_news(self, now: float) -> dict[str, MachineNews | None]:
         """The machines something happened to since the last time."""
         seen, self.seen = self.seen, {}
-        return {name: self.machine_news(m, now) if m is not None else None for name, m in seen.items()}
+        return {
+            name: self.machine_news(m, now) if m is not None else None for name, m in seen.items()
+        }
 
     def set_empty(self, names: list[str]) -> None:
         """An order wants these machines empty: nothing new goes there, and the sources are asked to let go of what is there."""
--- a/ploverhall/coordination/placement.py
+++ b/ploverhall/coordination/placement.py
@@ -12,23 +12,44 @@
 from dataclasses import dataclass
 from random import Random
 
-from ploverhall.coordination.fleet import EPS, Class, Fleet, Info, Machine, Permit, Place, Ticket, Vec, add, fits, occupies, times
+from ploverhall.coordination.fleet import (
+    EPS,
+    Class,
+    Fleet,
+    Info,
+    Machine,
+    Permit,
+    Place,
+    Ticket,
+    Vec,
+    add,
+    fits,
+    occupies,
+    times,
+)
 from ploverhall.protocol import peers
 from ploverhall.protocol.jobs import RANKS, Job
 from ploverhall.protocol.peers import Candidate
 from ploverhall.protocol.workers import Key
 
-PREEMPT_EVERY_S = 0.25  # how often a waiting candidate is matched anew against work that may be stopped
+PREEMPT_EVERY_S = (
+    0.25  # how often a waiting candidate is matched anew against work that may be stopped
+)
 PREEMPT_AT_ONCE = 24  # candidates matched in one go
 LEAST_RANK = max(RANKS.values())
 APART_S = 3.0  # seconds of fetching that keeping a replica apart from its like is worth: at 30, replicas fetched beside idle copies
 CACHE_S = 0.15  # seconds that each image a machine holds is worth to others
 STOP_S = 1.0  # what stopping others takes, until their room is free
 LOSS_WORTH = 0.2  # seconds of waiting that a second of lost work is worth
-STOP_SAMPLE, STOP_EACH = 64, 4  # machines asked what could be stopped on them: at least so many, and so many a task
+STOP_SAMPLE, STOP_EACH = (
+    64,
+    4,
+)  # machines asked what could be stopped on them: at least so many, and so many a task
 WARM_S = 2.0  # a start that is slower than this is worth the question whether a machine that holds the image is better
 WARM_TRIES = 24  # machines asked that question
-REVISIT_S = 2.0  # how often every waiting candidate is looked at anew, whatever has been seen to change
+REVISIT_S = (
+    2.0  # how often every waiting candidate is looked at anew, whatever has been seen to change
+)
 Failed = list[tuple[Vec, tuple[str, ...] | None, str | None, bool]]
 
 
@@ -57,16 +78,30 @@
         self.fleet, self.hold_s, self.sample, self.rng = fleet, hold_s, sample, rng
         self.wants: dict[str, Want] = {}
         self.tickets: dict[str, dict[int, Ticket]] = {}
-        self.waiting: list[tuple[tuple[float, ...], str]] = []  # candidates without room, most important first
+        self.waiting: list[
+            tuple[tuple[float, ...], str]
+        ] = []  # candidates without room, most important first
         self.new: set[str] = set()  # those not yet looked at
         self.expiry: deque[Ticket] = deque()  # in the order in which the hold time ends
         self.preempting: dict[int, Ticket] = {}
-        self.victims: set[Key] = set()  # what permits being carried out stop already; the owner keeps it
-        self.asked: dict[str, tuple[int, int, str | None]] = {}  # who found too few ways: the fleet's counter, how many, in which zone
-        self.dry: dict[tuple[object, ...], tuple[int, int]] = {}  # alike gangs: the counter, and the ways there were in all
-        self.ways = 0  # machines asked what could be stopped on them: what the tests of growth count
-        self.kept: dict[str, str] = {}  # machines that are left to empty for a gang that has not begun for long
-        self.partial: str | None = None  # the one gang that may hold room for less than all of its tasks
+        self.victims: set[Key] = (
+            set()
+        )  # what permits being carried out stop already; the owner keeps it
+        self.asked: dict[
+            str, tuple[int, int, str | None]
+        ] = {}  # who found too few ways: the fleet's counter, how many, in which zone
+        self.dry: dict[
+            tuple[object, ...], tuple[int, int]
+        ] = {}  # alike gangs: the counter, and the ways there were in all
+        self.ways = (
+            0  # machines asked what could be stopped on them: what the tests of growth count
+        )
+        self.kept: dict[
+            str, str
+        ] = {}  # machines that are left to empty for a gang that has not begun for long
+        self.partial: str | None = (
+            None  # the one gang that may hold room for less than all of its tasks
+        )
         self.next_ticket = 1
         self.next_preempt = 0.0
         self.next_revisit = 0.0
@@ -83,7 +118,12 @@
         self.wants[job.id] = w
         self.asked.pop(job.id, None)
         self._trim(job.id)
-        if old is None or (w.n, w.zones, w.order, w.avoid) != (old.n, old.zones, old.order, old.avoid):
+        if old is None or (w.n, w.zones, w.order, w.avoid) != (
+            old.n,
+            old.zones,
+            old.order,
+            old.avoid,
+        ):
             self._queue(job.id)
 
     def cancel(self, jid: str) -> None:
@@ -115,17 +155,32 @@
 
     # -- held room ---------------------------------------------------------------------------
 
-    def hold(self, w: Want, m: Machine, cost: float, now: float, victims: tuple[Key, ...] = ()) -> Ticket:
+    def hold(
+        self, w: Want, m: Machine, cost: float, now: float, victims: tuple[Key, ...] = ()
+    ) -> Ticket:
         """Keep room for one candidate until the hold time is over, and say so."""
-        t = Ticket(self.next_ticket, w.src, w.job.id, m.name, m.zone, now + self.hold_s, w.job.vec, w.job.image, cost, victims,
-                   w.late)  # fmt: skip
+        t = Ticket(
+            self.next_ticket,
+            w.src,
+            w.job.id,
+            m.name,
+            m.zone,
+            now + self.hold_s,
+            w.job.vec,
+            w.job.image,
+            cost,
+            victims,
+            w.late,
+        )
         self.next_ticket += 1
         m.tickets[t.id] = t
         self.tickets.setdefault(t.job, {})[t.id] = t
         self.expiry.append(t)
         if victims:
             self.preempting[t.id] = t
-        self.news[t.src, peers.offer_key(t.id)] = peers.OfferNews(t.job, t.machine, t.zone, round(t.cost, 2), len(victims))
+        self.news[t.src, peers.offer_key(t.id)] = peers.OfferNews(
+            t.job, t.machine, t.zone, round(t.cost, 2), len(victims)
+        )
         self.fleet.look(m, now)
         self.fleet.touch(m)  # for the renter
         return t
@@ -159,7 +214,10 @@
 
     def expire(self, now: float) -> None:
         """The hold time of unpermitted room is over."""
-        while self.expiry and (self.expiry[0].until <= now or self.expiry[0].id not in self.tickets.get(self.expiry[0].job, ())):
+        while self.expiry and (
+            self.expiry[0].until <= now
+            or self.expiry[0].id not in self.tickets.get(self.expiry[0].job, ())
+        ):
             self.free(self.expiry.popleft())
 
     def release(self, m: Machine) -> None:
@@ -193,7 +251,9 @@
         for i, (order, jid) in enumerate(self.waiting):
             if not self.new and not gained and not (preempt and tries):
                 still += self.waiting[i:]
-                partial_seen = True  # not all were seen: whoever holds pieces may still be among the rest
+                partial_seen = (
+                    True  # not all were seen: whoever holds pieces may still be among the rest
+                )
                 break
             w = self.wants.get(jid)
             if w is None:
@@ -203,7 +263,15 @@
             if missing > 0 and w.job.kind == "gang":
                 if new or gained or (preempt and tries):
                     before = missing
-                    missing = self._place_gang(jid, w, missing, not partial_seen, failed, now, (new or preempt) and tries > 0)
+                    missing = self._place_gang(
+                        jid,
+                        w,
+                        missing,
+                        not partial_seen,
+                        failed,
+                        now,
+                        (new or preempt) and tries > 0,
+                    )
                     tries -= bool((new or preempt) and before)
                 partial_seen = partial_seen or missing > 0
                 if missing <= 0 and self.partial == jid:
@@ -232,7 +300,12 @@
         first: Want | None = None
         for _, jid in self.waiting:
             w = self.wants.get(jid)
-            if w is not None and w.job.kind == "gang" and w.late and len(self.tickets.get(jid, ())) < w.n:
+            if (
+                w is not None
+                and w.job.kind == "gang"
+                and w.late
+                and len(self.tickets.get(jid, ())) < w.n
+            ):
                 first = w
                 break
         kept = self._kept_for(first, now) if first is not None else {}
@@ -244,17 +317,30 @@
     def _kept_for(self, w: Want, now: float) -> dict[str, str]:
         job, fleet, zones = w.job, self.fleet, self._by_zone(w.job.id, w)
         places = {p for p in fleet.places(job) if zones is None or zones.get(p[1], 0) > 0}
-        mine = [m for m in fleet.machines.values() if m.place in places and not fleet.unusable(m, now) and m.name not in w.avoid]
+        mine = [
+            m
+            for m in fleet.machines.values()
+            if m.place in places and not fleet.unusable(m, now) and m.name not in w.avoid
+        ]
         if job.one_zone and mine:
             count = Counter(m.zone for m in mine)
             zone = max(count, key=lambda z: (count[z], z))
             mine = [m for m in mine if m.zone == zone]
         out: dict[str, str] = {}
         left = w.n - len(self.tickets.get(job.id, ()))
-        for m in sorted(mine, key=lambda m: (m.name not in self.kept, [-x for x in m.free], m.name)):
+        for m in sorted(
+            mine, key=lambda m: (m.name not in self.kept, [-x for x in m.free], m.name)
+        ):
             if left <= 0:
                 break
-            each = min((times(x, c + EPS * x) for x, c in zip(job.vec, fleet.types[m.type].vec, strict=True) if x > 0), default=0)
+            each = min(
+                (
+                    times(x, c + EPS * x)
+                    for x, c in zip(job.vec, fleet.types[m.type].vec, strict=True)
+                    if x > 0
+                ),
+                default=0,
+            )
             if each > 0:
                 out[m.name] = job.id
                 left -= each
@@ -262,7 +348,11 @@
 
     def _avoided(self, w: Want) -> frozenset[str]:
         """Machines that it failed on, and those that are kept for somebody else."""
-        return w.avoid.union(m for m, j in self.kept.items() if j != w.job.id) if self.kept else w.avoid
+        return (
+            w.avoid.union(m for m, j in self.kept.items() if j != w.job.id)
+            if self.kept
+            else w.avoid
+        )
 
     def _by_zone(self, jid: str, w: Want) -> dict[str, int] | None:
         """How many more candidates each zone may take."""
@@ -273,13 +363,25 @@
             left[t.zone] = left.get(t.zone, 0) - 1
         return left
 
-    def _place(self, jid: str, w: Want, missing: int, only: dict[str, Machine] | None, failed: Failed, now: float,
-               zone: str | None = None) -> int:
+    def _place(
+        self,
+        jid: str,
+        w: Want,
+        missing: int,
+        only: dict[str, Machine] | None,
+        failed: Failed,
+        now: float,
+        zone: str | None = None,
+    ) -> int:
         """Hold room for up to `missing` candidates; what is left over."""
         job = w.job
         shape = (job.vec, job.types, job.zone, job.spot)
-        if only is None and zone is None and w.zones is None and not w.avoid and any(
-            s[1:] == shape[1:] and fits(s[0], shape[0]) for s in failed
+        if (
+            only is None
+            and zone is None
+            and w.zones is None
+            and not w.avoid
+            and any(s[1:] == shape[1:] and fits(s[0], shape[0]) for s in failed)
         ):
             return missing  # something no larger has just found no room
         zones, avoid = self._by_zone(jid, w), self._avoided(w)
@@ -289,8 +391,16 @@
             if only is not None:
                 for name in [n for n, m in only.items() if m.bucket is None]:
                     del only[name]
-                found = [m for m in only.values() if m.place in places and fits(job.vec, m.free) and m.name not in avoid]
-                found = found if len(found) <= 2 * self.sample else self.rng.sample(found, 2 * self.sample)
+                found = [
+                    m
+                    for m in only.values()
+                    if m.place in places and fits(job.vec, m.free) and m.name not in avoid
+                ]
+                found = (
+                    found
+                    if len(found) <= 2 * self.sample
+                    else self.rng.sample(found, 2 * self.sample)
+                )
             else:
                 found = self.fleet.find(job, places, avoid, self.sample, self.rng)
             found = [m for m in found if not self.fleet.unusable(m, now)]
@@ -300,7 +410,12 @@
                 break
             cost, _, _, m = min((*self.score(job, m), m.name, m) for m in found)
             victims: tuple[Key, ...] = ()
-            if job.image not in m.images and cost > WARM_S and only is None and (job.kind != "gang" or w.n == 1):
+            if (
+                job.image not in m.images
+                and cost > WARM_S
+                and only is None
+                and (job.kind != "gang" or w.n == 1)
+            ):
                 way = self._warm_way(w, places, now)
                 if way is not None and way[0] < cost:
                     cost, m, victims = way
@@ -312,7 +427,16 @@
             missing -= 1
         return missing
 
-    def _place_gang(self, jid: str, w: Want, missing: int, first: bool, failed: Failed, now: float, may_stop: bool) -> int:
+    def _place_gang(
+        self,
+        jid: str,
+        w: Want,
+        missing: int,
+        first: bool,
+        failed: Failed,
+        now: float,
+        may_stop: bool,
+    ) -> int:
         """All or nothing, but for the most important gang that waits: that one may hold pieces.
 
         Gangs that held pieces of one another's room never ran (the grown ardgael-loans: sixteen whole machines in one zone);
@@ -341,13 +465,24 @@
             if held:
                 zone = next(iter(held.values())).zone
             else:
-                bounds = {z: fleet.at_most(w.job.vec, [p for p in places if p[1] == z]) for z in {p[1] for p in places}}
+                bounds = {
+                    z: fleet.at_most(w.job.vec, [p for p in places if p[1] == z])
+                    for z in {p[1] for p in places}
+                }
                 ways: Counter[str] = Counter()
                 if stoppable and max(bounds.values()) < missing:
                     # where work could be stopped for it counts, too: with no room free anywhere the last zone by name was asked each time,
                     # and nowhere else was anything stopped (shannon-loanworks rough, seed 53: gangs waited for up to 33 s)
                     ways = Counter(m.zone for m in fleet.stop_order.values() if m.place in places)
-                zone = max(bounds, key=lambda z: (min(bounds[z] + ways[z], missing), min(bounds[z], missing), ways[z], z))
+                zone = max(
+                    bounds,
+                    key=lambda z: (
+                        min(bounds[z] + ways[z], missing),
+                        min(bounds[z], missing),
+                        ways[z],
+                        z,
+                    ),
+                )
         bound = fleet.at_most(w.job.vec, [p for p in places if zone is None or p[1] == zone])
         if bound < missing and not first and not stoppable:
             return missing
@@ -361,7 +496,9 @@
                 self.free(t, again=False)
                 if (m := fleet.machines.get(t.machine)) is not None:
                     fleet.look(m, now)
-                    fleet.gained.pop(t.machine, None)  # nothing was gained: trying again at once would find the same
+                    fleet.gained.pop(
+                        t.machine, None
+                    )  # nothing was gained: trying again at once would find the same
         return missing
 
     def score(self, job: Job, m: Machine) -> tuple[float, float]:
@@ -377,8 +514,12 @@
             elif job.image in held:
                 fetch *= 0.8
             else:
-                fetch *= 1 + len(coming | held)  # images fetched at the same time share the machine's rate
-                fetch += CACHE_S * len(m.images)  # what has to be fetched anyway goes where it spoils no well-stocked machine
+                fetch *= 1 + len(
+                    coming | held
+                )  # images fetched at the same time share the machine's rate
+                fetch += CACHE_S * len(
+                    m.images
+                )  # what has to be fetched anyway goes where it spoils no well-stocked machine
         room = m.free
         same = 0
         if job.kind == "service":
@@ -432,11 +573,22 @@
         classes = {c for c in fleet.stoppable if self.may_stop(w, c)}
         gang = w.job.kind == "gang"
         since, last, there = self.asked.get(jid, (0, 0, None))
-        if not classes or (since >= fleet.stop_count and (not gang or (last < missing and there == zone))):
+        if not classes or (
+            since >= fleet.stop_count and (not gang or (last < missing and there == zone))
+        ):
             return 0
         job = w.job
-        alike = (job.vec, job.types, job.zone, job.spot, zone, frozenset(classes)) if gang and w.zones is None and not w.avoid else None
-        if alike is not None and (dry := self.dry.get(alike)) is not None and dry[0] == fleet.stop_count and dry[1] < missing:
+        alike = (
+            (job.vec, job.types, job.zone, job.spot, zone, frozenset(classes))
+            if gang and w.zones is None and not w.avoid
+            else None
+        )
+        if (
+            alike is not None
+            and (dry := self.dry.get(alike)) is not None
+            and dry[0] == fleet.stop_count
+            and dry[1] < missing
+        ):
             return 0  # a gang like it has just found fewer ways than this one needs
         zones = self._by_zone(jid, w)
         places: set[Place] = set(p for p in fleet.places(job) if zone is None or p[1] == zone)
@@ -485,7 +637,9 @@
         """What leaves for others already."""
         return {v for t in self.preempting.values() for v in t.victims} | self.victims
 
-    def _warm_way(self, w: Want, places: list[Place], now: float) -> tuple[float, Machine, tuple[Key, ...]] | None:
+    def _warm_way(
+        self, w: Want, places: list[Place], now: float
+    ) -> tuple[float, Machine, tuple[Key, ...]] | None:
         """Room on a machine that holds the image, by stopping work that has hardly begun.
 
         Free room is mostly on machines that have just come and hold nothing; where there was room at all, nine of
@@ -499,16 +653,22 @@
             some = self.rng.sample(some, WARM_TRIES)
         taken, avoid = self._stopped(), self._avoided(w)
         ways = [
-            (way[0], m.name, m, way[1]) for m in some
-            if m.permits and m.place in places and m.name not in avoid and not self.fleet.unusable(m, now)
+            (way[0], m.name, m, way[1])
+            for m in some
+            if m.permits
+            and m.place in places
+            and m.name not in avoid
+            and not self.fleet.unusable(m, now)
             and (way := self._way(m, w, taken, now)) is not None
-        ]  # fmt: skip
+        ]
         if not ways:
             return None
         cost, _, m, victims = min(ways, key=lambda x: x[:2])
         return cost, m, victims
 
-    def _way(self, m: Machine, w: Want, taken: set[Key], now: float) -> tuple[float, tuple[Key, ...]] | None:
+    def _way(
+        self, m: Machine, w: Want, taken: set[Key], now: float
+    ) -> tuple[float, tuple[Key, ...]] | None:
         """The cheapest way to make room on one machine: what it costs, and what it stops."""
         options = []
         self.ways += 1
@@ -519,10 +679,19 @@
                 if occupies(p, m.tasks.get(key)):
                     room = add(room, p.vec)  # it goes for a start whose room is counted already
                 continue
-            if info is None or p.gone or p.refused or p.stop is not None or p.evict or (c := m.stops.get(key)) is None:
+            if (
+                info is None
+                or p.gone
+                or p.refused
+                or p.stop is not None
+                or p.evict
+                or (c := m.stops.get(key)) is None
+            ):
                 continue
             if self.may_stop(w, c):
-                options.append((self._loss(p, info, now) + (1000.0 if info.kind == "gang" else 0.0), key, p))
+                options.append(
+                    (self._loss(p, info, now) + (1000.0 if info.kind == "gang" else 0.0), key, p)
+                )
         chosen: list[Key] = []
         loss = 0.0
         for cost, key, p in sorted(options, key=lambda x: x[:2]):
