--- a/ploverhall/coordination/renter.py
+++ b/ploverhall/coordination/renter.py
@@ -24,7 +24,9 @@
 UNHEARD_S = 300.0  # where most of its zone is not heard, after this: nothing runs there any more
 SOME = 4  # so many machines of a zone say something about the zone
 GONE_TOLD = 300  # machines that went last: owners are told without asking
-GONE_KEPT = 10_000  # machines known to be gone: a list that lags may still name every one of a whole fleet
+GONE_KEPT = (
+    10_000  # machines known to be gone: a list that lags may still name every one of a whole fleet
+)
 SLOT_S = 15.0  # arrivals are counted in slots of this length
 
 
@@ -110,7 +112,9 @@
 class Renter:
     """Decides what to rent and what to return."""
 
-    def __init__(self, epoch: int, idle_s: float, spare: float, lag_s: float, lease_s: float, now: float) -> None:
+    def __init__(
+        self, epoch: int, idle_s: float, spare: float, lag_s: float, lease_s: float, now: float
+    ) -> None:
         self.epoch = epoch
         self.idle_s, self.spare, self.lag_s, self.lease_s = idle_s, spare, lag_s, lease_s
         self.started = now
@@ -120,19 +124,27 @@
         self.demand: dict[tuple[int, str], Demand] = {}
         self.load: dict[Kind, int] = {}  # machines by kind
         self.suspects: dict[str, float] = {}
-        self.asked: dict[int, tuple[str, ...]] = {}  # by part: the machines that its owner can't prove anything about just now
+        self.asked: dict[
+            int, tuple[str, ...]
+        ] = {}  # by part: the machines that its owner can't prove anything about just now
         self.refused: dict[Kind, tuple[float, float]] = {}  # until, length of the last pause
         self.gone: dict[str, float] = {}
         self.lists = 0  # complete lists taken since this renter began
         self.pleas = 0
-        self.arrivals: dict[str, tuple[float, Job]] = {}  # jobs of the last minutes, for the spare room
+        self.arrivals: dict[
+            str, tuple[float, Job]
+        ] = {}  # jobs of the last minutes, for the spare room
         self.wall = self.now = 0.0
         self.orders: list[Order] = []  # to empty machines, as the store has them
         self.order_waits: dict[str, str] = {}
         self.looked = False  # it has looked at the orders, with the cloud's list at hand
-        self.boots: dict[tuple[str, str], deque[tuple[float, float]]] = {}  # by type and zone: rented and up, newest last
+        self.boots: dict[
+            tuple[str, str], deque[tuple[float, float]]
+        ] = {}  # by type and zone: rented and up, newest last
         self.young: dict[tuple[str, str], int] = {}  # machines that boot and are not overdue yet
-        self.overdue: dict[tuple[str, str], int] = {}  # machines that should be up, where none rented after them has come
+        self.overdue: dict[
+            tuple[str, str], int
+        ] = {}  # machines that should be up, where none rented after them has come
 
     def plea(self) -> str:
         """A request name, used once."""
@@ -163,7 +175,11 @@
             if name not in self.gone:
                 self.suspects.setdefault(name, now)
         if full:
-            for m in [m for m in self.machines.values() if m.part == part and m.view is not None and m.name not in changes]:
+            for m in [
+                m
+                for m in self.machines.values()
+                if m.part == part and m.view is not None and m.name not in changes
+            ]:
                 self._unseen(m, now)
         for name, value in changes.items():
             if name == "?":
@@ -233,7 +249,11 @@
         old = 2.0 * self.lag_s + 1.0
         for name, m in list(self.machines.items()):
             # it existed, and a list that is surely younger does not have it: it was taken or deleted
-            if name not in seen and asked_at - max(m.since, m.view_at if m.view is None else asked_at) > old and m.view is None:
+            if (
+                name not in seen
+                and asked_at - max(m.since, m.view_at if m.view is None else asked_at) > old
+                and m.view is None
+            ):
                 self.on_gone([name], now)
         for name, since in list(self.suspects.items()):
             if name not in seen and asked_at - since > old:
@@ -276,14 +296,21 @@
         for order in running.values():
             mine = sum(1 for m in going if m.order == order.id)
             left = [
-                m for m in self.machines.values()
-                if m.order is None and not m.returning and not m.drain and m.view is not None and order.matches(m.name, m.kind, m.part)
-            ]  # fmt: skip
+                m
+                for m in self.machines.values()
+                if m.order is None
+                and not m.returning
+                and not m.drain
+                and m.view is not None
+                and order.matches(m.name, m.kind, m.part)
+            ]
             # what another renter has begun with first, then what is empty or nearly so
             left.sort(key=self._first)
             for m in left:
                 if mine >= order.at_once:
-                    waits[order.id] = f"{mine} machines are being emptied, as many as it allows at once"
+                    waits[order.id] = (
+                        f"{mine} machines are being emptied, as many as it allows at once"
+                    )
                     break
                 missing, unrented = self._short(m, [*going, m])
                 if missing > 0:
@@ -291,7 +318,9 @@
                     kind = self._elsewhere(m.kind)
                     if kind is not None and unrented > 0:
                         out.rent.append(Rent(kind, min(unrented, order.at_once)))
-                    waits[order.id] = f"what runs on {m.name} has no room elsewhere" + (", machines are rented" if kind else "")
+                    waits[order.id] = f"what runs on {m.name} has no room elsewhere" + (
+                        ", machines are rented" if kind else ""
+                    )
                     break
                 m.order = order.id
                 going.append(m)
@@ -300,13 +329,25 @@
 
     def _first(self, m: Rented) -> tuple[bool, bool, float, str]:
         v = m.view
-        return (v is not None and v.draining != 2, v is not None and not v.empty, self._used(m), m.name)
+        return (
+            v is not None and v.draining != 2,
+            v is not None and not v.empty,
+            self._used(m),
+            m.name,
+        )
 
     def _used(self, m: Rented) -> float:
         sold = self.types.get(m.kind[0])
         if sold is None or m.view is None:
             return 0.0
-        return max((1.0 - free / all_of for free, all_of in zip(m.view.room, sold.vec, strict=True) if all_of > 0), default=0.0)
+        return max(
+            (
+                1.0 - free / all_of
+                for free, all_of in zip(m.view.room, sold.vec, strict=True)
+                if all_of > 0
+            ),
+            default=0.0,
+        )
 
     def _short(self, m: Rented, going: list[Rented]) -> tuple[int, int]:
         """How many machines are missing for what runs on those that are being emptied, and how many of these don't boot yet.
@@ -317,7 +358,13 @@
         names = {g.name for g in going}
         up = coming = 0.0
         for o in self.machines.values():
-            if o.kind[0] != m.kind[0] or o.name in names or o.drain or o.returning or self._ordered(o):
+            if (
+                o.kind[0] != m.kind[0]
+                or o.name in names
+                or o.drain
+                or o.returning
+                or self._ordered(o)
+            ):
                 continue
             if o.view is not None and not (o.view.draining or o.view.notice or o.view.faulty):
                 up += 1.0 - self._used(o)
@@ -335,15 +382,24 @@
         sold = self.types.get(kind[0])
         if sold is None:
             return None
-        kinds = [(kind[0], z, s) for s in (kind[2], False) for z in (kind[1], *sold.zones) if z in sold.zones]
-        return next((k for k in kinds if not self._closed(k) and not self._paused(k, self.now)), None)
+        kinds = [
+            (kind[0], z, s)
+            for s in (kind[2], False)
+            for z in (kind[1], *sold.zones)
+            if z in sold.zones
+        ]
+        return next(
+            (k for k in kinds if not self._closed(k) and not self._paused(k, self.now)), None
+        )
 
     def _closed(self, kind: Kind) -> bool:
         return any(o.closes(kind) for o in self.orders)
 
     def emptying(self, part: int) -> list[str]:
         """Machines of a part that are being emptied by order."""
-        return sorted(m.name for m in self.machines.values() if m.part == part and m.order is not None)
+        return sorted(
+            m.name for m in self.machines.values() if m.part == part and m.order is not None
+        )
 
     def progress(self) -> dict[str, dict[str, Any]]:
         """For people: how far each order is."""
@@ -351,9 +407,10 @@
         for o in self.orders:
             mine = [m for m in self.machines.values() if o.matches(m.name, m.kind, m.part)]
             out[o.id] = {
-                "left": len(mine), "being_emptied": sorted(m.name for m in mine if m.order == o.id)[:20],
+                "left": len(mine),
+                "being_emptied": sorted(m.name for m in mine if m.order == o.id)[:20],
                 "waits": self.order_waits.get(o.id, ""),
-            }  # fmt: skip
+            }
         return out
 
     def finished(self, now: float) -> list[Order]:
@@ -361,9 +418,12 @@
         if not self.lists or now - self.started < 2.0 * self.lag_s + 5.0:
             return []  # not all that is there has been seen yet
         return [
-            o for o in self.orders
-            if o.state == RUNNING and o.machines is not None and not any(n in self.machines for n in o.machines)
-        ]  # fmt: skip
+            o
+            for o in self.orders
+            if o.state == RUNNING
+            and o.machines is not None
+            and not any(n in self.machines for n in o.machines)
+        ]
 
     def _unheard(self) -> set[str]:
         """Zones most of whose running machines nobody hears of: it is the way there that is broken, not the machines.
@@ -388,23 +448,45 @@
             silent = now - max(m.since, m.view_at)
             if m.returning or m.listed == "failed":
                 out.give_back.append(m.name)
-            elif m.view is None and m.listed == "booting" and m.age_s > self._patience(m, boot, now):
-                out.give_back.append(m.name)  # it never comes up, and is charged until it is deleted
-            elif m.view is None and m.listed == "running" and silent > SILENT_S + 2 * self.lease_s and now - self.started > SILENT_S:
+            elif (
+                m.view is None and m.listed == "booting" and m.age_s > self._patience(m, boot, now)
+            ):
+                out.give_back.append(
+                    m.name
+                )  # it never comes up, and is charged until it is deleted
+            elif (
+                m.view is None
+                and m.listed == "running"
+                and silent > SILENT_S + 2 * self.lease_s
+                and now - self.started > SILENT_S
+            ):
                 if m.kind[1] not in unheard or min(silent, now - self.started) > UNHEARD_S:
                     out.give_back.append(m.name)  # up, charged, and no worker reports
-            elif m.view is not None and m.view.empty and (m.view.draining == 1 or (m.view.draining == 2 and m.order is not None)):
+            elif (
+                m.view is not None
+                and m.view.empty
+                and (m.view.draining == 1 or (m.view.draining == 2 and m.order is not None))
+            ):
                 out.give_back.append(m.name)  # drained
             elif m.view is not None and m.view.faulty:
                 m.drain = True  # faulty: used up, then replaced
         needed = any(self._urgent(d.job) for d in self.demand.values())
         out_of_use = [
-            m for m in self.machines.values()
-            if m.view is not None and not m.drain and not m.returning and now - m.since > 60.0
-            and ((m.idle_since is not None and now - m.idle_since > self.idle_s) or (not m.kind[2] and not m.view.firm and not needed))
-        ]  # fmt: skip
+            m
+            for m in self.machines.values()
+            if m.view is not None
+            and not m.drain
+            and not m.returning
+            and now - m.since > 60.0
+            and (
+                (m.idle_since is not None and now - m.idle_since > self.idle_s)
+                or (not m.kind[2] and not m.view.firm and not needed)
+            )
+        ]
         ordinary: dict[Kind, list[Rented]] = {}
-        for m in sorted(out_of_use, key=lambda m: (m.idle_since is None, -self._price(m.kind), -m.since, m.name)):
+        for m in sorted(
+            out_of_use, key=lambda m: (m.idle_since is None, -self._price(m.kind), -m.since, m.name)
+        ):
             # the newest go first: the others have had more time to gather images
             if m.kind[2]:
                 m.drain = True
@@ -428,7 +510,9 @@
     def _prompt(self, job: Job) -> bool:
         """Whether it is expected to start sooner than a machine boots."""
         start = self.aims.of(job).start_s
-        return start is not None and start < min((t.boot_s for t in self.types.values()), default=0.0)
+        return start is not None and start < min(
+            (t.boot_s for t in self.types.values()), default=0.0
+        )
 
     def _forecast(self, now: float) -> list[tuple[Job, int]]:
         """Tasks to keep room for: of each class that can't wait for a cheap machine, what usually comes while one boots."""
@@ -447,7 +531,11 @@
             # the busiest moment is left out: a lump (everyone submits when the service starts) is no rate,
             # and taking it for one rented a fleet's worth of idle machines (kazi-bodi, first minute)
             n = sum(slots[klass].values()) - max(slots[klass].values())
-            boots = [min(self._boot((t.name, z), now) for z in t.zones) for t in self.types.values() if t.zones and fits(job.vec, t.vec)]
+            boots = [
+                min(self._boot((t.name, z), now) for z in t.zones)
+                for t in self.types.values()
+                if t.zones and fits(job.vec, t.vec)
+            ]
             boot = min(boots, default=0.0)
             mean = n / span * (boot + 20.0)
             out.append((job, max(1, math.ceil(mean + self.spare * math.sqrt(mean)))))
@@ -478,10 +566,14 @@
         """How many of these machines are in nobody's way, by kind: what waits and what is likely to come has room without them."""
         _, firm = self._bins(now, but)
         have: dict[Kind, int] = {}
-        for name in sorted(but):  # in one order in every process: it decides which kind is asked first
+        for name in sorted(
+            but
+        ):  # in one order in every process: it decides which kind is asked first
             place = self.machines[name].kind
             have[place] = have.get(place, 0) + 1
-        wanted = [(d.job, d.n, d.zones) for d in self._items() if not d.job.spot] + [(job, n, None) for job, n in self._forecast(now)]
+        wanted = [(d.job, d.n, d.zones) for d in self._items() if not d.job.spot] + [
+            (job, n, None) for job, n in self._forecast(now)
+        ]
         for job, n, zones in wanted:
             left = self._into(job, n, zones, firm, spot=job.spot)[0]
             for kind in have:
@@ -497,15 +589,25 @@
         """Whether work that may use cheap machines can't wait for one: its deadline, or what its class expects, would be missed."""
         if job.deadline_s is None:
             # of an array that has time no more is asked for than has to run now, so that can't wait either
-            return self._prompt(job) or self.aims.of(job).finish_s is not None or self.wall - job.at > 120.0
+            return (
+                self._prompt(job)
+                or self.aims.of(job).finish_s is not None
+                or self.wall - job.at > 120.0
+            )
         return self.wall + 1.3 * job.estimate_s + 60.0 > job.at + job.deadline_s
 
     def _boot(self, place: tuple[str, str], now: float) -> float:
         """How long a machine of this type takes to come up there: the nominal time, longer where that was seen lately."""
         sold = self.types.get(place[0])
         nominal = sold.boot_s if sold else 60.0
-        lately = sorted(up - since for since, up in list(self.boots.get(place, ()))[-8:] if now - up < BOOTS_S)
-        return nominal * min(6.0, max(1.0, lately[len(lately) // 2] / max(nominal, 1.0))) if lately else nominal
+        lately = sorted(
+            up - since for since, up in list(self.boots.get(place, ()))[-8:] if now - up < BOOTS_S
+        )
+        return (
+            nominal * min(6.0, max(1.0, lately[len(lately) // 2] / max(nominal, 1.0)))
+            if lately
+            else nominal
+        )
 
     def _overtaken(self, m: Rented) -> bool:
         """Machines rented after this one have come: it is this one that is late, not all of them."""
@@ -517,7 +619,9 @@
         Where nothing comes any more it is the cloud that is late, and what is given back now might have come in the next
         moment; what replaces it would come no sooner.
         """
-        return 3.5 * self._boot(m.kind[:2], now) + 20.0 if self._overtaken(m) else 6.0 * nominal + 60.0
+        return (
+            3.5 * self._boot(m.kind[:2], now) + 20.0 if self._overtaken(m) else 6.0 * nominal + 60.0
+        )
 
     def _booting(self, m: Rented) -> bool:
         return m.view is None and not m.returning and m.listed != "failed" and m.view_at == 0.0
@@ -525,7 +629,9 @@
     def _late(self, place: tuple[str, str], now: float) -> bool:
         """Whether machines there come late or not at all just now."""
         sold = self.types.get(place[0])
-        return self.overdue.get(place, 0) > 0 or (sold is not None and self._boot(place, now) > 2.0 * sold.boot_s)
+        return self.overdue.get(place, 0) > 0 or (
+            sold is not None and self._boot(place, now) > 2.0 * sold.boot_s
+        )
 
     def late(self, now: float) -> list[tuple[str, int, float]]:
         """For people: where machines should be up and are not, how many, and the age of the oldest."""
@@ -562,7 +668,11 @@
         missing = 0.0
         for m, times in late:
             elsewhere = any(
-                p[0] == m.kind[0] and p != m.kind[:2] and not self._late(p, now) and seen and now - seen[-1][1] < BOOTS_S
+                p[0] == m.kind[0]
+                and p != m.kind[:2]
+                and not self._late(p, now)
+                and seen
+                and now - seen[-1][1] < BOOTS_S
                 for p, seen in self.boots.items()
             )
             missing += 1.0 if elsewhere or times > 8.0 else 0.5
@@ -585,22 +695,36 @@
     def _paused(self, kind: Kind, now: float) -> bool:
         return self.refused.get(kind, (0.0, 0.0))[0] > now
 
-    def _into(self, job: Job, n: int, zones: dict[str, int] | None, bins: Bins,
-              spot: bool = True) -> tuple[int, dict[str, int] | None]:
+    def _into(
+        self, job: Job, n: int, zones: dict[str, int] | None, bins: Bins, spot: bool = True
+    ) -> tuple[int, dict[str, int] | None]:
         """Put up to n tasks into bins; what is left over, and how much each zone may still take."""
-        kinds = sorted((k for k in bins.rooms if self._ok(job, k) and (spot or not k[2])), key=lambda k: (not k[2], k))
+        kinds = sorted(
+            (k for k in bins.rooms if self._ok(job, k) and (spot or not k[2])),
+            key=lambda k: (not k[2], k),
+        )
         for kind in kinds:
             most = n if zones is None else min(n, zones.get(kind[1], 0))
             got = bins.put(job.vec, most, kind) if most > 0 else 0
             n -= got
             if zones is not None and got:
-                zones = {z: c - got if z == kind[1] else 0 if job.one_zone else c for z, c in zones.items()}
+                zones = {
+                    z: c - got if z == kind[1] else 0 if job.one_zone else c
+                    for z, c in zones.items()
+                }
             if n <= 0:
                 break
         return n, zones
 
-    def _fill(self, job: Job, n: int, zones: dict[str, int] | None, bins: Bins,
-              new: dict[Kind, int], now: float) -> dict[Kind, int]:
+    def _fill(
+        self,
+        job: Job,
+        n: int,
+        zones: dict[str, int] | None,
+        bins: Bins,
+        new: dict[Kind, int],
+        now: float,
+    ) -> dict[Kind, int]:
         """Put waiting tasks into free and coming room first, then into machines to be rented: these, by kind."""
         n, zones = self._into(job, min(n, 2000), zones, bins)
         rented: dict[Kind, int] = {}
@@ -616,13 +740,22 @@
             rented[kind] = rented.get(kind, 0) + 1
             n -= got
             if zones is not None:
-                zones = {z: c - got if z == kind[1] else 0 if job.one_zone else c for z, c in zones.items()}
+                zones = {
+                    z: c - got if z == kind[1] else 0 if job.one_zone else c
+                    for z, c in zones.items()
+                }
         return rented
 
     def _ok(self, job: Job, kind: Kind) -> bool:
-        return (job.types is None or kind[0] in job.types) and (job.zone is None or job.zone == kind[1]) and (job.spot or not kind[2])
-
-    def _choose(self, job: Job, zones: dict[str, int] | None, new: dict[Kind, int], now: float) -> Kind | None:
+        return (
+            (job.types is None or kind[0] in job.types)
+            and (job.zone is None or job.zone == kind[1])
+            and (job.spot or not kind[2])
+        )
+
+    def _choose(
+        self, job: Job, zones: dict[str, int] | None, new: dict[Kind, int], now: float
+    ) -> Kind | None:
         options = []
         kinds = (True, False) if job.spot and self._urgent(job) else (job.spot,)
         for t in self.types.values():
@@ -630,14 +763,18 @@
                 continue
             per = self._share(job.vec, t)
             for z in t.zones:
-                if (job.zone is not None and z != job.zone) or (zones is not None and zones.get(z, 0) <= 0):
+                if (job.zone is not None and z != job.zone) or (
+                    zones is not None and zones.get(z, 0) <= 0
+                ):
                     continue
                 for spot in kinds:
                     if self._paused((t.name, z, spot), now) or self._closed((t.name, z, spot)):
                         continue
                     late = self._late((t.name, z), now)
                     missing = self.overdue.get((t.name, z), 0)
-                    fresh = self.young.get((t.name, z), 0) + sum(new.get((t.name, z, s), 0) for s in (True, False))
+                    fresh = self.young.get((t.name, z), 0) + sum(
+                        new.get((t.name, z, s), 0) for s in (True, False)
+                    )
                     if missing and fresh > 2 * missing + 10:
                         continue  # more of what does not come is no help
                     price = (t.spot_price if spot else t.price) * per
@@ -651,8 +788,15 @@
         They were the last by name: the newest machines, also when they had gone long before. So where more than these had gone, an
         owner that had never heard an old machine asked for ever, and what it had run counted for its team's limit for ever.
         """
-        return sorted({*list(self.gone)[-GONE_TOLD:], *(n for n in self.asked.get(part, ()) if n in self.gone)})
+        return sorted(
+            {
+                *list(self.gone)[-GONE_TOLD:],
+                *(n for n in self.asked.get(part, ()) if n in self.gone),
+            }
+        )
 
     def drains(self, part: int) -> list[str]:
         """Machines of a part that should be empty."""
-        return sorted(m.name for m in self.machines.values() if m.part == part and (m.drain or m.returning))
+        return sorted(
+            m.name for m in self.machines.values() if m.part == part and (m.drain or m.returning)
+        )
--- a/ploverhall/coordination/shards.py
+++ b/ploverhall/coordination/shards.py
@@ -32,6 +32,8 @@
         if me == shard:
             return 0.0
         near = [n for n in alive if self.zone_of[self.index[n]] == self.zone_of[shard]]
-        order = sorted(alive, key=lambda n: (n not in near, (self.index[n] - shard) % len(self.nodes)))
+        order = sorted(
+            alive, key=lambda n: (n not in near, (self.index[n] - shard) % len(self.nodes))
+        )
         place = order.index(node) if node in order else len(order)
         return 0.15 + 0.7 * place + 0.3 * max(0, load - 1)
--- a/ploverhall/coordination/source.py
+++ b/ploverhall/coordination/source.py
@@ -26,13 +26,25 @@
 )
 from ploverhall.protocol import peers
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peers import NOTICE_EMPTY, Candidate, DemandNews, JobNews, OfferNews, StartNews
+from ploverhall.protocol.peers import (
+    NOTICE_EMPTY,
+    Candidate,
+    DemandNews,
+    JobNews,
+    OfferNews,
+    StartNews,
+)
 
 ATTEMPT_BITS = 28
-PATIENCE_S = 0.06  # how long a worse answer waits for a better one: a few round trips between controllers
+PATIENCE_S = (
+    0.06  # how long a worse answer waits for a better one: a few round trips between controllers
+)
 TEAM_EVERY_S = 0.2  # how often a team's waiting jobs are held against its limit anew
 AVOID_S = 120.0  # how long a machine is avoided by a job that failed there
-TRY_S, TRY_MOST_S = 5.0, 90.0  # first and longest pause between two tries of a job that fails everywhere
+TRY_S, TRY_MOST_S = (
+    5.0,
+    90.0,
+)  # first and longest pause between two tries of a job that fails everywhere
 REST_S, REST_MOST_S = 1.0, 60.0  # the same for one task that fails while its job works
 WAY_EVERY_S = 0.5  # how often replicas that wait for their team's limit are held against its arrays
 REVISIT_S = 1.0  # how often every job with offers is decided anew, whatever has been seen to change
@@ -43,26 +55,46 @@
 
     # -- what owners tell --------------------------------------------------------------------
 
-    def on_owner(self, part: int, epoch: int, full: bool, changes: dict[str, Any], now: float) -> None:
+    def on_owner(
+        self, part: int, epoch: int, full: bool, changes: dict[str, Any], now: float
+    ) -> None:
         """An owner's board: offers, and what became of permits."""
         if full:
-            for k in [k for k in self.offer_job if k[0] == part and peers.offer_key(k[1]) not in changes]:
+            for k in [
+                k for k in self.offer_job if k[0] == part and peers.offer_key(k[1]) not in changes
+            ]:
                 self._drop_offer(k)
         for key, value in changes.items():
             if key[0] == peers.OFFER:
-                self._offer(part, epoch, int(key[1:]), OfferNews(*value) if value is not None else None)
+                self._offer(
+                    part, epoch, int(key[1:]), OfferNews(*value) if value is not None else None
+                )
             elif key[0] == peers.START and value is not None:
                 job, task, attempt = peers.split_key(key)
                 js = self.jobs.get(job)
                 e = js.entries.get(task) if js is not None else None
-                if js is not None and e is not None and e.attempt == attempt and e.part == part and e.landed and epoch >= e.epoch:
+                if (
+                    js is not None
+                    and e is not None
+                    and e.attempt == attempt
+                    and e.part == part
+                    and e.landed
+                    and epoch >= e.epoch
+                ):
                     self._status(js, e, StartNews(*value), now)
 
     def _offer(self, part: int, epoch: int, ticket: int, news: OfferNews | None) -> None:
         self._drop_offer((part, ticket))
         js = self.jobs.get(news.job) if news is not None else None
-        if news is not None and js is not None and js.job is not None and (part, epoch, ticket) not in js.tickets:
-            js.offers[part, ticket] = Offer(part, epoch, ticket, news.machine, news.zone, news.cost, news.victims)
+        if (
+            news is not None
+            and js is not None
+            and js.job is not None
+            and (part, epoch, ticket) not in js.tickets
+        ):
+            js.offers[part, ticket] = Offer(
+                part, epoch, ticket, news.machine, news.zone, news.cost, news.victims
+            )
             self.offer_job[part, ticket] = js.id
             self.hot.add(js.id)
 
@@ -70,7 +102,15 @@
         state, why = news.state, news.why
         if e.over or (state == e.state and why == e.why and news.notice == e.notice):
             return
-        self.note("task", job=e.job, task=e.task, attempt=e.attempt, machine=e.machine, state=state, why=why or "-")
+        self.note(
+            "task",
+            job=e.job,
+            task=e.task,
+            attempt=e.attempt,
+            machine=e.machine,
+            state=state,
+            why=why or "-",
+        )
         js.running -= e.running
         if NOTICE_EMPTY in (news.notice, e.notice):
             self.ask(e, news.notice == NOTICE_EMPTY, now)
@@ -126,7 +166,11 @@
         """Its machine goes away or its room is needed: save what can be saved, a gang's tasks all together."""
         job = js.job
         assert job is not None
-        grace = job.save_s + 1.0 if job.checkpoint_s > (0.0 if notice == 1 else 2.0 * job.save_s + 15.0) else 0.0
+        grace = (
+            job.save_s + 1.0
+            if job.checkpoint_s > (0.0 if notice == 1 else 2.0 * job.save_s + 15.0)
+            else 0.0
+        )
         if job.kind == "gang":
             for other in js.entries.values():
                 if not other.over and other.stop is None:
@@ -167,8 +211,13 @@
         if js.broken == broken or js.job is None:
             return
         js.broken = broken
-        self.report("job fails everywhere" if broken else "job works again", job=js.id, team=js.team,
-                    machines=",".join(sorted(js.failed_on)), failures=js.failures)  # fmt: skip
+        self.report(
+            "job fails everywhere" if broken else "job works again",
+            job=js.id,
+            team=js.team,
+            machines=",".join(sorted(js.failed_on)),
+            failures=js.failures,
+        )
         self.changed.add(js.id)
         self.hot.add(js.id)
         self.reorder.add(js.team)
@@ -176,7 +225,11 @@
             js.tries = 0
             self._hold_back(js, now)
             for other in js.entries.values():
-                if not other.over and other.stop is None and other.state in ("permitted", "fetching"):
+                if (
+                    not other.over
+                    and other.stop is None
+                    and other.state in ("permitted", "fetching")
+                ):
                     self._stop(other, 0.0)
         else:
             js.not_before = 0.0
@@ -201,7 +254,10 @@
         if js.job is not None and js.job.kind != "service":
             used = add(used, self.reserved.get(js.team, NOTHING))
         n = MANY
-        for most, have, need in ((team.cpus_max, used[0], js.vec[0]), (team.gpus_max, used[1], js.vec[1])):
+        for most, have, need in (
+            (team.cpus_max, used[0], js.vec[0]),
+            (team.gpus_max, used[1], js.vec[1]),
+        ):
             if most > 0:
                 n = min(n, times(need, most - have + EPS))
         return n
@@ -231,7 +287,9 @@
                 if js.broken:
                     continue  # it keeps nobody's guarantee
                 total = add(total, js.vec, js.n - js.done_count)
-                if (team.cpus > 0 and total[0] > team.cpus + EPS) or (team.gpus > 0 and total[1] > team.gpus + EPS):
+                if (team.cpus > 0 and total[0] > team.cpus + EPS) or (
+                    team.gpus > 0 and total[1] > team.gpus + EPS
+                ):
                     break  # and so are all later ones
                 now_within.add(jid)
             for jid in sorted(now_within ^ self.within[name]):
@@ -266,18 +324,31 @@
                 continue
             need = NOTHING
             for js in self.waits[name].values():
-                if js.job is not None and js.job.kind == "service" and not js.broken and not js.blocked and js.not_before <= now:
+                if (
+                    js.job is not None
+                    and js.job.kind == "service"
+                    and not js.broken
+                    and not js.blocked
+                    and js.not_before <= now
+                ):
                     need = add(need, js.vec, js.waiting())
             if need == NOTHING:
                 if before != NOTHING:
                     self.moved.add(name)
                 continue
-            used, limit = add(self.used[name], need), (team.cpus_max or 1e18, team.gpus_max or 1e18, 1e18)
+            used, limit = (
+                add(self.used[name], need),
+                (team.cpus_max or 1e18, team.gpus_max or 1e18, 1e18),
+            )
             if all(u <= most + EPS for u, most in zip(used, limit, strict=True)):
                 continue
             self.reserved[name] = need
             going = NOTHING
-            arrays = [js for js in self.jobs.values() if js.team == name and js.entries and js.job is not None and js.job.kind == "array"]
+            arrays = [
+                js
+                for js in self.jobs.values()
+                if js.team == name and js.entries and js.job is not None and js.job.kind == "array"
+            ]
             ways: list[tuple[float, int, Entry, JobState]] = []
             for js in arrays:
                 assert js.job is not None
@@ -288,7 +359,9 @@
                     if e.stop is not None:
                         going = add(going, js.vec)
                     elif js.job.rank > 0:
-                        ways.append((now - e.ran_at if e.ran_at is not None else 0.0, e.task, e, js))
+                        ways.append(
+                            (now - e.ran_at if e.ran_at is not None else 0.0, e.task, e, js)
+                        )
             for _, _, e, js in sorted(ways, key=lambda w: w[:2]):
                 short = add(used, going, -1)
                 if all(u <= most + EPS for u, most in zip(short, limit, strict=True)):
@@ -333,7 +406,14 @@
         js.overdue = not js.overdue and not js.entries and not js.done_count and not js.broken
         heapq.heappush(self.retries, (js.begin_by, js.id))
         if js.overdue and js.job is not None:
-            self.report("has not begun for long", job=js.id, team=js.team, kind=js.job.kind, tasks=js.n, waits=round(now - js.came))
+            self.report(
+                "has not begun for long",
+                job=js.id,
+                team=js.team,
+                kind=js.job.kind,
+                tasks=js.n,
+                waits=round(now - js.came),
+            )
 
     def decide(self, now: float) -> None:
         """Permit ready candidates, in memory; they go out when the write has landed."""
@@ -344,7 +424,11 @@
         if not self.hot:
             return
         hot, self.hot = self.hot, set()
-        ready = [js for jid in sorted(hot) if (js := self.jobs.get(jid)) is not None and js.offers and js.job is not None]
+        ready = [
+            js
+            for jid in sorted(hot)
+            if (js := self.jobs.get(jid)) is not None and js.offers and js.job is not None
+        ]
         for js in sorted(ready, key=self.order):
             self._decide(js, now)
 
@@ -370,7 +454,9 @@
                 self.hot.add(js.id)
             offers = waited
         if job.kind == "gang":
-            offers = self._gang(job, [o for o in offers if zones is None or zones.get(o.zone, 0) > 0])
+            offers = self._gang(
+                job, [o for o in offers if zones is None or zones.get(o.zone, 0) > 0]
+            )
         chosen: list[Offer] = []
         for o in offers:
             if len(chosen) >= n:
@@ -394,13 +480,19 @@
             task = js.take()
             if task is None:
                 break
-            new.append(Entry(js.id, task, attempt, o.machine, o.part, o.zone, o.epoch, o.ticket, nowhere))
+            new.append(
+                Entry(js.id, task, attempt, o.machine, o.part, o.zone, o.epoch, o.ticket, nowhere)
+            )
             self._drop_offer((o.part, o.ticket))
         sizes = [entry_bytes(e) for e in new]
         header = header_bytes(js.id, js.vec)
         total = header + sum(sizes)
         # a gang's permits stand in one chunk where one can hold them, so that they land together
-        whole = self._chunk_for(js.team, total) if js.job is not None and js.job.kind == "gang" and total + 2 <= self.chunk_bytes else None
+        whole = (
+            self._chunk_for(js.team, total)
+            if js.job is not None and js.job.kind == "gang" and total + 2 <= self.chunk_bytes
+            else None
+        )
         for e, size in zip(new, sizes, strict=True):
             e.chunk = whole or self._chunk_for(js.team, header + size)
             self._insert(js, e)
@@ -427,7 +519,9 @@
                 if count.get(o.zone, 0) < job.zone_cap and len(picked) < job.n:
                     picked.append(o)
                     count[o.zone] = count.get(o.zone, 0) + 1
-            if len(picked) == job.n and (not best or max(o.cost for o in picked) < max(o.cost for o in best)):
+            if len(picked) == job.n and (
+                not best or max(o.cost for o in picked) < max(o.cost for o in best)
+            ):
                 best = picked
         return best
 
@@ -450,7 +544,12 @@
                 self.waits[js.team][jid] = js
             else:
                 self.waits[js.team].pop(jid, None)
-            news = JobNews(js.job.record() if js.job is not None else None, list(js.vec), int(js.within), int(js.broken))
+            news = JobNews(
+                js.job.record() if js.job is not None else None,
+                list(js.vec),
+                int(js.within),
+                int(js.broken),
+            )
             n = self.wanted(js, now)
             zones = self.zone_room(js) if n or js.unlanded else None
             for part in range(parts):
@@ -459,7 +558,9 @@
                 want = n + js.unlanded.get(part, 0)
                 out[part, peers.job_key(jid)] = news
                 out[part, peers.candidate_key(jid)] = (
-                    Candidate(want, list(self.order(js)), zones, sorted(js.failed_on)) if want and js.job is not None else None
+                    Candidate(want, list(self.order(js)), zones, sorted(js.failed_on))
+                    if want and js.job is not None
+                    else None
                 )
         self.changed.clear()
         return out
@@ -467,7 +568,12 @@
     def take_counts(self) -> dict[str, list[int] | None]:
         """What users are shown of jobs, as far as it has changed."""
         counted, self.counted = self.counted, set()
-        return {jid: [js.done_count, js.running] if (js := self.jobs.get(jid)) is not None and js.job else None for jid in sorted(counted)}
+        return {
+            jid: [js.done_count, js.running]
+            if (js := self.jobs.get(jid)) is not None and js.job
+            else None
+            for jid in sorted(counted)
+        }
 
     def _at_once(self, js: JobState, n: int, wall: float) -> int:
         """How many more tasks of an array have to find room now for it to be done when its class expects it.
@@ -480,7 +586,10 @@
         if job.kind != "array" or (within := self.aims.of(job).finish_s) is None:
             return n
         kinds = [t for t in self.types.values() if fits(job.vec, t.vec)]
-        ready = min((1.5 * t.boot_s + 2.0 * job.image_gb / max(t.fetch_gb_s, 0.01) for t in kinds), default=60.0)
+        ready = min(
+            (1.5 * t.boot_s + 2.0 * job.image_gb / max(t.fetch_gb_s, 0.01) for t in kinds),
+            default=60.0,
+        )
         takes = 1.2 * max(1.0, job.estimate_s if js.took_s is None else js.took_s)
         turns = int((job.at + within - wall - ready) / takes)
         busy = sum(1 for e in js.entries.values() if not e.over)
@@ -489,17 +598,34 @@
     def demand(self, now: float, wall: float) -> dict[str, DemandNews]:
         """Waiting tasks, each once, for the renter; 0 where enough room is at work already."""
         out: dict[str, DemandNews] = {}
-        left = {t: (team.cpus_max - self.used[t][0] if team.cpus_max > 0 else 1e18,
-                    team.gpus_max - self.used[t][1] if team.gpus_max > 0 else 1e18) for t, team in self.teams.items()}  # fmt: skip
-        for js in sorted((j for w in self.waits.values() for j in w.values() if j.job is not None), key=self.order):
+        left = {
+            t: (
+                team.cpus_max - self.used[t][0] if team.cpus_max > 0 else 1e18,
+                team.gpus_max - self.used[t][1] if team.gpus_max > 0 else 1e18,
+            )
+            for t, team in self.teams.items()
+        }
+        for js in sorted(
+            (j for w in self.waits.values() for j in w.values() if j.job is not None),
+            key=self.order,
+        ):
             n = 0 if js.broken or js.not_before > now + 5 else js.waiting()
             cpus, gpus = left[js.team]
-            n = min(n, times(js.vec[0], max(0.0, cpus) + EPS * js.vec[0]), times(js.vec[1], max(0.0, gpus) + EPS * js.vec[1]))
+            n = min(
+                n,
+                times(js.vec[0], max(0.0, cpus) + EPS * js.vec[0]),
+                times(js.vec[1], max(0.0, gpus) + EPS * js.vec[1]),
+            )
             if js.job is not None and js.job.kind == "gang" and n < js.n:
                 n = 0
             if n > 0 and js.job is not None:
                 left[js.team] = (cpus - n * js.vec[0], gpus - n * js.vec[1])
-                out[js.id] = DemandNews(js.job.record(), self._at_once(js, n, wall), self.zone_room(js), list(self.order(js)))
+                out[js.id] = DemandNews(
+                    js.job.record(),
+                    self._at_once(js, n, wall),
+                    self.zone_room(js),
+                    list(self.order(js)),
+                )
         return out
 
     def progress(self, jid: str) -> tuple[int, int]:
--- a/ploverhall/coordination/stranded.py
+++ b/ploverhall/coordination/stranded.py
@@ -32,7 +32,9 @@
         """Whether a machine has been here a moment ago: it was sent to the holder, and is back."""
         return machine in (at := self.seen.get(part, {})) and now - at[machine][1] < FORGET_S
 
-    def should_take(self, part: int, holder_heard: bool, now: float, home: bool = False, quiet: bool = False) -> bool:
+    def should_take(
+        self, part: int, holder_heard: bool, now: float, home: bool = False, quiet: bool = False
+    ) -> bool:
         """Two machines, so that one odd worker moves nothing; longer proof while the holder can be heard.
 
         A holder that says itself that none of its workers reports any more (`quiet`) needs no longer proof: sent back
@@ -45,7 +47,9 @@
         at = self.seen.get(part)
         if not at:
             return False
-        recent = [(last - first, served) for first, last, served in at.values() if now - last < RECENT_S]
+        recent = [
+            (last - first, served) for first, last, served in at.values() if now - last < RECENT_S
+        ]
         if not recent and all(now - last > FORGET_S for _, last, _ in at.values()):
             del self.seen[part]
         # come here again, not merely seen here some time ago: a controller that was back within a second lost its part to two workers
@@ -53,4 +57,6 @@
         back = sum(1 for over, served in recent if served and over >= BACK_S)
         if quiet and sum(1 for _, served in recent if served) >= 2:
             return True
-        return back >= 2 or (not holder_heard and sum(1 for _, served in recent if served or home) >= 2)
+        return back >= 2 or (
+            not holder_heard and sum(1 for _, served in recent if served or home) >= 2
+        )
--- a/ploverhall/coordination/writes.py
+++ b/ploverhall/coordination/writes.py
@@ -10,7 +10,17 @@
 from typing import Any
 
 from ploverhall.bookkeeping.replica import JOB, SHARD, cell_prefix, end_record, progress_prefix
-from ploverhall.coordination.ledger import PROGRESS_TASKS, TXN_BYTES, Chunk, ChunkWrite, Entry, JobState, Ledger, Txn, put_entry
+from ploverhall.coordination.ledger import (
+    PROGRESS_TASKS,
+    TXN_BYTES,
+    Chunk,
+    ChunkWrite,
+    Entry,
+    JobState,
+    Ledger,
+    Txn,
+    put_entry,
+)
 from ploverhall.protocol.jobs import DONE
 
 
@@ -35,12 +45,18 @@
             if self.crowded % 4:
                 work.sort(key=self._urgency)
         for item in work:
-            if not (self._plan_chunk(txn, item) if isinstance(item, Chunk) else self._plan_end(txn, item)):
+            if not (
+                self._plan_chunk(txn, item)
+                if isinstance(item, Chunk)
+                else self._plan_end(txn, item)
+            ):
                 break
         while self.garbage and txn.ops < self.most_ops and txn.ops > 0 and txn.size < TXN_BYTES:
             key = self.garbage.pop()
             if key not in txn.puts:
-                txn.deletes.append(key)  # of no use to anybody: if this write fails, the next source finds it
+                txn.deletes.append(
+                    key
+                )  # of no use to anybody: if this write fails, the next source finds it
                 txn.size += len(key) + 40
         return txn if txn.ops else None
 
@@ -49,14 +65,22 @@
         if isinstance(item, JobState):
             return (*self.order(item)[:3], 1.0) if item.job is not None else (9.0,)
         permits = self.dirty_chunks[item]
-        jobs = [js for jid in item.jobs if (js := self.jobs[jid]).job is not None and (not permits or js.unlanded)]
+        jobs = [
+            js
+            for jid in item.jobs
+            if (js := self.jobs[jid]).job is not None and (not permits or js.unlanded)
+        ]
         return (*min((self.order(js)[:3] for js in jobs), default=(9.0,)), 0.0 if permits else 2.0)
 
     def _plan_end(self, txn: Txn, js: JobState) -> bool:
         """Add a job's end to a write; False when there was no room for it."""
         if js.blocked or js.job is None or JOB + js.id in txn.guards:
             return True
-        if txn.ops + 1 > self.most_ops or len(txn.guards) + 1 > self._max_guards or txn.size > TXN_BYTES:
+        if (
+            txn.ops + 1 > self.most_ops
+            or len(txn.guards) + 1 > self._max_guards
+            or txn.size > TXN_BYTES
+        ):
             return False
         txn.guards[JOB + js.id] = js.version
         txn.puts[JOB + js.id] = end_record(DONE, js.n)
@@ -94,7 +118,11 @@
 
     def _plan_chunk(self, txn: Txn, chunk: Chunk) -> bool:
         """Add one chunk's value to a write, with what it depends on; False when there was no room for it."""
-        if txn.ops + 1 > self.most_ops or len(txn.guards) + 2 > self._max_guards or txn.size + chunk.size + 300 > TXN_BYTES:
+        if (
+            txn.ops + 1 > self.most_ops
+            or len(txn.guards) + 2 > self._max_guards
+            or txn.size + chunk.size + 300 > TXN_BYTES
+        ):
             return False
         value: dict[str, Any] = {}
         write = ChunkWrite(chunk)
@@ -112,7 +140,9 @@
                             continue
                         spare -= 1
                         lo = part * PROGRESS_TASKS // 8
-                        txn.puts[key] = base64.b64encode(bytes(js.done[lo : lo + PROGRESS_TASKS // 8])).decode()
+                        txn.puts[key] = base64.b64encode(
+                            bytes(js.done[lo : lo + PROGRESS_TASKS // 8])
+                        ).decode()
                         txn.progress.append((js, part))
                         txn.size += len(txn.puts[key]) + len(key) + 40
                 write.removes.append(e)
@@ -150,7 +180,14 @@
                 known = self.jobs.get(e.job)
                 if known is not None:
                     self._land(known, e)
-                self.note("permit", job=e.job, task=e.task, attempt=e.attempt, machine=e.machine, part=e.part)
+                self.note(
+                    "permit",
+                    job=e.job,
+                    task=e.task,
+                    attempt=e.attempt,
+                    machine=e.machine,
+                    part=e.part,
+                )
             self._clear(write.removes)
             self._redo(chunk)
         for js in txn.ends:
--- a/ploverhall/protocol/carry.py
+++ b/ploverhall/protocol/carry.py
@@ -11,8 +11,14 @@
 QUESTION, ANSWER, WORD = "x", "y", "h"
 STATE, CLOUD, REPORT, DO = "state", "cloud", "report", "do"
 KINDS = (STATE, CLOUD, REPORT, DO)
-MOST_BODY = 4 * 1024 * 1024  # bytes of one question or answer: a watch answers with all changes since it was last asked
-TARGETS = {STATE: ("/kv", "/multi", "/grants", "/watch"), CLOUD: ("/flavors", "/hosts"), DO: ("/do", "/show")}
+MOST_BODY = (
+    4 * 1024 * 1024
+)  # bytes of one question or answer: a watch answers with all changes since it was last asked
+TARGETS = {
+    STATE: ("/kv", "/multi", "/grants", "/watch"),
+    CLOUD: ("/flavors", "/hosts"),
+    DO: ("/do", "/show"),
+}
 
 
 class Malformed(Exception):
@@ -51,7 +57,13 @@
 
 def question(value: Any) -> Question:
     """Check a question. Raises Malformed, naming the field."""
-    q = Question(*_read(Question._fields, value, {"number": int, "until": float, "hops": int, "hold": float, "body": bytes}))
+    q = Question(
+        *_read(
+            Question._fields,
+            value,
+            {"number": int, "until": float, "hops": int, "hold": float, "body": bytes},
+        )
+    )
     if q.what not in KINDS:
         raise Malformed("what")
     if q.what in TARGETS:
@@ -65,7 +77,11 @@
 
 def answer(value: Any) -> Answer:
     """Check an answer. Raises Malformed, naming the field."""
-    return Answer(*_read(Answer._fields, value, {"number": int, "status": int, "refused": bool, "body": bytes}))
+    return Answer(
+        *_read(
+            Answer._fields, value, {"number": int, "status": int, "refused": bool, "body": bytes}
+        )
+    )
 
 
 def _read(names: tuple[str, ...], value: Any, types: dict[str, type]) -> list[Any]:
--- a/ploverhall/protocol/cloud.py
+++ b/ploverhall/protocol/cloud.py
@@ -28,8 +28,18 @@
 
     def record(self) -> list[Any]:
         """The form kept in the state service, for starts while the cloud is down."""
-        return [self.name, self.cpus, self.gpus, self.mem, self.cache_gb, self.fetch_gb_s, self.price,
-                self.spot_price, self.boot_s, list(self.zones)]  # fmt: skip
+        return [
+            self.name,
+            self.cpus,
+            self.gpus,
+            self.mem,
+            self.cache_gb,
+            self.fetch_gb_s,
+            self.price,
+            self.spot_price,
+            self.boot_s,
+            list(self.zones),
+        ]
 
 
 def type_from_record(r: list[Any]) -> MachineType:
@@ -43,10 +53,17 @@
     out = {}
     for b in body["breeds"]:
         out[b["name"]] = MachineType(
-            b["name"], float(b["cores"]), float(b["gpus"]), float(b["ramGb"]), float(b.get("localGb") or 0),
-            float(b.get("pullGbPerS") or 1), float(b.get("price") or 0), float(b.get("lowPrice") or 0),
-            float(b.get("startupS") or 0), tuple(b.get("marshes") or ()),
-        )  # fmt: skip
+            b["name"],
+            float(b["cores"]),
+            float(b["gpus"]),
+            float(b["ramGb"]),
+            float(b.get("localGb") or 0),
+            float(b.get("pullGbPerS") or 1),
+            float(b.get("price") or 0),
+            float(b.get("lowPrice") or 0),
+            float(b.get("startupS") or 0),
+            tuple(b.get("marshes") or ()),
+        )
     return out
 
 
@@ -66,10 +83,17 @@
 def listed(body: Any) -> tuple[list[Listed], bool]:
     """One page of GET /hosts."""
     items = [
-        Listed(p["id"], p.get("endpoint") or "", p["breed"], p["marsh"], bool(p.get("driftwood")), p["stance"],
-               float(p.get("heldS") or 0))
+        Listed(
+            p["id"],
+            p.get("endpoint") or "",
+            p["breed"],
+            p["marsh"],
+            bool(p.get("driftwood")),
+            p["stance"],
+            float(p.get("heldS") or 0),
+        )
         for p in body["perches"]
-    ]  # fmt: skip
+    ]
     return items, bool(body.get("hasNext"))
 
 
--- a/ploverhall/protocol/jobs.py
+++ b/ploverhall/protocol/jobs.py
@@ -56,25 +56,65 @@
     def record(self) -> list[Any]:
         """The compact form kept in the state service and sent between controllers."""
         return [
-            self.id, self.klass, self.team, self.kind, self.rank, self.n, self.cpus, self.gpus, self.mem,
-            self.image, self.image_gb, list(self.types) if self.types is not None else None, self.zone,
-            int(self.one_zone), int(self.spread), int(self.spot), self.estimate_s, self.checkpoint_s,
-            self.save_s, self.deadline_s, self.at,
-        ]  # fmt: skip
+            self.id,
+            self.klass,
+            self.team,
+            self.kind,
+            self.rank,
+            self.n,
+            self.cpus,
+            self.gpus,
+            self.mem,
+            self.image,
+            self.image_gb,
+            list(self.types) if self.types is not None else None,
+            self.zone,
+            int(self.one_zone),
+            int(self.spread),
+            int(self.spot),
+            self.estimate_s,
+            self.checkpoint_s,
+            self.save_s,
+            self.deadline_s,
+            self.at,
+        ]
 
 
 def from_record(r: list[Any]) -> Job:
     """The inverse of Job.record; later fields are ignored."""
     return Job(
-        r[0], r[1], r[2], r[3], r[4], r[5], r[6], r[7], r[8], r[9], r[10],
-        tuple(r[11]) if r[11] is not None else None, r[12], bool(r[13]), bool(r[14]), bool(r[15]),
-        r[16], r[17], r[18], r[19], r[20],
-    )  # fmt: skip
+        r[0],
+        r[1],
+        r[2],
+        r[3],
+        r[4],
+        r[5],
+        r[6],
+        r[7],
+        r[8],
+        r[9],
+        r[10],
+        tuple(r[11]) if r[11] is not None else None,
+        r[12],
+        bool(r[13]),
+        bool(r[14]),
+        bool(r[15]),
+        r[16],
+        r[17],
+        r[18],
+        r[19],
+        r[20],
+    )
 
 
 def _amount(d: dict[str, Any], key: str, over: bool = False) -> float:
     v = d.get(key)
-    if isinstance(v, bool) or not isinstance(v, (int, float)) or not 0 <= v < 1e12 or (over and v <= 0):
+    if (
+        isinstance(v, bool)
+        or not isinstance(v, (int, float))
+        or not 0 <= v < 1e12
+        or (over and v <= 0)
+    ):
         raise Malformed(f"{key}: must be an amount")
     return float(v)
 
@@ -108,21 +148,37 @@
     if isinstance(n, bool) or not isinstance(n, int) or not 1 <= n <= MAX_TASKS:
         raise Malformed("chicks: must be 1 to 100000")
     types = d.get("breeds")
-    if types is not None and not (isinstance(types, list) and all(isinstance(t, str) and len(t) <= 500 for t in types)):
+    if types is not None and not (
+        isinstance(types, list) and all(isinstance(t, str) and len(t) <= 500 for t in types)
+    ):
         raise Malformed("breeds: must be null or a list of names")
     zone = d.get("marsh")
     if zone is not None and (not isinstance(zone, str) or len(zone) > 500):
         raise Malformed("marsh: must be null or a name")
     deadline = _amount(d, "duskS") if d.get("duskS") is not None else None
     return Job(
-        id=jid, klass=_text(d, "flock"), team=_text(d, "keeper"), kind=KINDS[kind], rank=RANKS[rank], n=n,
-        cpus=_amount(d, "cores"), gpus=_amount(d, "gpus"), mem=_amount(d, "ramGb"),
-        image=_text(d, "plumage"), image_gb=_amount(d, "pullGb"),
-        types=tuple(sorted(set(types))) if types is not None else None, zone=zone,
-        one_zone=_flag(d, "together"), spread=_flag(d, "scatter"), spot=_flag(d, "driftwood"),
-        estimate_s=_amount(d, "flightS"), checkpoint_s=_amount(d, "nestS"), save_s=_amount(d, "tuckS"),
-        deadline_s=deadline, at=round(at, 3),
-    )  # fmt: skip
+        id=jid,
+        klass=_text(d, "flock"),
+        team=_text(d, "keeper"),
+        kind=KINDS[kind],
+        rank=RANKS[rank],
+        n=n,
+        cpus=_amount(d, "cores"),
+        gpus=_amount(d, "gpus"),
+        mem=_amount(d, "ramGb"),
+        image=_text(d, "plumage"),
+        image_gb=_amount(d, "pullGb"),
+        types=tuple(sorted(set(types))) if types is not None else None,
+        zone=zone,
+        one_zone=_flag(d, "together"),
+        spread=_flag(d, "scatter"),
+        spot=_flag(d, "driftwood"),
+        estimate_s=_amount(d, "flightS"),
+        checkpoint_s=_amount(d, "nestS"),
+        save_s=_amount(d, "tuckS"),
+        deadline_s=deadline,
+        at=round(at, 3),
+    )
 
 
 def view(jid: str, stance: str, done: int = 0, running: int = 0) -> dict[str, Any]:
--- a/ploverhall/protocol/peers.py
+++ b/ploverhall/protocol/peers.py
@@ -23,7 +23,9 @@
     record: list[Any] | None
     vec: list[float]
     within: int  # of its team's guarantee
-    broken: int = 0  # it fails wherever it starts: no machine is to blame for it, and it may stop nothing
+    broken: int = (
+        0  # it fails wherever it starts: no machine is to blame for it, and it may stop nothing
+    )
 
 
 class Candidate(NamedTuple):
@@ -76,7 +78,9 @@
     notice: int
     faulty: int
     firm: int  # runs work that can't be on a cheap machine
-    firm_room: list[float]  # what services could have: the room of work that may be stopped counts as free
+    firm_room: list[
+        float
+    ]  # what services could have: the room of work that may be stopped counts as free
 
 
 class DemandNews(NamedTuple):
@@ -125,14 +129,27 @@
 
 def pack_word(w: Word) -> dict[str, Any]:
     """As it is sent. A release before this one reads `seen`, and passes over the rest."""
-    return {"seen": w.known, "life": w.life, "at": w.at, "up": w.up, "read": w.read, "echo": w.echo, "cancelled": w.cancelled}
+    return {
+        "seen": w.known,
+        "life": w.life,
+        "at": w.at,
+        "up": w.up,
+        "read": w.read,
+        "echo": w.echo,
+        "cancelled": w.cancelled,
+    }
 
 
 def word(value: Any) -> Word:
     """Check a word. Raises Malformed, naming the field."""
     if not isinstance(value, dict):
         raise Malformed("not a table")
-    known, life, echo, cancelled = value.get("seen"), value.get("life", ""), value.get("echo"), value.get("cancelled", [])
+    known, life, echo, cancelled = (
+        value.get("seen"),
+        value.get("life", ""),
+        value.get("echo"),
+        value.get("cancelled", []),
+    )
     at, up, read = value.get("at", 0.0), value.get("up", 0.0), value.get("read", False)
     if type(known) is not int or not 0 <= known < 1 << 64:
         raise Malformed("seen")
@@ -142,17 +159,36 @@
         raise Malformed("at")
     if type(read) is not bool:
         raise Malformed("read")
-    if echo is not None and not (isinstance(echo, (list, tuple)) and len(echo) == 2 and isinstance(echo[0], str) and _time(echo[1])):
+    if echo is not None and not (
+        isinstance(echo, (list, tuple))
+        and len(echo) == 2
+        and isinstance(echo[0], str)
+        and _time(echo[1])
+    ):
         raise Malformed("echo")
     if not isinstance(cancelled, (list, tuple)) or len(cancelled) > MOST_CANCELLED:
         raise Malformed("cancelled")
     named = []
     for one in cancelled:
-        if not (isinstance(one, (list, tuple)) and len(one) == 2 and type(one[0]) is int and 0 < one[0] < 1 << 64
-                and isinstance(one[1], str) and jobs.ID.match(one[1])):  # fmt: skip
+        if not (
+            isinstance(one, (list, tuple))
+            and len(one) == 2
+            and type(one[0]) is int
+            and 0 < one[0] < 1 << 64
+            and isinstance(one[1], str)
+            and jobs.ID.match(one[1])
+        ):
             raise Malformed("cancelled")
         named.append(Cancelled(one[0], one[1]))
-    return Word(known, life, float(at), float(up), read, (echo[0], float(echo[1])) if echo is not None else None, named)
+    return Word(
+        known,
+        life,
+        float(at),
+        float(up),
+        read,
+        (echo[0], float(echo[1])) if echo is not None else None,
+        named,
+    )
 
 
 def _time(value: Any) -> bool:
--- a/ploverhall/protocol/state.py
+++ b/ploverhall/protocol/state.py
@@ -62,13 +62,17 @@
         self._fill()
         return self.level
 
-    async def take(self, n: float, urgent: bool = False, reserve: float = 0.0, patience: float = math.inf) -> None:
+    async def take(
+        self, n: float, urgent: bool = False, reserve: float = 0.0, patience: float = math.inf
+    ) -> None:
         """Take n unless urgent in turn: else small takers, for whom there is always enough, kept larger ones waiting for ever.
 
         With a reserve it waits aside until so much more is left, and lets everybody else go first, as long as its patience lasts.
         """
         until = self.clock() + patience
-        while reserve and ((w := self.wait(n + reserve)) > 0 or self.line.statistics().tasks_waiting):
+        while reserve and (
+            (w := self.wait(n + reserve)) > 0 or self.line.statistics().tasks_waiting
+        ):
             if (left := until - self.clock()) <= 0:
                 reserve = 0.0
                 break
@@ -106,15 +110,31 @@
 class Store:
     """Typed calls to the state service."""
 
-    def __init__(self, caller: Caller, rps: float, write_rps: float, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        caller: Caller,
+        rps: float,
+        write_rps: float,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.caller, self.clock = caller, clock
         self.requests = Budget(rps, clock)
         self.writes = Budget(write_rps, clock)
         self.last_ok = 0.0
-        self.odd, self.odd_at = 0, -math.inf  # answers in no published form since the last line about them, and when that was
-
-    async def _call(self, method: str, target: str, body: Any = None, timeout: float = 2.0, urgent: bool = False,
-                    hold: float = 0.0) -> tuple[int, Any]:
+        self.odd, self.odd_at = (
+            0,
+            -math.inf,
+        )  # answers in no published form since the last line about them, and when that was
+
+    async def _call(
+        self,
+        method: str,
+        target: str,
+        body: Any = None,
+        timeout: float = 2.0,
+        urgent: bool = False,
+        hold: float = 0.0,
+    ) -> tuple[int, Any]:
         await self.requests.take(1, urgent)
         try:
             status, out = await self.caller.call(method, target, body, timeout, hold)
@@ -133,7 +153,13 @@
             self.odd += 1
             now = self.clock()
             if now - self.odd_at > ODD_EVERY_S:
-                log.warn("state service: odd answer", request=what[:80], status=status, answer=repr(out)[:120], times=self.odd)
+                log.warn(
+                    "state service: odd answer",
+                    request=what[:80],
+                    status=status,
+                    answer=repr(out)[:120],
+                    times=self.odd,
+                )
                 self.odd, self.odd_at = 0, now
             raise Unknown(f"{what}: {status}, {e!r}") from e
         self.last_ok = self.clock()
@@ -152,7 +178,9 @@
         found: dict[str, tuple[Any, int]] = {}
         after, first = "", -1
         while True:
-            target = f"/kv?starts={quote(prefix, safe='/')}&limit=1000" + (f"&from={quote(after, safe='/')}" if after else "")
+            target = f"/kv?starts={quote(prefix, safe='/')}&limit=1000" + (
+                f"&from={quote(after, safe='/')}" if after else ""
+            )
             status, out = await self._call("GET", target, timeout=5.0)
             with self._form(f"list {prefix}", status, out):
                 _expect(status, 200)
@@ -166,9 +194,17 @@
                 if not out["items"]:
                     raise ValueError("more to come, and nothing listed")
 
-    async def txn(self, guards: dict[str, int], puts: dict[str, Any], deletes: list[str], lease: int | None = None,
-                  leased: frozenset[str] = frozenset(), urgent: bool = False, reserve: float = 0.0,
-                  patience: float = math.inf) -> tuple[int, list[str]]:
+    async def txn(
+        self,
+        guards: dict[str, int],
+        puts: dict[str, Any],
+        deletes: list[str],
+        lease: int | None = None,
+        leased: frozenset[str] = frozenset(),
+        urgent: bool = False,
+        reserve: float = 0.0,
+        patience: float = math.inf,
+    ) -> tuple[int, list[str]]:
         """(new revision, []) when it landed, (0, failed keys) when a guard did not hold.
 
         Refused: surely not executed, now or later. Unknown: anything else, an answer of another status included (a gateway's 502
@@ -192,7 +228,9 @@
             _expect(status, 200)
             return _count(out["moult"]), []
 
-    async def watch(self, prefix: str, since: int, hold_ms: int, urgent: bool = False) -> tuple[int, list[Event]] | None:
+    async def watch(
+        self, prefix: str, since: int, hold_ms: int, urgent: bool = False
+    ) -> tuple[int, list[Event]] | None:
         """Changes after a revision; None when that is too old and the keys must be read again."""
         target = f"/watch?starts={quote(prefix, safe='/')}&from={since}&holdMs={hold_ms}"
         status, out = await self._call("GET", target, urgent=urgent, hold=hold_ms / 1000)
@@ -201,20 +239,26 @@
                 return None
             _expect(status, 200)
             return _count(out["moult"]), [
-                Event(_key(e["put"]), e["v"], _count(e["feather"])) if "put" in e else Event(_key(e["delete"]), None, _count(e["feather"]))
+                Event(_key(e["put"]), e["v"], _count(e["feather"]))
+                if "put" in e
+                else Event(_key(e["delete"]), None, _count(e["feather"]))
                 for e in out["news"]
             ]
 
     async def grant(self, ttl_s: float) -> int:
         """A new lease."""
-        status, out = await self._call("POST", "/grants", {"lifeMs": int(ttl_s * 1000)}, urgent=True)
+        status, out = await self._call(
+            "POST", "/grants", {"lifeMs": int(ttl_s * 1000)}, urgent=True
+        )
         with self._form("grants", status, out):
             _expect(status, 200)
             return _count(out["tether"])
 
     async def renew(self, lease: int) -> bool:
         """False when the lease has ended: only 404 says so."""
-        status, out = await self._call("POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True)
+        status, out = await self._call(
+            "POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True
+        )
         with self._form(f"extend {lease}", status, out):
             if status == 404:
                 return False
--- a/ploverhall/protocol/workers.py
+++ b/ploverhall/protocol/workers.py
@@ -9,7 +9,13 @@
 import msgspec
 
 # task states as they are called inside
-STATES = {"pulling": "fetching", "waiting": "waiting", "running": "running", "flushing": "saving", "ended": "exited"}
+STATES = {
+    "pulling": "fetching",
+    "waiting": "waiting",
+    "running": "running",
+    "flushing": "saving",
+    "ended": "exited",
+}
 EXITED = "exited"
 TASK_NAMES = 65_536  # names kept as parsed: 16 tasks on each of 4,000 machines
 Key = tuple[str, int, int]  # job, task, attempt
@@ -80,7 +86,9 @@
         out: dict[Key, Task] = {}
         for c in self.listed:
             job, index = split_task(c.chick)
-            out[job, index, c.hatch] = Task(STATES.get(c.stance, "running"), c.cause or "", bool(c.kept))
+            out[job, index, c.hatch] = Task(
+                STATES.get(c.stance, "running"), c.cause or "", bool(c.kept)
+            )
         return out
 
 
@@ -104,7 +112,18 @@
             raise Malformed("hatch")
     if b.tide >= 1 << 64 or b.peep >= 1 << 64 or b.crest >= 1 << 64:
         raise Malformed("a count of 2^64 or more")
-    return Report(b.perch, b.endpoint, b.breed, b.marsh, bool(b.driftwood), b.tide, b.peep, b.crest, b.warningS, listed)
+    return Report(
+        b.perch,
+        b.endpoint,
+        b.breed,
+        b.marsh,
+        bool(b.driftwood),
+        b.tide,
+        b.peep,
+        b.crest,
+        b.warningS,
+        listed,
+    )
 
 
 def decode(body: bytes) -> Report:
--- a/ploverhall/reach/gauge.py
+++ b/ploverhall/reach/gauge.py
@@ -54,7 +54,9 @@
             self._fails(oldest, now)
 
     def _fails(self, begun: float, now: float) -> None:
-        since = max(begun, self.last)  # an answer to another question, later than this one, says that the link was up
+        since = max(
+            begun, self.last
+        )  # an answer to another question, later than this one, says that the link was up
         self.failing = since if self.failing is None else min(self.failing, since)
         self._judge(now)
 
--- a/ploverhall/reach/homing.py
+++ b/ploverhall/reach/homing.py
@@ -68,7 +68,13 @@
         for name, a in list(self.away.items()):
             if now - max(a.seen, a.sent) > FORGET_S:
                 del self.away[name]
-            elif self.asking < PROBES and not a.asking and not a.home and a.sent == -1e9 and now >= a.probe:
+            elif (
+                self.asking < PROBES
+                and not a.asking
+                and not a.home
+                and a.sent == -1e9
+                and now >= a.probe
+            ):
                 a.asking, a.probe = True, now + PROBE_S
                 self.asking += 1
                 out.append(name)
--- a/ploverhall/reach/ways.py
+++ b/ploverhall/reach/ways.py
@@ -23,9 +23,13 @@
     life: str = ""  # changes when its process starts anew
     can: frozenset[str] = frozenset()  # what it carries; nothing if it is of a release that doesn't
     good: frozenset[str] = frozenset()  # which outside services it reaches by itself
-    through: dict[str, str] = field(default_factory=dict)  # others: through whom it reaches them now
+    through: dict[str, str] = field(
+        default_factory=dict
+    )  # others: through whom it reaches them now
     hears: frozenset[str] = frozenset()  # members that it hears
-    cut: dict[int, int] = field(default_factory=dict)  # shards held whose workers don't reach it, and their epochs
+    cut: dict[int, int] = field(
+        default_factory=dict
+    )  # shards held whose workers don't reach it, and their epochs
     blamed: float = -1e9  # until when it is left alone
     blame_s: float = BLAME_S
 
@@ -35,7 +39,9 @@
 
     def __init__(self, others: list[str]) -> None:
         self.said = {name: Said() for name in sorted(others)}
-        self.last: dict[str, str] = {}  # per service: the member that was asked last; kept while it serves
+        self.last: dict[
+            str, str
+        ] = {}  # per service: the member that was asked last; kept while it serves
 
     def heard(self, name: str, word: dict[str, Any], now: float) -> None:
         """A member has spoken. What is not in the known form counts as not said."""
@@ -44,9 +50,21 @@
             return
         through, cut = word.get("through"), word.get("cut")
         said.at, said.life = now, str(word.get("life"))[:40]
-        said.can, said.good, said.hears = _names(word.get("can")), _names(word.get("good")), _names(word.get("hears"))
-        said.through = {k: v for k, v in through.items() if isinstance(k, str) and isinstance(v, str)} if isinstance(through, dict) else {}
-        said.cut = {k: v for k, v in cut.items() if isinstance(k, int) and isinstance(v, int)} if isinstance(cut, dict) else {}
+        said.can, said.good, said.hears = (
+            _names(word.get("can")),
+            _names(word.get("good")),
+            _names(word.get("hears")),
+        )
+        said.through = (
+            {k: v for k, v in through.items() if isinstance(k, str) and isinstance(v, str)}
+            if isinstance(through, dict)
+            else {}
+        )
+        said.cut = (
+            {k: v for k, v in cut.items() if isinstance(k, int) and isinstance(v, int)}
+            if isinstance(cut, dict)
+            else {}
+        )
 
     def fresh(self, name: str, now: float) -> bool:
         """Whether a member has spoken just now."""
@@ -54,17 +72,36 @@
 
     def carries(self, name: str, what: str, now: float) -> bool:
         """Whether a member can be asked to carry something of that kind."""
-        return self.fresh(name, now) and what in self.said[name].can and now >= self.said[name].blamed
+        return (
+            self.fresh(name, now) and what in self.said[name].can and now >= self.said[name].blamed
+        )
 
     def can(self, name: str, what: str) -> bool:
         """Whether a member has ever said, in its present life, that it carries that kind."""
         return name in self.said and what in self.said[name].can
 
-    def to_service(self, service: str, what: str, now: float, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
+    def to_service(
+        self,
+        service: str,
+        what: str,
+        now: float,
+        avoid: frozenset[str] = frozenset(),
+        hops: int = 2,
+    ) -> str | None:
         """Through whom an outside service is reached: one that reaches it by itself, else (two hops) one that hears such a one."""
-        near = [n for n in self.said if n not in avoid and self.carries(n, what, now) and service in self.said[n].good]
+        near = [
+            n
+            for n in self.said
+            if n not in avoid and self.carries(n, what, now) and service in self.said[n].good
+        ]
         if not near and hops > 1:
-            near = [n for n in self.said if n not in avoid and self.carries(n, what, now) and self._second(n, service, what, avoid)]
+            near = [
+                n
+                for n in self.said
+                if n not in avoid
+                and self.carries(n, what, now)
+                and self._second(n, service, what, avoid)
+            ]
         if not near:
             return None
         if self.last.get(service) not in near:
@@ -74,17 +111,28 @@
     def _second(self, name: str, service: str, what: str, avoid: frozenset[str]) -> bool:
         """Whether a member hears another that reaches the service, by what both say."""
         return any(
-            n not in avoid and n != name and n in self.said[name].hears and what in said.can and service in said.good
+            n not in avoid
+            and n != name
+            and n in self.said[name].hears
+            and what in said.can
+            and service in said.good
             for n, said in self.said.items()
-        )  # fmt: skip
+        )
 
-    def to_member(self, name: str, what: str, now: float, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
+    def to_member(
+        self, name: str, what: str, now: float, avoid: frozenset[str] = frozenset(), hops: int = 2
+    ) -> str | None:
         """Whom to hand something for a member: itself if it is heard, else one that hears it."""
         if self.carries(name, what, now):
             return name
         if hops > 1:
             for n, said in self.said.items():
-                if n != name and n not in avoid and self.carries(n, what, now) and name in said.hears:
+                if (
+                    n != name
+                    and n not in avoid
+                    and self.carries(n, what, now)
+                    and name in said.hears
+                ):
                     return n
         return None
 
@@ -110,4 +158,8 @@
 
 
 def _names(value: Any) -> frozenset[str]:
-    return frozenset(v for v in value if isinstance(v, str)) if isinstance(value, (list, tuple)) else frozenset()
+    return (
+        frozenset(v for v in value if isinstance(v, str))
+        if isinstance(value, (list, tuple))
+        else frozenset()
+    )
--- a/ploverhall/settings.py
+++ b/ploverhall/settings.py
@@ -147,7 +147,13 @@
     teams = tuple(
         sorted(
             (
-                Team(t.text("name"), t.number("cpus"), t.number("cpus_max"), t.number("gpus"), t.number("gpus_max"))
+                Team(
+                    t.text("name"),
+                    t.number("cpus"),
+                    t.number("cpus_max"),
+                    t.number("gpus"),
+                    t.number("gpus_max"),
+                )
                 for t in dep.tables("teams")
             ),
             key=lambda t: t.name,
--- a/ploverhall/status.py
+++ b/ploverhall/status.py
@@ -11,7 +11,10 @@
 
 MOST = 40  # rows of one kind in a view
 MOST_TASKS = 100  # tasks of a job that was asked for
-SLOW_TIMES, SLOW_S = 4.0, 60.0  # a gang or service waits far longer than usual: so many times, and at least so long
+SLOW_TIMES, SLOW_S = (
+    4.0,
+    60.0,
+)  # a gang or service waits far longer than usual: so many times, and at least so long
 LATELY_S = 120.0  # a controller that stood still is named for so long
 SERVICES = {"state": "state service"}
 STATE_S = 2.5  # a controller that the state service has not answered for longer is in trouble
@@ -24,12 +27,17 @@
     job, team, machine = chosen.get("job"), chosen.get("team"), chosen.get("machine")
     return {
         **view,
-        "jobs": [j for j in view["jobs"] if (not job or j["id"] == job) and (not team or j["team"] == team)
-                 and (not machine or any(t[1] == machine for t in j["tasks"]))],
+        "jobs": [
+            j
+            for j in view["jobs"]
+            if (not job or j["id"] == job)
+            and (not team or j["team"] == team)
+            and (not machine or any(t[1] == machine for t in j["tasks"]))
+        ],
         "trouble_machines": [m for m in view["trouble_machines"] if m["name"] == machine],
         "died": [d for d in view["died"] if d[1] == job or d[3] == machine],
         "ended": [e for e in view["ended"] if e[1] == job or e[2] == team],
-    }  # fmt: skip
+    }
 
 
 def troubles(view: dict[str, Any]) -> dict[str, str]:
@@ -37,12 +45,18 @@
     out: dict[str, str] = {}
     node = view["node"]
     if view["state_age_s"] > STATE_S:
-        out["state"] = f"controller {node}: the state service has not answered it for {view['state_age_s']:.0f} s"
+        out["state"] = (
+            f"controller {node}: the state service has not answered it for {view['state_age_s']:.0f} s"
+        )
     reach = view.get("reach") or {}  # a release before this one says nothing of it
     for service, via in sorted(reach.get("through", {}).items()):
-        out[f"link {service}"] = f"controller {node} reaches the {SERVICES.get(service, service)} through {via} only"
+        out[f"link {service}"] = (
+            f"controller {node} reaches the {SERVICES.get(service, service)} through {via} only"
+        )
     if reach.get("away"):
-        out["away"] = f"controller {node}: {reach['away']} workers reach it through another controller only"
+        out["away"] = (
+            f"controller {node}: {reach['away']} workers reach it through another controller only"
+        )
     for peer in view["unheard"]:
         out[f"peer {peer}"] = f"controller {node} can't hear {peer}"
     if view["stood_still"]:
@@ -50,15 +64,25 @@
         out["~stood"] = f"controller {node} stood still for {s:.0f} s, {ago:.0f} s ago"
     for shard, s in view["quiet_s"].items():
         if s > 10.0:
-            out[f"quiet {shard}"] = f"controller {node}: no worker of part {shard} has reported to it for {s:.0f} s"
+            out[f"quiet {shard}"] = (
+                f"controller {node}: no worker of part {shard} has reported to it for {s:.0f} s"
+            )
     if view["short"].get("processor_lag_s"):
-        out["~lag"] = f"controller {node} is short of processor: late by {view['short']['processor_lag_s']:g} s"
+        out["~lag"] = (
+            f"controller {node} is short of processor: late by {view['short']['processor_lag_s']:g} s"
+        )
     for j in view["jobs"]:
         if j["broken"]:
-            out[f"broken {j['id']}"] = f"job {j['id']} ({j['team']}) fails everywhere: {j['failures']} times, last {j['last_failure']}"
-        elif j["kind"] in ("gang", "service") and j["waits_s"] > max(SLOW_S, SLOW_TIMES * (j["usual_s"] or 0.0)):
+            out[f"broken {j['id']}"] = (
+                f"job {j['id']} ({j['team']}) fails everywhere: {j['failures']} times, last {j['last_failure']}"
+            )
+        elif j["kind"] in ("gang", "service") and j["waits_s"] > max(
+            SLOW_S, SLOW_TIMES * (j["usual_s"] or 0.0)
+        ):
             usual = f" (usually {j['usual_s']:.0f} s)" if j["usual_s"] is not None else ""
-            out[f"slow {j['id']}"] = f"{j['kind']} {j['id']} ({j['team']}) has waited {j['waits_s']:.0f} s{usual}: {j['why']}"
+            out[f"slow {j['id']}"] = (
+                f"{j['kind']} {j['id']} ({j['team']}) has waited {j['waits_s']:.0f} s{usual}: {j['why']}"
+            )
     for place, n, s in view["late"]:
         out[f"late {place}"] = f"{n} machines of {place} do not come: rented up to {s:.0f} s ago"
     for m in view["trouble_machines"]:
@@ -66,7 +90,9 @@
         if m["state"] == "silent":
             what = f"silent for {m['silent_s']:.0f} s"
         elif m["state"] == "unreachable":
-            what = f"reports, but hears nothing, for {m['unheard_s']:.0f} s: nothing is started there"
+            what = (
+                f"reports, but hears nothing, for {m['unheard_s']:.0f} s: nothing is started there"
+            )
         out[f"~machine {m['name']}"] = f"machine {m['name']} ({m['type']}, {m['zone']}): {what}"
     return out
 
@@ -74,7 +100,13 @@
 # -- the command ------------------------------------------------------------------------------
 
 
-def show(address: str, as_json: bool, job: str | None = None, team: str | None = None, machine: str | None = None) -> int:
+def show(
+    address: str,
+    as_json: bool,
+    job: str | None = None,
+    team: str | None = None,
+    machine: str | None = None,
+) -> int:
     """Ask a running controller and print: what is wrong, what waits, what died and ended; with a filter, all of that."""
     import json
     import urllib.error
@@ -103,13 +135,21 @@
     wrong: list[str] = []
     for name, c in sorted(data["controllers"].items()):
         if c["view"] is None:
-            wrong.append(f"controller {name} has not been heard of since {data['asked']} started: what it holds is not known")
+            wrong.append(
+                f"controller {name} has not been heard of since {data['asked']} started: what it holds is not known"
+            )
         elif c["age_s"]:
-            wrong.append(f"controller {name} can't be asked: what it held is as of {_ago(c['age_s'])}")
+            wrong.append(
+                f"controller {name} can't be asked: what it held is as of {_ago(c['age_s'])}"
+            )
     for v in views.values():
         wrong += troubles(v).values()
     held = {s for v in views.values() for s in v["shards"]}
-    wrong += [f"part {i} of the fleet is held by nobody that can be heard" for i in range(len(data["controllers"])) if str(i) not in held]
+    wrong += [
+        f"part {i} of the fleet is held by nobody that can be heard"
+        for i in range(len(data["controllers"]))
+        if str(i) not in held
+    ]
     out = [f"wrong now: {len(wrong) or 'nothing'}", *(f"  {w}" for w in wrong)]
     out += [
         f"controller {name} ({v['zone']}): holds {', '.join(sorted(v['shards'])) or 'nothing'}"
@@ -117,9 +157,11 @@
         + (f", carried {n} for others" if (n := (v.get("reach") or {}).get("carried")) else "")
         + "".join(f", {k} {n:g}" for k, n in sorted(v["short"].items()))
         for name, v in sorted(views.items())
-    ]  # fmt: skip
+    ]
     if told := data.get("told"):
-        out.append(f"users are told: {told['id']} is {told['stance']}, {told['done']} tasks done, {told['running']} running")
+        out.append(
+            f"users are told: {told['id']} is {told['stance']}, {told['done']} tasks done, {told['running']} running"
+        )
     if untold := data.get("untold"):
         out.append(f"users are told nothing of it now: {untold}")
     queue: dict[str, list[int]] = {}
@@ -131,30 +173,59 @@
             row[1] += tasks
         for state, n in v["machines"].items():
             machines[state] = machines.get(state, 0) + n
-    out.append("machines: " + (", ".join(f"{n} {state}" for state, n in sorted(machines.items())) or "none"))
+    out.append(
+        "machines: "
+        + (", ".join(f"{n} {state}" for state, n in sorted(machines.items())) or "none")
+    )
     out.append("queued: " + ("nothing" if not queue else ""))
-    out += [f"  {jobs} jobs, {tasks} tasks: {why}" for why, (jobs, tasks) in sorted(queue.items(), key=lambda x: -x[1][1])]
-    for name, t in sorted((x for v in views.values() for x in v["teams"].items()), key=lambda x: x[0]):
-        out.append(f"team {name}: {t['cpus']:g} cpus, {t['gpus']:g} gpus; guaranteed {t['guarantee']}, at most {t['limit']}")
+    out += [
+        f"  {jobs} jobs, {tasks} tasks: {why}"
+        for why, (jobs, tasks) in sorted(queue.items(), key=lambda x: -x[1][1])
+    ]
+    for name, t in sorted(
+        (x for v in views.values() for x in v["teams"].items()), key=lambda x: x[0]
+    ):
+        out.append(
+            f"team {name}: {t['cpus']:g} cpus, {t['gpus']:g} gpus; guaranteed {t['guarantee']}, at most {t['limit']}"
+        )
     for j in (j for v in views.values() for j in v["jobs"]):
         states = "".join(f", {n} {state}" for state, n in sorted(j["states"].items()))
-        failed = f"; failed {j['failures']} times, last {j['last_failure']}" if j["failures"] else ""
+        failed = (
+            f"; failed {j['failures']} times, last {j['last_failure']}" if j["failures"] else ""
+        )
         why = f"; {j['why']}" if j["why"] else ""
         waits = f" for {j['waits_s']:.0f} s" if j["waiting"] else ""
         counts = f"{j['waiting']} of {j['tasks']} waiting{waits}, {j['done']} done{states}"
         out.append(f"job {j['id']} ({j['kind']}, {j['team']}): {counts}{why}{failed}")
-        out += [f"  {j['id']}/{task} on {machine}: {state} {why}".rstrip() for task, machine, state, why in j["places"]]
+        out += [
+            f"  {j['id']}/{task} on {machine}: {state} {why}".rstrip()
+            for task, machine, state, why in j["places"]
+        ]
     if chosen:
         for m in (m for v in views.values() for m in v["trouble_machines"]):
             kind = f"{m['type']}, {m['zone']}{', spot' if m['spot'] else ''}"
-            out.append(f"machine {m['name']} ({kind}): {m['state']}, {m['tasks']} tasks, free {m['free']}, heard {_ago(m['silent_s'])}")
+            out.append(
+                f"machine {m['name']} ({kind}): {m['state']}, {m['tasks']} tasks, free {m['free']}, heard {_ago(m['silent_s'])}"
+            )
     died = sorted(d for v in views.values() for d in v["died"])[:MOST]
-    out += ["died lately:", *(f"  {_ago(at)}: {job}/{task} on {machine}: {why}" for at, job, task, machine, why in died)] if died else []
+    out += (
+        [
+            "died lately:",
+            *(
+                f"  {_ago(at)}: {job}/{task} on {machine}: {why}"
+                for at, job, task, machine, why in died
+            ),
+        ]
+        if died
+        else []
+    )
     ended = sorted(e for v in views.values() for e in v["ended"])[:MOST]
     out += ["ended lately:"] if ended else []
     for at, job, team, how, done, tasks, failures, last in ended:
         failed = f"; failed {failures} times, last {last}" if failures else ""
         out.append(f"  {_ago(at)}: {job} ({team}): {how}, {done} of {tasks} tasks done{failed}")
     if left := sum(v["left_out"] for v in views.values()):
-        out.append(f"({left} more rows left out; --job, --team and --machine show all that they match)")
+        out.append(
+            f"({left} more rows left out; --job, --team and --machine show all that they match)"
+        )
     return out
--- a/ploverhall/transport/client_pool.py
+++ b/ploverhall/transport/client_pool.py
@@ -51,6 +51,8 @@
         if excess <= 0:
             return
         unused = [key for key, pooled in self.clients.items() if pooled.calls == 0][:excess]
-        removed = [self.clients.pop(key) for key in unused]  # before any wait: nobody takes them now
+        removed = [
+            self.clients.pop(key) for key in unused
+        ]  # before any wait: nobody takes them now
         for pooled in removed:
             await pooled.client.aclose()
--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -119,7 +119,9 @@
         The longest idle ones go first. Returns how many were closed.
         """
         evicted = 0
-        excess = max(len(self.agents) - self.limits.shared, len(self.accepted) - self.limits.accepted)
+        excess = max(
+            len(self.agents) - self.limits.shared, len(self.accepted) - self.limits.accepted
+        )
         while evicted < excess and self.idle:
             connection = next(iter(self.idle))
             if now - self.idle[connection] <= self.stale_s:
--- a/ploverhall/transport/http.py
+++ b/ploverhall/transport/http.py
@@ -19,8 +19,19 @@
 READ = 65536
 SWEEP_S = 0.1  # how often connections are looked at whose time is over
 
-REASONS = {200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 413: "Too Large",
-           421: "Misdirected", 422: "Unprocessable", 429: "Too Many", 431: "Header Too Large", 503: "Unavailable"}  # fmt: skip
+REASONS = {
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    413: "Too Large",
+    421: "Misdirected",
+    422: "Unprocessable",
+    429: "Too Many",
+    431: "Header Too Large",
+    503: "Unavailable",
+}
 
 
 class Unreachable(Exception):
@@ -59,15 +70,25 @@
     A `limiter` shares the connections in time where agents hold too many of them.
     """
 
-    def __init__(self, handler: Handler, cap: int, idle_s: float = 120.0, slow_s: float = 10.0,
-                 net: Net = TCP, clock: Callable[[], float] = time.monotonic, limiter: ConnectionLimiter | None = None) -> None:
+    def __init__(
+        self,
+        handler: Handler,
+        cap: int,
+        idle_s: float = 120.0,
+        slow_s: float = 10.0,
+        net: Net = TCP,
+        clock: Callable[[], float] = time.monotonic,
+        limiter: ConnectionLimiter | None = None,
+    ) -> None:
         self.net, self.clock = net, clock
         self.handler = handler
         self.cap = cap
         self.idle_s = idle_s
         self.slow_s = slow_s
         self.limiter = limiter
-        self.connections: dict[Connection, None] = {}  # in the order they came: a set's would be that of their addresses in memory
+        self.connections: dict[
+            Connection, None
+        ] = {}  # in the order they came: a set's would be that of their addresses in memory
 
     async def run(self, host: str, port: int) -> None:
         """Listen and serve until cancelled."""
@@ -150,7 +171,9 @@
                 await stream.send(encode(Reply(bad.status, {"error": str(bad)}, None, True)))
                 return
             if reader.begun and not begun:
-                c.due = self.clock() + self.slow_s  # a slow client gets this long for the rest of it
+                c.due = (
+                    self.clock() + self.slow_s
+                )  # a slow client gets this long for the rest of it
             if reader.expects and not reader.in_head:
                 reader.expects = False
                 await stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -159,7 +182,9 @@
 class Caller(Protocol):
     """Whatever takes requests to one address: a client, or something that finds another way."""
 
-    async def call(self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0) -> tuple[int, object]:
+    async def call(
+        self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
+    ) -> tuple[int, object]:
         """One request: status and JSON; Unreachable when no whole response came in time."""
         ...
 
@@ -167,14 +192,23 @@
 class Client:
     """Keeps connections to one address and lends them to one request at a time."""
 
-    def __init__(self, host: str, port: int, keep: int = 8, net: Net = TCP, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        host: str,
+        port: int,
+        keep: int = 8,
+        net: Net = TCP,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.net, self.clock = net, clock
         self.host = host
         self.port = port
         self.idle: deque[tuple[anyio.abc.ByteStream, ResponseReader, float]] = deque()
         self.keep = keep
 
-    async def call(self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0) -> tuple[int, object]:
+    async def call(
+        self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
+    ) -> tuple[int, object]:
         """One request; Unreachable when no whole response came in `timeout` seconds, and `hold` more where the other side may wait."""
         data = orjson.dumps(body) if body is not None else b""
         try:
@@ -221,7 +255,12 @@
             await anyio.aclose_forcefully(stream)
 
     async def _exchange(
-        self, stream: anyio.abc.ByteStream, reader: ResponseReader, method: str, target: str, data: bytes
+        self,
+        stream: anyio.abc.ByteStream,
+        reader: ResponseReader,
+        method: str,
+        target: str,
+        data: bytes,
     ) -> tuple[int, bytes]:
         if not target.isascii() or not target.isprintable() or " " in target:
             raise Bad(400, "not a target")  # part of it may come from a user
--- a/ploverhall/transport/net.py
+++ b/ploverhall/transport/net.py
@@ -37,7 +37,9 @@
 
     async def serve(self, host: str, port: int, handler: Handler, backlog: int = BACKLOG) -> None:
         """See Net."""
-        listener = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=backlog)
+        listener = await anyio.create_tcp_listener(
+            local_host=host, local_port=port, backlog=backlog
+        )
         await listener.serve(handler)
 
 
--- a/ploverhall/transport/peer.py
+++ b/ploverhall/transport/peer.py
@@ -24,14 +24,29 @@
 ANSWER_S = 0.4  # least time between two answers
 SILENT_S = 3.0  # no answer for so long: the connection is broken
 TOGETHER_S = 0.01
-_BROKEN = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.IncompleteRead, OSError, TimeoutError)
+_BROKEN = (
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    anyio.IncompleteRead,
+    OSError,
+    TimeoutError,
+)
 
 
 class Link:
     """The sending side towards one peer. `generation` rises with every new connection."""
 
-    def __init__(self, me: str, name: str, host: str, port: int, collect: Callable[[str, int], list[Any]],
-                 net: Net = TCP, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        me: str,
+        name: str,
+        host: str,
+        port: int,
+        collect: Callable[[str, int], list[Any]],
+        net: Net = TCP,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.net, self.clock = net, clock
         self.me, self.name, self.host, self.port = me, name, host, port
         self.collect = collect
@@ -92,7 +107,12 @@
 class Listener:
     """The receiving side: checks the greeting, hands every batch on, answers with a byte now and then."""
 
-    def __init__(self, deliver: Callable[[str, list[Any]], None], net: Net = TCP, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        deliver: Callable[[str, list[Any]], None],
+        net: Net = TCP,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.deliver = deliver
         self.net, self.clock = net, clock
 
@@ -105,7 +125,11 @@
             async with stream:
                 buf = bytearray()
                 hello = await self._frame(stream, buf)
-                if not isinstance(hello, dict) or hello.get("v") != VERSION or not isinstance(hello.get("from"), str):
+                if (
+                    not isinstance(hello, dict)
+                    or hello.get("v") != VERSION
+                    or not isinstance(hello.get("from"), str)
+                ):
                     return
                 await stream.send(b".")
                 sparse, answered = hello.get("acks") == SPARSE, 0.0
--- a/ploverhall/transport/wire.py
+++ b/ploverhall/transport/wire.py
@@ -70,7 +70,9 @@
         if self.head > MAX_HEAD:
             raise Bad(431, "head too large")
 
-    def _feed(self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes) -> None:
+    def _feed(
+        self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes
+    ) -> None:
         try:
             parser.feed_data(data)
         except httptools.HttpParserCallbackError as e:
@@ -82,7 +84,9 @@
             raise Bad(400, "bad http") from e
         if self.begun and self.in_head:
             self.fed += len(data)  # the parser does not tell of a line until it is complete
-            if self.fed > MAX_HEAD + MAX_BODY:  # (what a body before it may have brought along is allowed for)
+            if (
+                self.fed > MAX_HEAD + MAX_BODY
+            ):  # (what a body before it may have brought along is allowed for)
                 raise Bad(431, "head too large")
 
 
@@ -134,17 +138,24 @@
     def on_message_complete(self) -> None:
         """Called by the parser."""
         path, _, query = self._url.decode("latin-1").partition("?")
-        self.ready.append(Request(
-            self._parser.get_method().decode("latin-1"), path, dict(parse_qsl(query)) if query else {}, bytes(self.body),
-            self._parser.should_upgrade() or not self._parser.should_keep_alive(),
-        ))  # fmt: skip
+        self.ready.append(
+            Request(
+                self._parser.get_method().decode("latin-1"),
+                path,
+                dict(parse_qsl(query)) if query else {},
+                bytes(self.body),
+                self._parser.should_upgrade() or not self._parser.should_keep_alive(),
+            )
+        )
         self.begun = self.expects = False
 
 
 class ResponseReader(_Reader):
     """One response after the other, each asked for by one request."""
 
-    most_body = 256 * 1024 * 1024  # a watch's answer has no limit of its own; this one only bounds what a broken service can do
+    most_body = (
+        256 * 1024 * 1024
+    )  # a watch's answer has no limit of its own; this one only bounds what a broken service can do
 
     def __init__(self) -> None:
         super().__init__()
--- a/ploverhall/upkeep/budget.py
+++ b/ploverhall/upkeep/budget.py
@@ -24,9 +24,13 @@
     floor: int = 0  # replicas of one job that serve at any time
     team_down: int = 12  # replicas of a team that are down at once
     gangs_per_min: float = 4.0  # gangs of a team stopped in a minute
-    lost_s_per_min: float = 1800.0  # task seconds of a team lost in a minute; one stop is granted whatever it loses
+    lost_s_per_min: float = (
+        1800.0  # task seconds of a team lost in a minute; one stop is granted whatever it loses
+    )
     finish_s: float = 120.0  # a task that should end within this is let finish, and for no longer
-    quiet: tuple[tuple[int, int], ...] = ()  # minutes of the day (UTC) from and to which nothing is stopped
+    quiet: tuple[
+        tuple[int, int], ...
+    ] = ()  # minutes of the day (UTC) from and to which nothing is stopped
 
 
 class Rules:
@@ -62,7 +66,9 @@
 class Spent:
     """What one team has had stopped by choice in the last minute."""
 
-    stops: deque[tuple[float, int, float]] = field(default_factory=deque)  # when, gangs, task seconds lost
+    stops: deque[tuple[float, int, float]] = field(
+        default_factory=deque
+    )  # when, gangs, task seconds lost
 
     def lately(self, now: float) -> tuple[int, float]:
         """Gangs and task seconds of the last minute."""
--- a/ploverhall/upkeep/command.py
+++ b/ploverhall/upkeep/command.py
@@ -19,7 +19,9 @@
     status, out = 0, None
     for _ in range(TRIES):
         try:
-            with urllib.request.urlopen(urllib.request.Request(f"http://{address}{path}", data, method=method), timeout=5) as f:
+            with urllib.request.urlopen(
+                urllib.request.Request(f"http://{address}{path}", data, method=method), timeout=5
+            ) as f:
                 return f.status, json.load(f)
         except urllib.error.HTTPError as e:
             try:
@@ -42,16 +44,25 @@
 def drain(args: argparse.Namespace) -> int:
     """Place an order, or say what it would be about."""
     order = {
-        "id": args.id or f"u-{secrets.token_hex(4)}", "machines": args.machine, "zone": args.zone, "type": args.type,
-        "spot": None if args.kind is None else args.kind == "spot", "part": args.part, "at_once": args.at_once, "note": args.note,
-    }  # fmt: skip
+        "id": args.id or f"u-{secrets.token_hex(4)}",
+        "machines": args.machine,
+        "zone": args.zone,
+        "type": args.type,
+        "spot": None if args.kind is None else args.kind == "spot",
+        "part": args.part,
+        "at_once": args.at_once,
+        "note": args.note,
+    }
     if args.dry_run:
         status, out = ask(args.address, "POST", "/upkeep/try", order)
         if status != 200:
             return _refused(status, out)
         print(f"{out['machines']} machines, in at least {out['rounds_at_least']} rounds")
         for team, kinds in sorted(out["teams"].items()):
-            print(f"  {team}: " + ", ".join(f"{n} tasks of {kind}s" for kind, n in sorted(kinds.items())))
+            print(
+                f"  {team}: "
+                + ", ".join(f"{n} tasks of {kind}s" for kind, n in sorted(kinds.items()))
+            )
         if out["not_asked"]:
             print(f"  not asked, so not counted: what {', '.join(out['not_asked'])} hold")
         return 0
@@ -86,13 +97,19 @@
     """Orders for a person."""
     out = []
     for o in found:
-        about = [f"{k} {v}" for k, v in (("zone", o["zone"]), ("type", o["type"]), ("part", o["part"])) if v is not None]
+        about = [
+            f"{k} {v}"
+            for k, v in (("zone", o["zone"]), ("type", o["type"]), ("part", o["part"]))
+            if v is not None
+        ]
         about += ["spot" if o["spot"] else "ordinary"] if o["spot"] is not None else []
         about += [f"{len(o['machines'])} named machines"] if o["machines"] else []
         note = f" ({o['note']})" if o["note"] else ""
         out.append(f"{o['id']}: {o['state']}, {', '.join(about)}, {o['at_once']} at once{note}")
         if "left" in o:
-            out.append(f"  {o['left']} machines left; being emptied: {', '.join(o['being_emptied']) or 'none'}")
+            out.append(
+                f"  {o['left']} machines left; being emptied: {', '.join(o['being_emptied']) or 'none'}"
+            )
         if o.get("waits"):
             out.append(f"  waits: {o['waits']}")
     out += [f"stops that wait: {n}, {why}" for why, n in sorted(asked.items())]
--- a/ploverhall/upkeep/orders.py
+++ b/ploverhall/upkeep/orders.py
@@ -39,13 +39,21 @@
     def matches(self, name: str, kind: tuple[str, str, bool], part: int) -> bool:
         """Whether a machine of that type, zone and kind is meant."""
         return (
-            (self.machines is None or name in self.machines) and self.type in (None, kind[0]) and self.zone in (None, kind[1])
-            and self.spot in (None, kind[2]) and self.part in (None, part)
-        )  # fmt: skip
+            (self.machines is None or name in self.machines)
+            and self.type in (None, kind[0])
+            and self.zone in (None, kind[1])
+            and self.spot in (None, kind[2])
+            and self.part in (None, part)
+        )
 
     def closes(self, kind: tuple[str, str, bool]) -> bool:
         """Whether nothing of that kind is to be rented meanwhile."""
-        return self.state == RUNNING and self.machines is None and self.part is None and self.matches("", kind, -1)
+        return (
+            self.state == RUNNING
+            and self.machines is None
+            and self.part is None
+            and self.matches("", kind, -1)
+        )
 
     @property
     def over(self) -> bool:
@@ -55,10 +63,16 @@
     def record(self) -> dict[str, Any]:
         """The form kept in the state service and shown to people."""
         return {
-            "machines": sorted(self.machines) if self.machines is not None else None, "zone": self.zone, "type": self.type,
-            "spot": self.spot, "part": self.part, "at_once": self.at_once, "state": self.state, "at": round(self.at, 1),
+            "machines": sorted(self.machines) if self.machines is not None else None,
+            "zone": self.zone,
+            "type": self.type,
+            "spot": self.spot,
+            "part": self.part,
+            "at_once": self.at_once,
+            "state": self.state,
+            "at": round(self.at, 1),
             "note": self.note or None,
-        }  # fmt: skip
+        }
 
 
 def _text(d: dict[str, Any], key: str) -> str | None:
@@ -74,9 +88,17 @@
         raise Malformed("id: must be like u-7f3a")
     if not isinstance(d, dict):
         raise Malformed("not an object")
-    names, spot, part, most, state = d.get("machines"), d.get("spot"), d.get("part"), d.get("at_once", 4), d.get("state", RUNNING)
+    names, spot, part, most, state = (
+        d.get("machines"),
+        d.get("spot"),
+        d.get("part"),
+        d.get("at_once", 4),
+        d.get("state", RUNNING),
+    )
     if names is not None and not (
-        isinstance(names, list) and 0 < len(names) <= MOST_NAMES and all(isinstance(n, str) and 0 < len(n) <= 100 for n in names)
+        isinstance(names, list)
+        and 0 < len(names) <= MOST_NAMES
+        and all(isinstance(n, str) and 0 < len(n) <= 100 for n in names)
     ):
         raise Malformed(f"machines: must be a list of 1 to {MOST_NAMES} names")
     if spot is not None and not isinstance(spot, bool):
@@ -91,9 +113,18 @@
     if isinstance(at, bool) or not isinstance(at, (int, float)):
         raise Malformed("at: must be a time")
     out = Order(
-        jid, frozenset(names) if names is not None else None, _text(d, "zone"), _text(d, "type"), spot, part, most, state,
-        float(at), _text(d, "note") or "", version,
-    )  # fmt: skip
+        jid,
+        frozenset(names) if names is not None else None,
+        _text(d, "zone"),
+        _text(d, "type"),
+        spot,
+        part,
+        most,
+        state,
+        float(at),
+        _text(d, "note") or "",
+        version,
+    )
     if names is None and out.zone is None and out.type is None and spot is None and part is None:
         raise Malformed("it would empty every machine: name a machine, zone, type, kind or part")
     return out
--- a/scripts/back.py
+++ b/scripts/back.py
@@ -56,7 +56,9 @@
     def start(self) -> None:
         """A new process, as the platform starts it."""
         run = Path(__file__).resolve().parent.parent / "run.py"
-        self.process = subprocess.Popen([sys.executable, str(run), "--config", str(self.file)], stderr=subprocess.DEVNULL)
+        self.process = subprocess.Popen(
+            [sys.executable, str(run), "--config", str(self.file)], stderr=subprocess.DEVNULL
+        )
 
     def end(self) -> None:
         """End it at once."""
@@ -101,17 +103,25 @@
                     found["listening"] = now
                 if "healthy" not in found and "listening" in found and await self.healthy():
                     found["healthy"] = now
-                fresh = [n for n, w in self.fleet.workers.items() if w.answered_sent > max(seen.get(n, 0.0), begun)]
+                fresh = [
+                    n
+                    for n, w in self.fleet.workers.items()
+                    if w.answered_sent > max(seen.get(n, 0.0), begun)
+                ]
                 if fresh:
                     found.setdefault("first worker", now)
                 if len(fresh) == len(self.fleet.workers):
                     found.setdefault("all workers", now)
-                if any(t > begun and jid >= first for t, jid in self.starts[-200:]):  # permitted by the new life
+                if any(
+                    t > begun and jid >= first for t, jid in self.starts[-200:]
+                ):  # permitted by the new life
                     found.setdefault("first start", now)
                 await anyio.sleep(0.005)
         return tuple(found[c] for c in COLUMNS)
 
-    async def run(self, afters: list[float], times: int) -> list[tuple[float, list[tuple[float, ...]]]]:
+    async def run(
+        self, afters: list[float], times: int
+    ) -> list[tuple[float, list[tuple[float, ...]]]]:
         """All of it."""
         out: list[tuple[float, list[tuple[float, ...]]]] = []
         async with anyio.create_task_group() as tg:
@@ -122,7 +132,10 @@
             try:
                 while not await self.healthy():
                     await anyio.sleep(0.05)
-                self.fleet.pleas["here"] = [self.fleet.boot({"marsh": "a", "driftwood": False}) for _ in range(self.machines)]
+                self.fleet.pleas["here"] = [
+                    self.fleet.boot({"marsh": "a", "driftwood": False})
+                    for _ in range(self.machines)
+                ]
                 tg.start_soon(self.flow)
                 await anyio.sleep(3.0)
                 for after in afters:
@@ -139,7 +152,9 @@
 
 def main() -> int:
     """Print the table."""
-    p = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    p = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     p.add_argument("--after", type=float, nargs="+", default=[0.1, 0.3, 1.0, 3.9, 4.1])
     p.add_argument("--times", type=int, default=3)
     p.add_argument("--machines", type=int, default=12)
@@ -149,9 +164,14 @@
     found: list[Any] = anyio.run(bench.run, args.after, args.times)
     print("| back after s | " + " | ".join(COLUMNS) + " |\n| --- |" + " --- |" * len(COLUMNS))
     for after, rows in found:
-        cells = [f"{min(r[i] for r in rows):.2f} to {max(r[i] for r in rows):.2f}" for i in range(len(COLUMNS))]
+        cells = [
+            f"{min(r[i] for r in rows):.2f} to {max(r[i] for r in rows):.2f}"
+            for i in range(len(COLUMNS))
+        ]
         print(f"| {after:g} | " + " | ".join(cells) + " |")
-    print(f"rules broken, by the workers' own account: {len(bench.fleet.broken)}; killed by a lease: {bench.fleet.killed_by_lease}")
+    print(
+        f"rules broken, by the workers' own account: {len(bench.fleet.broken)}; killed by a lease: {bench.fleet.killed_by_lease}"
+    )
     return 1 if bench.fleet.broken else 0
 
 
--- a/scripts/cost.py
+++ b/scripts/cost.py
@@ -44,7 +44,11 @@
 
     uv = find_spec("ploverhall.transport.wire") is not None  # the version that runs on uvloop
     body = json.dumps(body_of("n-1", 1, 1, 4)).encode()
-    data = b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n" % len(body) + body
+    data = (
+        b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
+        % len(body)
+        + body
+    )
     n, out = 4000, 0.0
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
@@ -77,10 +81,20 @@
 def body_of(machine: str, seq: int, token: int, tasks: int, base: int = 0) -> dict[str, Any]:
     """A report as a worker writes it."""
     return {
-        "perch": machine, "endpoint": "10.1.0.1:9000", "breed": "t", "marsh": "a", "driftwood": False, "tide": 1, "peep": seq,
-        "crest": token, "warningS": None,
-        "chicks": [{"chick": f"j-{base + i:06d}/{i}", "hatch": 1, "stance": "running"} for i in range(tasks)],
-    }  # fmt: skip
+        "perch": machine,
+        "endpoint": "10.1.0.1:9000",
+        "breed": "t",
+        "marsh": "a",
+        "driftwood": False,
+        "tide": 1,
+        "peep": seq,
+        "crest": token,
+        "warningS": None,
+        "chicks": [
+            {"chick": f"j-{base + i:06d}/{i}", "hatch": 1, "stance": "running"}
+            for i in range(tasks)
+        ],
+    }
 
 
 def an_owner(size: int) -> Any:
@@ -109,13 +123,17 @@
     for i, m in enumerate(o.machines.values()):
         for t in range(4):
             key = (f"j-{i * 4 + t:06d}", t, 1)
-            p = o.permits[key] = m.permits[key] = Permit(key, 0, m.name, 3, 1, (4.0, 1.0, 8.0), "i", 1.0, run_token=m.token, run_session=1)
+            p = o.permits[key] = m.permits[key] = Permit(
+                key, 0, m.name, 3, 1, (4.0, 1.0, 8.0), "i", 1.0, run_token=m.token, run_session=1
+            )
             o.by_job.setdefault(key[0], {})[key] = p
     asked, token = min(size, 1000), 3 << TOKEN_BITS
     decode = getattr(workers, "decode", None)
     spent = 0.0
     for seq in range(2, 7):
-        bodies = [json.dumps(body_of(f"n-{i}", seq, token, 4, i * 4)).encode() for i in range(asked)]
+        bodies = [
+            json.dumps(body_of(f"n-{i}", seq, token, 4, i * 4)).encode() for i in range(asked)
+        ]
         begun = time.process_time()
         for b in bodies:
             m = o.on_report(decode(b) if decode else workers.parse(orjson.loads(b)), float(seq))
@@ -137,7 +155,9 @@
         self.o = an_owner(size)
         teams = [Team(f"t{i}", 0.0, 0.0, float(size), 4.0 * size) for i in range(8)]
         self.s = Source(0, 3, teams, ("a",), 4096, 48)
-        self.tasks: dict[str, dict[Any, list[Any]]] = {m: {} for m in self.o.machines}  # machine -> task -> state, cause, until
+        self.tasks: dict[str, dict[Any, list[Any]]] = {
+            m: {} for m in self.o.machines
+        }  # machine -> task -> state, cause, until
         self.seq = dict.fromkeys(self.o.machines, 1)
         self.length: dict[str, float] = {}
 
@@ -147,8 +167,29 @@
 
         self.jobs += 1
         jid = f"j-{self.jobs:06d}"
-        job = Job(jid, kind, f"t{self.jobs % 8}", kind, rank, n, 4.0 * gpus, gpus, 8.0 * gpus, f"i{self.jobs % 5}", 4.0, None, None, False,
-                  False, False, 9.0, 0.0, 0.0, None, self.now)  # fmt: skip
+        job = Job(
+            jid,
+            kind,
+            f"t{self.jobs % 8}",
+            kind,
+            rank,
+            n,
+            4.0 * gpus,
+            gpus,
+            8.0 * gpus,
+            f"i{self.jobs % 5}",
+            4.0,
+            None,
+            None,
+            False,
+            False,
+            False,
+            9.0,
+            0.0,
+            0.0,
+            None,
+            self.now,
+        )
         self.length[jid] = length
         self.s.on_job(job, jid, self.jobs, self.now)
 
@@ -157,8 +198,13 @@
         from ploverhall.protocol import workers
 
         self.seq[name] += 1
-        chicks = [{"chick": f"{k[0]}/{k[1]}", "hatch": k[2], "stance": t[0], "cause": t[1]} for k, t in self.tasks[name].items()]
-        return workers.parse({**body_of(name, self.seq[name], self.o.machines[name].token, 0), "chicks": chicks})
+        chicks = [
+            {"chick": f"{k[0]}/{k[1]}", "hatch": k[2], "stance": t[0], "cause": t[1]}
+            for k, t in self.tasks[name].items()
+        ]
+        return workers.parse(
+            {**body_of(name, self.seq[name], self.o.machines[name].token, 0), "chicks": chicks}
+        )
 
     def execute(self, name: str, calls: list[Any]) -> None:
         """Commands."""
@@ -196,7 +242,9 @@
             while (txn := self.s.plan()) is not None:
                 self.permits += len(txn.adds)
                 self.s.landed(txn, 1000 + int(self.now * 10), self.now)
-            self.o.on_source(0, False, {k: v for (_, k), v in self.s.take_news(1, self.now).items()}, self.now)
+            self.o.on_source(
+                0, False, {k: v for (_, k), v in self.s.take_news(1, self.now).items()}, self.now
+            )
             self.o.tick(self.now)
             self.o.place(self.now)
             sent = self.o.direct_work(self.now)
@@ -208,7 +256,9 @@
                 self.o.direct_done(m, r, self.now)
                 self.spent += time.process_time() - begun
             begun = time.process_time()
-            self.s.on_owner(0, 3, False, {k: v for (_, k), v in self.o.take_news().items()}, self.now)
+            self.s.on_owner(
+                0, 3, False, {k: v for (_, k), v in self.o.take_news().items()}, self.now
+            )
             self.spent += time.process_time() - begun
 
 
@@ -250,7 +300,10 @@
     return p.spent / max(1, p.permits) * 1e6
 
 
-ASKED, AT_ONCE = 6000, 40  # questions of a round; a read of the state service is shared by those that wait for it
+ASKED, AT_ONCE = (
+    6000,
+    40,
+)  # questions of a round; a read of the state service is shared by those that wait for it
 
 
 def users_cost(size: int, verb: str) -> float:
@@ -267,16 +320,33 @@
         for s in held:
             s.bind(("127.0.0.1", 0))
         ports = [s.getsockname()[1] for s in held]
-    node = Node(settings.parse({
-        "host_name": "c0", "site": "a", "bind": f"127.0.0.1:{ports[0]}", "peer_listen": f"127.0.0.1:{ports[1]}", "siblings": [],
-        "external": {"state": f"127.0.0.1:{ports[2]}", "cloud": f"127.0.0.1:{ports[3]}"},
-        "deployment": {
-            "zones": ["a"], "teams": [{"name": "t", "cpus": 0, "cpus_max": 0, "gpus": 8, "gpus_max": 8}],
-            "workers": {"report_s": 2.0, "lease_s": 13.0, "gang_wait_s": 30.0, "gang_peer_s": 4.0, "cancel_s": 38.0},
-            "state": {"rps": 1e6, "write_rps": 1e6, "value_kb": 16.0, "txn_ops": 48}, "cloud": {"rps": 10.0, "list_lag_s": 3.0},
-            "limits": {"core_share": 1.0, "mem_mb": 400.0, "max_sockets": 500},
-        },
-    }), Seams())  # fmt: skip
+    node = Node(
+        settings.parse(
+            {
+                "host_name": "c0",
+                "site": "a",
+                "bind": f"127.0.0.1:{ports[0]}",
+                "peer_listen": f"127.0.0.1:{ports[1]}",
+                "siblings": [],
+                "external": {"state": f"127.0.0.1:{ports[2]}", "cloud": f"127.0.0.1:{ports[3]}"},
+                "deployment": {
+                    "zones": ["a"],
+                    "teams": [{"name": "t", "cpus": 0, "cpus_max": 0, "gpus": 8, "gpus_max": 8}],
+                    "workers": {
+                        "report_s": 2.0,
+                        "lease_s": 13.0,
+                        "gang_wait_s": 30.0,
+                        "gang_peer_s": 4.0,
+                        "cancel_s": 38.0,
+                    },
+                    "state": {"rps": 1e6, "write_rps": 1e6, "value_kb": 16.0, "txn_ops": 48},
+                    "cloud": {"rps": 10.0, "list_lag_s": 3.0},
+                    "limits": {"core_share": 1.0, "mem_mb": 400.0, "max_sockets": 500},
+                },
+            }
+        ),
+        Seams(),
+    )
     out = 0.0
 
     async def play(others: subprocess.Popen[bytes]) -> None:
@@ -313,18 +383,45 @@
     from tests.standins import Fleet, State
 
     state = State()
-    state.store.kv = {f"{JOB}j-{i:06d}": (end_record("withdrawn", 0), 1) for i in range(1, size + 1)}
+    state.store.kv = {
+        f"{JOB}j-{i:06d}": (end_record("withdrawn", 0), 1) for i in range(1, size + 1)
+    }
 
     async def handle(q: Request) -> Reply:
         if q.path != "/kv":
             return await state.handle(q)
-        found = [(k, v) for k, v in state.store.read(q.query["starts"]).items() if k > q.query.get("from", "")]
-        items = [{"path": k, "v": v, "feather": n} for k, (v, n) in found[:1000]]  # as large pages as the service gives
+        found = [
+            (k, v)
+            for k, v in state.store.read(q.query["starts"]).items()
+            if k > q.query.get("from", "")
+        ]
+        items = [
+            {"path": k, "v": v, "feather": n} for k, (v, n) in found[:1000]
+        ]  # as large pages as the service gives
         return Reply(200, {"items": items, "hasNext": len(found) > 1000, "moult": state.store.rev})
 
-    spec = {"id": "j-999999", "flock": "f", "keeper": "t", "gait": "array", "rank": "normal", "chicks": 4, "cores": 1.0, "gpus": 1.0,
-            "ramGb": 1.0, "plumage": "i", "pullGb": 0.1, "breeds": None, "marsh": None, "together": False, "scatter": False,
-            "driftwood": False, "flightS": 9.0, "nestS": 0.0, "tuckS": 0.0, "duskS": None}  # fmt: skip
+    spec = {
+        "id": "j-999999",
+        "flock": "f",
+        "keeper": "t",
+        "gait": "array",
+        "rank": "normal",
+        "chicks": 4,
+        "cores": 1.0,
+        "gpus": 1.0,
+        "ramGb": 1.0,
+        "plumage": "i",
+        "pullGb": 0.1,
+        "breeds": None,
+        "marsh": None,
+        "together": False,
+        "scatter": False,
+        "driftwood": False,
+        "flightS": 9.0,
+        "nestS": 0.0,
+        "tuckS": 0.0,
+        "duskS": None,
+    }
 
     async def play() -> None:
         async with anyio.create_task_group() as tg:
@@ -352,9 +449,15 @@
 
             async def questions() -> None:
                 for _ in range(ASKED // AT_ONCE):
-                    status = await (asked("GET", "/api/jobs/j-999999", None) if verb == "poll" else asked("POST", "/api/jobs", spec))
+                    status = await (
+                        asked("GET", "/api/jobs/j-999999", None)
+                        if verb == "poll"
+                        else asked("POST", "/api/jobs", spec)
+                    )
                     if status != 200:
-                        again.append(status)  # on a machine that is busy a read may take longer than a question waits for it
+                        again.append(
+                            status
+                        )  # on a machine that is busy a read may take longer than a question waits for it
                         await anyio.sleep(0.1)
 
             async with anyio.create_task_group() as users:
@@ -377,13 +480,21 @@
     return users_cost(size, "resubmission")
 
 
-PARTS = {"request": request_cost, "report": report_cost, "permit": permit_cost, "crowd": crowd_cost, "poll": poll_cost,
-         "resubmission": resubmission_cost}  # fmt: skip
+PARTS = {
+    "request": request_cost,
+    "report": report_cost,
+    "permit": permit_cost,
+    "crowd": crowd_cost,
+    "poll": poll_cost,
+    "resubmission": resubmission_cost,
+}
 
 
 def main() -> int:
     """Measure and print a table; as a child, measure one part."""
-    p = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    p = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     p.add_argument("--base", help="an earlier revision, measured beside this tree")
     p.add_argument("--sizes", default="500,5000")
     p.add_argument("--part", choices=PARTS, action="append")
@@ -399,10 +510,17 @@
     with tempfile.TemporaryDirectory() as folder:
         trees = {"this": ROOT}
         if a.base:
-            data = subprocess.run(["git", "archive", a.base, "ploverhall"], cwd=ROOT, check=True, capture_output=True).stdout
+            data = subprocess.run(
+                ["git", "archive", a.base, "ploverhall"], cwd=ROOT, check=True, capture_output=True
+            ).stdout
             subprocess.run(["tar", "x", "-C", folder], input=data, check=True)
             trees = {a.base[:12]: Path(folder), "this": ROOT}
-        print(f"{'part':<13}{'size':>9}  " + "".join(f"{name:>14}" for name in trees) + "   us of processor time, least of", ROUNDS)
+        print(
+            f"{'part':<13}{'size':>9}  "
+            + "".join(f"{name:>14}" for name in trees)
+            + "   us of processor time, least of",
+            ROUNDS,
+        )
         for part in a.part or PARTS:
             for size in [0] if part == "request" else [int(x) for x in a.sizes.split(",")]:
                 got: dict[str, list[float]] = {name: [] for name in trees}
@@ -410,12 +528,18 @@
                     for name, tree in trees.items():
                         env = {**os.environ, "PYTHONPATH": str(tree)}
                         args = [sys.executable, str(Path(__file__)), "--child", part, str(size)]
-                        r = subprocess.run(args, env=env, cwd=folder, capture_output=True, text=True, check=False)
+                        r = subprocess.run(
+                            args, env=env, cwd=folder, capture_output=True, text=True, check=False
+                        )
                         if r.returncode:
                             print(r.stderr, file=sys.stderr)
                             return 1
                         got[name].append(float(r.stdout))
-                print(f"{part:<13}{size or '-':>9}  " + "".join(f"{min(v):>14.1f}" for v in got.values()), flush=True)
+                print(
+                    f"{part:<13}{size or '-':>9}  "
+                    + "".join(f"{min(v):>14.1f}" for v in got.values()),
+                    flush=True,
+                )
     return 0
 
 
--- a/scripts/cuts.py
+++ b/scripts/cuts.py
@@ -24,10 +24,22 @@
 
 from scripts import trees
 
-KINDS = {"state": ("hold", "reset", "refuse"), "workers": ("hold", "reset"), "network": ("hold", "reset")}
+KINDS = {
+    "state": ("hold", "reset", "refuse"),
+    "workers": ("hold", "reset"),
+    "network": ("hold", "reset"),
+}
 LASTS = (10, 40, 90)
 AFTER_S = 20.0
-COLUMNS = ("killed by lease", "worst 30 s", "no permit s", "slowest submit s", "503", "taken", "rules")
+COLUMNS = (
+    "killed by lease",
+    "worst 30 s",
+    "no permit s",
+    "slowest submit s",
+    "503",
+    "taken",
+    "rules",
+)
 
 
 @dataclass(frozen=True)
@@ -47,17 +59,29 @@
 
 def fault(kind: str, mode: str, busiest: bool, lasts: float, at: float) -> str:
     """One cut as the bench's days name it."""
-    which = {"state": "from_state = true, ", "workers": "from_workers = true, ", "network": ""}[kind]
-    return (f'{{ at_s = {at:.1f}, kind = "node_cut", count = 1, busiest = {str(busiest).lower()}, {which}'
-            f'for_s = {lasts:.1f}, mode = "{mode}" }}')  # fmt: skip
+    which = {"state": "from_state = true, ", "workers": "from_workers = true, ", "network": ""}[
+        kind
+    ]
+    return (
+        f'{{ at_s = {at:.1f}, kind = "node_cut", count = 1, busiest = {str(busiest).lower()}, {which}'
+        f'for_s = {lasts:.1f}, mode = "{mode}" }}'
+    )
 
 
 def singles(at: float) -> list[Day]:
     """Every kind, mode, place and time."""
     return [
-        Day(f"{kind}-{mode}-{'busiest' if busiest else 'other'}-{lasts}", (fault(kind, mode, busiest, lasts, at),), at, at + lasts)
-        for kind, modes in KINDS.items() for mode in modes for busiest in (True, False) for lasts in LASTS
-    ]  # fmt: skip
+        Day(
+            f"{kind}-{mode}-{'busiest' if busiest else 'other'}-{lasts}",
+            (fault(kind, mode, busiest, lasts, at),),
+            at,
+            at + lasts,
+        )
+        for kind, modes in KINDS.items()
+        for mode in modes
+        for busiest in (True, False)
+        for lasts in LASTS
+    ]
 
 
 def drawn(n: int, at: float) -> list[Day]:
@@ -68,10 +92,20 @@
         cuts = []
         for _ in range(rng.choice([2, 2, 3])):
             kind = rng.choice(["state", "state", "workers", "workers", "network"])
-            cuts.append((kind, rng.choice(KINDS[kind]), rng.random() < 0.6, rng.choice([8.0, 20.0, 40.0]), at + 15.0 * rng.random()))
+            cuts.append(
+                (
+                    kind,
+                    rng.choice(KINDS[kind]),
+                    rng.random() < 0.6,
+                    rng.choice([8.0, 20.0, 40.0]),
+                    at + 15.0 * rng.random(),
+                )
+            )
         faults = [fault(*c) for c in sorted(cuts, key=lambda c: c[4])]
         if rng.random() < 0.3:
-            faults.append(f'{{ at_s = {at + 20 * rng.random():.1f}, kind = "peers_refuse", for_s = {rng.choice([5.0, 20.0])} }}')
+            faults.append(
+                f'{{ at_s = {at + 20 * rng.random():.1f}, kind = "peers_refuse", for_s = {rng.choice([5.0, 20.0])} }}'
+            )
         out.append(Day(f"drawn-{i}", tuple(faults), at, max(c[4] + c[3] for c in cuts)))
     return out
 
@@ -82,7 +116,11 @@
     if found.exists():
         return json.loads(found.read_text())  # type: ignore[no-any-return]
     out.mkdir(parents=True, exist_ok=True)
-    file, report, logs = out / f"{day.name}.toml", out / f"{day.name}.report", out / f"{day.name}.log"
+    file, report, logs = (
+        out / f"{day.name}.toml",
+        out / f"{day.name}.report",
+        out / f"{day.name}.log",
+    )
     file.write_text(day.toml())
     command = [bench, "run", site, str(file), "--no-cpu", "--log", "debug", "--report", str(report)]
     command += ["--until", f"{day.end + 2 * AFTER_S:.0f}"]
@@ -111,23 +149,40 @@
     permits.append(end)
     up = [t["value"] for t in report["targets"] if t["kind"] == "up" and t.get("worst_s")]
     return {
-        "killed by lease": report["fleet"]["tasks_killed_by_lease"], "worst 30 s": min(up, default=1.0),
+        "killed by lease": report["fleet"]["tasks_killed_by_lease"],
+        "worst 30 s": min(up, default=1.0),
         "no permit s": round(max(b - a for a, b in zip(permits, permits[1:], strict=False)), 1),
         "slowest submit s": round((report["users"]["submit_ms"].get("max") or 0.0) / 1000, 1),
-        "503": sum(n for code, n in report["users"]["errors"].items() if code == "503"), "taken": taken,
+        "503": sum(n for code, n in report["users"]["errors"].items() if code == "503"),
+        "taken": taken,
         "rules": report["rules_broken"]["total"],
-    }  # fmt: skip
+    }
 
 
 def main() -> int:
     """Play what is asked for and print the table."""
     p = trees.options(__doc__, 4)
-    p.add_argument("--pairs", type=int, default=0, help="drawn days with overlapping cuts instead of single ones")
+    p.add_argument(
+        "--pairs",
+        type=int,
+        default=0,
+        help="drawn days with overlapping cuts instead of single ones",
+    )
     p.add_argument("--at", type=float, default=150.0)
     args = p.parse_args()
     bench, site = str(Path(args.bench).resolve()), str(args.site.resolve())
-    days = [d for d in (drawn(args.pairs, args.at) if args.pairs else singles(args.at)) if args.only in d.name]
-    played = trees.side_by_side(args, days, {"day": lambda d: d.name}, COLUMNS, lambda d, t, out: play(bench, site, t, d, out))
+    days = [
+        d
+        for d in (drawn(args.pairs, args.at) if args.pairs else singles(args.at))
+        if args.only in d.name
+    ]
+    played = trees.side_by_side(
+        args,
+        days,
+        {"day": lambda d: d.name},
+        COLUMNS,
+        lambda d, t, out: play(bench, site, t, d, out),
+    )
     return 1 if any(r.get("rules", 1) for rows in played for r in rows) else 0
 
 
--- a/scripts/days.py
+++ b/scripts/days.py
@@ -38,8 +38,20 @@
 
 from scripts import further, served, trees
 
-COLUMNS = ("figure", "rules", "least served", "who", "largest served", "begun in s", "by themselves", "killed by lease",
-           "worst 30 s", "processor s", "memory", "sockets")  # fmt: skip
+COLUMNS = (
+    "figure",
+    "rules",
+    "least served",
+    "who",
+    "largest served",
+    "begun in s",
+    "by themselves",
+    "killed by lease",
+    "worst 30 s",
+    "processor s",
+    "memory",
+    "sockets",
+)
 DELAYS = (0.1, 0.2, 0.3, 0.5, 1.0, 3.0, 6.0)
 MODES = ("hold", "reset")
 
@@ -80,10 +92,15 @@
                 if type(c.get(k)) is int:
                     t[k] = t.get(k, 0) + c[k]
         site[kind] = [
-            {"type": type_, "zone": z, **({"spot": spot} if spot is not None else {}),
-             **{k: max(1, round(n * w / sum(weights))) for k, n in t.items()}}
-            for (type_, spot), t in total.items() for z, w in zip(names, weights, strict=True)
-        ]  # fmt: skip
+            {
+                "type": type_,
+                "zone": z,
+                **({"spot": spot} if spot is not None else {}),
+                **{k: max(1, round(n * w / sum(weights))) for k, n in t.items()},
+            }
+            for (type_, spot), t in total.items()
+            for z, w in zip(names, weights, strict=True)
+        ]
     for job in site["jobs"]:
         job.pop("zone", None)
 
@@ -95,26 +112,84 @@
     begin, end = site["warmup_s"] + 20.0, 0.8 * site["duration_s"]
     out: list[dict[str, Any]] = []
     for _ in range(rng.randint(4, 9)):
-        at = out[-1]["at_s"] + 12.0 * rng.random() if out and rng.random() < 0.5 else begin + (end - begin) * rng.random()
+        at = (
+            out[-1]["at_s"] + 12.0 * rng.random()
+            if out and rng.random() < 0.5
+            else begin + (end - begin) * rng.random()
+        )
         s, busiest, mode = rng.choice([3.0, 8.0, 20.0, 40.0]), rng.random() < 0.6, rng.choice(MODES)
-        kind = rng.choice(["crash", "crash", "crash", "roll", "zone", "zone", "cut", "freeze", "slow", "refuse", "hang", "die", "outage",
-                           "partition", "burst", "crawl"])  # fmt: skip
+        kind = rng.choice(
+            [
+                "crash",
+                "crash",
+                "crash",
+                "roll",
+                "zone",
+                "zone",
+                "cut",
+                "freeze",
+                "slow",
+                "refuse",
+                "hang",
+                "die",
+                "outage",
+                "partition",
+                "burst",
+                "crawl",
+            ]
+        )
         made: dict[str, dict[str, Any]] = {
-            "crash": {"kind": "node_crash", "count": rng.choice([1, 1, 2, nodes]), "busiest": busiest},
+            "crash": {
+                "kind": "node_crash",
+                "count": rng.choice([1, 1, 2, nodes]),
+                "busiest": busiest,
+            },
             "roll": {"kind": "node_roll", "every_s": rng.choice([2.0, 10.0, 25.0])},
             "zone": {"kind": "zone_cut", "zone": rng.choice(zones), "for_s": s, "mode": mode},
-            "cut": {"kind": "node_cut", "count": 1, "busiest": busiest, **rng.choice([{"from_state": True}, {"from_workers": True}, {}]),
-                    "for_s": s, "mode": mode},
-            "freeze": {"kind": "node_freeze", "count": 1, "busiest": busiest, "for_s": min(20.0, s)},
-            "slow": {"kind": "node_slow", "count": rng.randint(1, nodes), "busiest": busiest, "factor": 3.0, "for_s": s},
+            "cut": {
+                "kind": "node_cut",
+                "count": 1,
+                "busiest": busiest,
+                **rng.choice([{"from_state": True}, {"from_workers": True}, {}]),
+                "for_s": s,
+                "mode": mode,
+            },
+            "freeze": {
+                "kind": "node_freeze",
+                "count": 1,
+                "busiest": busiest,
+                "for_s": min(20.0, s),
+            },
+            "slow": {
+                "kind": "node_slow",
+                "count": rng.randint(1, nodes),
+                "busiest": busiest,
+                "factor": 3.0,
+                "for_s": s,
+            },
             "refuse": {"kind": "peers_refuse", "for_s": s},
             "hang": {"kind": "machine_hang", "count": max(1, machines // 12), "for_s": s},
             "die": {"kind": "machine_die", "count": max(1, machines // 15)},
             "outage": {"kind": "state_outage", "for_s": min(15.0, s)},
-            "partition": {"kind": "zone_partition", "zones": rng.sample(zones, 2) if len(zones) > 1 else zones, "for_s": s, "mode": mode},
-            "burst": {"kind": "job_burst", "class": rng.choice(site["jobs"])["name"], "factor": 2.5, "for_s": 60.0},
-            "crawl": {"kind": "machine_slow", "count": max(1, machines // 12), "factor": 2.0, "for_s": 60.0},
-        }  # fmt: skip
+            "partition": {
+                "kind": "zone_partition",
+                "zones": rng.sample(zones, 2) if len(zones) > 1 else zones,
+                "for_s": s,
+                "mode": mode,
+            },
+            "burst": {
+                "kind": "job_burst",
+                "class": rng.choice(site["jobs"])["name"],
+                "factor": 2.5,
+                "for_s": 60.0,
+            },
+            "crawl": {
+                "kind": "machine_slow",
+                "count": max(1, machines // 12),
+                "factor": 2.0,
+                "for_s": 60.0,
+            },
+        }
         if kind == "partition" and len(zones) == 1:
             kind = "crash"
         out.append({"at_s": round(min(at, end), 1), **made[kind]})
@@ -123,47 +198,97 @@
 
 def _cut(rng: Random, **more: Any) -> dict[str, Any]:
     """One controller loses something."""
-    return {"kind": "node_cut", "count": 1, "busiest": rng.random() < 0.8, "mode": rng.choice(["refuse", "hold", "reset"]), **more}
+    return {
+        "kind": "node_cut",
+        "count": 1,
+        "busiest": rng.random() < 0.8,
+        "mode": rng.choice(["refuse", "hold", "reset"]),
+        **more,
+    }
 
 
 def gap(site: dict[str, Any], rng: Random) -> list[tuple[float, dict[str, Any]]]:
     """The state service refuses one controller (or it is cut off), then it is down for all for longer than `cancel_s`."""
-    before, s = rng.choice([1.5, 2.0, 3.5, 5.0, 6.0, 8.0, 12.0, 20.0]), site["workers"]["cancel_s"] + rng.choice([4.0, 12.0, 20.0])
+    before, s = (
+        rng.choice([1.5, 2.0, 3.5, 5.0, 6.0, 8.0, 12.0, 20.0]),
+        site["workers"]["cancel_s"] + rng.choice([4.0, 12.0, 20.0]),
+    )
     peers = {"from_peers": True} if rng.random() < 0.5 else {}
     first = _cut(rng, from_state=True, for_s=before + rng.choice([0.5, 3.0, 12.0]), **peers)
     if peers and first["mode"] == "refuse":
         first["mode"] = "hold"
     out = [(0.0, first), (before, {"kind": "state_outage", "for_s": s})]
     if rng.random() < 0.4:
-        out.append((before + s * rng.random(), {"kind": "node_crash", "count": rng.choice([1, 1, 2]), "busiest": rng.random() < 0.5}))
+        out.append(
+            (
+                before + s * rng.random(),
+                {
+                    "kind": "node_crash",
+                    "count": rng.choice([1, 1, 2]),
+                    "busiest": rng.random() < 0.5,
+                },
+            )
+        )
     return out
 
 
 def meeting(site: dict[str, Any], rng: Random) -> list[tuple[float, dict[str, Any]]]:
     """One of the operators' other meetings: seconds from its begin, and the trouble."""
-    nodes, machines, lease = site["nodes"]["count"], sum(c["count"] for c in site["capacity"]), site["workers"]["lease_s"]
+    nodes, machines, lease = (
+        site["nodes"]["count"],
+        sum(c["count"] for c in site["capacity"]),
+        site["workers"]["lease_s"],
+    )
     s, soon = rng.choice([8.0, 20.0, 40.0]), 6.0 * rng.random()
-    crash = {"kind": "node_crash", "count": rng.choice([1, 1, 2, nodes]), "busiest": rng.random() < 0.7}
-    deaf = {"kind": "machine_deaf", "for_s": rng.choice([0.7, 1.5, 3.0]) * lease,
-            **rng.choice([{"share": 0.15}, {"count": max(1, machines // 10)}, {"zone": rng.choice(site["capacity"])["zone"]}])}  # fmt: skip
-    late = {"kind": rng.choice(["late_writes", "late_reports"]), "share": rng.choice([0.1, 0.3, 0.6]), "for_s": s + 10.0}
-    hang = {"kind": "machine_hang", "count": max(1, machines // 12), "for_s": rng.choice([0.5, 0.9, 2.0]) * lease}
+    crash = {
+        "kind": "node_crash",
+        "count": rng.choice([1, 1, 2, nodes]),
+        "busiest": rng.random() < 0.7,
+    }
+    deaf = {
+        "kind": "machine_deaf",
+        "for_s": rng.choice([0.7, 1.5, 3.0]) * lease,
+        **rng.choice(
+            [
+                {"share": 0.15},
+                {"count": max(1, machines // 10)},
+                {"zone": rng.choice(site["capacity"])["zone"]},
+            ]
+        ),
+    }
+    late = {
+        "kind": rng.choice(["late_writes", "late_reports"]),
+        "share": rng.choice([0.1, 0.3, 0.6]),
+        "for_s": s + 10.0,
+    }
+    hang = {
+        "kind": "machine_hang",
+        "count": max(1, machines // 12),
+        "for_s": rng.choice([0.5, 0.9, 2.0]) * lease,
+    }
     alone = _cut(rng, from_state=True, from_peers=True, for_s=s, mode=rng.choice(["hold", "reset"]))
     outage = {"kind": "state_outage", "for_s": rng.choice([5.0, 15.0, 30.0])}
-    freeze = {"kind": "node_freeze", "count": 1, "busiest": rng.random() < 0.8, "for_s": rng.choice([3.0, 12.0, 22.0])}
-    return rng.choice([
-        [(0.0, {"kind": "node_roll", "every_s": rng.choice([2.0, 10.0])}), (soon, crash)],
-        [(0.0, crash), (soon, crash), (soon + 3.0, outage)],
-        [(0.0, late), (soon, crash)],
-        [(0.0, late), (soon, alone)],
-        [(0.0, late), (soon, outage), (soon + 4.0, crash)],
-        [(0.0, alone), (soon, {**_cut(rng, from_workers=True, for_s=s), "mode": "hold"})],
-        [(0.0, alone), (soon, crash)],
-        [(0.0, deaf), (soon, crash)],
-        [(0.0, deaf), (soon, late)],
-        [(0.0, hang), (soon, crash), (soon + 4.0, freeze)],
-        [(0.0, freeze), (soon, late), (soon + 2.0, crash)],
-    ])  # fmt: skip
+    freeze = {
+        "kind": "node_freeze",
+        "count": 1,
+        "busiest": rng.random() < 0.8,
+        "for_s": rng.choice([3.0, 12.0, 22.0]),
+    }
+    return rng.choice(
+        [
+            [(0.0, {"kind": "node_roll", "every_s": rng.choice([2.0, 10.0])}), (soon, crash)],
+            [(0.0, crash), (soon, crash), (soon + 3.0, outage)],
+            [(0.0, late), (soon, crash)],
+            [(0.0, late), (soon, alone)],
+            [(0.0, late), (soon, outage), (soon + 4.0, crash)],
+            [(0.0, alone), (soon, {**_cut(rng, from_workers=True, for_s=s), "mode": "hold"})],
+            [(0.0, alone), (soon, crash)],
+            [(0.0, deaf), (soon, crash)],
+            [(0.0, deaf), (soon, late)],
+            [(0.0, hang), (soon, crash), (soon + 4.0, freeze)],
+            [(0.0, freeze), (soon, late), (soon + 2.0, crash)],
+        ]
+    )
 
 
 def met(file: Path, seed: int, i: int) -> Day:
@@ -180,10 +305,24 @@
         faults += [{"at_s": round(at + after, 1), **f} for after, f in here]
         at += max(after + f.get("for_s", 0.0) for after, f in here) + rng.uniform(15.0, 45.0)
     array = next(j for j in site["jobs"] if j["kind"] == "array")
-    jobs = [{"name": array["name"], "cancelled": rng.choice([0.5, 0.8]),
-             "run_s": {"median": 2.4 * cancel, "p95": 3.0 * cancel, "max": 3.4 * cancel}}]  # fmt: skip
+    jobs = [
+        {
+            "name": array["name"],
+            "cancelled": rng.choice([0.5, 0.8]),
+            "run_s": {"median": 2.4 * cancel, "p95": 3.0 * cancel, "max": 3.4 * cancel},
+        }
+    ]
     name = f"{draw.__name__}-{seed}-{i}"
-    site["day"] = [{"name": name, "slot": "scale", "light": True, "seed": 2000 + i, "jobs": jobs, "faults": faults}]
+    site["day"] = [
+        {
+            "name": name,
+            "slot": "scale",
+            "light": True,
+            "seed": 2000 + i,
+            "jobs": jobs,
+            "faults": faults,
+        }
+    ]
     kinds = " ".join(f["kind"] for f in faults)
     return Day(name, f"x{times:g}, back in {delay:g} s: {kinds}", site)
 
@@ -196,7 +335,9 @@
     site["nodes"]["restart_delay_s"] = delay
     faults, names = further.faults(site, seed, i, rng)
     name = f"further-{seed}-{i}"
-    site["day"] = [{"name": name, "slot": "scale", "light": True, "seed": 3000 + i, "faults": faults, **more}]
+    site["day"] = [
+        {"name": name, "slot": "scale", "light": True, "seed": 3000 + i, "faults": faults, **more}
+    ]
     return Day(name, f"{shape}, back in {delay:g} s: {', '.join(names)}", site)
 
 
@@ -210,16 +351,30 @@
 def drawn(file: Path, seed: int, i: int) -> Day:
     """Number i of a seed."""
     rng, site = Random(f"{seed} {i}"), bare(file)
-    nodes, zones, without = rng.choice([2, 3, 3, 3, 4, 5, 7]), rng.choice([1, 2, 2, 3, 4]), rng.random() < 0.3
+    nodes, zones, without = (
+        rng.choice([2, 3, 3, 3, 4, 5, 7]),
+        rng.choice([1, 2, 2, 3, 4]),
+        rng.random() < 0.3,
+    )
     if any(j.get("spread") for j in site["jobs"]):
-        zones = max(2, zones)  # in a single zone no more than half of such a job can ever run: that is no day
+        zones = max(
+            2, zones
+        )  # in a single zone no more than half of such a job can ever run: that is no day
     zones = min(zones, nodes + 1)
     times, delay = rng.choice([0.5, 0.75, 1.0, 1.25, 1.5, 1.5]), rng.choice(DELAYS)
     scaled(site, times)
     rezoned(site, nodes, zones, without and zones > 1, rng)
     site["nodes"]["restart_delay_s"] = delay
     name = f"drawn-{seed}-{i}"
-    site["day"] = [{"name": name, "slot": "scale", "light": True, "seed": 1000 + i, "faults": trouble(site, rng)}]
+    site["day"] = [
+        {
+            "name": name,
+            "slot": "scale",
+            "light": True,
+            "seed": 1000 + i,
+            "faults": trouble(site, rng),
+        }
+    ]
     empty = " one without" if len(site["nodes"]["zones"]) < zones else ""
     return Day(name, f"{nodes} in {zones} zones{empty}, x{times:g}, back in {delay:g} s", site)
 
@@ -235,7 +390,9 @@
     def day(name: str, faults: list[dict[str, Any]], delay: float) -> Day:
         copy = deepcopy(site)
         copy["nodes"]["restart_delay_s"] = delay
-        copy["day"] = [{"name": name, "slot": "scale", "light": True, "seed": 940, "faults": faults}]
+        copy["day"] = [
+            {"name": name, "slot": "scale", "light": True, "seed": 940, "faults": faults}
+        ]
         return Day(name, f"x1.5, back in {delay:g} s", copy)
 
     def crash(at: float, count: int = 1, busiest: bool = True) -> dict[str, Any]:
@@ -244,25 +401,79 @@
     def cut(at: float, zone: str, s: float) -> dict[str, Any]:
         return {"at_s": at, "kind": "zone_cut", "zone": zone, "for_s": s, "mode": "hold"}
 
-    days = [day(name, own[name]["faults"], 0.3) for name in ("zone", "restart", "loss") if name in own]
-    days.append(day("cuts", [
-        cut(first, last, 70.0), cut(first + 90, last, 8.0), cut(first + 105, last, 8.0), cut(first + 130, zones[0], 60.0),
-        crash(first + 140), {"at_s": first + 210, "kind": "zone_partition", "zones": zones[:2], "for_s": 50.0, "mode": "hold"},
-    ], 0.3))  # fmt: skip
+    days = [
+        day(name, own[name]["faults"], 0.3) for name in ("zone", "restart", "loss") if name in own
+    ]
+    days.append(
+        day(
+            "cuts",
+            [
+                cut(first, last, 70.0),
+                cut(first + 90, last, 8.0),
+                cut(first + 105, last, 8.0),
+                cut(first + 130, zones[0], 60.0),
+                crash(first + 140),
+                {
+                    "at_s": first + 210,
+                    "kind": "zone_partition",
+                    "zones": zones[:2],
+                    "for_s": 50.0,
+                    "mode": "hold",
+                },
+            ],
+            0.3,
+        )
+    )
     many = [1, 1, 2, 3, 1, 2, 1, 3, 2, 1, 3, 1]
-    days.append(day("crashes", [crash(first + 21.0 * i, n, i % 2 == 0) for i, n in enumerate(many)], 0.2))
-    days.append(day("ends in the cut", [cut(first, last, 38.0), *(crash(first + 12.0 + 4.0 * i, 3) for i in range(2))], 0.3))
-    days.append(day("ends in the outage", [
-        {"at_s": first, "kind": "state_outage", "for_s": 15.0}, crash(first + 6.0, 3), crash(first + 9.0, 3),
-    ], 0.2))  # fmt: skip
-    days.append(day("storm", [
-        cut(first, last, 30.0), {"at_s": first + 8, "kind": "node_freeze", "count": 1, "busiest": True, "for_s": 12.0},
-        {"at_s": first + 40, "kind": "machine_die", "count": 60}, crash(first + 60, 3),
-        {"at_s": first + 80, "kind": "state_outage", "for_s": 10.0},
-        {"at_s": first + 100, "kind": "job_burst", "class": site["jobs"][0]["name"], "factor": 3.0, "for_s": 60.0},
-        {"at_s": first + 110, "kind": "machine_hang", "count": 60, "for_s": 20.0},
-        {"at_s": first + 150, "kind": "node_roll", "every_s": 20.0},
-    ], 0.3))  # fmt: skip
+    days.append(
+        day("crashes", [crash(first + 21.0 * i, n, i % 2 == 0) for i, n in enumerate(many)], 0.2)
+    )
+    days.append(
+        day(
+            "ends in the cut",
+            [cut(first, last, 38.0), *(crash(first + 12.0 + 4.0 * i, 3) for i in range(2))],
+            0.3,
+        )
+    )
+    days.append(
+        day(
+            "ends in the outage",
+            [
+                {"at_s": first, "kind": "state_outage", "for_s": 15.0},
+                crash(first + 6.0, 3),
+                crash(first + 9.0, 3),
+            ],
+            0.2,
+        )
+    )
+    days.append(
+        day(
+            "storm",
+            [
+                cut(first, last, 30.0),
+                {
+                    "at_s": first + 8,
+                    "kind": "node_freeze",
+                    "count": 1,
+                    "busiest": True,
+                    "for_s": 12.0,
+                },
+                {"at_s": first + 40, "kind": "machine_die", "count": 60},
+                crash(first + 60, 3),
+                {"at_s": first + 80, "kind": "state_outage", "for_s": 10.0},
+                {
+                    "at_s": first + 100,
+                    "kind": "job_burst",
+                    "class": site["jobs"][0]["name"],
+                    "factor": 3.0,
+                    "for_s": 60.0,
+                },
+                {"at_s": first + 110, "kind": "machine_hang", "count": 60, "for_s": 20.0},
+                {"at_s": first + 150, "kind": "node_roll", "every_s": 20.0},
+            ],
+            0.3,
+        )
+    )
     return days
 
 
@@ -272,10 +483,16 @@
     if found.exists():
         return json.loads(found.read_text())  # type: ignore[no-any-return]
     out.mkdir(parents=True, exist_ok=True)
-    site, report, logs = out / f"{day.name}.toml", out / f"{day.name}.report", out / f"{day.name}.log"
+    site, report, logs = (
+        out / f"{day.name}.toml",
+        out / f"{day.name}.report",
+        out / f"{day.name}.log",
+    )
     site.write_text(tomli_w.dumps(day.site))
     shutil.copy(wire, out / wire.name)
-    command = [bench, "run", str(site), day.name, "--log", "debug", "--report", str(report)] + ([] if charge else ["--no-cpu"])
+    command = [bench, "run", str(site), day.name, "--log", "debug", "--report", str(report)] + (
+        [] if charge else ["--no-cpu"]
+    )
     with logs.open("wb") as f:
         subprocess.run(command, cwd=tree, stdout=f, stderr=subprocess.STDOUT, check=False)
     if not report.exists():
@@ -293,24 +510,38 @@
         jobs = served.jobs(f)
     who, least = min(served.rows(report, jobs), key=lambda r: r[1], default=("", 1.0))
     big = served.of_largest(jobs)
-    line = re.search(rb"^%s +\d+ +([0-9.]+) " % re.escape(day.name).encode(), logs.read_bytes(), re.MULTILINE)
+    line = re.search(
+        rb"^%s +\d+ +([0-9.]+) " % re.escape(day.name).encode(), logs.read_bytes(), re.MULTILINE
+    )
     up = [t["value"] for t in report["targets"] if t["kind"] == "up" and t.get("worst_s")]
     nodes, own = report["node_stats"], day.site["nodes"]
-    ended = sum(r["why"] != "fault" for n in nodes for r in n["restarts"]) + sum(n["panics"] for n in nodes)
+    ended = sum(r["why"] != "fault" for n in nodes for r in n["restarts"]) + sum(
+        n["panics"] for n in nodes
+    )
     return {
-        "figure": float(line[1]) if line else None, "rules": report["rules_broken"]["total"], "least served": round(least, 2),
-        "who": " ".join(who.split()[:2]), "largest served": round(min((s for _, s, _ in big), default=1.0), 2),
-        "begun in s": round(max((b for _, _, b in big), default=0.0), 1), "by themselves": ended,
-        "killed by lease": report["fleet"]["tasks_killed_by_lease"], "worst 30 s": min(up, default=1.0),
+        "figure": float(line[1]) if line else None,
+        "rules": report["rules_broken"]["total"],
+        "least served": round(least, 2),
+        "who": " ".join(who.split()[:2]),
+        "largest served": round(min((s for _, s, _ in big), default=1.0), 2),
+        "begun in s": round(max((b for _, _, b in big), default=0.0), 1),
+        "by themselves": ended,
+        "killed by lease": report["fleet"]["tasks_killed_by_lease"],
+        "worst 30 s": min(up, default=1.0),
         "processor s": round(sum(report["spent"]["processes"]), 1),
         "memory": round(max(n["memory_peak_mb"] for n in nodes) / own["memory_mb"], 2),
         "sockets": round(max(n["connections_peak"] for n in nodes) / own["max_connections"], 2),
-    }  # fmt: skip
+    }
 
 
 def fails(figures: dict[str, Any]) -> bool:
     """Whether a day counts as failed."""
-    if "failed" in figures or figures["rules"] or figures["by themselves"] or figures["begun in s"] > served.BEGIN_S:
+    if (
+        "failed" in figures
+        or figures["rules"]
+        or figures["by themselves"]
+        or figures["begun in s"] > served.BEGIN_S
+    ):
         return True
     return bool(min(figures["least served"], figures["largest served"]) < served.HALF)
 
@@ -326,13 +557,20 @@
     p.add_argument("--further", type=int, default=0, help="so many days with the further troubles")
     p.add_argument("--charge", action="store_true", help="charge the processor, as a score does")
     args = p.parse_args()
-    bench, wire = str(Path(args.bench).resolve()), args.site.resolve().parent / bare(args.site)["wire"]
-    days = [drawn(args.site, args.seed, i) for i in range(args.first, args.first + args.drawn)] + (table(args.site) if args.table else [])
+    bench, wire = (
+        str(Path(args.bench).resolve()),
+        args.site.resolve().parent / bare(args.site)["wire"],
+    )
+    days = [drawn(args.site, args.seed, i) for i in range(args.first, args.first + args.drawn)] + (
+        table(args.site) if args.table else []
+    )
     days += [met(args.site, args.seed, i) for i in range(args.first, args.first + args.meetings)]
     days += [later(args.site, args.seed, i) for i in range(args.first, args.first + args.further)]
     days = [d for d in days if args.only in d.name]
     heads = {"day": lambda d: d.name, "copy": lambda d: d.copy}
-    played = trees.side_by_side(args, days, heads, COLUMNS, lambda d, t, out: play(bench, t, d, wire, out, args.charge))
+    played = trees.side_by_side(
+        args, days, heads, COLUMNS, lambda d, t, out: play(bench, t, d, wire, out, args.charge)
+    )
     return 1 if any(fails(rows[-1]) for rows in played) else 0
 
 
--- a/scripts/further.py
+++ b/scripts/further.py
@@ -22,7 +22,11 @@
 
     def __init__(self, site: dict[str, Any], rng: Random) -> None:
         self.rng = rng
-        self.nodes, self.lease, self.cancel = site["nodes"]["count"], site["workers"]["lease_s"], site["workers"]["cancel_s"]
+        self.nodes, self.lease, self.cancel = (
+            site["nodes"]["count"],
+            site["workers"]["lease_s"],
+            site["workers"]["cancel_s"],
+        )
         self.machines = sum(c["count"] for c in site["capacity"])
         self.zones = sorted({c["zone"] for c in site["capacity"]})
         self.array = next(j for j in site["jobs"] if j["kind"] == "array")["name"]
@@ -30,7 +34,13 @@
 
     def some(self) -> Fault:
         """Some of the machines."""
-        return self.rng.choice([{"share": 0.15}, {"count": max(1, self.machines // 10)}, {"zone": self.rng.choice(self.zones)}])
+        return self.rng.choice(
+            [
+                {"share": 0.15},
+                {"count": max(1, self.machines // 10)},
+                {"zone": self.rng.choice(self.zones)},
+            ]
+        )
 
     def share(self) -> float:
         """Of transactions or of reports."""
@@ -38,40 +48,84 @@
 
     def late_writes(self, s: float = 30.0, at_once: bool = False) -> Fault:
         """Transactions without an answer, carried out 2 to 12 s later, or at once."""
-        return {"kind": "late_writes", "share": self.share(), "for_s": s, **({"at_once": True} if at_once else {})}
+        return {
+            "kind": "late_writes",
+            "share": self.share(),
+            "for_s": s,
+            **({"at_once": True} if at_once else {}),
+        }
 
     def late_reports(self, s: float = 30.0, for_next: bool = False) -> Fault:
         """Copies of reports, from 2 s to well over a lease later, or kept for the next leader."""
-        return {"kind": "late_reports", "share": self.share(), "for_s": s, **({"for_next": True} if for_next else {})}
+        return {
+            "kind": "late_reports",
+            "share": self.share(),
+            "for_s": s,
+            **({"for_next": True} if for_next else {}),
+        }
 
     def deaf(self) -> Fault:
         """Machines that are heard and hear nothing."""
-        return {"kind": "machine_deaf", "for_s": self.rng.choice([0.7, 1.5, 3.0]) * self.lease, **self.some()}
+        return {
+            "kind": "machine_deaf",
+            "for_s": self.rng.choice([0.7, 1.5, 3.0]) * self.lease,
+            **self.some(),
+        }
 
     def mute(self) -> Fault:
         """Machines that reach no controller, while direct commands reach them."""
-        return {"kind": "machine_mute", "for_s": self.rng.choice([0.7, 1.5, 3.0]) * self.lease, **self.some()}
+        return {
+            "kind": "machine_mute",
+            "for_s": self.rng.choice([0.7, 1.5, 3.0]) * self.lease,
+            **self.some(),
+        }
 
     def hang(self) -> Fault:
         """Machines that stand still, within their lease or beyond it."""
-        return {"kind": "machine_hang", "count": max(1, self.machines // 12), "for_s": self.rng.choice([0.5, 0.9, 2.0]) * self.lease}
+        return {
+            "kind": "machine_hang",
+            "count": max(1, self.machines // 12),
+            "for_s": self.rng.choice([0.5, 0.9, 2.0]) * self.lease,
+        }
 
     def crash(self, count: int = 0) -> Fault:
         """One, two or all controllers end."""
-        return {"kind": "node_crash", "count": count or self.rng.choice([1, 1, 2, self.nodes]), "busiest": self.rng.random() < 0.7}
+        return {
+            "kind": "node_crash",
+            "count": count or self.rng.choice([1, 1, 2, self.nodes]),
+            "busiest": self.rng.random() < 0.7,
+        }
 
     def freeze(self) -> Fault:
         """A controller stands still."""
-        return {"kind": "node_freeze", "count": 1, "busiest": self.rng.random() < 0.8, "for_s": self.rng.choice([3.0, 12.0, 22.0])}
+        return {
+            "kind": "node_freeze",
+            "count": 1,
+            "busiest": self.rng.random() < 0.8,
+            "for_s": self.rng.choice([3.0, 12.0, 22.0]),
+        }
 
     def cut(self, s: float, *modes: str, **what: bool) -> Fault:
         """One controller loses something."""
         mode = self.rng.choice(modes or ("refuse", "hold", "reset"))
-        return {"kind": "node_cut", "count": 1, "busiest": self.rng.random() < 0.8, "mode": mode, "for_s": s, **what}
+        return {
+            "kind": "node_cut",
+            "count": 1,
+            "busiest": self.rng.random() < 0.8,
+            "mode": mode,
+            "for_s": s,
+            **what,
+        }
 
     def alone(self, s: float = 0.0) -> Fault:
         """Without the state service and the others; its workers and users reach it."""
-        return self.cut(s or self.rng.choice([8.0, 20.0, 40.0]), "hold", "reset", from_state=True, from_peers=True)
+        return self.cut(
+            s or self.rng.choice([8.0, 20.0, 40.0]),
+            "hold",
+            "reset",
+            from_state=True,
+            from_peers=True,
+        )
 
     def outage(self, s: float = 0.0) -> Fault:
         """The state service refuses everybody."""
@@ -96,7 +150,12 @@
 
     def zone(self, s: float, *modes: str) -> Fault:
         """A zone is cut off, with its workers and controllers."""
-        return {"kind": "zone_cut", "zone": self.rng.choice(self.zones), "for_s": s, "mode": self.rng.choice(modes or ("hold", "reset"))}
+        return {
+            "kind": "zone_cut",
+            "zone": self.rng.choice(self.zones),
+            "for_s": s,
+            "mode": self.rng.choice(modes or ("hold", "reset")),
+        }
 
     def die(self) -> Fault:
         """Machines are gone without a word."""
@@ -123,7 +182,12 @@
 
 def limits_while_machines_hang(d: Draw) -> Meeting:
     """More work than room; cancelled jobs' machines hang or are cut off, and the leader changes."""
-    return [(0.0, d.burst(d.array)), (10.0, d.cancels(hang=True)), (10.0, d.deaf()), (11.0, d.crash(1))]
+    return [
+        (0.0, d.burst(d.array)),
+        (10.0, d.cancels(hang=True)),
+        (10.0, d.deaf()),
+        (11.0, d.crash(1)),
+    ]
 
 
 def all_away(d: Draw) -> Meeting:
@@ -135,7 +199,12 @@
 def ten_changes(d: Draw) -> Meeting:
     """The leader changes ten times in two minutes, an outage among them, with old reports for each."""
     ends = [(12.0 * i, d.crash(1)) for i in range(10)]
-    return [(0.0, d.odd()), *ends, (40.0, d.outage(15.0)), (0.0, d.late_reports(WIDE_S, for_next=True))]
+    return [
+        (0.0, d.odd()),
+        *ends,
+        (40.0, d.outage(15.0)),
+        (0.0, d.late_reports(WIDE_S, for_next=True)),
+    ]
 
 
 def mute_while_the_leader_ends(d: Draw) -> Meeting:
@@ -145,7 +214,12 @@
 
 def mute_and_the_answer_lost(d: Draw) -> Meeting:
     """The same while answers of the state service are lost and a controller stands still."""
-    return [(0.0, d.mute()), (1.0, d.late_writes(at_once=True)), (3.0, d.freeze()), (8.0, d.alone(8.0))]
+    return [
+        (0.0, d.mute()),
+        (1.0, d.late_writes(at_once=True)),
+        (3.0, d.freeze()),
+        (8.0, d.alone(8.0)),
+    ]
 
 
 def alone_and_cancelled_through_the_new_one(d: Draw) -> Meeting:
@@ -156,17 +230,33 @@
 def refused_alone_then_everybody(d: Draw) -> Meeting:
     """Cancelled at the moment of the refusal, and a second later the state service is out for longer than `cancel_s`."""
     out = d.outage(d.cancel + d.rng.choice([4.0, 12.0]))
-    return [(0.0, d.cut(d.rng.choice([2.0, 12.0]), from_state=True)), (0.0, d.cancels()), (1.0, out), (0.0, d.looks(60.0))]
+    return [
+        (0.0, d.cut(d.rng.choice([2.0, 12.0]), from_state=True)),
+        (0.0, d.cancels()),
+        (1.0, out),
+        (0.0, d.looks(60.0)),
+    ]
 
 
 def old_report_as_a_leader_begins(d: Draw) -> Meeting:
     """Old reports are kept for the next leader, twice."""
-    return [(0.0, d.late_reports(for_next=True)), (3.0, d.cancels()), (5.0, d.crash()), (20.0, d.crash())]
+    return [
+        (0.0, d.late_reports(for_next=True)),
+        (3.0, d.cancels()),
+        (5.0, d.crash()),
+        (20.0, d.crash()),
+    ]
 
 
 def all_end_one_returns(d: Draw) -> Meeting:
     """All end, one returns and ends again, and then one after the other."""
-    return [(0.0, d.late_reports()), (2.0, d.crash(d.nodes)), (3.0, d.cut(8.0, from_state=True)), (4.0, d.crash(1)), (8.0, d.roll())]
+    return [
+        (0.0, d.late_reports()),
+        (2.0, d.crash(d.nodes)),
+        (3.0, d.cut(8.0, from_state=True)),
+        (4.0, d.crash(1)),
+        (8.0, d.roll()),
+    ]
 
 
 def old_reports_of_earlier_sessions(d: Draw) -> Meeting:
@@ -177,13 +267,23 @@
 def more_work_than_room(d: Draw) -> Meeting:
     """More than the fleet holds, urgent and not, over slow controllers."""
     slow = {"kind": "node_slow", "count": 2, "busiest": True, "factor": 3.0, "for_s": 40.0}
-    return [(0.0, d.burst(d.array)), (1.0, d.burst(d.service)), (5.0, slow), (15.0, d.cancels(hang=True))]
+    return [
+        (0.0, d.burst(d.array)),
+        (1.0, d.burst(d.service)),
+        (5.0, slow),
+        (15.0, d.cancels(hang=True)),
+    ]
 
 
 def slow_then_refused(d: Draw) -> Meeting:
     """Writes lag, one is refused alone, then everybody, while users cancel and ask."""
-    return [(0.0, d.late_writes(20.0)), (3.0, d.cut(12.0, from_state=True)), (6.0, d.cancels()), (12.0, d.outage(d.cancel + 6.0)),
-            (0.0, d.looks(70.0))]  # fmt: skip
+    return [
+        (0.0, d.late_writes(20.0)),
+        (3.0, d.cut(12.0, from_state=True)),
+        (6.0, d.cancels()),
+        (12.0, d.outage(d.cancel + 6.0)),
+        (0.0, d.looks(70.0)),
+    ]
 
 
 def ends_and_cancellations(d: Draw) -> Meeting:
@@ -193,71 +293,160 @@
 
 def bound_to_a_zone(d: Draw) -> Meeting:
     """A zone loses machines twice and is cut off in between."""
-    return [(0.0, d.die()), (2.0, d.zone(d.rng.choice([0.6, 1.5]) * d.lease)), (4.0, d.die()), (10.0, d.cancels())]
+    return [
+        (0.0, d.die()),
+        (2.0, d.zone(d.rng.choice([0.6, 1.5]) * d.lease)),
+        (4.0, d.die()),
+        (10.0, d.cancels()),
+    ]
 
 
 def leader_ends_while_machines_are_deaf(d: Draw) -> Meeting:
     """Machines don't hear the new leader's answer."""
-    return [(0.0, d.deaf()), (3.0, d.crash(1)), (4.0, d.deaf()), (4.0, d.late_reports()), (6.0, d.cancels())]
+    return [
+        (0.0, d.deaf()),
+        (3.0, d.crash(1)),
+        (4.0, d.deaf()),
+        (4.0, d.late_reports()),
+        (6.0, d.cancels()),
+    ]
 
 
 def report_held_back_until_a_leader_acted(d: Draw) -> Meeting:
     """Reports are held back on their way, and kept for the next leader."""
-    return [(0.0, d.cut(12.0, "hold", from_workers=True)), (2.0, d.late_reports(for_next=True)), (4.0, d.mute()), (6.0, d.crash(1))]
+    return [
+        (0.0, d.cut(12.0, "hold", from_workers=True)),
+        (2.0, d.late_reports(for_next=True)),
+        (4.0, d.mute()),
+        (6.0, d.crash(1)),
+    ]
 
 
 def ends_far_apart(d: Draw) -> Meeting:
     """Controllers end one after the other while tasks end, and writes lag."""
-    return [(0.0, d.roll(10.0)), (5.0, d.late_writes(30.0)), (8.0, d.at_end(60.0)), (25.0, d.alone(14.0))]
+    return [
+        (0.0, d.roll(10.0)),
+        (5.0, d.late_writes(30.0)),
+        (8.0, d.at_end(60.0)),
+        (25.0, d.alone(14.0)),
+    ]
 
 
 def answer_lost(d: Draw) -> Meeting:
     """Only the answers of transactions are lost, while users cancel and ask."""
-    return [(0.0, d.late_writes(45.0, at_once=True)), (5.0, d.cancels()), (8.0, d.looks()), (20.0, d.crash(1))]
+    return [
+        (0.0, d.late_writes(45.0, at_once=True)),
+        (5.0, d.cancels()),
+        (8.0, d.looks()),
+        (20.0, d.crash(1)),
+    ]
 
 
 def answer_lost_at_a_change(d: Draw) -> Meeting:
     """The same while the part of a controller changes hands."""
-    return [(0.0, d.late_writes(40.0, at_once=True)), (3.0, d.alone(14.0)), (6.0, d.cancels()), (6.0, d.late_reports(for_next=True))]
+    return [
+        (0.0, d.late_writes(40.0, at_once=True)),
+        (3.0, d.alone(14.0)),
+        (6.0, d.cancels()),
+        (6.0, d.late_reports(for_next=True)),
+    ]
 
 
 def carried_out_late(d: Draw) -> Meeting:
     """Transactions are carried out after newer ones, over an end and an outage."""
-    return [(0.0, d.late_writes(40.0)), (0.0, d.late_reports()), (4.0, d.crash()), (6.0, d.outage(5.0)), (14.0, d.cancels())]
+    return [
+        (0.0, d.late_writes(40.0)),
+        (0.0, d.late_reports()),
+        (4.0, d.crash()),
+        (6.0, d.outage(5.0)),
+        (14.0, d.cancels()),
+    ]
 
 
 def held_up_commands(d: Draw) -> Meeting:
     """Commands and answers are held up for seconds, and machines hang."""
-    return [(0.0, d.cut(10.0, "hold", from_workers=True)), (1.0, d.hang()), (2.0, d.cancels(hang=True))]
+    return [
+        (0.0, d.cut(10.0, "hold", from_workers=True)),
+        (1.0, d.hang()),
+        (2.0, d.cancels(hang=True)),
+    ]
 
 
 def questions_within_milliseconds(d: Draw) -> Meeting:
     """Users ask everywhere around acceptance, end and cancellation, one controller being refused."""
-    return [(0.0, d.late_writes(at_once=True)), (0.0, d.looks(60.0)), (2.0, d.cancels()), (5.0, d.at_end()),
-            (12.0, d.cut(8.0, from_state=True)), (13.0, d.cancels())]  # fmt: skip
+    return [
+        (0.0, d.late_writes(at_once=True)),
+        (0.0, d.looks(60.0)),
+        (2.0, d.cancels()),
+        (5.0, d.at_end()),
+        (12.0, d.cut(8.0, from_state=True)),
+        (13.0, d.cancels()),
+    ]
 
 
 def limit_when_the_leader_changes(d: Draw) -> Meeting:
     """Machines can't be asked, the leader changes and a cancellation falls into it."""
-    return [(0.0, d.burst(d.array)), (12.0, d.mute()), (13.0, d.crash(1)), (14.0, d.cancels(hang=True)), (14.0, d.odd())]
+    return [
+        (0.0, d.burst(d.array)),
+        (12.0, d.mute()),
+        (13.0, d.crash(1)),
+        (14.0, d.cancels(hang=True)),
+        (14.0, d.odd()),
+    ]
 
 
 def cancelled_while_hands_change(d: Draw) -> Meeting:
     """Cancelled in the seconds in which one controller's work changes hands."""
     every = d.rng.choice([2.0, 10.0])
-    return [(0.0, d.roll(every)), *((0.7 * every + every * i, d.cancels()) for i in range(3)), (0.0, d.looks(30.0))]
+    return [
+        (0.0, d.roll(every)),
+        *((0.7 * every + every * i, d.cancels()) for i in range(3)),
+        (0.0, d.looks(30.0)),
+    ]
 
 
 MEETINGS: tuple[Callable[[Draw], Meeting], ...] = (
-    zone_cut_longer_than_a_lease, new_machines_while_writes_lag, limits_while_machines_hang, all_away, ten_changes,
-    mute_while_the_leader_ends, mute_and_the_answer_lost, alone_and_cancelled_through_the_new_one, refused_alone_then_everybody,
-    old_report_as_a_leader_begins, all_end_one_returns, old_reports_of_earlier_sessions, more_work_than_room, slow_then_refused,
-    ends_and_cancellations, bound_to_a_zone, leader_ends_while_machines_are_deaf, report_held_back_until_a_leader_acted, ends_far_apart,
-    answer_lost, answer_lost_at_a_change, carried_out_late, held_up_commands, questions_within_milliseconds,
-    limit_when_the_leader_changes, cancelled_while_hands_change,
-)  # fmt: skip
-ON_TOP = (Draw.late_writes, Draw.late_reports, Draw.deaf, Draw.mute, Draw.hang, Draw.crash, Draw.freeze, Draw.alone, Draw.cancels,
-          Draw.at_end, Draw.looks, Draw.odd)  # fmt: skip
+    zone_cut_longer_than_a_lease,
+    new_machines_while_writes_lag,
+    limits_while_machines_hang,
+    all_away,
+    ten_changes,
+    mute_while_the_leader_ends,
+    mute_and_the_answer_lost,
+    alone_and_cancelled_through_the_new_one,
+    refused_alone_then_everybody,
+    old_report_as_a_leader_begins,
+    all_end_one_returns,
+    old_reports_of_earlier_sessions,
+    more_work_than_room,
+    slow_then_refused,
+    ends_and_cancellations,
+    bound_to_a_zone,
+    leader_ends_while_machines_are_deaf,
+    report_held_back_until_a_leader_acted,
+    ends_far_apart,
+    answer_lost,
+    answer_lost_at_a_change,
+    carried_out_late,
+    held_up_commands,
+    questions_within_milliseconds,
+    limit_when_the_leader_changes,
+    cancelled_while_hands_change,
+)
+ON_TOP = (
+    Draw.late_writes,
+    Draw.late_reports,
+    Draw.deaf,
+    Draw.mute,
+    Draw.hang,
+    Draw.crash,
+    Draw.freeze,
+    Draw.alone,
+    Draw.cancels,
+    Draw.at_end,
+    Draw.looks,
+    Draw.odd,
+)
 
 
 def order(seed: int, i: int) -> list[Callable[[Draw], Meeting]]:
@@ -272,7 +461,9 @@
 def faults(site: dict[str, Any], seed: int, i: int, rng: Random) -> tuple[list[Fault], list[str]]:
     """All troubles of day number I by their times, and the names of its meetings."""
     d, at, out = Draw(site, rng), site["warmup_s"] * rng.uniform(0.7, 1.0), []
-    last = 0.8 * site["duration_s"]  # what is left of the day is for those that are waiting, and for the questions
+    last = (
+        0.8 * site["duration_s"]
+    )  # what is left of the day is for those that are waiting, and for the questions
     names = []
     for meeting in order(seed, i):
         here = meeting(d)
@@ -280,17 +471,28 @@
             here.append((8.0 * rng.random(), rng.choice(ON_TOP)(d)))
         names.append(meeting.__name__)
         out += [{"at_s": round(at + after, 1), **f} for after, f in here if at + after < last]
-        at += min(80.0, max(after + f.get("for_s", 0.0) for after, f in here)) + rng.uniform(8.0, 20.0)
+        at += min(80.0, max(after + f.get("for_s", 0.0) for after, f in here)) + rng.uniform(
+            8.0, 20.0
+        )
         if at >= last:
-            at = site["warmup_s"] + (last - site["warmup_s"]) * rng.uniform(0.0, 0.8)  # on top of an earlier one
+            at = site["warmup_s"] + (last - site["warmup_s"]) * rng.uniform(
+                0.0, 0.8
+            )  # on top of an earlier one
     return sorted(out, key=lambda f: f["at_s"]), names
 
 
 def shaped(site: dict[str, Any], i: int, rng: Random) -> tuple[str, dict[str, Any]]:
     """The shape of day number I: the site is changed, and what the day says besides its troubles is returned."""
-    array, cancel = next(j for j in site["jobs"] if j["kind"] == "array"), site["workers"]["cancel_s"]
+    array, cancel = (
+        next(j for j in site["jobs"] if j["kind"] == "array"),
+        site["workers"]["cancel_s"],
+    )
     long = {"median": 2.4 * cancel, "p95": 3.0 * cancel, "max": 3.4 * cancel}
-    jobs: dict[str, Any] = {"name": array["name"], "cancelled": rng.choice([0.3, 0.6]), "run_s": long}
+    jobs: dict[str, Any] = {
+        "name": array["name"],
+        "cancelled": rng.choice([0.3, 0.6]),
+        "run_s": long,
+    }
     day: dict[str, Any] = {"jobs": [jobs]}
     match i % 6:
         case 0:
@@ -314,4 +516,12 @@
             array["arrivals"]["rate"] *= 4.0
             return "two and three tasks", day
         case _:
-            return "a slow state service", {**day, "vary": {"state_slow": 0.1, "state_slow_times": 60.0, "list_lag": 0.9, "report": 0.2}}
+            return "a slow state service", {
+                **day,
+                "vary": {
+                    "state_slow": 0.1,
+                    "state_slow_times": 60.0,
+                    "list_lag": 0.9,
+                    "report": 0.2,
+                },
+            }
--- a/scripts/mixed.py
+++ b/scripts/mixed.py
@@ -44,7 +44,11 @@
 ZONES = ("a", "b", "a")
 MACHINES = 9
 FIRST_AGENT_PORT = 27_000
-AWAY_S = {"c0": 0.3, "c1": 1.0, "c2": 5.0}  # a shard's lease is 4 s: the last one's shard is taken over meanwhile
+AWAY_S = {
+    "c0": 0.3,
+    "c1": 1.0,
+    "c2": 5.0,
+}  # a shard's lease is 4 s: the last one's shard is taken over meanwhile
 CANCEL_S = 30.0
 JOB_EVERY_S = 0.2
 CANCELLED_SHARE = 0.25
@@ -52,7 +56,10 @@
 ANSWERED_WITHIN_S = 20.0
 ENDED_WITHIN_S = 30.0
 WHOLE_RUN_S = 175.0
-FAULTY_LINES = ("error ", "warning state service: odd answer")  # beginnings of log lines that no controller may write
+FAULTY_LINES = (
+    "error ",
+    "warning state service: odd answer",
+)  # beginnings of log lines that no controller may write
 
 
 @dataclass
@@ -66,7 +73,9 @@
 
 def extract(revision: str, folder: Path) -> None:
     """Unpack a revision, with the libraries that this tree has."""
-    archive = subprocess.run(["git", "archive", revision], cwd=ROOT, check=True, capture_output=True).stdout
+    archive = subprocess.run(
+        ["git", "archive", revision], cwd=ROOT, check=True, capture_output=True
+    ).stdout
     with tarfile.open(fileobj=io.BytesIO(archive)) as tar:
         tar.extractall(folder, filter="data")
     if (ROOT / "target" / "deps").exists():
@@ -84,7 +93,9 @@
         site=zones[name],
         bind=f"127.0.0.1:{ports[NAMES.index(name)]}",
         peer_listen=listen[name],
-        siblings=[{"host_name": n, "site": zones[n], "addr": listen[n]} for n in NAMES if n != name],
+        siblings=[
+            {"host_name": n, "site": zones[n], "addr": listen[n]} for n in NAMES if n != name
+        ],
     )
     deployment = data["deployment"]
     deployment["zones"] = sorted(set(ZONES))
@@ -114,9 +125,16 @@
 
     def start(self, name: str, version: str) -> None:
         """Start a controller; its log goes on where the last process ended."""
-        command = [sys.executable, str(self.trees[version] / "run.py"), "--config", str(self._file(name))]
+        command = [
+            sys.executable,
+            str(self.trees[version] / "run.py"),
+            "--config",
+            str(self._file(name)),
+        ]
         with self._log(name).open("ab") as log:
-            self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log, cwd=self.folder)
+            self.processes[name] = subprocess.Popen(
+                command, stdout=log, stderr=log, cwd=self.folder
+            )
         self.version[name] = version
 
     def kill(self, name: str) -> None:
@@ -208,7 +226,10 @@
         body = test_loopback.spec(job, kind, 2, flightS=run_s)
         self.fleet.specs[job] = jobs.parse(body, 0.0)
         self.submitted[job] = Submitted()
-        while await self.ask_about(job, self.rng.choice(NAMES), "POST", "/api/jobs", body) not in (200, 201):
+        while await self.ask_about(job, self.rng.choice(NAMES), "POST", "/api/jobs", body) not in (
+            200,
+            201,
+        ):
             await anyio.sleep(0.5)
         if kind != "daemon" and self.rng.random() < CANCELLED_SHARE:
             await anyio.sleep(self.rng.random())
@@ -217,7 +238,12 @@
     async def cancel(self, job: str) -> None:
         """Cancel until told how the job has ended."""
         self.submitted[job].cancelling = True
-        while await self.ask_about(job, self.rng.choice(NAMES), "POST", f"/api/jobs/{job}/withdraw", {}) != 200:
+        while (
+            await self.ask_about(
+                job, self.rng.choice(NAMES), "POST", f"/api/jobs/{job}/withdraw", {}
+            )
+            != 200
+        ):
             await anyio.sleep(0.5)
 
     async def submit_jobs(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -247,7 +273,9 @@
             while (await self.call(name, "GET", "/healthz"))[0] != 200:
                 await anyio.sleep(0.1)
             return
-        self.wrong.append(f"{name} ({self.controllers.version[name]}) not healthy within {HEALTHY_WITHIN_S:g} s")
+        self.wrong.append(
+            f"{name} ({self.controllers.version[name]}) not healthy within {HEALTHY_WITHIN_S:g} s"
+        )
 
     async def all_hear_each_other(self) -> None:
         """Wait until every controller's own view names nobody whom it can't hear."""
@@ -269,14 +297,22 @@
 
     async def all_answered(self) -> None:
         """Every accepted job must be answered by every controller."""
-        left = [(job, name) for job, told in self.submitted.items() if told.accepted for name in NAMES]
+        left = [
+            (job, name) for job, told in self.submitted.items() if told.accepted for name in NAMES
+        ]
         with anyio.move_on_after(ANSWERED_WITHIN_S):
             while left:
-                left = [(job, name) for job, name in left if await self.ask_about(job, name, "GET", f"/api/jobs/{job}") != 200]
+                left = [
+                    (job, name)
+                    for job, name in left
+                    if await self.ask_about(job, name, "GET", f"/api/jobs/{job}") != 200
+                ]
                 if left:
                     await anyio.sleep(0.2)
         if left:
-            self.wrong.append(f"not answered with {self.controllers.version}: {len(left)}, as {left[:3]}")
+            self.wrong.append(
+                f"not answered with {self.controllers.version}: {len(left)}, as {left[:3]}"
+            )
 
     async def all_ended(self) -> None:
         """What was submitted must be accepted and end; services run on."""
@@ -284,7 +320,11 @@
         with anyio.move_on_after(ENDED_WITHIN_S):
             while True:
                 await self.all_answered()
-                unfinished = [j for j, told in self.submitted.items() if told.final is None and self.specs[j].kind != "service"]
+                unfinished = [
+                    j
+                    for j, told in self.submitted.items()
+                    if told.final is None and self.specs[j].kind != "service"
+                ]
                 if not unfinished:
                     return
                 await anyio.sleep(0.5)
@@ -308,7 +348,10 @@
         await self.all_hear_each_other()
         await self.all_answered()
         versions = " ".join(self.controllers.version[name] for name in NAMES)
-        print(f"{versions}: {self.restarts} restarts, {len(self.submitted)} jobs, {len(self.wrong)} wrong so far", flush=True)
+        print(
+            f"{versions}: {self.restarts} restarts, {len(self.submitted)} jobs, {len(self.wrong)} wrong so far",
+            flush=True,
+        )
 
     async def upgrade(self) -> None:
         """From the old version to the new one, and one controller back."""
@@ -342,7 +385,9 @@
             self.controllers.start(name, OLD)
         for name in NAMES:
             await self.healthy(name)
-        machines = [self.fleet.boot({"marsh": ZONES[i % 2], "driftwood": False}) for i in range(MACHINES)]
+        machines = [
+            self.fleet.boot({"marsh": ZONES[i % 2], "driftwood": False}) for i in range(MACHINES)
+        ]
         self.fleet.pleas["at the start"] = machines
         tasks.start_soon(self.judge)
         users = anyio.CancelScope()
@@ -362,7 +407,9 @@
 
 def main() -> int:
     """Run it; 1 with the reasons if anything is wrong."""
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--base", required=True, metavar="REVISION", help="the old version")
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
--- a/scripts/served.py
+++ b/scripts/served.py
@@ -63,7 +63,13 @@
     @property
     def tasks_served(self) -> int:
         """How many of its tasks were of use."""
-        return len(self.ran) if self.kind == "service" else self.tasks if self.done else len(self.completed)
+        return (
+            len(self.ran)
+            if self.kind == "service"
+            else self.tasks
+            if self.done
+            else len(self.completed)
+        )
 
 
 def jobs(lines: Iterable[str]) -> dict[str, Counted]:
@@ -77,7 +83,9 @@
         f = dict(p.split("=", 1) for p in m[3].split() if "=" in p)
         job = out.get(f.get("job", ""))
         if what == "accepted" and job is None:
-            out[f["job"]] = Counted(f["team"], f["kind"], f.get("klass", f["kind"]), int(f["tasks"]), at)
+            out[f["job"]] = Counted(
+                f["team"], f["kind"], f.get("klass", f["kind"]), int(f["tasks"]), at
+            )
         elif job is not None and what == "task":
             if f.get("state") == "running":
                 job.runs(f["task"], at)
@@ -85,36 +93,72 @@
                 job.runs(f["task"], at)
                 job.completed.add(f["task"])
         elif job is not None:
-            job.done, job.withdrawn = job.done or what == "done", job.withdrawn or what == "withdrawn"
+            job.done, job.withdrawn = (
+                job.done or what == "done",
+                job.withdrawn or what == "withdrawn",
+            )
             if job.done and job.began is None:
                 job.began = at
     return out
 
 
-def line(name: str, asked: int, accepted: int, started: int, cancelled: int, served: int, tasks: int,
-         tasks_served: int) -> tuple[str, float]:
+def line(
+    name: str,
+    asked: int,
+    accepted: int,
+    started: int,
+    cancelled: int,
+    served: int,
+    tasks: int,
+    tasks_served: int,
+) -> tuple[str, float]:
     """A line of the table, and the lower of the two shares. `cancelled`: before they were served; they count neither way."""
     share = served / (asked - cancelled) if asked > cancelled else 1.0
     task_share = tasks_served / tasks if tasks else 1.0
     least = min(share, task_share)
     mark = "FAILS" if least < HALF else "near" if least < NEAR else ""
-    of_tasks = f"{tasks:8} {tasks_served:8} {task_share:6.3f}" if tasks else f"{'-':>8} {'-':>8} {'-':>6}"
-    return f"{name:24} {asked:6} {accepted:8} {started:7} {cancelled:9} {served:6} {share:6.3f} {of_tasks} {mark}".rstrip(), least
+    of_tasks = (
+        f"{tasks:8} {tasks_served:8} {task_share:6.3f}" if tasks else f"{'-':>8} {'-':>8} {'-':>6}"
+    )
+    return (
+        f"{name:24} {asked:6} {accepted:8} {started:7} {cancelled:9} {served:6} {share:6.3f} {of_tasks} {mark}".rstrip(),
+        least,
+    )
 
 
 def of_class(name: str, c: dict[str, Any], found: list[Counted]) -> tuple[str, float]:
     """A class, by the bench's report; its tasks by the logs, if they name classes."""
     tasks, tasks_served = of_tasks(found)
     if "up" in c:
-        return line(f"class {name}", c["jobs"], c["accepted"], c["started"], 0, c["started"], tasks, tasks_served)
-    return line(f"class {name}", c["jobs"], c["accepted"], c["started"], c["cancelled"], c["done"], tasks, tasks_served)
+        return line(
+            f"class {name}",
+            c["jobs"],
+            c["accepted"],
+            c["started"],
+            0,
+            c["started"],
+            tasks,
+            tasks_served,
+        )
+    return line(
+        f"class {name}",
+        c["jobs"],
+        c["accepted"],
+        c["started"],
+        c["cancelled"],
+        c["done"],
+        tasks,
+        tasks_served,
+    )
 
 
 def of_team(name: str, found: list[Counted]) -> tuple[str, float]:
     """A team, by the logs."""
     cancelled = sum(j.withdrawn and not j.served for j in found)
     n, started = len(found), sum(j.started for j in found)
-    return line(f"team {name}", n, n, started, cancelled, sum(j.served for j in found), *of_tasks(found))
+    return line(
+        f"team {name}", n, n, started, cancelled, sum(j.served for j in found), *of_tasks(found)
+    )
 
 
 def of_tasks(found: list[Counted]) -> tuple[int, int]:
@@ -142,29 +186,49 @@
         share, begin = largest(mine)
         mark = "FAILS" if share < HALF or begin > BEGIN_S else ""
         most = max(j.tasks for j in mine)
-        out.append((f"largest {name} (up to {most} tasks): served {share:.3f}, begun within {begin:.0f} s {mark}".rstrip(), share, begin))
+        out.append(
+            (
+                f"largest {name} (up to {most} tasks): served {share:.3f}, begun within {begin:.0f} s {mark}".rstrip(),
+                share,
+                begin,
+            )
+        )
     return out
 
 
 def rows(report: dict[str, Any], found: dict[str, Counted]) -> list[tuple[str, float]]:
     """Every class and team: its line, and its lower share."""
-    out = [of_class(name, c, [j for j in found.values() if j.klass == name]) for name, c in report["classes"].items()]
-    return out + [of_team(t, [j for j in found.values() if j.team == t]) for t in sorted({j.team for j in found.values()})]
+    out = [
+        of_class(name, c, [j for j in found.values() if j.klass == name])
+        for name, c in report["classes"].items()
+    ]
+    return out + [
+        of_team(t, [j for j in found.values() if j.team == t])
+        for t in sorted({j.team for j in found.values()})
+    ]
 
 
 def table(report: dict[str, Any], found: dict[str, Counted]) -> tuple[list[str], float]:
     """All lines, and the least share of any class or team."""
-    head = (f"{'':24} {'asked':>6} {'accepted':>8} {'started':>7} {'cancelled':>9} {'served':>6} {'share':>6} "
-            f"{'tasks':>8} {'served':>8} {'share':>6}")  # fmt: skip
+    head = (
+        f"{'':24} {'asked':>6} {'accepted':>8} {'started':>7} {'cancelled':>9} {'served':>6} {'share':>6} "
+        f"{'tasks':>8} {'served':>8} {'share':>6}"
+    )
     lines = rows(report, found)
     big = of_largest(found)
-    least = min([share for _, share in lines] + [0.0 if begin > BEGIN_S else share for _, share, begin in big], default=1.0)
+    least = min(
+        [share for _, share in lines]
+        + [0.0 if begin > BEGIN_S else share for _, share, begin in big],
+        default=1.0,
+    )
     return [head, *(text for text, _ in lines), *(text for text, _, _ in big)], least
 
 
 def main() -> int:
     """Print the table; status 1 where somebody got less than a half."""
-    p = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    p = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     p.add_argument("report", type=Path)
     p.add_argument("log", type=Path)
     args = p.parse_args()
--- a/scripts/trees.py
+++ b/scripts/trees.py
@@ -14,18 +14,30 @@
 
 def options(doc: str | None, jobs: int) -> argparse.ArgumentParser:
     """Where the bench and the site are, what is played in which checkouts, and how many days at once."""
-    p = argparse.ArgumentParser(description=doc, formatter_class=argparse.RawDescriptionHelpFormatter)
+    p = argparse.ArgumentParser(
+        description=doc, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     p.add_argument("--bench", required=True)
     p.add_argument("--site", required=True, type=Path)
     p.add_argument("--out", required=True, type=Path)
-    p.add_argument("--tree", action="append", type=Path, help="a checkout to play; may be given twice, before and after")
+    p.add_argument(
+        "--tree",
+        action="append",
+        type=Path,
+        help="a checkout to play; may be given twice, before and after",
+    )
     p.add_argument("--only", default="", help="days whose names hold this")
     p.add_argument("--jobs", type=int, default=jobs)
     return p
 
 
-def side_by_side(args: argparse.Namespace, days: Sequence[D], heads: dict[str, Callable[[D], str]], columns: Sequence[str],
-                 play: Callable[[D, Path, Path], dict[str, Any]]) -> list[list[dict[str, Any]]]:
+def side_by_side(
+    args: argparse.Namespace,
+    days: Sequence[D],
+    heads: dict[str, Callable[[D], str]],
+    columns: Sequence[str],
+    play: Callable[[D, Path, Path], dict[str, Any]],
+) -> list[list[dict[str, Any]]]:
     """Play all days in all checkouts and print the table as it comes; each day's figures, a checkout after the other.
 
     `heads`: the cells that are the day's, by title; `columns`: figures; `play`: a day in a checkout, its figures kept in a folder.
@@ -33,12 +45,16 @@
     trees = [t.resolve() for t in args.tree or [Path.cwd()]]
     out: list[list[dict[str, Any]]] = []
     with ThreadPoolExecutor(args.jobs) as pool:
-        waiting = [[pool.submit(play, d, t, args.out.resolve() / t.name) for t in trees] for d in days]
+        waiting = [
+            [pool.submit(play, d, t, args.out.resolve() / t.name) for t in trees] for d in days
+        ]
         titles = [*heads, *columns]
         print("| " + " | ".join(titles) + " |\n|" + " --- |" * len(titles))
         for d, played in zip(days, waiting, strict=True):
             rows = [w.result() for w in played]
-            cells = [head(d) for head in heads.values()] + [", ".join(str(r.get(c, "?")) for r in rows) for c in columns]
+            cells = [head(d) for head in heads.values()] + [
+                ", ".join(str(r.get(c, "?")) for r in rows) for c in columns
+            ]
             print("| " + " | ".join(cells) + " |", flush=True)
             for r in rows:
                 if "failed" in r:
