--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -29,7 +29,10 @@
 from .played import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW, Played, play
 
 KNOWN_S = 75.0
-LEASE, CANCEL = 16.0, 46.0  # the deployments' own; a worker that tries two silent controllers is back after 11 s
+LEASE, CANCEL = (
+    16.0,
+    46.0,
+)  # the deployments' own; a worker that tries two silent controllers is back after 11 s
 
 
 @dataclass(frozen=True)
@@ -106,7 +109,12 @@
     async def cloud(self) -> None:
         """Rentals and deletions are late or not answered, lists lag, and new machines are up within two seconds."""
         f = self.p.fleet
-        f.lost_answers, f.late_requests, f.list_lag_s, f.boots = 0.2, 0.2, self.p.list_lag_s, (0.2, 2.0)
+        f.lost_answers, f.late_requests, f.list_lag_s, f.boots = (
+            0.2,
+            0.2,
+            self.p.list_lag_s,
+            (0.2, 2.0),
+        )
         try:
             await anyio.sleep(self.seconds(15.0, 40.0))
         finally:
@@ -124,30 +132,55 @@
 
     async def hang(self) -> None:
         """Some machines hang, within their lease or beyond it."""
-        self.p.hang(self.rng.sample(sorted(self.p.workers), 4), self.seconds(0.5 * LEASE, 0.9 * LEASE, 2.0 * LEASE))
+        self.p.hang(
+            self.rng.sample(sorted(self.p.workers), 4),
+            self.seconds(0.5 * LEASE, 0.9 * LEASE, 2.0 * LEASE),
+        )
 
     async def cancel_and_hang(self) -> None:
         """Many jobs are called off within a fifth of a second, and some of their machines hang at once."""
-        on = {w.name: {k[0] for k in w.on_machine()} - self.p.withdrawing for w in self.p.workers.values()}
-        some = self.rng.sample(sorted(n for n, found in on.items() if found), min(4, sum(map(bool, on.values()))))
+        on = {
+            w.name: {k[0] for k in w.on_machine()} - self.p.withdrawing
+            for w in self.p.workers.values()
+        }
+        some = self.rng.sample(
+            sorted(n for n, found in on.items() if found), min(4, sum(map(bool, on.values())))
+        )
         for jid in sorted({j for n in some for j in on[n]}):
             self.p.tasks.start_soon(self.p.withdraw, jid)
         await anyio.sleep(0.2 * self.rng.random())
-        self.p.hang([n for n in some if n in self.p.workers], self.seconds(0.5 * LEASE, 0.9 * LEASE, 2.0 * LEASE))
+        self.p.hang(
+            [n for n in some if n in self.p.workers],
+            self.seconds(0.5 * LEASE, 0.9 * LEASE, 2.0 * LEASE),
+        )
 
     async def cancel_at_end(self) -> None:
         """Jobs are called off in the 20 ms around the end of their last task."""
         until, seen = self.p.now + self.seconds(15.0, 40.0), set[str]()
         while self.p.now < until:
             await anyio.sleep(0.02)
-            ends = [k for w in self.p.workers.values() for k, t in w.tasks.items()
-                    if t["state"] == "running" and 0.0 <= t["until"] - self.p.now < 0.05]  # fmt: skip
+            ends = [
+                k
+                for w in self.p.workers.values()
+                for k, t in w.tasks.items()
+                if t["state"] == "running" and 0.0 <= t["until"] - self.p.now < 0.05
+            ]
             for jid, task, _ in ends:
-                others = all((jid, i) in self.p.fleet.results for i in range(self.p.specs[jid].n) if i != task)
-                if jid not in seen and (others or self.p.specs[jid].kind == "gang") and jid in self.p.asked:
+                others = all(
+                    (jid, i) in self.p.fleet.results
+                    for i in range(self.p.specs[jid].n)
+                    if i != task
+                )
+                if (
+                    jid not in seen
+                    and (others or self.p.specs[jid].kind == "gang")
+                    and jid in self.p.asked
+                ):
                     seen.add(jid)
                     if self.rng.random() < 0.6:
-                        self.p.tasks.start_soon(self.later, 0.07 * self.rng.random(), self.p.withdraw, jid)
+                        self.p.tasks.start_soon(
+                            self.later, 0.07 * self.rng.random(), self.p.withdraw, jid
+                        )
 
     async def later(self, s: float, call: Callable[[str], Awaitable[None]], jid: str) -> None:
         """A user does something in so many seconds, trouble or not."""
@@ -185,7 +218,9 @@
         names, again = self.some(self.rng.choice([1, 1, 2, 3])), self.rng.random() < 0.3
         for _ in range(2 if again else 1):
             for name in names:
-                self.p.tasks.start_soon(self.p.crash, name, self.rng.choice([0.1, 0.3, 1.0, 3.0, 6.0]))
+                self.p.tasks.start_soon(
+                    self.p.crash, name, self.rng.choice([0.1, 0.3, 1.0, 3.0, 6.0])
+                )
             await anyio.sleep(self.seconds(1.0, 7.0))
 
     async def end(self, name: str, s: float) -> None:
@@ -208,7 +243,11 @@
 
     async def alone(self) -> None:
         """Cut from the state service and from the other controllers; its workers and users reach it."""
-        name, s, mode = self.leader(), self.seconds(6.0, 14.0, 40.0, 80.0), self.rng.choice([HOLD, RESET, SILENT])
+        name, s, mode = (
+            self.leader(),
+            self.seconds(6.0, 14.0, 40.0, 80.0),
+            self.rng.choice([HOLD, RESET, SILENT]),
+        )
         for other in ("state", *self.p.names):
             if other != name:
                 self.p.net.cut(name, other, mode, s)
@@ -222,7 +261,12 @@
             await self.end(self.p.names[self.p.zones.index("b")], self.rng.choice([0.3, 3.0]))
 
     async def no_workers(self) -> None:
-        self.p.cut_workers(self.leader(), self.rng.choice([HOLD, RESET, SILENT, DEAF]), self.seconds(8.0, 25.0), self.rng.random() < 0.7)
+        self.p.cut_workers(
+            self.leader(),
+            self.rng.choice([HOLD, RESET, SILENT, DEAF]),
+            self.seconds(8.0, 25.0),
+            self.rng.random() < 0.7,
+        )
 
     async def peers(self) -> None:
         """Links between controllers are refused."""
@@ -243,7 +287,9 @@
         p.tasks.start_soon(self.cancels, rng.uniform(0.0, 3.0))
         at = p.now
         wait = rng.choice([1.5, 3.0, 6.0, 12.0])
-        early = rng.random() < 0.5  # at the moment at which its key has gone, before anybody takes its part
+        early = (
+            rng.random() < 0.5
+        )  # at the moment at which its key has gone, before anybody takes its part
         while p.now - at < wait or (early and p.now - at < 8.0):
             if early and f"p/node/{name}" not in p.state.store.kv:
                 break
@@ -258,16 +304,29 @@
     async def held_command(self) -> None:
         """Only commands, or only their answers, are held up."""
         until, answers = self.p.now + self.seconds(3.0, 8.0, 20.0), self.rng.random() < 0.5
-        self.p.fleet.held_do.update(dict.fromkeys(self.rng.sample(sorted(self.p.workers), 4), (until, answers)))
+        self.p.fleet.held_do.update(
+            dict.fromkeys(self.rng.sample(sorted(self.p.workers), 4), (until, answers))
+        )
 
     async def new_machines(self) -> None:
         """Machines are up at once; lists lag, rentals are not answered, or late; more is rented."""
         f = self.p.fleet
-        f.boots, f.list_lag_s, f.lost_answers, f.late_requests = (0.2, 2.0), self.p.list_lag_s, 0.15, 0.15
+        f.boots, f.list_lag_s, f.lost_answers, f.late_requests = (
+            (0.2, 2.0),
+            self.p.list_lag_s,
+            0.15,
+            0.15,
+        )
         try:
             for n in range(6):
-                first = 800 + 10 * sum(1 for j in self.p.asked if j < "j-000900" and j >= "j-000800") + n
-                self.p.tasks.start_soon(self.p.submit, self.p.spec(first, gait="array", chicks=6, flightS=10.0))
+                first = (
+                    800
+                    + 10 * sum(1 for j in self.p.asked if j < "j-000900" and j >= "j-000800")
+                    + n
+                )
+                self.p.tasks.start_soon(
+                    self.p.submit, self.p.spec(first, gait="array", chicks=6, flightS=10.0)
+                )
                 await anyio.sleep(1.0)
             await anyio.sleep(self.seconds(8.0, 20.0))
         finally:
@@ -276,14 +335,41 @@
     async def cancels(self, after: float = 0.0) -> None:
         """Users cancel some of what runs."""
         await anyio.sleep(after)
-        running = sorted({k[0] for w in self.p.workers.values() for k in w.on_machine()} - self.p.withdrawing)
+        running = sorted(
+            {k[0] for w in self.p.workers.values() for k in w.on_machine()} - self.p.withdrawing
+        )
         for jid in self.rng.sample(running, min(3, len(running))):
             self.p.tasks.start_soon(self.p.withdraw, jid)
 
 
-KINDS = ("refuse", "outage", "slow", "late_writes", "late_reports", "deaf", "held_up", "crash", "roll", "pause", "alone", "no_workers",
-         "peers", "gap", "zone", "for_next", "lost_answers", "cloud", "mute", "hang", "cancel_and_hang", "cancel_at_end", "close_looks",
-         "odd_requests", "held_command", "new_machines")  # fmt: skip
+KINDS = (
+    "refuse",
+    "outage",
+    "slow",
+    "late_writes",
+    "late_reports",
+    "deaf",
+    "held_up",
+    "crash",
+    "roll",
+    "pause",
+    "alone",
+    "no_workers",
+    "peers",
+    "gap",
+    "zone",
+    "for_next",
+    "lost_answers",
+    "cloud",
+    "mute",
+    "hang",
+    "cancel_and_hang",
+    "cancel_at_end",
+    "close_looks",
+    "odd_requests",
+    "held_command",
+    "new_machines",
+)
 MACHINES = ("mute", "hang", "cancel_and_hang", "held_command", "for_next", "new_machines")
 Day = tuple[list[Trouble], float]  # the troubles by their times, and when all of them are ended
 
@@ -323,11 +409,16 @@
     async def scene(p: Played) -> None:
         for i in range(3):
             p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
-        long = {"flightS": 400.0, "pullGb": 0.1}  # arrays and gangs that run on through a change of leader
+        long = {
+            "flightS": 400.0,
+            "pullGb": 0.1,
+        }  # arrays and gangs that run on through a change of leader
         for i in range(8):
             p.tasks.start_soon(p.submit, p.spec(910 + i, gait="array", chicks=2, **long))
         p.tasks.start_soon(p.submit, p.spec(920, gait="group", **long))
-        p.tasks.start_soon(p.flow, 190.0, 1.3)  # users give up after 60 s: some must come when it is over
+        p.tasks.start_soon(
+            p.flow, 190.0, 1.3
+        )  # users give up after 60 s: some must come when it is over
         await anyio.sleep(12.0)
         await begin(p, played_day)
         for jid, spec in p.specs.items():
@@ -361,8 +452,19 @@
 
 def rule(what: str) -> str:
     """Which rule a verdict speaks of."""
-    names = ("ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented", "not_done", "went_back", "left waiting",
-             "can't run", "served")  # fmt: skip
+    names = (
+        "ran_twice",
+        "quota",
+        "wrong_place",
+        "ran_cancelled",
+        "forgotten",
+        "invented",
+        "not_done",
+        "went_back",
+        "left waiting",
+        "can't run",
+        "served",
+    )
     return next((n for n in names if n in what), what[:40])
 
 
@@ -374,8 +476,17 @@
     troubles, until = day
     size = max(1, len(troubles) // 2)
     while True:
-        tries: list[Day] = [(troubles[:i] + troubles[i + size :], until) for i in range(0, len(troubles), size)]
-        found = next((d for d, what in zip(tries, broken(tries), strict=True) if what and rule(what) == wanted), None)
+        tries: list[Day] = [
+            (troubles[:i] + troubles[i + size :], until) for i in range(0, len(troubles), size)
+        ]
+        found = next(
+            (
+                d
+                for d, what in zip(tries, broken(tries), strict=True)
+                if what and rule(what) == wanted
+            ),
+            None,
+        )
         if found is not None and found[0] != troubles:
             troubles = found[0]
             size = min(size, max(1, len(troubles) // 2))
@@ -385,14 +496,19 @@
             size //= 2
 
 
-def combined(kinds: Sequence[str], of: int, first: int) -> list[tuple[int, Sequence[str], Day | None]]:
+def combined(
+    kinds: Sequence[str], of: int, first: int
+) -> list[tuple[int, Sequence[str], Day | None]]:
     """Every combination of so many kinds once, on a day of one meeting each."""
     out: list[tuple[int, Sequence[str], Day | None]] = []
     for i, some in enumerate(itertools.combinations(kinds, of)):
         seed = first + i
         rng, at, day = Random(f"combined {seed}"), 0.0, list[Trouble]()
         for kind in rng.sample(some, of):
-            day += [Trouble(at, kind, f"{seed} {kind}"), Trouble(at + rng.uniform(0.5, 6.0), "cancels", f"{seed} {kind} cancels")]
+            day += [
+                Trouble(at, kind, f"{seed} {kind}"),
+                Trouble(at + rng.uniform(0.5, 6.0), "cancels", f"{seed} {kind} cancels"),
+            ]
             at += rng.choice([0.0, 0.3, 2.0, 6.0])
         out.append((seed, some, (sorted(day, key=lambda t: t.at), at + CANCEL + 35.0)))
     return out
@@ -400,12 +516,28 @@
 
 def main() -> int:
     """Play many and name those that broke something, or shrink one."""
-    p = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    p = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     p.add_argument("--seeds", type=int, default=100)
     p.add_argument("--first", type=int, default=1000)
-    p.add_argument("--of", type=int, choices=(2, 3), help="every pair or triple of kinds, instead of drawn days")
-    p.add_argument("--shrink", type=int, help="the fewest troubles of this seed's day that still break its rule")
-    p.add_argument("--only", action="append", choices=KINDS, help="draw from these troubles; may be given several times")
+    p.add_argument(
+        "--of",
+        type=int,
+        choices=(2, 3),
+        help="every pair or triple of kinds, instead of drawn days",
+    )
+    p.add_argument(
+        "--shrink",
+        type=int,
+        help="the fewest troubles of this seed's day that still break its rule",
+    )
+    p.add_argument(
+        "--only",
+        action="append",
+        choices=KINDS,
+        help="draw from these troubles; may be given several times",
+    )
     p.add_argument("--jobs", type=int, default=7)
     args = p.parse_args()
     kinds = tuple(args.only or KINDS)
@@ -417,14 +549,20 @@
             if what:
 
                 def broken(days: list[Day]) -> list[str]:
-                    return [w for _, w in pool.map(verdict, [(args.shrink, kinds, d) for d in days])]
+                    return [
+                        w for _, w in pool.map(verdict, [(args.shrink, kinds, d) for d in days])
+                    ]
 
                 for t in shrink(day, broken, rule(what))[0]:
                     print(f"  {t.at:6.1f} s  {t.kind:<14} (draws: {t.seed!r})")
             return 1 if what else 0
         tasks = [(s, kinds, None) for s in range(args.first, args.first + args.seeds)]
         tasks = combined(kinds, args.of, args.first) if args.of else tasks  # type: ignore[assignment]
-        lines = [(s, some, what) for (s, some, _), (_, what) in zip(tasks, pool.map(verdict, tasks), strict=True) if what]
+        lines = [
+            (s, some, what)
+            for (s, some, _), (_, what) in zip(tasks, pool.map(verdict, tasks), strict=True)
+            if what
+        ]
     for s, some, what in lines:
         print(f"seed {s}{' ' + ' '.join(some) if args.of else ''}: {what}")
     print(f"{len(tasks)} days, {len(lines)} broken")
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -39,11 +39,16 @@
 RECORDED = Path(__file__).with_name("packet_checksums.json")
 INTERVAL_S = 10.0  # of virtual time between two kept values of the running checksum
 FRAME_HEADER_BYTES = 4
-VIEW_MESSAGES = ("v", "a")  # what a controller sees, for `/status`: sent now and then, and as an answer
+VIEW_MESSAGES = (
+    "v",
+    "a",
+)  # what a controller sees, for `/status`: sent now and then, and as an answer
 OWNER_BOARD = "o"
 REASON_FIELD = StartNews._fields.index("why")
 STATE_FIELD = StartNews._fields.index("state")
-GONE = "gone"  # the state whose reason is a sentence; the other states' reasons are the agents' codes
+GONE = (
+    "gone"  # the state whose reason is a sentence; the other states' reasons are the agents' codes
+)
 
 Scene = Callable[[Played, Random], Awaitable[None]]
 
@@ -110,7 +115,10 @@
         super().carry(stream, data)
 
     def checked_content(self, stream: Stream, data: bytes | None) -> bytes:
-        between_controllers = (stream.here, 81) in self.listeners and (stream.there, 81) in self.listeners
+        between_controllers = (stream.here, 81) in self.listeners and (
+            stream.there,
+            81,
+        ) in self.listeners
         return without_texts(data) if data and between_controllers else data or b""
 
     def digest(self) -> str:
@@ -168,7 +176,9 @@
     await anyio.sleep(1.0)
     await Begun(p, rng).cancel_and_hang()
     p.tasks.start_soon(p.crash, rng.choice(p.names), 1.0)
-    for jid in rng.sample(sorted(j for j, asked in p.asked.items() if asked.accepted is not None), 10):
+    for jid in rng.sample(
+        sorted(j for j, asked in p.asked.items() if asked.accepted is not None), 10
+    ):
         p.tasks.start_soon(p.withdraw, jid)
     await anyio.sleep(25.0)
 
@@ -176,9 +186,16 @@
 async def scaling(p: Played, rng: Random) -> None:
     """Demand beyond the fleet rents machines, with a lagging cloud; what is idle is given back."""
     fleet = p.fleet
-    fleet.boots, fleet.list_lag_s, fleet.lost_answers, fleet.late_requests = (0.2, 4.0), p.list_lag_s, 0.1, 0.1
+    fleet.boots, fleet.list_lag_s, fleet.lost_answers, fleet.late_requests = (
+        (0.2, 4.0),
+        p.list_lag_s,
+        0.1,
+        0.1,
+    )
     for i in range(10):
-        p.tasks.start_soon(p.submit, p.spec(800 + i, gait="array", chicks=8, flightS=rng.choice([8.0, 20.0])))
+        p.tasks.start_soon(
+            p.submit, p.spec(800 + i, gait="array", chicks=8, flightS=rng.choice([8.0, 20.0]))
+        )
     await work(p, 20.0)
     p.tasks.start_soon(p.crash, rng.choice(p.names), 2.0)
     await anyio.sleep(100.0)
@@ -188,7 +205,10 @@
     """Machines are emptied within budgets; an order is paused, resumed and another one stopped, beside a crash."""
     await work(p, 40.0)
     machines = rng.sample(sorted(p.workers), 4)
-    orders = [{"id": "u-1", "machines": machines, "at_once": 2}, {"id": "u-2", "zone": "b", "at_once": 1}]
+    orders = [
+        {"id": "u-1", "machines": machines, "at_once": 2},
+        {"id": "u-2", "zone": "b", "at_once": 1},
+    ]
     for order in orders:
         await request(p, rng, "/upkeep", order)
     for verb in ("u-1/pause", "u-1/resume", "u-2/stop"):
@@ -276,7 +296,10 @@
     if recorded == now:
         return ""
     pairs = zip(recorded.checksums, now.checksums, strict=False)
-    same = next((i for i, (a, b) in enumerate(pairs) if a != b), min(len(recorded.checksums), len(now.checksums)))
+    same = next(
+        (i for i, (a, b) in enumerate(pairs) if a != b),
+        min(len(recorded.checksums), len(now.checksums)),
+    )
     start = same * INTERVAL_S
     return f"differs from {start:g} to {start + INTERVAL_S:g} s; {recorded.packets} packets recorded, {now.packets} now"
 
@@ -284,12 +307,17 @@
 def run_all(jobs: int) -> dict[str, Course]:
     """All runs, several at once."""
     with ProcessPoolExecutor(jobs) as pool:
-        return {scene_run.name: kept for scene_run, kept in zip(RUNS, pool.map(course, RUNS), strict=True)}
+        return {
+            scene_run.name: kept
+            for scene_run, kept in zip(RUNS, pool.map(course, RUNS), strict=True)
+        }
 
 
 def main() -> int:
     """Record or compare; 1 if something differs."""
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     action = parser.add_mutually_exclusive_group(required=True)
     action.add_argument("--record", type=Path, metavar="FILE")
     action.add_argument("--compare", type=Path, metavar="FILE")
--- a/tests/played.py
+++ b/tests/played.py
@@ -35,7 +35,9 @@
 
 SILENT, HOLD, RESET, REFUSE, SLOW, LOSSY = "silent", "hold", "reset", "refuse", "slow", "lossy"
 DEAF = "deaf"  # like silent, but the other side can still connect and be heard
-MUTE = "mute"  # no connection can be opened that way; those that the other side opens carry both ways
+MUTE = (
+    "mute"  # no connection can be opened that way; those that the other side opens carry both ways
+)
 MODES = (SILENT, HOLD, RESET, REFUSE, SLOW, LOSSY)
 FINISHED_S = 30.0  # a job asked for so long ago should be served
 START = 1000.0  # the clock's first value: nothing may take 0 for "never"
@@ -115,7 +117,9 @@
         self.net, self.here, self.there = net, here, there
         self.buf, self.news = bytearray(), anyio.Event()
         self.ended = self.broken = self.closed = False
-        self.after = 0.0  # when the last of what was sent arrives: what follows does not overtake it
+        self.after = (
+            0.0  # when the last of what was sent arrives: what follows does not overtake it
+        )
         self.opened = False  # this side opened it
         self.other: Stream
 
@@ -173,7 +177,9 @@
     rng: Random
     clock: Callable[[], float]
     cuts: dict[tuple[str, str], Cut] = field(default_factory=dict)
-    listeners: dict[tuple[str, int], Callable[[Stream], Awaitable[None]]] = field(default_factory=dict)
+    listeners: dict[tuple[str, int], Callable[[Stream], Awaitable[None]]] = field(
+        default_factory=dict
+    )
     groups: dict[tuple[str, int], anyio.abc.TaskGroup] = field(default_factory=dict)
     streams: list[Stream] = field(default_factory=list)
     trace: list[str] | None = None  # every packet, where somebody wants to compare
@@ -222,7 +228,9 @@
             return
         stream.after = max(stream.after + 1e-6, self.arrival(stream.here, stream.there))
         arrival = f"{stream.here}>{stream.there} {stream.after!r}".encode()
-        self.checksum = zlib.crc32(self.checked_content(stream, data), zlib.crc32(arrival, self.checksum))
+        self.checksum = zlib.crc32(
+            self.checked_content(stream, data), zlib.crc32(arrival, self.checksum)
+        )
         if self.trace is not None:
             self.trace.append(f"{self.clock():.6f} {stream.here}>{stream.there} {data!r}")
         silent = cut is not None and cut.mode in (SILENT, DEAF)
@@ -294,8 +302,14 @@
     zones = ("a", "b", "a")
     list_lag_s = 0.5  # of the cloud, as the settings say
 
-    def __init__(self, seed: int = 1, options: settings.Options | None = None, machines: int = 12, teams: int = 4,
-                 asks: bool = True) -> None:
+    def __init__(
+        self,
+        seed: int = 1,
+        options: settings.Options | None = None,
+        machines: int = 12,
+        teams: int = 4,
+        asks: bool = True,
+    ) -> None:
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.seed = seed
         self.rng = Random(seed)
@@ -303,7 +317,16 @@
         self.names = [f"c{i}" for i in range(len(self.zones))]
         self.state = State(self.loop.time)
         self.refused: set[str] = set()  # whom the state service refuses
-        self.fleet = Fleet({n: (n, 80) for n in self.names}, 9000, self.loop.time, self.net.of, None, 1.0, ("a", "b"), self.rng)
+        self.fleet = Fleet(
+            {n: (n, 80) for n in self.names},
+            9000,
+            self.loop.time,
+            self.net.of,
+            None,
+            1.0,
+            ("a", "b"),
+            self.rng,
+        )
         self.machines, self.asks = machines, asks
         self.options = options
         self.nodes: dict[str, Node] = {}
@@ -313,7 +336,9 @@
         self.teams = {f"team-{i}": settings.Team(f"team-{i}", 0, 0, 4, 16) for i in range(teams)}
         self.asked: dict[str, Asked] = {}
         self.bodies: dict[str, dict[str, Any]] = {}  # what was submitted
-        self.closely: Random | None = None  # while users look closely: what their moments are drawn from
+        self.closely: Random | None = (
+            None  # while users look closely: what their moments are drawn from
+        )
         self.cancelled: dict[str, float] = {}
         self.withdrawing: set[str] = set()  # whose users have asked to cancel them
         self.told: dict[str, str] = {}  # final states that users have been told
@@ -321,7 +346,9 @@
         self.broken: list[str] = []
         self.settled_at = 0.0
         self.copies = 0  # reports that came a second time
-        self.late_writes = 0.0  # the share of transactions that get no answer and are carried out 2 to 12 s later
+        self.late_writes = (
+            0.0  # the share of transactions that get no answer and are carried out 2 to 12 s later
+        )
         self.late = Random(seed + 9)
         self.lost_answers = 0.0  # the share of transactions that are carried out at once, and only their answer is lost
         self.lost = Random(seed + 11)
@@ -332,37 +359,75 @@
 
     def settings(self, me: str) -> settings.Settings:
         listen = {n: f"{n}:81" for n in self.names}
-        return settings.parse({
-            "host_name": me, "site": self.zones[self.names.index(me)], "bind": f"{me}:80", "peer_listen": listen[me],
-            "siblings": [{"host_name": n, "site": z, "addr": listen[n]} for n, z in zip(self.names, self.zones, strict=True) if n != me],
-            "external": {"cloud": "cloud:1", "state": f"state:{1 + self.names.index(me)}"},
-            "deployment": {
-                "zones": ["a", "b"],
-                "teams": [{"name": t.name, "cpus": 0, "cpus_max": 0, "gpus": t.gpus, "gpus_max": t.gpus_max} for t in self.teams.values()],
-                "workers": {"report_s": 1.0, "lease_s": world.LEASE, "gang_wait_s": world.GANG_WAIT, "gang_peer_s": world.GANG_PEER,
-                            "cancel_s": world.CANCEL},
-                "state": {"rps": 300.0, "write_rps": 150.0, "value_kb": 4.0, "txn_ops": 8},
-                "cloud": {"rps": 20.0, "list_lag_s": self.list_lag_s},
-                "limits": {"core_share": 1.0, "mem_mb": 200.0, "max_sockets": 500},
+        return settings.parse(
+            {
+                "host_name": me,
+                "site": self.zones[self.names.index(me)],
+                "bind": f"{me}:80",
+                "peer_listen": listen[me],
+                "siblings": [
+                    {"host_name": n, "site": z, "addr": listen[n]}
+                    for n, z in zip(self.names, self.zones, strict=True)
+                    if n != me
+                ],
+                "external": {"cloud": "cloud:1", "state": f"state:{1 + self.names.index(me)}"},
+                "deployment": {
+                    "zones": ["a", "b"],
+                    "teams": [
+                        {
+                            "name": t.name,
+                            "cpus": 0,
+                            "cpus_max": 0,
+                            "gpus": t.gpus,
+                            "gpus_max": t.gpus_max,
+                        }
+                        for t in self.teams.values()
+                    ],
+                    "workers": {
+                        "report_s": 1.0,
+                        "lease_s": world.LEASE,
+                        "gang_wait_s": world.GANG_WAIT,
+                        "gang_peer_s": world.GANG_PEER,
+                        "cancel_s": world.CANCEL,
+                    },
+                    "state": {"rps": 300.0, "write_rps": 150.0, "value_kb": 4.0, "txn_ops": 8},
+                    "cloud": {"rps": 20.0, "list_lag_s": self.list_lag_s},
+                    "limits": {"core_share": 1.0, "mem_mb": 200.0, "max_sockets": 500},
+                },
             },
-        }, self.options)  # fmt: skip
+            self.options,
+        )
 
     async def start(self, tg: anyio.abc.TaskGroup) -> None:
         """Everything up, and every part served."""
         self.fleet.tasks = self.tasks = tg
         for i, name in enumerate(self.names):
-            tg.start_soon(Server(self._state_for(name), 200, net=self.net.of("state"), clock=self.loop.time).run, "state", 1 + i)
-        tg.start_soon(Server(self.fleet.handle, 100, net=self.net.of("cloud"), clock=self.loop.time).run, "cloud", 1)
+            tg.start_soon(
+                Server(
+                    self._state_for(name), 200, net=self.net.of("state"), clock=self.loop.time
+                ).run,
+                "state",
+                1 + i,
+            )
+        tg.start_soon(
+            Server(self.fleet.handle, 100, net=self.net.of("cloud"), clock=self.loop.time).run,
+            "cloud",
+            1,
+        )
         for name in self.names:
             self.boot(name)
         await anyio.sleep(0.1)
         self.fleet.pleas["at the start"] = [
-            self.fleet.boot({"marsh": "ab"[i % 2], "driftwood": False}) for i in range(self.machines)
-        ]  # fmt: skip
+            self.fleet.boot({"marsh": "ab"[i % 2], "driftwood": False})
+            for i in range(self.machines)
+        ]
         tg.start_soon(self._judge)
         if self.asks:
             tg.start_soon(self._asks)
-        while sum(len(h.owner.machines) for n in self.nodes.values() for h in n.shared.held.values()) < self.machines:
+        while (
+            sum(len(h.owner.machines) for n in self.nodes.values() for h in n.shared.held.values())
+            < self.machines
+        ):
             await anyio.sleep(0.1)
         await anyio.sleep(1.0)
         self.settled_at = self.now
@@ -374,7 +439,11 @@
             if q.path == "/multi" and not self.state.down and self.late.random() < self.late_writes:
                 self.tasks.start_soon(self._write_late, q)
                 await anyio.sleep(20.0)  # no answer: whoever asked has given up by then
-            if q.path == "/multi" and not self.state.down and self.lost.random() < self.lost_answers:
+            if (
+                q.path == "/multi"
+                and not self.state.down
+                and self.lost.random() < self.lost_answers
+            ):
                 await self.state.handle(q)
                 await anyio.sleep(20.0)
             return await self.state.handle(q)
@@ -410,7 +479,12 @@
         self.tasks.start_soon(self._live, name)
 
     async def _live(self, name: str) -> None:
-        seams = Seams(self.loop.time, lambda: 1.7e9 + self.loop.time(), Random(self.rng.random()), self.net.of(name))
+        seams = Seams(
+            self.loop.time,
+            lambda: 1.7e9 + self.loop.time(),
+            Random(self.rng.random()),
+            self.net.of(name),
+        )
         node = self.nodes[name] = Node(self.settings(name), seams)
         with anyio.CancelScope() as self.scopes[name]:
             await node.run()
@@ -428,7 +502,11 @@
     def workers_of(self, name: str) -> list[str]:
         """The machines of a controller's own part."""
         layout = next(iter(self.nodes.values())).shared.layout
-        return [w.name for w in self.fleet.workers.values() if layout.part(w.zone, w.name) == layout.index[name]]
+        return [
+            w.name
+            for w in self.fleet.workers.values()
+            if layout.part(w.zone, w.name) == layout.index[name]
+        ]
 
     def cut_workers(self, name: str, mode: str, s: float, both: bool = True) -> None:
         """A controller loses all workers."""
@@ -441,20 +519,31 @@
             for c in self.names:
                 self.net.cut(c, w, DEAF, s, both=False)
 
-    def copy_reports(self, rng: Random, share: float, least: float, most: float, machines: Iterable[str] | None = None) -> None:
+    def copy_reports(
+        self,
+        rng: Random,
+        share: float,
+        least: float,
+        most: float,
+        machines: Iterable[str] | None = None,
+    ) -> None:
         """From now on some reports come a second time, so much later, to the controller they were sent to or to another."""
         some = None if machines is None else set(machines)
 
         async def again(machine: str, name: str, body: dict[str, Any], after: float) -> None:
             await anyio.sleep(after)
             with contextlib.suppress(Unreachable):
-                await Client(name, 80, 1, self.net.of(f"copy of {machine}"), self.loop.time).call("POST", "/v1/report", body, 2.0)
+                await Client(name, 80, 1, self.net.of(f"copy of {machine}"), self.loop.time).call(
+                    "POST", "/v1/report", body, 2.0
+                )
                 self.copies += 1
 
         def sent(w: world.Worker, home: str, body: dict[str, Any]) -> None:
             if rng.random() < share and (some is None or w.name in some):
                 to = home if rng.random() < 0.6 else rng.choice(self.names)
-                self.tasks.start_soon(again, w.name, to, body, least + (most - least) * rng.random())
+                self.tasks.start_soon(
+                    again, w.name, to, body, least + (most - least) * rng.random()
+                )
 
         self.fleet.sent = sent
 
@@ -468,7 +557,9 @@
 
     def claims(self) -> int:
         """How often a shard was claimed since everything was up."""
-        return sum(1 for e in self.state.store.log if e.key.startswith(SHARD) and e.value is not None) - len(self.names)
+        return sum(
+            1 for e in self.state.store.log if e.key.startswith(SHARD) and e.value is not None
+        ) - len(self.names)
 
     # -- the machines' side --------------------------------------------------------------------
 
@@ -481,9 +572,13 @@
     def hang(self, machines: Iterable[str], s: float) -> None:
         """These machines execute and answer nothing for so long; then they go on with what has come meanwhile."""
         for name in machines:
-            self.fleet.workers[name].hung_until = max(self.fleet.workers[name].hung_until, self.now + s)
+            self.fleet.workers[name].hung_until = max(
+                self.fleet.workers[name].hung_until, self.now + s
+            )
 
-    def keep_for_next(self, share: float = 1.0, each: int = 3, machines: Iterable[str] | None = None) -> None:
+    def keep_for_next(
+        self, share: float = 1.0, each: int = 3, machines: Iterable[str] | None = None
+    ) -> None:
         """Old reports (the first `each` of a machine and its newest) reach every controller in the moment in which a shard is claimed.
 
         They bear older sessions, lists and tokens than what the machine says by then; no report of its own need ever follow.
@@ -498,7 +593,9 @@
 
         async def come(body: dict[str, Any], name: str) -> None:
             with contextlib.suppress(Unreachable):
-                await Client(name, 80, 1, self.net.of(f"copy of {body['perch']}"), self.loop.time).call("POST", "/v1/report", body, 2.0)
+                await Client(
+                    name, 80, 1, self.net.of(f"copy of {body['perch']}"), self.loop.time
+                ).call("POST", "/v1/report", body, 2.0)
                 self.copies += 1
 
         async def watch() -> None:
@@ -507,7 +604,14 @@
                 await anyio.sleep(0.01)
                 new, seen = self.state.store.log[seen:], len(self.state.store.log)
                 if any(e.key.startswith(SHARD) and e.value is not None for e in new):
-                    for after in (0.0, 0.02, 0.1, 0.3, 1.0, 3.0):  # in the moment in which it begins, and when it has acted
+                    for after in (
+                        0.0,
+                        0.02,
+                        0.1,
+                        0.3,
+                        1.0,
+                        3.0,
+                    ):  # in the moment in which it begins, and when it has acted
                         await anyio.sleep(after)
                         for bodies in kept.values():
                             for body in bodies:
@@ -519,7 +623,11 @@
 
     def starts_after_told(self) -> list[tuple[str, float]]:
         """Starts of a job after its user was told that it is cancelled, and how long after; those later than CANCEL break a rule."""
-        return [(k[0], at - self.cancelled[k[0]]) for at, k, _ in self.fleet.starts_of if at > self.cancelled.get(k[0], 1e18)]
+        return [
+            (k[0], at - self.cancelled[k[0]])
+            for at, k, _ in self.fleet.starts_of
+            if at > self.cancelled.get(k[0], 1e18)
+        ]
 
     def waits_with_room(self) -> set[str]:
         """Jobs that wait though machines that fit have room for them and their team is under its limit, by what is on the machines."""
@@ -529,14 +637,25 @@
         for w in self.fleet.workers.values():
             for k, t in w.tasks.items():
                 if t["state"] != "ended":
-                    used[self.specs[k[0]].team] = used.get(self.specs[k[0]].team, 0.0) + self.specs[k[0]].gpus
+                    used[self.specs[k[0]].team] = (
+                        used.get(self.specs[k[0]].team, 0.0) + self.specs[k[0]].gpus
+                    )
                     there.setdefault(k[0], set()).add(k[1])
                     zones.setdefault(k[0], set()).add(w.zone)
         out = set()
         for jid, asked in self.asked.items():
             job = self.specs[jid]
-            left = [i for i in range(job.n) if (jid, i) not in self.fleet.results and i not in there.get(jid, ())]
-            if asked.accepted is None or jid in self.withdrawing or not left or (job.kind == "gang" and jid in there):
+            left = [
+                i
+                for i in range(job.n)
+                if (jid, i) not in self.fleet.results and i not in there.get(jid, ())
+            ]
+            if (
+                asked.accepted is None
+                or jid in self.withdrawing
+                or not left
+                or (job.kind == "gang" and jid in there)
+            ):
                 continue
             need = job.n if job.kind == "gang" else 1
             limit = self.teams[job.team].gpus_max
@@ -544,10 +663,16 @@
                 continue
             room: dict[str, int] = {}
             for w in self.fleet.workers.values():
-                fits = self.now >= w.hung_until and (job.spot or not w.spot) and job.zone in (None, w.zone)
+                fits = (
+                    self.now >= w.hung_until
+                    and (job.spot or not w.spot)
+                    and job.zone in (None, w.zone)
+                )
                 if fits and (not job.one_zone or zones.get(jid, {w.zone}) == {w.zone}):
                     key = w.zone if job.one_zone else "any"
-                    room[key] = room.get(key, 0) + int((world.TYPE.gpus - w.used()) / job.gpus + 1e-6)
+                    room[key] = room.get(key, 0) + int(
+                        (world.TYPE.gpus - w.used()) / job.gpus + 1e-6
+                    )
             if max(room.values(), default=0) >= need:
                 out.add(jid)
         return out
@@ -584,7 +709,9 @@
         self.bodies[spec["id"]] = spec
         self.fleet.specs[spec["id"]] = jobs.parse(spec, 0.0)
         while asked.accepted is None and self.now - asked.at < 60.0:
-            if await self.call(to or self.rng.choice(self.names), "POST", "/api/jobs", spec["id"], spec) in (200, 201):
+            if await self.call(
+                to or self.rng.choice(self.names), "POST", "/api/jobs", spec["id"], spec
+            ) in (200, 201):
                 return
             asked.refusals += 1
             await anyio.sleep(1.0)
@@ -592,7 +719,12 @@
     async def withdraw(self, jid: str, to: str | None = None) -> None:
         """A user cancels until told so."""
         self.withdrawing.add(jid)
-        while await self.call(to or self.rng.choice(self.names), "POST", f"/api/jobs/{jid}/withdraw", jid, {}) != 200:
+        while (
+            await self.call(
+                to or self.rng.choice(self.names), "POST", f"/api/jobs/{jid}/withdraw", jid, {}
+            )
+            != 200
+        ):
             await anyio.sleep(1.0)
 
     async def ask(self, jid: str, name: str) -> bool:
@@ -603,7 +735,9 @@
         """A user repeats a submission that may have been accepted."""
         return await self.call(name, "POST", "/api/jobs", jid, self.bodies[jid]) == 200
 
-    async def call(self, name: str, method: str, path: str, jid: str, body: object, s: float = 5.0) -> int:
+    async def call(
+        self, name: str, method: str, path: str, jid: str, body: object, s: float = 5.0
+    ) -> int:
         """One request about a job, whatever it is: its status, or 0. The one place that judges what users are told.
 
         What was told before the request left must not be older in its answer; the first answer that says that the job is
@@ -622,7 +756,10 @@
         if status not in (200, 201):
             return status
         stance = answer.get("stance") if isinstance(answer, dict) else None
-        if stance not in (jobs.QUEUED, jobs.RUNNING, jobs.DONE, jobs.WITHDRAWN) or answer["id"] != jid:  # type: ignore[index, call-overload]
+        if (
+            stance not in (jobs.QUEUED, jobs.RUNNING, jobs.DONE, jobs.WITHDRAWN)
+            or answer["id"] != jid
+        ):  # type: ignore[index, call-overload]
             self.broken.append(f"no answer: {where}")
             return 0
         final, now = stance in (jobs.DONE, jobs.WITHDRAWN), self.told.get(jid)
@@ -632,7 +769,9 @@
             self.broken.append(f"went_back: was {now}, {where}")
         if stance == jobs.WITHDRAWN and jid not in self.withdrawing:
             self.broken.append(f"went_back: nobody cancelled {where}")
-        if stance == jobs.DONE and any((jid, i) not in self.fleet.results for i in range(self.specs[jid].n)):
+        if stance == jobs.DONE and any(
+            (jid, i) not in self.fleet.results for i in range(self.specs[jid].n)
+        ):
             self.broken.append(f"not_done: {where}")
         if not accepted and self.asked[jid].accepted is None:
             self.asked[jid].accepted = self.now
@@ -665,7 +804,9 @@
         while self.now < until and self.closely is not None:
             await anyio.sleep(0.01)
             ends = {j for j, _ in self.fleet.results} - seen
-            for jid in sorted(j for j in ends if all((j, i) in self.fleet.results for i in range(self.specs[j].n))):
+            for jid in sorted(
+                j for j in ends if all((j, i) in self.fleet.results for i in range(self.specs[j].n))
+            ):
                 seen.add(jid)
                 self.look_closely(jid)
         self.closely = None
@@ -675,7 +816,9 @@
             await anyio.sleep(1.0)
             accepted = [j for j, a in self.asked.items() if a.accepted is not None]
             if accepted:
-                self.tasks.start_soon(self.ask, self.asker.choice(accepted), self.asker.choice(self.names))
+                self.tasks.start_soon(
+                    self.ask, self.asker.choice(accepted), self.asker.choice(self.names)
+                )
 
     async def all_answered(self, within: float) -> list[str]:
         """Every accepted job is asked for at every controller until each has answered; what is missing after that time."""
@@ -698,15 +841,36 @@
         """One job, drawn."""
         gait = kw.pop("gait", None) or self.rng.choice(["array", "array", "group"])
         return {
-            "id": f"j-{n:06d}", "flock": gait, "keeper": f"team-{n % len(self.teams)}", "gait": gait, "rank": "normal",
-            "chicks": self.rng.choice([1, 2, 3]) if gait == "array" else 2, "cores": 1.0, "gpus": 1.0, "ramGb": 1.0, "plumage": "i",
-            "pullGb": 0.1, "breeds": None, "marsh": None, "together": False, "scatter": False, "driftwood": False,
-            "flightS": self.rng.choice([1.0, 3.0]), "nestS": 0.0, "tuckS": 0.0, "duskS": None, **kw,
-        }  # fmt: skip
+            "id": f"j-{n:06d}",
+            "flock": gait,
+            "keeper": f"team-{n % len(self.teams)}",
+            "gait": gait,
+            "rank": "normal",
+            "chicks": self.rng.choice([1, 2, 3]) if gait == "array" else 2,
+            "cores": 1.0,
+            "gpus": 1.0,
+            "ramGb": 1.0,
+            "plumage": "i",
+            "pullGb": 0.1,
+            "breeds": None,
+            "marsh": None,
+            "together": False,
+            "scatter": False,
+            "driftwood": False,
+            "flightS": self.rng.choice([1.0, 3.0]),
+            "nestS": 0.0,
+            "tuckS": 0.0,
+            "duskS": None,
+            **kw,
+        }
 
     def services(self) -> set[str]:
         """Teams whose replicas still run."""
-        return {s.team for s in self.specs.values() if s.kind == "service" and s.id not in self.cancelled}
+        return {
+            s.team
+            for s in self.specs.values()
+            if s.kind == "service" and s.id not in self.cancelled
+        }
 
     def longest_pause(self, since: float, until: float) -> float:
         """The longest time in which nothing started."""
@@ -726,7 +890,9 @@
                 if self.now - self.asked[jid].at > FINISHED_S and jid not in self.cancelled:
                     shares.setdefault(getattr(spec, group), []).append(self.served(jid))
             for name, served in shares.items():
-                assert 2 * sum(served) >= len(served), f"{group} {name}: {sum(served)} of {len(served)} served"
+                assert 2 * sum(served) >= len(served), (
+                    f"{group} {name}: {sum(served)} of {len(served)} served"
+                )
         self.check_accepted()
         self.check_largest()
 
@@ -747,14 +913,23 @@
         zones = {z for z in kind.zones if body.get("marsh") in (None, z)}
         if team is None:
             return "unknown team"
-        if any(body[k] > have for k, have in zip(("cores", "gpus", "ramGb"), kind.vec, strict=True)) or not zones:
+        if (
+            any(
+                body[k] > have for k, have in zip(("cores", "gpus", "ramGb"), kind.vec, strict=True)
+            )
+            or not zones
+        ):
             return "fits no machine"
         if body.get("breeds") is not None and kind.name not in body["breeds"]:
             return "fits no allowed type"
         if body["gpus"] * (1 if body["gait"] == "array" else body["chicks"]) > team.gpus_max:
             return "more than the team's limit"
         apart = body["gait"] == "group" and body["scatter"] and body["chicks"] > 1
-        return "a gang that no zones can hold" if apart and (body["together"] or len(zones) < 2) else None
+        return (
+            "a gang that no zones can hold"
+            if apart and (body["together"] or len(zones) < 2)
+            else None
+        )
 
     async def try_odd(self, body: dict[str, Any], name: str) -> int:
         """A user submits what must not be accepted; the status."""
@@ -763,19 +938,29 @@
         except Unreachable:
             return 0
         if status in (200, 201):
-            self.broken.append(f"accepted though it {self.never(body) or 'is odd'}: {body} by {name} at {self.now}: {answer}")
+            self.broken.append(
+                f"accepted though it {self.never(body) or 'is odd'}: {body} by {name} at {self.now}: {answer}"
+            )
         return status
 
     def check_accepted(self) -> None:
         """Nothing was accepted that lacks a field or can't run."""
-        odd = [(j, why) for j, a in self.asked.items() if a.accepted is not None and (why := self.never(self.bodies[j])) is not None]
+        odd = [
+            (j, why)
+            for j, a in self.asked.items()
+            if a.accepted is not None and (why := self.never(self.bodies[j])) is not None
+        ]
         assert not odd, f"accepted though it can't run: {odd[:3]}"
 
     def began(self, jid: str) -> float | None:
         """When a job first had a task on a machine, a gang all of them; None: it has not begun."""
         spec, at = self.specs[jid], self.fleet.first_at
         times = [at[jid, i] for i in range(spec.n) if (jid, i) in at]
-        return None if len(times) < (spec.n if spec.kind == "gang" else 1) else (max if spec.kind == "gang" else min)(times)
+        return (
+            None
+            if len(times) < (spec.n if spec.kind == "gang" else 1)
+            else (max if spec.kind == "gang" else min)(times)
+        )
 
     def check_largest(self) -> None:
         """Of each class's accepted jobs the tenth with the most tasks, three at least: half of them served, each begun within 240 s.
@@ -787,18 +972,41 @@
             if jid not in self.cancelled and self.asked[jid].accepted is not None:
                 classes.setdefault(spec.klass, []).append(jid)
         for name, found in classes.items():
-            ranked = sorted(found, key=lambda j: (-self.specs[j].n, self.asked[j].at))[: max(3, -(-len(found) // 10))]
+            ranked = sorted(found, key=lambda j: (-self.specs[j].n, self.asked[j].at))[
+                : max(3, -(-len(found) // 10))
+            ]
             asked = [j for j in ranked if self.now - self.asked[j].at > FINISHED_S]
             served = sum(self.served(j) for j in asked)
             assert 2 * served >= len(asked), f"largest of {name}: {served} of {len(asked)} served"
             for jid in ranked:
                 at, began = self.asked[jid].accepted, self.began(jid)
-                late = at is not None and (self.now if began is None else began) - at > LARGEST_BEGIN_S
+                late = (
+                    at is not None and (self.now if began is None else began) - at > LARGEST_BEGIN_S
+                )
                 assert not late, f"largest of {name}: {jid} accepted at {at} began at {began}"
 
 
-FIELDS = frozenset(("id", "flock", "keeper", "gait", "rank", "chicks", "cores", "gpus", "ramGb", "plumage", "pullGb", "together", "scatter",
-                    "driftwood", "flightS", "nestS", "tuckS"))  # fmt: skip
+FIELDS = frozenset(
+    (
+        "id",
+        "flock",
+        "keeper",
+        "gait",
+        "rank",
+        "chicks",
+        "cores",
+        "gpus",
+        "ramGb",
+        "plumage",
+        "pullGb",
+        "together",
+        "scatter",
+        "driftwood",
+        "flightS",
+        "nestS",
+        "tuckS",
+    )
+)
 LARGEST_BEGIN_S = 240.0
 
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -73,24 +73,41 @@
             return Reply(200, {"moult": rev})
         if q.path == "/kv":
             found = s.read(q.query["starts"])
-            items = [{"path": k, "v": v, "feather": r} for k, (v, r) in found.items() if k > q.query.get("from", "")]
-            return Reply(200, {"items": items[:2], "hasNext": len(items) > 2, "moult": s.rev})  # small pages on purpose
+            items = [
+                {"path": k, "v": v, "feather": r}
+                for k, (v, r) in found.items()
+                if k > q.query.get("from", "")
+            ]
+            return Reply(
+                200, {"items": items[:2], "hasNext": len(items) > 2, "moult": s.rev}
+            )  # small pages on purpose
         if q.path.startswith("/kv/") and q.path[4:] in s.kv:
             value, rev = s.kv[q.path[4:]]
             return Reply(200, {"path": q.path[4:], "v": value, "feather": rev})
         if q.path == "/watch":
             since, until = int(q.query["from"]), self.clock() + int(q.query.get("holdMs", 0)) / 1000
             while True:
-                news = [e for e in s.log if e.version > since and e.key.startswith(q.query["starts"])]
+                news = [
+                    e for e in s.log if e.version > since and e.key.startswith(q.query["starts"])
+                ]
                 if news or self.clock() >= until:
                     break
                 await anyio.sleep(0.01)
                 while self.down:  # an open watch stays open, and no lease ends
                     await anyio.sleep(0.1)
                 self.expire()
-            return Reply(200, {"moult": s.rev, "news": [
-                {"put": e.key, "v": e.value, "feather": e.version} if e.value is not None else {"delete": e.key, "feather": e.version}
-                for e in news]})  # fmt: skip
+            return Reply(
+                200,
+                {
+                    "moult": s.rev,
+                    "news": [
+                        {"put": e.key, "v": e.value, "feather": e.version}
+                        if e.value is not None
+                        else {"delete": e.key, "feather": e.version}
+                        for e in news
+                    ],
+                },
+            )
         if q.path == "/grants":
             ttl = orjson.loads(q.body)["lifeMs"] / 1000
             lease = len(self.leases) + 1 + s.rev * 100
@@ -108,9 +125,17 @@
 class Fleet:
     """The cloud, with workers that boot at once and report to the controllers as the protocol has it."""
 
-    def __init__(self, controllers: dict[str, tuple[str, int]], ports: int, clock: Callable[[], float] = time.monotonic,
-                 net: Callable[[str], Net] = lambda host: TCP, host: str | None = "127.0.0.1", every: float = 0.1,
-                 zones: tuple[str, ...] = ("a",), rng: Random | None = None) -> None:
+    def __init__(
+        self,
+        controllers: dict[str, tuple[str, int]],
+        ports: int,
+        clock: Callable[[], float] = time.monotonic,
+        net: Callable[[str], Net] = lambda host: TCP,
+        host: str | None = "127.0.0.1",
+        every: float = 0.1,
+        zones: tuple[str, ...] = ("a",),
+        rng: Random | None = None,
+    ) -> None:
         self.controllers = controllers
         self.next_port = ports
         self.clock, self.net, self.host, self.every, self.zones = clock, net, host, every, zones
@@ -126,22 +151,37 @@
         self.first_starts: set[tuple[str, int]] = set()
         self.first_at: dict[tuple[str, int], float] = {}  # when each task first was on a machine
         self.begun: Counter[tuple[str, int]] = Counter()  # how often each task was started
-        self.longer: dict[tuple[str, int], float] = {}  # by how much some tasks run longer than others of their job
+        self.longer: dict[
+            tuple[str, int], float
+        ] = {}  # by how much some tasks run longer than others of their job
         self.killed_by_lease = 0
         self.broken: list[str] = []
         self.tasks: Any = None
         self.most = 10_000  # machines that are to be had
-        self.sent: Callable[[world.Worker, str, dict[str, Any]], None] | None = None  # told of every report that leaves
-        self.starts_of: list[tuple[float, Any, str]] = []  # every start: when, which attempt of which task, on which machine
+        self.sent: Callable[[world.Worker, str, dict[str, Any]], None] | None = (
+            None  # told of every report that leaves
+        )
+        self.starts_of: list[
+            tuple[float, Any, str]
+        ] = []  # every start: when, which attempt of which task, on which machine
         # the cloud's own troubles; its draws are its own
-        self.boots = (0.0, 0.0)  # seconds from a rental to its worker's first report, drawn between these
+        self.boots = (
+            0.0,
+            0.0,
+        )  # seconds from a rental to its worker's first report, drawn between these
         self.list_lag_s = 0.0  # its list describes a moment up to twice that ago, also an earlier one than the list before it
-        self.lost_answers = 0.0  # the share of rentals and deletions that are executed, and not answered
+        self.lost_answers = (
+            0.0  # the share of rentals and deletions that are executed, and not answered
+        )
         self.late_requests = 0.0  # the share that are not answered and executed 2 to 12 s later
         self.cloud_rng = Random(17)
-        self.was: list[tuple[float, dict[str, dict[str, Any]]]] = []  # what a list without a lag would have shown, from then on
+        self.was: list[
+            tuple[float, dict[str, dict[str, Any]]]
+        ] = []  # what a list without a lag would have shown, from then on
         self.listed_once: set[str] = set()
-        self.held_do: dict[str, tuple[float, bool]] = {}  # until when commands to a machine (True: their answers) are held up
+        self.held_do: dict[
+            str, tuple[float, bool]
+        ] = {}  # until when commands to a machine (True: their answers) are held up
         self.hours: dict[str, float] = {}  # when a machine was asked for
 
     @property
@@ -166,14 +206,40 @@
 
     async def handle(self, q: Request) -> Reply:
         if q.path == "/flavors":
-            return Reply(200, {"breeds": [{
-                "name": "t", "cores": 16, "gpus": 4, "ramGb": 128, "localGb": 60, "pullGbPerS": 1.0, "price": 10.0,
-                "lowPrice": 3.0, "startupS": 1, "marshes": list(self.zones)}]})  # fmt: skip
+            return Reply(
+                200,
+                {
+                    "breeds": [
+                        {
+                            "name": "t",
+                            "cores": 16,
+                            "gpus": 4,
+                            "ramGb": 128,
+                            "localGb": 60,
+                            "pullGbPerS": 1.0,
+                            "price": 10.0,
+                            "lowPrice": 3.0,
+                            "startupS": 1,
+                            "marshes": list(self.zones),
+                        }
+                    ]
+                },
+            )
         if q.path == "/hosts" and q.method == "GET":
-            items = [m for _, m, _ in self.machines.values()] if not self.list_lag_s else self.lagging()
-            return Reply(200, {"perches": [m for m in items if m["id"] > q.query.get("from", "")], "hasNext": False})
+            items = (
+                [m for _, m, _ in self.machines.values()] if not self.list_lag_s else self.lagging()
+            )
+            return Reply(
+                200,
+                {
+                    "perches": [m for m in items if m["id"] > q.query.get("from", "")],
+                    "hasNext": False,
+                },
+            )
         body = orjson.loads(q.body)
-        if (fate := self.cloud_rng.random() if self.lost_answers + self.late_requests else 1.0) < self.lost_answers + self.late_requests:
+        if (
+            fate := self.cloud_rng.random() if self.lost_answers + self.late_requests else 1.0
+        ) < self.lost_answers + self.late_requests:
             if fate >= self.lost_answers:
                 self.tasks.start_soon(self._act_late, q.path, body)
             else:
@@ -201,14 +267,20 @@
     def _note(self) -> None:
         """What the cloud has from now on."""
         if self.list_lag_s:
-            self.was = [*self.was[-400:], (self.now, {n: m for n, (_, m, _) in self.machines.items()})]
+            self.was = [
+                *self.was[-400:],
+                (self.now, {n: m for n, (_, m, _) in self.machines.items()}),
+            ]
 
     def lagging(self) -> list[dict[str, Any]]:
         """A list as it was some time ago; a machine that has been listed stays so until it is gone."""
         self._note()
         as_of = self.now - 2.0 * self.list_lag_s * self.cloud_rng.random()
         then = next((held for at, held in reversed(self.was) if at <= as_of), self.was[0][1])
-        there = {**{n: m for n, (_, m, _) in self.machines.items() if n in self.listed_once}, **then}
+        there = {
+            **{n: m for n, (_, m, _) in self.machines.items() if n in self.listed_once},
+            **then,
+        }
         self.listed_once |= there.keys()
         return [{**m, "heldS": max(0.0, as_of - self.hours[n])} for n, m in sorted(there.items())]
 
@@ -217,8 +289,15 @@
         self.next_port += 1
         w = world.Worker(self, name, body["marsh"], body["driftwood"])  # type: ignore[arg-type]
         at = f"{self.host or name}:{port}"
-        listed = {"id": name, "endpoint": at, "breed": "t", "marsh": body["marsh"],
-                  "driftwood": body["driftwood"], "stance": "running", "heldS": 1.0}  # fmt: skip
+        listed = {
+            "id": name,
+            "endpoint": at,
+            "breed": "t",
+            "marsh": body["marsh"],
+            "driftwood": body["driftwood"],
+            "stance": "running",
+            "heldS": 1.0,
+        }
         scope = anyio.CancelScope()
         self.machines[name] = (w, listed, scope)
         self.hours[name] = self.now
@@ -237,7 +316,9 @@
         """Waits until a machine that hangs goes on; whether it hung."""
         hung = self.now < w.hung_until
         while self.now < w.hung_until:
-            await anyio.sleep(min(0.1, w.hung_until - self.now))  # troubles may end sooner than they were to
+            await anyio.sleep(
+                min(0.1, w.hung_until - self.now)
+            )  # troubles may end sooner than they were to
         return hung
 
     def tick(self, w: world.Worker) -> None:
@@ -264,14 +345,21 @@
             report = w.on_do(body)
             if answers:
                 await anyio.sleep(max(0.0, until - self.now))
-            return Reply(200 if body["crest"] >= before and body["tide"] == w.session else 409, {**report, "endpoint": at})
+            return Reply(
+                200 if body["crest"] >= before and body["tide"] == w.session else 409,
+                {**report, "endpoint": at},
+            )
 
         with scope:
             await self._boots(w, self.machines[w.name][1])
             async with anyio.create_task_group() as tg:
-                tg.start_soon(Server(do, 10, net=net, clock=self.clock).run, self.host or w.name, port)
+                tg.start_soon(
+                    Server(do, 10, net=net, clock=self.clock).run, self.host or w.name, port
+                )
                 names = list(self.controllers)
-                clients = [Client(*self.controllers[n], keep=1, net=net, clock=self.clock) for n in names]
+                clients = [
+                    Client(*self.controllers[n], keep=1, net=net, clock=self.clock) for n in names
+                ]
                 tg.start_soon(self._ticks, w)
                 told = -1e9  # when a higher token was last told of by itself: no more than once in half a lease
                 while True:
@@ -290,7 +378,12 @@
                         status, answer = 0, None  # it has hung over an answer
                     if status == 200 and isinstance(answer, dict):
                         w.on_answer(answer, sent, session)
-                    elif status == 421 and isinstance(answer, dict) and answer.get("homing") in names and answer["homing"] != names[w.home]:
+                    elif (
+                        status == 421
+                        and isinstance(answer, dict)
+                        and answer.get("homing") in names
+                        and answer["homing"] != names[w.home]
+                    ):
                         w.home = names.index(answer["homing"])
                         await anyio.sleep(0.5 * self.rng.random() * min(1.0, self.every))
                         continue
@@ -301,7 +394,11 @@
                     due = self.now + self.every * (0.75 + 0.5 * self.rng.random())
                     soon = self.now + min(0.5, self.every)
                     while self.now < due:
-                        if self.now >= soon and w.token > token and self.now - told > world.LEASE / 2:
+                        if (
+                            self.now >= soon
+                            and w.token > token
+                            and self.now - told > world.LEASE / 2
+                        ):
                             told = self.now
                             break
                         if self.now >= soon and [dict(t) for t in w.tasks.values()] != listed:
@@ -321,6 +418,8 @@
     real = Store.txn
 
     async def txn(self: Store, guards: dict[str, int], *a: Any, **kw: Any) -> Any:
-        return await real(self, {k: v for k, v in guards.items() if not k.startswith(prefixes)}, *a, **kw)
+        return await real(
+            self, {k: v for k, v in guards.items() if not k.startswith(prefixes)}, *a, **kw
+        )
 
     return Store, "txn", txn
--- a/tests/test_afterlife.py
+++ b/tests/test_afterlife.py
@@ -39,8 +39,12 @@
         play(scene, **kw)
 
 
-@pytest.mark.parametrize(("after", "answers"), [(0.1, True), (0.3, True), (1.0, True), (0.3, False)])
-def test_the_only_controller_of_a_zone_ends_inside_the_cut(after: float, answers: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("after", "answers"), [(0.1, True), (0.3, True), (1.0, True), (0.3, False)]
+)
+def test_the_only_controller_of_a_zone_ends_inside_the_cut(
+    after: float, answers: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     if not answers:
         monkeypatch.setattr(Rights, "answer", lambda *a: None)
 
@@ -68,7 +72,9 @@
             await p.crash("c1", rng.choice([0.1, 0.3]))
             await anyio.sleep(2.0 * rng.random())
         await anyio.sleep(50.0)
-        assert p.fleet.killed_by_lease <= 6, "a scout that was away when the first life ended has lost what ran on it"
+        assert p.fleet.killed_by_lease <= 6, (
+            "a scout that was away when the first life ended has lost what ran on it"
+        )
 
     play(scene, seed)
 
@@ -87,13 +93,17 @@
         await anyio.sleep(7.0)
         p.state.up_again()
         await anyio.sleep(30.0)
-        assert p.fleet.killed_by_lease == 0 and all(a.accepted is not None for a in p.asked.values())
+        assert p.fleet.killed_by_lease == 0 and all(
+            a.accepted is not None for a in p.asked.values()
+        )
 
     play(scene)
 
 
 @pytest.mark.parametrize("guard", ["", "left", "marked"])
-def test_jobs_that_are_cancelled_while_it_answers_for_its_earlier_life(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_jobs_that_are_cancelled_while_it_answers_for_its_earlier_life(
+    guard: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The users are told outside; what runs on inside ends in time, however long the cut lasts."""
     if guard == "left":
         monkeypatch.setattr(Rights, "left", lambda self, right, wall: 100.0)
@@ -117,7 +127,9 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_cancellation_that_the_earlier_life_had_read_but_not_carried_out(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cancellation_that_the_earlier_life_had_read_but_not_carried_out(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A worker doesn't answer while its job is cancelled and the user told; then its controller ends in a cut, and knows nothing."""
     if not guarded:
         monkeypatch.setattr(Rights, "known_s", property(lambda self: 60.0))
@@ -144,11 +156,15 @@
     if guarded:
         play(scene, options=options)
     else:
-        breaks(scene, "ran_cancelled", options=options, asks=False)  # whether it does hangs on which report comes first
+        breaks(
+            scene, "ran_cancelled", options=options, asks=False
+        )  # whether it does hangs on which report comes first
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_another_controllers_tokens_are_not_answered(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_another_controllers_tokens_are_not_answered(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """c0's workers reach only c1, which has just started and can read nothing; c0 counts their silence and is right."""
     if not guarded:
         monkeypatch.setattr(afterlife.tokens, "holder_of", lambda token: 1)
@@ -193,9 +209,13 @@
 
 
 @given(
-    st.floats(0, 1e5), st.floats(0, 100), st.floats(1, 100), st.floats(0, 13.0), st.floats(0, 150),
+    st.floats(0, 1e5),
+    st.floats(0, 100),
+    st.floats(1, 100),
+    st.floats(0, 13.0),
+    st.floats(0, 150),
     st.sampled_from([(38.0, 13.0), (35.0, 10.0)]),
-)  # fmt: skip
+)
 def test_a_right_is_never_longer_than_what_it_stands_for(
     wall: float, age: float, fence: float, later: float, on: float, times: tuple[float, float]
 ) -> None:
@@ -207,13 +227,23 @@
     left = rights.left(right, wall + later)
     assert left <= 0 or wall + later + left <= end + 1e-6
     if left > 0 and right != NONE:
-        handed = right if right != SURE else 1 + int((wall + later + left) // afterlife.STEP_S) % afterlife.STEPS
+        handed = (
+            right
+            if right != SURE
+            else 1 + int((wall + later + left) // afterlife.STEP_S) % afterlife.STEPS
+        )
         again = rights.left(handed, wall + later + on)
         assert again <= 0 or wall + later + on + again <= end + 1e-6
 
 
-@given(st.integers(1, 1 << 40), st.integers(0, 40), st.lists(st.one_of(st.none(), st.integers(0, 255)), max_size=400))
-def test_tokens_rise_and_say_whose_they_are(epoch: int, holder: int, changes: list[int | None]) -> None:
+@given(
+    st.integers(1, 1 << 40),
+    st.integers(0, 40),
+    st.lists(st.one_of(st.none(), st.integers(0, 255)), max_size=400),
+)
+def test_tokens_rise_and_say_whose_they_are(
+    epoch: int, holder: int, changes: list[int | None]
+) -> None:
     token = tokens.first(epoch, holder)
     assert token < 1 << 64
     for right in changes:
@@ -223,5 +253,7 @@
             continue
         assert up > token if right is None else up >= token
         token = up
-        assert tokens.epoch_of(token) == epoch and tokens.holder_of(token) == (holder if holder < 31 else None)
+        assert tokens.epoch_of(token) == epoch and tokens.holder_of(token) == (
+            holder if holder < 31 else None
+        )
         assert right is None or holder >= 31 or tokens.right_of(token) == right
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -19,16 +19,24 @@
 
 
 def test_the_strictest_aim_counts_and_a_jobs_own_deadline_before_it() -> None:
-    aims = Aims([
-        {"kind": "wait", "class": "c", "within_s": 18.0, "share": 0.98}, {"kind": "wait", "class": "c", "within_s": 6.0, "share": 0.9},
-        SWEEP, {"kind": "guarantee", "within_s": 5.0}, {"kind": "wait", "class": 7, "within_s": 1.0}, {"kind": "wait", "class": "d"},
-        {"kind": "finished", "class": "d", "within_s": float("nan")},
-    ])  # fmt: skip
+    aims = Aims(
+        [
+            {"kind": "wait", "class": "c", "within_s": 18.0, "share": 0.98},
+            {"kind": "wait", "class": "c", "within_s": 6.0, "share": 0.9},
+            SWEEP,
+            {"kind": "guarantee", "within_s": 5.0},
+            {"kind": "wait", "class": 7, "within_s": 1.0},
+            {"kind": "wait", "class": "d"},
+            {"kind": "finished", "class": "d", "within_s": float("nan")},
+        ]
+    )
     assert aims.of(a_job()) == Aim(6.0, 120.0)
     assert aims.of(a_job(deadline_s=500.0)) == aims.of(a_job(klass="d")) == Aim()
 
 
-@pytest.mark.parametrize(("n", "wall", "room"), [(300, 0.0, 150), (300, 60.0, 300), (300, 500.0, 300), (1, 0.0, 1)])
+@pytest.mark.parametrize(
+    ("n", "wall", "room"), [(300, 0.0, 150), (300, 60.0, 300), (300, 500.0, 300), (1, 0.0, 1)]
+)
 def test_an_array_asks_for_room_for_turns(n: int, wall: float, room: int) -> None:
     """120 s, of them 32 for a boot and the fetch: two turns of 25 s and a fifth; later, or too late, all that waits at once."""
     s = source(limit=0.0)
@@ -53,7 +61,9 @@
     assert txn is not None and len(txn.adds) == 20
     s.landed(txn, 20, 1.1)
     s.take_news(1, 1.2)
-    assert s.demand(1.2, 1.2)[job.id].n == 0, "20 run, 20 wait, two turns: but the job still shows that it needs its room"
+    assert s.demand(1.2, 1.2)[job.id].n == 0, (
+        "20 run, 20 wait, two turns: but the job still shows that it needs its room"
+    )
     for e in txn.adds[:10]:
         key = peers.start_key((e.job, e.task, e.attempt))
         s.on_owner(0, 3, False, {key: StartNews("running", "", 0, 0)}, 2.0)
@@ -80,12 +90,15 @@
     return got
 
 
-@pytest.mark.parametrize(("aim", "wanted"), [
-    ([SWEEP], {CHEAP: 3, WHOLE: 7}),
-    ([{"kind": "wait", "class": "c", "within_s": 6.0}], {CHEAP: 3, WHOLE: 7}),
-    ([{"kind": "wait", "class": "c", "within_s": 300.0}], {CHEAP: 3}),
-    ([], {CHEAP: 3}),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("aim", "wanted"),
+    [
+        ([SWEEP], {CHEAP: 3, WHOLE: 7}),
+        ([{"kind": "wait", "class": "c", "within_s": 6.0}], {CHEAP: 3, WHOLE: 7}),
+        ([{"kind": "wait", "class": "c", "within_s": 300.0}], {CHEAP: 3}),
+        ([], {CHEAP: 3}),
+    ],
+)
 def test_work_that_is_expected_soon_gets_ordinary_machines_where_cheap_ones_are_refused(
     aim: list[dict[str, object]], wanted: dict[tuple[str, str, bool], int]
 ) -> None:
@@ -103,4 +116,6 @@
         return sum(x.count for x in r.plan(300.0, 300.0).rent)
 
     assert kept(Aims()) == 0
-    assert kept(Aims([{"kind": "wait", "class": "c", "within_s": 6.0}])) == 11, "0.4 tasks a second for 40 s and a margin, two a machine"
+    assert kept(Aims([{"kind": "wait", "class": "c", "within_s": 6.0}])) == 11, (
+        "0.4 tasks a second for 40 s and a margin, two a machine"
+    )
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -17,7 +17,9 @@
     for other in ("state", "cloud", *p.names):
         if other != name:
             if mode == REFUSE:
-                p.net.cut(name, other, RESET, 0.0)  # what stands is broken, and then nothing new comes up
+                p.net.cut(
+                    name, other, RESET, 0.0
+                )  # what stands is broken, and then nothing new comes up
             p.net.cut(name, other, mode, s)
 
 
@@ -29,7 +31,16 @@
 
 
 @pytest.mark.parametrize(
-    ("mode", "s"), [(HOLD, 5.0), (REFUSE, 5.0), (RESET, 20.0), (HOLD, 60.0), (RESET, 60.0), (REFUSE, 60.0), (HOLD, 120.0)]
+    ("mode", "s"),
+    [
+        (HOLD, 5.0),
+        (REFUSE, 5.0),
+        (RESET, 20.0),
+        (HOLD, 60.0),
+        (RESET, 60.0),
+        (REFUSE, 60.0),
+        (HOLD, 120.0),
+    ],
 )
 def test_its_workers_are_sent_on_before_any_lease_is_in_danger(mode: str, s: float) -> None:
     """Untouched, nothing started on its part for the 60 s of `cut_off_s`; now for as long as the scouts need."""
@@ -49,7 +60,9 @@
             await anyio.sleep(s)
         await anyio.sleep(50.0)
         assert p.fleet.killed_by_lease == 0
-        assert await health(p, "c0") == 200 and sorted(x for n in p.nodes.values() for x in n.shared.held) == [0, 1, 2]
+        assert await health(p, "c0") == 200 and sorted(
+            x for n in p.nodes.values() for x in n.shared.held
+        ) == [0, 1, 2]
 
     play(scene)
 
@@ -93,13 +106,19 @@
     a.look(False, 0.0)
     assert a.sends_to("n-0", None, 0.0) is None
     a.look(True, 1.0)
-    assert a.sends_to("n-1", 7.0, 1.0) is None, "it was not answered for long: its lease would run out on the way"
+    assert a.sends_to("n-1", 7.0, 1.0) is None, (
+        "it was not answered for long: its lease would run out on the way"
+    )
     assert a.sends_to("n-1", 2.5, 1.0) == a.sends_to("n-2", None, 1.5) == "c2"
     assert a.sends_to("n-0", 2.5, 1.5) is None, "no second one that has something to lose"
     assert a.sends_to("n-3", None, 6.0) is None, "one round at a time"
-    assert a.sends_to("n-1", 8.0, 7.0) is None and a.sends_to("n-4", None, 8.0) is None, "it found nobody"
+    assert a.sends_to("n-1", 8.0, 7.0) is None and a.sends_to("n-4", None, 8.0) is None, (
+        "it found nobody"
+    )
     assert a.sends_to("n-0", 2.5, 30.0) is None, "c1 next: its lease is shorter than the way back"
     assert a.sends_to("n-4", None, 30.0) == "c1"
-    assert a.sends_to("n-0", 2.5, 40.0) is None and a.sends_to("n-0", 2.5, 42.0) == "c1", "it has stayed away: all follow"
+    assert a.sends_to("n-0", 2.5, 40.0) is None and a.sends_to("n-0", 2.5, 42.0) == "c1", (
+        "it has stayed away: all follow"
+    )
     a.look(False, 61.0)
     assert a.sends_to("n-0", None, 61.0) is None and a.sends_to("n-4", None, 61.0) is None
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -134,15 +134,23 @@
         self.store = world.Store()
         self.copies = [Replica() for _ in range(3)]
         self.known = [0, 0, 0]  # the revision up to which each controller knows all cancellations
-        self.answers = [Answers(r, self.teller(i), lambda job: (0, 0)) for i, r in enumerate(self.copies)]
+        self.answers = [
+            Answers(r, self.teller(i), lambda job: (0, 0)) for i, r in enumerate(self.copies)
+        ]
         self.told: dict[str, int] = {}  # 1: accepted, 2: over
         self.how: dict[str, str] = {}
-        self.listing: dict[int, tuple[list[str], dict[str, Any], int]] = {}  # a listing that is being read: pages come one by one
-        self.open: list[tuple[int, str, int, int, int]] = []  # questions: by whom, of what, when, the copy's revision, what had been told
+        self.listing: dict[
+            int, tuple[list[str], dict[str, Any], int]
+        ] = {}  # a listing that is being read: pages come one by one
+        self.open: list[
+            tuple[int, str, int, int, int]
+        ] = []  # questions: by whom, of what, when, the copy's revision, what had been told
 
     def teller(self, i: int) -> Any:
         """A cancellation may be told by a controller that has read it, once all know of it."""
-        return lambda end: end.how == jobs.DONE or self.copies[i].rev >= end.version <= min(self.known)
+        return lambda end: (
+            end.how == jobs.DONE or self.copies[i].rev >= end.version <= min(self.known)
+        )
 
     def step(self) -> None:
         rng, s, i = self.rng, self.store, self.rng.randrange(3)
@@ -156,7 +164,11 @@
                     copy.put_own(JOB + jid, job.record(), rev)
                     self.heard(jid, answers.accepted(jid), self.told.get(jid, 0))
             case 1 | 2:  # an end: done by whoever runs it, or a cancellation by this copy's word
-                version = answers.live_at(jid) if rng.random() < 0.5 else s.kv.get(JOB + jid, (None, 0))[1]
+                version = (
+                    answers.live_at(jid)
+                    if rng.random() < 0.5
+                    else s.kv.get(JOB + jid, (None, 0))[1]
+                )
                 if version and isinstance(s.kv.get(JOB + jid, (None, 0))[0], list):
                     how = rng.choice([jobs.DONE, jobs.WITHDRAWN])
                     rev, failed = s.txn({JOB + jid: version}, {JOB + jid: end_record(how, 1)}, [])
@@ -169,13 +181,18 @@
             case 4:  # a watch's answer, perhaps of a while ago
                 since = copy.rev if rng.random() < 0.7 else rng.randrange(copy.rev + 1)
                 upto = rng.randint(max(since, copy.rev), max(s.rev, copy.rev))
-                copy.apply(upto, [Event(e.key, e.value, e.version) for e in s.since(since) if e.version <= upto])
+                copy.apply(
+                    upto,
+                    [Event(e.key, e.value, e.version) for e in s.since(since) if e.version <= upto],
+                )
             case 5:  # a page of a listing; with the last one the copy begins anew
                 self.page(i, 2)
             case 6:  # another controller learns of all cancellations up to some revision
                 self.known[i] = max(self.known[i], rng.randint(0, copy.rev))
             case 7:  # a question is put
-                if i not in self.listing:  # no read that proves anything begins while the copy is read anew
+                if (
+                    i not in self.listing
+                ):  # no read that proves anything begins while the copy is read anew
                     self.open.append((i, jid, s.rev, copy.rev, self.told.get(jid, 0)))
             case _:
                 if self.open:
@@ -184,7 +201,9 @@
     def page(self, i: int, n: int) -> None:
         """The next keys of a listing; the copy begins anew with the last ones, as old as the first."""
         s = self.store
-        keys, found, rev = self.listing.pop(i, (sorted(k for k in s.kv if k.startswith("p/")), {}, s.rev))
+        keys, found, rev = self.listing.pop(
+            i, (sorted(k for k in s.kv if k.startswith("p/")), {}, s.rev)
+        )
         found.update({k: s.kv[k] for k in keys[:n] if k in s.kv})
         if keys[n:]:
             self.listing[i] = (keys[n:], found, rev)
@@ -197,8 +216,12 @@
         upto = self.rng.randint(min(begun, self.store.rev), self.store.rev)
         self.copies[i].apply(upto, [e for e in self.store.since(since) if e.version <= upto])
         if i in self.listing and self.rng.random() < 0.5:
-            self.page(i, 100)  # a listing that began after that read, and before what it has brought
-        answer = self.answers[i].proved(jid, asked, Proof(begun) if self.rng.random() < 0.9 else None)
+            self.page(
+                i, 100
+            )  # a listing that began after that read, and before what it has brought
+        answer = self.answers[i].proved(
+            jid, asked, Proof(begun) if self.rng.random() < 0.9 else None
+        )
         if not isinstance(answer, (Known, NotNow, NeverAccepted)):
             answer = self.answers[i].archived(jid, *self.store.kv.get(ARCHIVE + jid, (None, 0)))
         self.heard(jid, answer, told)
@@ -213,7 +236,11 @@
         if now == 2:
             how = answer.view["stance"]
             assert self.how.setdefault(jid, how) == how, f"{jid} was {self.how[jid]} and is {how}"
-            version = next(e.version for e in self.store.log if e.key == JOB + jid and isinstance(e.value, dict))
+            version = next(
+                e.version
+                for e in self.store.log
+                if e.key == JOB + jid and isinstance(e.value, dict)
+            )
             assert how == jobs.DONE or version <= min(self.known), f"{jid}: told before all know"
 
 
@@ -244,8 +271,12 @@
 real_proved = Answers.proved
 
 
-@pytest.mark.parametrize(("name", "without"), [("proved", unproved), ("final", told_at_once), ("proved", straight_to_no)])
-def test_the_model_finds_what_a_guard_is_there_for(name: str, without: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("name", "without"), [("proved", unproved), ("final", told_at_once), ("proved", straight_to_no)]
+)
+def test_the_model_finds_what_a_guard_is_there_for(
+    name: str, without: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The proof (that there is one, and that it is no older than the question), the right to tell, the archive."""
     monkeypatch.setattr(Answers, name, without)
     with pytest.raises(AssertionError):
@@ -255,10 +286,27 @@
 def test_only_answers_say_how_a_job_stands() -> None:
     """Users' requests have no way past coordination.answers: they never look at what the copy holds, nor make a view themselves."""
     for name in ("users", "requests"):
-        tree = ast.parse((Path(__file__).parent.parent / "ploverhall/control" / f"{name}.py").read_text())
-        used = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)} | {n.id for n in ast.walk(tree) if isinstance(n, ast.Name)}
-        assert not used & {"live", "ended", "unreadable", "view_of", "RUNNING", "DONE", "QUEUED", "Ended"}, name
-        said = [n for n in ast.walk(tree) if isinstance(n, ast.Call) and ast.unparse(n.func) in ("Reply", "jobs.view", "view")]
+        tree = ast.parse(
+            (Path(__file__).parent.parent / "ploverhall/control" / f"{name}.py").read_text()
+        )
+        used = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)} | {
+            n.id for n in ast.walk(tree) if isinstance(n, ast.Name)
+        }
+        assert not used & {
+            "live",
+            "ended",
+            "unreadable",
+            "view_of",
+            "RUNNING",
+            "DONE",
+            "QUEUED",
+            "Ended",
+        }, name
+        said = [
+            n
+            for n in ast.walk(tree)
+            if isinstance(n, ast.Call) and ast.unparse(n.func) in ("Reply", "jobs.view", "view")
+        ]
         for call in said:
             assert ast.unparse(call.func) == "Reply"
             if ast.unparse(call.args[0]) in ("200", "201") and name == "users":
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -32,7 +32,10 @@
         rng = Random(seed)
         await busy(p, 70.0)
         for i in range(8):
-            what, name = rng.choice(["crash", "all", "cut", "zone", "outage", "refused", "peers"]), rng.choice(p.names)
+            what, name = (
+                rng.choice(["crash", "all", "cut", "zone", "outage", "refused", "peers"]),
+                rng.choice(p.names),
+            )
             if what in ("crash", "all"):
                 for n in p.names if what == "all" else [name]:
                     p.tasks.start_soon(p.crash, n, rng.choice([0.2, 3.0]))
@@ -55,7 +58,9 @@
             status = 0
             with anyio.fail_after(20):
                 while status not in (200, 201, 400, 422):
-                    status, _ = await p.users[rng.choice(p.names)].call("POST", "/api/jobs", spec, 5.0)
+                    status, _ = await p.users[rng.choice(p.names)].call(
+                        "POST", "/api/jobs", spec, 5.0
+                    )
             assert status == 200, "known, whatever has become of it"
 
     play(scene, seed, options=settings.Options(keep_ended=10))
@@ -133,9 +138,13 @@
         shared.types = {}
         shared.replica.keys["p/archived"] = (1, 1)
         p.state.store.txn({}, {"e/j-000001": {"s": "done", "n": 1}}, [])
-        status, answer = await p.users["c0"].call("POST", "/api/jobs", p.spec(1, gait="array", chicks=1), 5.0)
+        status, answer = await p.users["c0"].call(
+            "POST", "/api/jobs", p.spec(1, gait="array", chicks=1), 5.0
+        )
         assert status == 200, answer
-        assert (await p.users["c0"].call("POST", "/api/jobs", p.spec(2, gait="array", chicks=1), 5.0))[0] == 422
+        assert (
+            await p.users["c0"].call("POST", "/api/jobs", p.spec(2, gait="array", chicks=1), 5.0)
+        )[0] == 422
 
     play(scene)
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -39,7 +39,9 @@
         await p.crash("c0", after)
         at, claims = p.now, p.claims()
         await anyio.sleep(25.0)
-        assert p.fleet.killed_by_lease == 0 and all(a.accepted is not None for a in p.asked.values())
+        assert p.fleet.killed_by_lease == 0 and all(
+            a.accepted is not None for a in p.asked.values()
+        )
         assert soonest(p, "c0", at) < 2.6
         assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2]
         if after < 2.0:
@@ -58,7 +60,9 @@
                 p.tasks.start_soon(p.crash, name, rng.choice([0.1, 0.3]))
             await anyio.sleep(0.4 + 0.5 * rng.random())
         await anyio.sleep(30.0)
-        assert p.fleet.killed_by_lease == 0 and all(a.accepted is not None for a in p.asked.values())
+        assert p.fleet.killed_by_lease == 0 and all(
+            a.accepted is not None for a in p.asked.values()
+        )
         assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2]
         assert all(f"{NODE}{n}" in p.state.store.kv for n in p.names)
 
@@ -78,13 +82,17 @@
             holders = [n for n, node in p.nodes.items() if 0 in node.shared.held]
             assert len(holders) == 1 and p.state.store.kv[f"{SHARD}0"][0]["node"] == holders[0]
         await anyio.sleep(20.0)
-        assert p.fleet.killed_by_lease == 0 and all(a.accepted is not None for a in p.asked.values())
+        assert p.fleet.killed_by_lease == 0 and all(
+            a.accepted is not None for a in p.asked.values()
+        )
 
     play(scene, seed)
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_write_of_the_earlier_life_lands_when_the_new_one_has_begun(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_of_the_earlier_life_lands_when_the_new_one_has_begun(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A permit's write is held back in the network, its controller ends and is back; the new life starts the replicas elsewhere."""
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -57,7 +57,10 @@
 
 def test_who_has_been_answered_is_owed_and_who_knows_is_told_at_once() -> None:
     """In an outage: its key is gone and it goes on; a word with the cancellation ends the waiting, and nothing else does."""
-    p, m = Cancellations(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"), Cancellations(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m")
+    p, m = (
+        Cancellations(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
+        Cancellations(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
+    )
     for one, other in ((p, "m"), (m, "p")):
         one.present(other, True, 5)
         one.contacted(1.0)
@@ -70,11 +73,15 @@
         assert said.cancelled == [Cancelled(7, "j-000001")]
     assert m.isolated(200.0)
     assert m.take("p", said, 200.0) == [Cancelled(7, "j-000001")]
-    assert m.lapsed, "for longer than a lease after its fence: the other may have forgotten what it should know"
+    assert m.lapsed, (
+        "for longer than a lease after its fence: the other may have forgotten what it should know"
+    )
     m.contacted(199.5)
     assert not m.isolated(200.0)
     p.take("m", m.word("p", 5, 200.0), 200.0)
-    assert p.may_tell(7, 200.0) and not p.own, "it knows, so the user is told at once, and nobody has to be named it any more"
+    assert p.may_tell(7, 200.0) and not p.own, (
+        "it knows, so the user is told at once, and nobody has to be named it any more"
+    )
 
 
 def test_a_new_life_that_has_read_nothing_vouches_only_for_what_its_last_one_owed() -> None:
@@ -86,9 +93,13 @@
         m.take("p", Word(0, "p2", 1.0, up, read, ("m", now - 0.1), []), now)
 
     echo(35.0, 5.0, False)
-    assert m.contact(35.0) == 34.9, "it ended within patience: whatever it had confirmed is known here"
+    assert m.contact(35.0) == 34.9, (
+        "it ended within patience: whatever it had confirmed is known here"
+    )
     echo(75.0, 5.0, False)
-    assert m.contact(75.0) == 34.9, "its last life may have confirmed something after it owed nothing more"
+    assert m.contact(75.0) == 34.9, (
+        "its last life may have confirmed something after it owed nothing more"
+    )
     echo(80.0, 10.0, True)
     assert m.contact(80.0) == 79.9, "it has read, so all that was confirmed has been named"
     m.take("p", Word(0, "p2", 1.0, 50.0, True, ("an earlier life of m", 89.0), []), 90.0)
@@ -97,7 +108,10 @@
 
 
 def test_many_cancellations_go_in_portions_and_only_the_last_one_answers() -> None:
-    p, m = Cancellations(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"), Cancellations(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m")
+    p, m = (
+        Cancellations(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
+        Cancellations(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
+    )
     n = 2 * MOST_NAMED + 5
     for i in range(n, 0, -1):
         p.note(f"j-{i:06d}", 10 + i)
@@ -142,21 +156,47 @@
     assert not t.may_tell(9, 99.0 + t.patience - 0.1) and t.may_tell(9, 99.1 + t.patience)
 
 
-@pytest.mark.parametrize("value", [
-    None, [], "x", {}, {"seen": -1}, {"seen": True}, {"seen": 1 << 64}, {"seen": 5, "life": 3}, {"seen": 5, "life": "x" * 65},
-    {"seen": 5, "at": float("nan")}, {"seen": 5, "at": "1"}, {"seen": 5, "up": -1.0}, {"seen": 5, "up": float("inf")},
-    {"seen": 5, "read": 1}, {"seen": 5, "echo": ["x"]}, {"seen": 5, "echo": [1, 2.0]}, {"seen": 5, "echo": ["x", None]},
-    {"seen": 5, "cancelled": [[1 << 64, "j-000001"]]}, {"seen": 5, "cancelled": [[True, "j-000001"]]},
-    {"seen": 5, "cancelled": [[0, "j-000001"]]}, {"seen": 5, "cancelled": [[3, "x"]]},
-    {"seen": 5, "cancelled": [[3, "j-000001\nforged"]]}, {"seen": 5, "cancelled": [3]}, {"seen": 5, "cancelled": {"a": 1}},
-    {"seen": 5000, "cancelled": [[3, "j-000001"]] * 1001},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "value",
+    [
+        None,
+        [],
+        "x",
+        {},
+        {"seen": -1},
+        {"seen": True},
+        {"seen": 1 << 64},
+        {"seen": 5, "life": 3},
+        {"seen": 5, "life": "x" * 65},
+        {"seen": 5, "at": float("nan")},
+        {"seen": 5, "at": "1"},
+        {"seen": 5, "up": -1.0},
+        {"seen": 5, "up": float("inf")},
+        {"seen": 5, "read": 1},
+        {"seen": 5, "echo": ["x"]},
+        {"seen": 5, "echo": [1, 2.0]},
+        {"seen": 5, "echo": ["x", None]},
+        {"seen": 5, "cancelled": [[1 << 64, "j-000001"]]},
+        {"seen": 5, "cancelled": [[True, "j-000001"]]},
+        {"seen": 5, "cancelled": [[0, "j-000001"]]},
+        {"seen": 5, "cancelled": [[3, "x"]]},
+        {"seen": 5, "cancelled": [[3, "j-000001\nforged"]]},
+        {"seen": 5, "cancelled": [3]},
+        {"seen": 5, "cancelled": {"a": 1}},
+        {"seen": 5000, "cancelled": [[3, "j-000001"]] * 1001},
+    ],
+)
 def test_words_that_are_in_no_form_are_refused(value: Any) -> None:
     with pytest.raises(Malformed):
         word(value)
 
 
-@given(st.integers(0, 1 << 40), st.lists(st.integers(1, 999_999), max_size=5), st.booleans(), st.booleans())
+@given(
+    st.integers(0, 1 << 40),
+    st.lists(st.integers(1, 999_999), max_size=5),
+    st.booleans(),
+    st.booleans(),
+)
 def test_a_word_comes_as_it_was_sent(upto: int, jobs: list[int], read: bool, echoes: bool) -> None:
     named = [Cancelled(upto, f"j-{j:06d}") for j in jobs] if upto else []
     w = Word(upto, "life", 1.5, 2.5, read, ("other", 0.5) if echoes else None, named)
@@ -198,21 +238,36 @@
         self.keys: dict[str, float] = {}  # until when a controller's lease runs
         self.written: dict[int, float] = {}
         self.told: dict[int, float] = {}
-        self.answered: dict[int, float] = {}  # when somebody last answered workers who did not know of it
+        self.answered: dict[
+            int, float
+        ] = {}  # when somebody last answered workers who did not know of it
         self.down: list[tuple[float, float]] = []  # of the store
         self.refused: list[tuple[str, float, float]] = []
-        self.links: list[tuple[str, str, float, float, bool]] = []  # from, to, since, until, whether it holds things back
+        self.links: list[
+            tuple[str, str, float, float, bool]
+        ] = []  # from, to, since, until, whether it holds things back
         self.flying: list[tuple[float, int, str, str, Any]] = []
         self.count = 0
-        self.nodes = {n: self.born(n, rng.uniform(0.0, 0.0005), rng.uniform(0.0, 1000.0), 0) for n in ("a", "b", "c")}
+        self.nodes = {
+            n: self.born(n, rng.uniform(0.0, 0.0005), rng.uniform(0.0, 1000.0), 0)
+            for n in ("a", "b", "c")
+        }
 
     def born(self, name: str, drift: float, offset: float, lives: int) -> Life:
         now = offset + self.t * (1 + drift)
         others = [n for n in ("a", "b", "c") if n != name]
-        return Life(name, drift, offset, Cancellations(others, self.cancel, self.lease, self.cut_off, now, f"{name}{lives}"), lives)
+        return Life(
+            name,
+            drift,
+            offset,
+            Cancellations(others, self.cancel, self.lease, self.cut_off, now, f"{name}{lives}"),
+            lives,
+        )
 
     def reaches(self, n: Life) -> bool:
-        return not any(s <= self.t < e for s, e in self.down) and not any(x == n.name and s <= self.t < e for x, s, e in self.refused)
+        return not any(s <= self.t < e for s, e in self.down) and not any(
+            x == n.name and s <= self.t < e for x, s, e in self.refused
+        )
 
     def put(self, what: str, name: str) -> None:
         self.rev += 1
@@ -226,7 +281,13 @@
             w.knows.add(self.rev)
             w.it.note(f"j-{self.rev:06d}", self.rev)
 
-    def run(self, seconds: float, crashes: list[tuple[float, str]], pauses: list[tuple[float, str, float]], cancels: list[float]) -> None:
+    def run(
+        self,
+        seconds: float,
+        crashes: list[tuple[float, str]],
+        pauses: list[tuple[float, str, float]],
+        cancels: list[float],
+    ) -> None:
         while self.t < seconds:
             self.t += STEP
             while cancels and cancels[0] <= self.t:
@@ -253,7 +314,9 @@
                     self.step(n)
             for version, at in self.told.items():
                 if (late := self.answered.get(version, -1e9)) + self.lease > at + self.cancel:
-                    raise AssertionError(f"told at {at}, and workers that did not know were answered at {late}")
+                    raise AssertionError(
+                        f"told at {at}, and workers that did not know were answered at {late}"
+                    )
 
     def step(self, n: Life) -> None:
         now = n.offset + self.t * (1 + n.drift)
@@ -319,12 +382,19 @@
             if name in self.keys:
                 n.it.present(name, True, 0)
             else:
-                left = max((v for v, what, x in self.log if what == "left" and x == name), default=0)
+                left = max(
+                    (v for v, what, x in self.log if what == "left" and x == name), default=0
+                )
                 n.it.gone(name, now, self.rev if first else left)
 
     def tell(self, n: Life, now: float) -> None:
         for version in self.written:
-            if version not in self.told and version in n.knows and n.rev >= version and n.it.may_tell(version, now):
+            if (
+                version not in self.told
+                and version in n.knows
+                and n.rev >= version
+                and n.it.may_tell(version, now)
+            ):
                 self.told[version] = self.t
 
 
@@ -340,19 +410,38 @@
     at = 20.0
     for _ in range(3):
         leader = rng.choice(names)
-        before, s = rng.choice([0.5, 2.0, 5.0, 7.0, 12.0, 30.0]), rng.choice([5.0, cancel, cancel + 30.0, 110.0])
+        before, s = (
+            rng.choice([0.5, 2.0, 5.0, 7.0, 12.0, 30.0]),
+            rng.choice([5.0, cancel, cancel + 30.0, 110.0]),
+        )
         m.refused.append((leader, at, at + before + rng.choice([0.5, 10.0, 60.0])))
         m.down.append((at + before, at + before + s))
-        cancels += [at + rng.uniform(0.0, before + 1.0) for _ in range(3)] + [at + before + s + rng.uniform(0.0, 5.0)]
+        cancels += [at + rng.uniform(0.0, before + 1.0) for _ in range(3)] + [
+            at + before + s + rng.uniform(0.0, 5.0)
+        ]
         for src in names:
             for dst in names:
                 if src != dst and rng.random() < (0.6 if leader in (src, dst) else 0.15):
                     since = at + rng.uniform(-5.0, before + s)
-                    m.links.append((src, dst, since, since + rng.choice([2.0, 10.0, 40.0, 90.0]), rng.random() < 0.5))
+                    m.links.append(
+                        (
+                            src,
+                            dst,
+                            since,
+                            since + rng.choice([2.0, 10.0, 40.0, 90.0]),
+                            rng.random() < 0.5,
+                        )
+                    )
         for _ in range(rng.choice([0, 1, 3])):
             crashes.append((at + rng.uniform(0.0, before + s), rng.choice(names)))
         for _ in range(rng.choice([0, 1, 2])):
-            pauses.append((at + rng.uniform(0.0, before + s), rng.choice(names), rng.choice([1.0, 8.0, 25.0, 45.0])))
+            pauses.append(
+                (
+                    at + rng.uniform(0.0, before + s),
+                    rng.choice(names),
+                    rng.choice([1.0, 8.0, 25.0, 45.0]),
+                )
+            )
         at += before + s + 20.0
     m.run(at + 60.0, sorted(crashes), sorted(pauses), sorted(cancels))
     return m
@@ -363,13 +452,19 @@
     m = Model(Random(1), CANCEL, LEASE, CUT_OFF)
     both = [(x, y) for x in "ab" for y in (x + "c", "c" + x)]
     crashes: list[tuple[float, str]] = []
-    if guard == "left":  # c is back while a can't read, reads for the last time, and is gone again before a does
+    if (
+        guard == "left"
+    ):  # c is back while a can't read, reads for the last time, and is gone again before a does
         m.refused = [("c", 20.0, 62.0), ("a", 60.0, 75.0), ("c", 70.0, 300.0)]
         m.links = [(y[0], y[1], 0.0, 300.0, False) for _, y in both]
         cancel = 72.0
-    elif guard == "echo":  # the others' answers are held up for as long as they owe, and c can't be heard any more
+    elif (
+        guard == "echo"
+    ):  # the others' answers are held up for as long as they owe, and c can't be heard any more
         m.refused = [("c", 20.0, 300.0)]
-        m.links = [("c", x, 40.0, 300.0, False) for x in "ab"] + [(x, "c", 39.5, 95.0, True) for x in "ab"]
+        m.links = [("c", x, 40.0, 300.0, False) for x in "ab"] + [
+            (x, "c", 39.5, 95.0, True) for x in "ab"
+        ]
         m.links += [(x, "c", 43.0, 300.0, False) for x in "ab"]
         cancel = 45.0
     else:  # both others tell, end, and come back where there is no store to read
@@ -400,30 +495,46 @@
 
 
 @pytest.mark.parametrize("guard", ["owed", "named", "echo", "all heard", "lives", "left", "lapsed"])
-def test_the_plain_model_breaks_without_each_part_of_the_statement(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_plain_model_breaks_without_each_part_of_the_statement(
+    guard: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     real_word, real_take, real_gone = Cancellations.word, Cancellations.take, Cancellations.gone
     if guard == "owed":  # answered, and not counted
         monkeypatch.setattr(Cancellations, "_owed", lambda self, m: m.absent)
     elif guard == "named":  # answered without the cancellations
         monkeypatch.setattr(Cancellations, "word", lambda *a: real_word(*a)._replace(cancelled=[]))
     elif guard == "echo":  # what came back counts from when it came
-        monkeypatch.setattr(Cancellations, "take", lambda s, n, w, now: real_take(s, n, w._replace(echo=w.echo and (w.echo[0], now)), now))
+        monkeypatch.setattr(
+            Cancellations,
+            "take",
+            lambda s, n, w, now: real_take(s, n, w._replace(echo=w.echo and (w.echo[0], now)), now),
+        )
     elif guard == "all heard":  # as it was: in an outage, who hears everybody goes on
 
         def isolated(self: Cancellations, now: float) -> bool:
-            return now - self.read_at >= self.fence and any(now - m.heard > 2.5 for m in self.members.values())
+            return now - self.read_at >= self.fence and any(
+                now - m.heard > 2.5 for m in self.members.values()
+            )
 
         monkeypatch.setattr(Cancellations, "isolated", isolated)
         monkeypatch.setattr(Cancellations, "_owed", lambda self, m: m.absent)
-        monkeypatch.setattr(Cancellations, "word", lambda *a: real_word(*a)._replace(cancelled=[], echo=None))
+        monkeypatch.setattr(
+            Cancellations, "word", lambda *a: real_word(*a)._replace(cancelled=[], echo=None)
+        )
     elif guard == "lives":  # a new life's echo counts, whatever its last one may have told
-        monkeypatch.setattr(Cancellations, "take", lambda s, n, w, now: real_take(s, n, w._replace(up=1e9), now))
+        monkeypatch.setattr(
+            Cancellations, "take", lambda s, n, w, now: real_take(s, n, w._replace(up=1e9), now)
+        )
     elif guard == "left":
-        monkeypatch.setattr(Cancellations, "gone", lambda s, n, now, left=0: real_gone(s, n, now, -1))
+        monkeypatch.setattr(
+            Cancellations, "gone", lambda s, n, now, left=0: real_gone(s, n, now, -1)
+        )
     else:
         monkeypatch.setattr(Cancellations, "may_forget", lambda *a: True)
         monkeypatch.setattr(Cancellations, "_over", lambda s, m, now: m.absent is not None)
-        monkeypatch.setattr(Cancellations, "lapsed", property(lambda s: False, lambda s, v: None), raising=False)
+        monkeypatch.setattr(
+            Cancellations, "lapsed", property(lambda s: False, lambda s, v: None), raising=False
+        )
     for seed in range(1 if guard in SCENES else 8 * SEEDS):
         try:
             scene(guard) if guard in SCENES else modelled(seed)
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -66,14 +66,24 @@
         await anyio.sleep(20.0)
         assert p.nodes["c0"].workers.homing.away, "nobody came the other way"
         await anyio.sleep(25.0)
-        assert p.claims() == 0 and p.fleet.killed_by_lease == 0 and p.longest_pause(at, at + 30.0) < 4.0
-        assert not p.nodes["c0"].workers.homing.away and not p.nodes["c0"].workers.cut(p.now), "all are home again"
+        assert (
+            p.claims() == 0
+            and p.fleet.killed_by_lease == 0
+            and p.longest_pause(at, at + 30.0) < 4.0
+        )
+        assert not p.nodes["c0"].workers.homing.away and not p.nodes["c0"].workers.cut(p.now), (
+            "all are home again"
+        )
 
     play(scene)
 
 
-@pytest.mark.parametrize(("mode", "tries"), [(SILENT, True), (RESET, True), (SILENT, False), (RESET, False)])
-def test_a_home_whose_workers_do_not_reach_it_gets_no_part_back(mode: str, tries: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("mode", "tries"), [(SILENT, True), (RESET, True), (SILENT, False), (RESET, False)]
+)
+def test_a_home_whose_workers_do_not_reach_it_gets_no_part_back(
+    mode: str, tries: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It can't tell by itself while it holds nothing: 769 tasks were killed. And if it gets the part all the same, it is carried."""
     if not tries:
 
@@ -103,7 +113,11 @@
         for a, b in (("c0", "state"), ("c1", "state"), ("c0", "c2")):
             p.net.cut(a, b, HOLD, 25.0)
         await anyio.sleep(45.0)
-        assert p.claims() == 0 and p.fleet.killed_by_lease == 0 and p.longest_pause(at, at + 30.0) < 4.0
+        assert (
+            p.claims() == 0
+            and p.fleet.killed_by_lease == 0
+            and p.longest_pause(at, at + 30.0) < 4.0
+        )
 
     play(scene)
 
@@ -163,7 +177,9 @@
         p.cut_workers("c0", HOLD, 20.0)
         await anyio.sleep(60.0)
         assert p.fleet.killed_by_lease == 0
-        assert not [k for k in p.state.store.permits() if k.split("/")[1] not in p.services()], "permits left over"
+        assert not [k for k in p.state.store.permits() if k.split("/")[1] not in p.services()], (
+            "permits left over"
+        )
 
     play(scene)
 
@@ -185,7 +201,9 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_an_answer_that_was_carried_counts_as_an_answer(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_that_was_carried_counts_as_an_answer(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """An owner that counted only what came by itself would hold its workers for dead while they live on through another.
 
     The argument: whichever way an answer takes, the worker's lease counts from when it *sent* the report, which was before the
@@ -198,7 +216,11 @@
             m = held.owner.machines.get(r.machine)
             before = (m.last_report, m.last_answer) if m is not None else None
             reply, now = real(self, held, r, **kw)
-            if before is not None and now is not None and self.workers.homing.away.get(r.machine) is not None:
+            if (
+                before is not None
+                and now is not None
+                and self.workers.homing.away.get(r.machine) is not None
+            ):
                 now.last_report, now.last_answer = before
             return reply, now
 
@@ -217,7 +239,9 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_carried_write_that_lands_after_another_has_claimed(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_carried_write_that_lands_after_another_has_claimed(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """c1 takes a write of c0's and gives no answer; c0's part is taken, its new holder starts replicas, and then the write lands."""
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
@@ -245,7 +269,9 @@
             await anyio.sleep(0.1)
         await p.submit(p.spec(906, gait="daemon", chicks=4), "c2")
         await anyio.sleep(5.0)
-        status, _ = await p.nodes["c1"].state.client.call("POST", "/multi", orjson.loads(late[0].body))
+        status, _ = await p.nodes["c1"].state.client.call(
+            "POST", "/multi", orjson.loads(late[0].body)
+        )
         assert status == (409 if guarded else 200)
         holder = next(n for n in p.names if 0 in p.nodes[n].shared.held and n != "c0")
         await p.crash(holder, 8.0)  # whoever takes over reads what the late write has left
@@ -276,7 +302,9 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_carried_read_is_no_older_than_the_question(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_carried_read_is_no_older_than_the_question(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A job that was accepted elsewhere a moment ago is known at a controller that reads through another: no 404."""
     if not guarded:
 
@@ -309,7 +337,11 @@
         assert number is not None
         c0.waiting[number] = (anyio.Event(), [])
         mine = carry.Answer(c0.calls.life, number, 200, False, b"{}")
-        for wrong, by in ((mine._replace(life="before"), "c1"), (mine, "c2"), (mine._replace(number=number + 1), "c1")):
+        for wrong, by in (
+            (mine._replace(life="before"), "c1"),
+            (mine, "c2"),
+            (mine._replace(number=number + 1), "c1"),
+        ):
             c0.deliver(by, carry.pack(carry.ANSWER, 1, wrong))
         assert not c0.waiting[number][1]
         c0.deliver("c1", carry.pack(carry.ANSWER, 1, mine))
@@ -325,7 +357,9 @@
         c0, c1 = p.nodes["c0"].carrying, p.nodes["c1"].carrying
 
         async def read() -> int:
-            return (await c0.ask("c1", carry.STATE, timeout=1.0, method="GET", target="/kv/p/renter"))[0]
+            return (
+                await c0.ask("c1", carry.STATE, timeout=1.0, method="GET", target="/kv/p/renter")
+            )[0]
 
         assert await read() == 200
         c1.late = lambda: 0.7
@@ -348,7 +382,13 @@
 
         async def read() -> None:
             with contextlib.suppress(Exception):
-                got.append((await c0.ask("c1", carry.STATE, timeout=1.0, method="GET", target="/kv/p/renter"))[0])
+                got.append(
+                    (
+                        await c0.ask(
+                            "c1", carry.STATE, timeout=1.0, method="GET", target="/kv/p/renter"
+                        )
+                    )[0]
+                )
 
         async with anyio.create_task_group() as tg:
             for _ in range(250):
@@ -362,7 +402,9 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_cancellation_while_one_reaches_only_its_workers_and_one_peer(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cancellation_while_one_reaches_only_its_workers_and_one_peer(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It reads through that peer, so it hears of it, and its user is told at once; nobody's word is taken for its reading."""
     if not guarded:  # no carrying, and no waiting for its word
         monkeypatch.setattr(Cancellations, "may_tell", lambda self, version, now: True)
@@ -424,7 +466,9 @@
 
 
 @pytest.mark.parametrize("older", [("c1", "c2"), ("c0",), ("c1",)])
-def test_an_older_release_that_can_not_carry(older: tuple[str, ...], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_older_release_that_can_not_carry(
+    older: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It says nothing of it and is asked nothing; what can't be carried moves, as it did before."""
     real = Carrying.collect
 
@@ -437,7 +481,9 @@
         for name in older:
             p.nodes[name].carrying.deliver = lambda node, message: None  # type: ignore[method-assign]
             node = p.nodes[name].shared
-            node.settings = replace(node.settings, options=replace(node.settings.options, carry=False))
+            node.settings = replace(
+                node.settings, options=replace(node.settings.options, carry=False)
+            )
         await busy(p, 70.0)
         p.net.cut("c0", "state", HOLD, 20.0)
         await anyio.sleep(35.0)
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -41,7 +41,11 @@
 
     async def start(self) -> None:
         self.server = Server(
-            self._handle, LIMITS.accepted, net=self.net.of("c0"), clock=self.loop.time, limiter=self.limiter
+            self._handle,
+            LIMITS.accepted,
+            net=self.net.of("c0"),
+            clock=self.loop.time,
+            limiter=self.limiter,
         )
         self.tasks.start_soon(self.server.run, "c0", 80)
         await anyio.sleep(0.01)
@@ -140,7 +144,9 @@
     for at in connects:
         slots[int((at - connects[0]) / (10 * REPORT_S) * 40) % 40] += 1
     excess = 4 * MAX_SOCKETS - LIMITS.shared
-    assert len(connects) <= 1.1 * 10 * excess, "only those beyond the limit connect again, once for each report"
+    assert len(connects) <= 1.1 * 10 * excess, (
+        "only those beyond the limit connect again, once for each report"
+    )
     assert max(slots) < 2 * sum(slots) / len(slots)
 
 
@@ -216,10 +222,14 @@
         room = 5
 
         def make(host: str, port: int) -> Client:
-            return Client(host, port, keep=1, net=controller.net.of("caller"), clock=controller.loop.time)
+            return Client(
+                host, port, keep=1, net=controller.net.of("caller"), clock=controller.loop.time
+            )
 
         for i in range(20):
-            server = Server(controller._handle, 10, net=controller.net.of(f"w{i}"), clock=controller.loop.time)
+            server = Server(
+                controller._handle, 10, net=controller.net.of(f"w{i}"), clock=controller.loop.time
+            )
             controller.tasks.start_soon(server.run, f"w{i}", 9)
         await anyio.sleep(0.01)
         pool = ClientPool(make, lambda: room)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -33,7 +33,9 @@
         await p.crash("c0", 8.0)
         await anyio.sleep(60.0)
         assert p.copies > 200 and all(a.accepted is not None for a in p.asked.values())
-        assert not [k for k in p.state.store.permits() if k.startswith("c/team-3")], "what was given is known to be over"
+        assert not [k for k in p.state.store.permits() if k.startswith("c/team-3")], (
+            "what was given is known to be over"
+        )
 
     play(scene)
 
@@ -50,7 +52,9 @@
         at = p.now
         await anyio.sleep(14.0)
         owners = [h.owner for n in p.nodes.values() for h in n.shared.held.values()]
-        assert not [pm for o in owners for pm in o.fleet.permits.get(dead, {}).values() if not pm.gone], "silent for a lease: gone"
+        assert not [
+            pm for o in owners for pm in o.fleet.permits.get(dead, {}).values() if not pm.gone
+        ], "silent for a lease: gone"
         await p.crash("c0", 6.0)  # whoever takes over has never heard of it
         while p.now - at < 60.0:
             await anyio.sleep(0.5)
@@ -76,8 +80,14 @@
     """The guard taken out: whatever was newest before, each report counts as newer."""
     real = Owner.on_report
 
-    def believing(self: Owner, r: Any, now: float, direct: bool = False, carried: bool = False) -> Any:
-        if (m := self.machines.get(r.machine)) is not None and not direct and (r.session, r.seq) <= m.reported:
+    def believing(
+        self: Owner, r: Any, now: float, direct: bool = False, carried: bool = False
+    ) -> Any:
+        if (
+            (m := self.machines.get(r.machine)) is not None
+            and not direct
+            and (r.session, r.seq) <= m.reported
+        ):
             m.reported, m.session, m.seq = (0, 0), 0, 0
         return real(self, r, now, direct, carried)
 
@@ -85,16 +95,24 @@
 
 
 @pytest.mark.parametrize("guard", ["a copy counts as news", "a copy proves silence over"])
-def test_the_plain_world_notices_a_missing_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_plain_world_notices_a_missing_guard(
+    guard: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     if guard == "a copy counts as news":
         copies_are_news(monkeypatch)
     else:
         real = Owner.on_report
 
-        def believing(self: Owner, r: Any, now: float, direct: bool = False, carried: bool = False) -> Any:
+        def believing(
+            self: Owner, r: Any, now: float, direct: bool = False, carried: bool = False
+        ) -> Any:
             m = self.machines.get(r.machine)
             if m is not None and not direct and (r.session, r.seq) <= m.reported:
-                m.took, m.last_report, m.last_answer = True, now - 2 * world.LEASE, 0.0  # as if what it is answered were its first
+                m.took, m.last_report, m.last_answer = (
+                    True,
+                    now - 2 * world.LEASE,
+                    0.0,
+                )  # as if what it is answered were its first
                 self.proved = now
             return real(self, r, now, direct, carried)
 
@@ -104,7 +122,17 @@
 
 # -- any order, by itself: two owners of one part after one another, two machines, three tasks -----------------------------------
 
-STEPS = {"report": 10, "late": 1, "copy": 4, "do": 5, "do late": 3, "permit": 6, "stop": 4, "claim": 1, "lease": 1}
+STEPS = {
+    "report": 10,
+    "late": 1,
+    "copy": 4,
+    "do": 5,
+    "do late": 3,
+    "permit": 6,
+    "stop": 4,
+    "claim": 1,
+    "lease": 1,
+}
 
 
 class Small:
@@ -112,14 +140,21 @@
 
     def __init__(self) -> None:
         self.now, self.rng, self.nodes = 0.0, Random(1), [0]
-        self.specs = {f"j-{i:06d}": a_job(f"j-{i:06d}", n=1, gpus=1.0, types=("t",), estimate_s=1e9) for i in range(3)}
+        self.specs = {
+            f"j-{i:06d}": a_job(f"j-{i:06d}", n=1, gpus=1.0, types=("t",), estimate_s=1e9)
+            for i in range(3)
+        }
         self.results: set[Any] = set()
         self.longer: dict[tuple[str, int], float] = {}
         self.workers = [world.Worker(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
-        self.sent: list[tuple[world.Worker, dict[str, Any], float]] = []  # reports that left, the oldest first
+        self.sent: list[
+            tuple[world.Worker, dict[str, Any], float]
+        ] = []  # reports that left, the oldest first
         self.commands: list[tuple[world.Worker, dict[str, Any]]] = []  # that may still arrive
         self.epoch = 0
-        self.entries: dict[str, tuple[int, int]] = {}  # job -> attempt, machine: what the source has written
+        self.entries: dict[
+            str, tuple[int, int]
+        ] = {}  # job -> attempt, machine: what the source has written
         self.attempt = 0
         self.claim()
 
@@ -133,9 +168,13 @@
         self.owner = Owner(0, self.epoch, 1, world.LEASE, world.REPORT, 5.0, 5, self.rng, self.now)
         self.owner.types = {"t": world.TYPE}
         self.owner.proved = 1e9  # whoever asks the store is told that it holds the part
-        changes: dict[str, Any] = {peers.job_key(j): JobNews(s.record(), list(s.vec), 0) for j, s in self.specs.items()}
+        changes: dict[str, Any] = {
+            peers.job_key(j): JobNews(s.record(), list(s.vec), 0) for j, s in self.specs.items()
+        }
         for j, (attempt, m) in self.entries.items():
-            changes[peers.permit_key((j, 0, attempt))] = PermitNews(f"n-{m}", self.epoch - 1, 1, None)
+            changes[peers.permit_key((j, 0, attempt))] = PermitNews(
+                f"n-{m}", self.epoch - 1, 1, None
+            )
         self.owner.on_source(0, True, changes, self.now)
 
     def receive(self, w: world.Worker, body: dict[str, Any], sent: float, answered: bool) -> None:
@@ -175,17 +214,25 @@
             job = f"j-{n % 3:06d}"
             name = f"n-{i}"
             m = self.owner.machines.get(name)
-            if job not in self.entries and m is not None and not self.owner.fleet.unusable(m, self.now):
+            if (
+                job not in self.entries
+                and m is not None
+                and not self.owner.fleet.unusable(m, self.now)
+            ):
                 self.attempt += 1
                 self.entries[job] = (self.attempt, i)
                 key = peers.permit_key((job, 0, self.attempt))
-                self.owner.on_source(0, False, {key: PermitNews(name, self.epoch, 1, None)}, self.now)
+                self.owner.on_source(
+                    0, False, {key: PermitNews(name, self.epoch, 1, None)}, self.now
+                )
         elif what == "stop":
             job = f"j-{n % 3:06d}"
             if job in self.entries:
                 attempt, m_i = self.entries[job]
                 key = peers.permit_key((job, 0, attempt))
-                self.owner.on_source(0, False, {key: PermitNews(f"n-{m_i}", self.epoch, 1, 0.0)}, self.now)
+                self.owner.on_source(
+                    0, False, {key: PermitNews(f"n-{m_i}", self.epoch, 1, 0.0)}, self.now
+                )
         elif what == "claim" and n % 4 == 0:
             self.claim()
         elif what == "lease" and n % 2:
@@ -196,14 +243,20 @@
             if key[0] == peers.START and news is not None and news[0] in ("gone", "exited"):
                 job, _, attempt = peers.split_key(key)
                 if self.entries.get(job, (0, 0))[0] == attempt:
-                    del self.entries[job]  # proven gone, or exited and recorded: it may start elsewhere
-                    self.owner.on_source(0, False, {peers.permit_key((job, 0, attempt)): None}, self.now)
+                    del self.entries[
+                        job
+                    ]  # proven gone, or exited and recorded: it may start elsewhere
+                    self.owner.on_source(
+                        0, False, {peers.permit_key((job, 0, attempt)): None}, self.now
+                    )
 
 
 def _any_order(seed: int, steps: int = 400) -> None:
     w, rng = Small(), Random(seed)
     for _ in range(steps):
-        w.step(rng.choices(list(STEPS), list(STEPS.values()))[0], rng.randrange(2), rng.randrange(40))
+        w.step(
+            rng.choices(list(STEPS), list(STEPS.values()))[0], rng.randrange(2), rng.randrange(40)
+        )
 
 
 @pytest.mark.parametrize("seed", range(0, 600, 150))
--- a/tests/test_deaf.py
+++ b/tests/test_deaf.py
@@ -23,9 +23,13 @@
 def given(p: Played, machines: Iterable[str]) -> set[Any]:
     """The starts that stand on these machines, as whoever holds their parts sees it."""
     return {
-        key for n in p.nodes.values() for h in n.shared.held.values() for m in machines
-        for key, pm in h.owner.fleet.permits.get(m, {}).items() if not pm.gone
-    }  # fmt: skip
+        key
+        for n in p.nodes.values()
+        for h in n.shared.held.values()
+        for m in machines
+        for key, pm in h.owner.fleet.permits.get(m, {}).items()
+        if not pm.gone
+    }
 
 
 async def watch(p: Played, machines: list[str], s: float) -> set[Any]:
@@ -40,7 +44,12 @@
 
 
 def unreachable(p: Played) -> set[str]:
-    return {m["name"] for n in p.nodes.values() for m in n.view.of()["trouble_machines"] if m["state"] == "unreachable"}
+    return {
+        m["name"]
+        for n in p.nodes.values()
+        for m in n.view.of()["trouble_machines"]
+        if m["state"] == "unreachable"
+    }
 
 
 @pytest.mark.parametrize(("count", "s"), [(1, 5.0), (1, 10.0), (1, 60.0), (6, 60.0)])
@@ -55,7 +64,11 @@
         if s > 30.0:
             await anyio.sleep(15.0)
             assert unreachable(p) == set(some)
-            assert any("hears nothing" in t for n in p.nodes.values() for t in status.troubles(n.view.of()).values())
+            assert any(
+                "hears nothing" in t
+                for n in p.nodes.values()
+                for t in status.troubles(n.view.of()).values()
+            )
             late = await watch(p, some, s - 15.0)
             assert not late, f"{len(late)} starts were given to machines that hear nothing"
         else:
@@ -63,7 +76,9 @@
         await anyio.sleep(15.0)
         assert not unreachable(p)
         used = await watch(p, some, 25.0)
-        assert used or not p.fleet.machines.keys() & set(some), "they are used again, or have gone back for having been idle"
+        assert used or not p.fleet.machines.keys() & set(some), (
+            "they are used again, or have gone back for having been idle"
+        )
         assert p.claims() == 0, "no part has moved for them"
 
     play(scene, machines=16)
@@ -107,7 +122,11 @@
             while not any(k[0] == gang[0] and k[2] == gang[2] for w in others for k in w.tasks):
                 await anyio.sleep(0.05)
         with anyio.fail_after(30):
-            while any(k[0] == gang[0] and k[2] == gang[2] and t["state"] != "ended" for w in others for k, t in w.tasks.items()):
+            while any(
+                k[0] == gang[0] and k[2] == gang[2] and t["state"] != "ended"
+                for w in others
+                for k, t in w.tasks.items()
+            ):
                 await anyio.sleep(0.05)
         left.append(p.now - at)
         await anyio.sleep(70.0)
@@ -117,11 +136,15 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_a_job_that_is_cancelled_on_it_is_gone_in_time_and_a_new_machine_that_hears_nothing_gets_nothing(known: bool) -> None:
+def test_a_job_that_is_cancelled_on_it_is_gone_in_time_and_a_new_machine_that_hears_nothing_gets_nothing(
+    known: bool,
+) -> None:
     async def scene(p: Played) -> None:
         await busy(p, 40.0)
         if known:
-            some = [w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)]
+            some = [
+                w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)
+            ]
             assert some
             p.deafen(some, 100.0)
             p.tasks.start_soon(p.withdraw, "j-000900")
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -28,7 +28,10 @@
 
     async def __call__(self, q: Any) -> Any:
         if q.path == "/multi":
-            put = next((o for o in orjson.loads(q.body).get("apply", ()) if o.get("put") == f"{SHARD}0"), None)
+            put = next(
+                (o for o in orjson.loads(q.body).get("apply", ()) if o.get("put") == f"{SHARD}0"),
+                None,
+            )
             if put is not None:
                 self.claimant = put["v"]["node"]
                 if self.step == "claim sent" and not self.reached.is_set():
@@ -53,12 +56,17 @@
         rng = Random(STEPS.index(step) * 4 + len(who))
         await busy(p, 60.0)
         hook = Hook(p, step)
-        p.tasks.start_soon(p.crash, "c0", (7.0 if step == "lease gone" else 4.0) + 0.3 * rng.random())
+        p.tasks.start_soon(
+            p.crash, "c0", (7.0 if step == "lease gone" else 4.0) + 0.3 * rng.random()
+        )
         with anyio.fail_after(20.0):
             if step == "lease gone":
                 await anyio.sleep(0.3)
                 ttl, _ = p.state.leases[lease := p.state.tied[f"{SHARD}0"]]
-                p.state.leases[lease] = (ttl, p.now - 1.0)  # workers that come elsewhere would have the part taken before that
+                p.state.leases[lease] = (
+                    ttl,
+                    p.now - 1.0,
+                )  # workers that come elsewhere would have the part taken before that
                 while f"{SHARD}0" in p.state.store.kv:
                     await anyio.sleep(0.01)
                 hook.claimant = "c2"
@@ -73,7 +81,9 @@
         at, longest, since = p.now, 0.0, p.now
         while p.now < at + 20.0:
             await anyio.sleep(0.05)
-            holders = [n for n, node in p.nodes.items() if n not in p.down and 0 in node.shared.held]
+            holders = [
+                n for n, node in p.nodes.items() if n not in p.down and 0 in node.shared.held
+            ]
             in_store = p.state.store.kv.get(f"{SHARD}0", ({"node": None}, 0))[0]["node"]
             since = p.now if in_store in holders else since
             longest = max(longest, p.now - since)
@@ -100,6 +110,8 @@
         for n in p.nodes.values():
             for h in n.shared.held.values():
                 for key, pm in h.owner.permits.items():
-                    assert pm.gone or pm.refused or key in p.fleet.workers[pm.machine].tasks, f"{key} is taken to run on {pm.machine}"
+                    assert pm.gone or pm.refused or key in p.fleet.workers[pm.machine].tasks, (
+                        f"{key} is taken to run on {pm.machine}"
+                    )
 
     play(scene)
--- a/tests/test_further.py
+++ b/tests/test_further.py
@@ -11,12 +11,27 @@
 from scripts import further
 
 SITE: dict[str, Any] = {
-    "nodes": {"count": 3}, "workers": {"lease_s": 13.0, "cancel_s": 38.0}, "warmup_s": 120.0, "duration_s": 500.0,
+    "nodes": {"count": 3},
+    "workers": {"lease_s": 13.0, "cancel_s": 38.0},
+    "warmup_s": 120.0,
+    "duration_s": 500.0,
     "capacity": [{"count": 100, "zone": "a"}, {"count": 80, "zone": "b"}],
     "jobs": [{"name": "ranker", "kind": "service"}, {"name": "embed", "kind": "array"}],
-}  # fmt: skip
-WANTED = ("late_writes", "late_writes at_once", "late_reports", "late_reports for_next", "machine_deaf", "node_cut from_peers",
-          "cancel_now", "cancel_now hang_s", "cancel_at_end", "machine_mute", "odd_requests", "close_looks")  # fmt: skip
+}
+WANTED = (
+    "late_writes",
+    "late_writes at_once",
+    "late_reports",
+    "late_reports for_next",
+    "machine_deaf",
+    "node_cut from_peers",
+    "cancel_now",
+    "cancel_now hang_s",
+    "cancel_at_end",
+    "machine_mute",
+    "odd_requests",
+    "close_looks",
+)
 
 
 @pytest.mark.parametrize("seed", range(1, 40))
@@ -25,7 +40,20 @@
     on: Counter[str] = Counter()
     for i in range(first, first + 20):
         faults, names = further.faults(SITE, seed, i, Random(f"{seed} {i}"))
-        assert faults == further.faults(SITE, seed, i, Random(f"{seed} {i}"))[0] and len(set(names)) > 1
+        assert (
+            faults == further.faults(SITE, seed, i, Random(f"{seed} {i}"))[0]
+            and len(set(names)) > 1
+        )
         assert all(f["at_s"] < 0.81 * SITE["duration_s"] for f in faults)
-        on.update({" ".join([f["kind"], *(k for k in ("at_once", "for_next", "from_peers", "hang_s") if k in f)]) for f in faults})
+        on.update(
+            {
+                " ".join(
+                    [
+                        f["kind"],
+                        *(k for k in ("at_once", "for_next", "from_peers", "hang_s") if k in f),
+                    ]
+                )
+                for f in faults
+            }
+        )
     assert all(on[w] >= 5 for w in WANTED), {w: on[w] for w in WANTED if on[w] < 5}
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -28,24 +28,34 @@
 
 def hears_all(self: Cancellations, now: float) -> bool:
     """As it was: in an outage, whoever hears all others goes on, and only the key counts for the telling."""
-    return now - self.read_at >= self.fence and any(now - m.heard > 2.5 for m in self.members.values())
+    return now - self.read_at >= self.fence and any(
+        now - m.heard > 2.5 for m in self.members.values()
+    )
 
 
 @pytest.mark.parametrize("mode", [SILENT, RESET, HOLD])
 @pytest.mark.parametrize("mended", [True, False])
-def test_told_in_an_outage_by_others_while_the_workers_stay(mode: str, mended: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_told_in_an_outage_by_others_while_the_workers_stay(
+    mode: str, mended: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Its key has gone, nobody has its part yet, it has read none of the cancellations, and can hear the others again."""
     if not mended:
         monkeypatch.setattr(Cancellations, "isolated", hears_all)
         real, word = Cancellations.take, Cancellations.word
-        monkeypatch.setattr(Cancellations, "take", lambda s, n, w, now: real(s, n, w._replace(cancelled=[]), now))
-        monkeypatch.setattr(Cancellations, "word", lambda s, n, read, now: word(s, n, read, now)._replace(echo=None))
+        monkeypatch.setattr(
+            Cancellations, "take", lambda s, n, w, now: real(s, n, w._replace(cancelled=[]), now)
+        )
+        monkeypatch.setattr(
+            Cancellations, "word", lambda s, n, read, now: word(s, n, read, now)._replace(echo=None)
+        )
         monkeypatch.setattr(Cancellations, "_owed", lambda self, m: m.absent or 0.0)
 
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
         layout = p.nodes["c0"].shared.layout
-        mine = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][:3]  # it is the source, too: nobody else stops them
+        mine = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][
+            :3
+        ]  # it is the source, too: nobody else stops them
         for n in mine:
             await p.submit(p.spec(n, gait="daemon", chicks=4))
         await anyio.sleep(6.0)
@@ -63,8 +73,12 @@
         await anyio.sleep(100.0)
         if mended:
             told = sorted(t - at for t in p.cancelled.values())
-            assert told and told[-1] < 14.0, "it is named the cancellations when the link is back, and then the users are told"
-            assert p.nodes["c0"].shared.held and p.fleet.killed_by_lease == 0, "and goes on with everything else"
+            assert told and told[-1] < 14.0, (
+                "it is named the cancellations when the link is back, and then the users are told"
+            )
+            assert p.nodes["c0"].shared.held and p.fleet.killed_by_lease == 0, (
+                "and goes on with everything else"
+            )
             assert any(w.tasks for w in p.workers.values())
         await anyio.sleep(45.0)
 
@@ -83,7 +97,9 @@
         await p.outage(130.0)
         assert p.fleet.killed_by_lease == 0
         await anyio.sleep(20.0)
-        assert p.fleet.killed_by_lease == 0 and all(len(n.shared.held) == 1 for n in p.nodes.values())
+        assert p.fleet.killed_by_lease == 0 and all(
+            len(n.shared.held) == 1 for n in p.nodes.values()
+        )
 
     play(scene)
 
@@ -101,7 +117,11 @@
         now = p.now
         for name in ("c0", "c2"):
             node = p.nodes[name]
-            assert node.shared.held and not node.membership.isolated(now) and now - node.cancellations.contact(now) < 3.0
+            assert (
+                node.shared.held
+                and not node.membership.isolated(now)
+                and now - node.cancellations.contact(now) < 3.0
+            )
         await anyio.sleep(25.0)
 
     play(scene)
--- a/tests/test_hands.py
+++ b/tests/test_hands.py
@@ -43,12 +43,18 @@
     async def watch(self) -> None:
         while True:
             await anyio.sleep(0.05)
-            claimed = {e.version for e in self.p.state.store.log if e.key.startswith("p/shard/") and e.value is not None}
+            claimed = {
+                e.version
+                for e in self.p.state.store.log
+                if e.key.startswith("p/shard/") and e.value is not None
+            }
             for w in self.p.workers.values():
                 if w.token < self.seen.get(w.name, 0):
                     self.p.broken.append(f"{w.name} went back to a lower token")
                 if w.token and w.token >> 20 not in claimed:
-                    self.p.broken.append(f"{w.name} bears a token of an epoch that nobody has claimed")
+                    self.p.broken.append(
+                        f"{w.name} bears a token of an epoch that nobody has claimed"
+                    )
                 self.seen[w.name] = w.token
 
 
@@ -56,10 +62,16 @@
     """Every part is held once, by its home in the end, and every worker is answered by the holder of its part."""
     with anyio.move_on_after(within):
         while True:
-            held = {s: n for n, node in p.nodes.items() if n not in p.down for s in node.shared.held}
+            held = {
+                s: n for n, node in p.nodes.items() if n not in p.down for s in node.shared.held
+            }
             epochs = {s: p.nodes[n].shared.held[s].epoch for s, n in held.items()}
             layout = p.nodes["c0"].shared.layout
-            late = [w.name for w in p.workers.values() if w.token >> 20 != epochs.get(layout.part(w.zone, w.name), -1)]
+            late = [
+                w.name
+                for w in p.workers.values()
+                if w.token >> 20 != epochs.get(layout.part(w.zone, w.name), -1)
+            ]
             if sorted(held) == [0, 1, 2] and not late:
                 return
             await anyio.sleep(0.1)
@@ -121,12 +133,24 @@
 
 
 COURSES: dict[str, Callable[[Played, Random], Any]] = {
-    "ten": ten, "ten inside an outage": ten_inside, "over and back": over_and_back, "one returns": one_returns, "all away": all_away,
-    "all within a second": all_within, "all inside an outage": all_inside,
-}  # fmt: skip
+    "ten": ten,
+    "ten inside an outage": ten_inside,
+    "over and back": over_and_back,
+    "one returns": one_returns,
+    "all away": all_away,
+    "all within a second": all_within,
+    "all inside an outage": all_inside,
+}
 NO_LOSS = {"over and back", "one returns", "all within a second", "all inside an outage"}
-CLAIMS = {"ten": 10, "ten inside an outage": 6, "over and back": 5, "one returns": 3, "all away": 3, "all within a second": 6,
-          "all inside an outage": 3}  # fmt: skip
+CLAIMS = {
+    "ten": 10,
+    "ten inside an outage": 6,
+    "over and back": 5,
+    "one returns": 3,
+    "all away": 3,
+    "all within a second": 6,
+    "all inside an outage": 3,
+}
 
 
 def reads_no_cells() -> Any:
@@ -139,12 +163,20 @@
     return Rights, "answer", lambda self, r, me, newest, over, wall: None
 
 
-@pytest.mark.parametrize(("course", "without", "breaks"), [
-    *((course, None, "") for course in COURSES),
-    *((course, reads_no_cells, "was lost|does not run") for course in ("ten", "over and back", "one returns", "all away")),
-    ("all inside an outage", answers_nobody, "was lost"),
-])  # fmt: skip
-def test_leaders_change(course: str, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("course", "without", "breaks"),
+    [
+        *((course, None, "") for course in COURSES),
+        *(
+            (course, reads_no_cells, "was lost|does not run")
+            for course in ("ten", "over and back", "one returns", "all away")
+        ),
+        ("all inside an outage", answers_nobody, "was lost"),
+    ],
+)
+def test_leaders_change(
+    course: str, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Who answers which worker, what each life concludes, and what the workers go on with."""
     if without is not None:
         monkeypatch.setattr(*without())
@@ -165,11 +197,16 @@
         assert p.claims() >= CLAIMS[course], p.claims()
         if course in NO_LOSS:
             stay = {k for k in ran if k[0] >= "j-000900"}
-            p.broken += [f"{k} was lost" for k in stay - {k for w in p.workers.values() for k in w.on_machine()}]
+            p.broken += [
+                f"{k} was lost"
+                for k in stay - {k for w in p.workers.values() for k in w.on_machine()}
+            ]
         p.broken += [f"not answered: {j}" for j in await p.all_answered(20.0)]
         await anyio.sleep(30.0)
         up = {k[0] for w in p.workers.values() for k in w.on_machine()}
-        p.broken += [f"{j} does not run" for j in ("j-000900", "j-000901", "j-000902") if j not in up]
+        p.broken += [
+            f"{j} does not run" for j in ("j-000900", "j-000901", "j-000902") if j not in up
+        ]
 
     judged(scene, without, breaks)
 
@@ -223,13 +260,24 @@
     return Roles, "take", take
 
 
-@pytest.mark.parametrize(("how", "step", "without"), [
-    (ends, "claim sent", None), (ends, "cells read", None), (ends, "source ready", None),
-    (stands_still, "claim landed", None), (stands_still, "source ready", None),
-    (all_end, "claim sent", None), (all_end, "cells read", None),
-    (out_of_touch, "claim landed", None), (out_of_touch, "source ready", None), (out_of_touch, "claim landed", owners_know_nothing),
-])  # fmt: skip
-def test_cancelled_while_work_changes_hands(how: Any, step: str, without: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("how", "step", "without"),
+    [
+        (ends, "claim sent", None),
+        (ends, "cells read", None),
+        (ends, "source ready", None),
+        (stands_still, "claim landed", None),
+        (stands_still, "source ready", None),
+        (all_end, "claim sent", None),
+        (all_end, "cells read", None),
+        (out_of_touch, "claim landed", None),
+        (out_of_touch, "source ready", None),
+        (out_of_touch, "claim landed", owners_know_nothing),
+    ],
+)
+def test_cancelled_while_work_changes_hands(
+    how: Any, step: str, without: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """At a step of the claim users cancel half of what runs, of every team, wherever its tasks and its source are.
 
     What is told is gone in time and starts nowhere; the other half runs on.
@@ -246,7 +294,10 @@
         await how(p)
         with anyio.fail_after(40.0):
             if step == "source ready":
-                while not any(n != "c0" and 0 in node.shared.held and node.shared.held[0].source for n, node in p.nodes.items()):
+                while not any(
+                    n != "c0" and 0 in node.shared.held and node.shared.held[0].source
+                    for n, node in p.nodes.items()
+                ):
                     await anyio.sleep(0.002)
             else:
                 await hook.reached.wait()
@@ -270,14 +321,27 @@
 def names_nothing() -> Any:
     """Without: members name no cancellations to one another, and answer none of one another's words."""
     real = Cancellations.word
-    return Cancellations, "word", lambda s, n, read, now: real(s, n, read, now)._replace(cancelled=[], echo=None)
-
-
-@pytest.mark.parametrize(("alone", "slowly", "without"), [
-    (2.5, False, None), (2.5, True, None), (8.0, False, None), (8.0, True, None),
-    (0.5, False, None), (0.5, False, names_nothing),
-])  # fmt: skip
-def test_refused_alone_then_everybody(alone: float, slowly: bool, without: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+    return (
+        Cancellations,
+        "word",
+        lambda s, n, read, now: real(s, n, read, now)._replace(cancelled=[], echo=None),
+    )
+
+
+@pytest.mark.parametrize(
+    ("alone", "slowly", "without"),
+    [
+        (2.5, False, None),
+        (2.5, True, None),
+        (8.0, False, None),
+        (8.0, True, None),
+        (0.5, False, None),
+        (0.5, False, names_nothing),
+    ],
+)
+def test_refused_alone_then_everybody(
+    alone: float, slowly: bool, without: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Refused alone for less and for more than its lease, watches open all along; then an outage for longer than `cancel_s`.
 
     Everybody has the lease's full time when it is over: nobody lets go of a part, nothing is killed by a lease, and those who cancelled
@@ -293,7 +357,9 @@
 
         async def handle(q: Any) -> Any:
             reply = await inner(q)
-            while q.path == "/watch" and name in self.refused:  # an open watch waits as it would in an outage
+            while (
+                q.path == "/watch" and name in self.refused
+            ):  # an open watch waits as it would in an outage
                 await anyio.sleep(0.1)
             return reply
 
@@ -320,7 +386,9 @@
         p.refused.discard("c0")
         claims = p.claims()
         await anyio.sleep(8.0)
-        p.broken += [f"told late: {n}" for n in (900, 901) if f"j-{n:06d}" not in p.cancelled and not slowly]
+        p.broken += [
+            f"told late: {n}" for n in (900, 901) if f"j-{n:06d}" not in p.cancelled and not slowly
+        ]
         for n in cancels:
             p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
             await anyio.sleep(CANCEL / 6)
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -6,7 +6,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "ploverhall"
-LAYERS = ["transport", "protocol", "coordination", "control"]  # lower ones first; bookkeeping lies beside coordination
+LAYERS = [
+    "transport",
+    "protocol",
+    "coordination",
+    "control",
+]  # lower ones first; bookkeeping lies beside coordination
 
 
 def imports() -> dict[str, set[str]]:
@@ -22,7 +27,10 @@
             if isinstance(node, ast.Import):
                 found.update(a.name for a in node.names)
             elif isinstance(node, ast.ImportFrom) and node.module and not node.level:
-                found.update(f"{node.module}.{a.name}" if f"{node.module}.{a.name}" in names else node.module for a in node.names)
+                found.update(
+                    f"{node.module}.{a.name}" if f"{node.module}.{a.name}" in names else node.module
+                    for a in node.names
+                )
         out[name] = {f for f in found if f in names and f != name}
     return out
 
@@ -31,7 +39,7 @@
     graph, done = imports(), set[str]()
 
     def walk(name: str, above: tuple[str, ...]) -> None:
-        assert name not in above, f"a circle: {' -> '.join((*above[above.index(name):], name))}"
+        assert name not in above, f"a circle: {' -> '.join((*above[above.index(name) :], name))}"
         if name not in done:
             for below in graph[name]:
                 walk(below, (*above, name))
@@ -52,4 +60,6 @@
 
 def test_only_the_root_knows_all_parts() -> None:
     """A part that is handed the whole composition can't be played without it."""
-    assert [n for n, found in imports().items() if "ploverhall.control.node" in found] == ["ploverhall.cli"]
+    assert [n for n, found in imports().items() if "ploverhall.control.node" in found] == [
+        "ploverhall.cli"
+    ]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -27,7 +27,10 @@
             client = Client("127.0.0.1", port)
             assert (await client.call("GET", "/a"))[1] == {"path": "/a"}
             for stream in (half, slow):
-                with anyio.fail_after(3), pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
+                with (
+                    anyio.fail_after(3),
+                    pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)),
+                ):
                     while True:
                         await stream.receive()
                 await stream.aclose()
@@ -53,7 +56,9 @@
             for stream in (*held, third):
                 await stream.aclose()
             await anyio.sleep(0.1)
-            assert (await Client("127.0.0.1", port).call("GET", "/"))[0] == 200, "and is served once there is room"
+            assert (await Client("127.0.0.1", port).call("GET", "/"))[0] == 200, (
+                "and is served once there is room"
+            )
             tg.cancel_scope.cancel()
 
     anyio.run(play)
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -8,12 +8,17 @@
 
 
 def test_values_stay_under_the_limit_and_hold_everything() -> None:
-    known = {f"n-{i:06d}": {f"img-{j:02d}": j / 4 for j in ((i * 7 + k) % 50 for k in range(i % 9))} for i in range(400)}
+    known = {
+        f"n-{i:06d}": {f"img-{j:02d}": j / 4 for j in ((i * 7 + k) % 50 for k in range(i % 9))}
+        for i in range(400)
+    }
     values = images.pack(known, 4096)
     assert len(values) > 1 and all(len(orjson.dumps(v)) <= 4096 for v in values)
     assert images.unpack(values) == {m: held for m, held in known.items() if held}
 
 
 def test_a_machine_with_more_than_a_value_holds_is_left_out() -> None:
-    values = images.pack({"n-1": {"x" * 400 + str(i): 1.0 for i in range(20)}, "n-2": {"a": 1.0}}, 4096)
+    values = images.pack(
+        {"n-1": {"x" * 400 + str(i): 1.0 for i in range(20)}, "n-2": {"a": 1.0}}, 4096
+    )
     assert images.unpack(values) == {"n-2": {"a": 1.0}}
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -20,9 +20,20 @@
     async def scene(p: Played) -> None:
         p.fleet.most = 12
         at, n = p.now, 1
-        gang = p.spec(900, gait="group", chicks=4, gpus=4.0, together=True, marsh="a", keeper="team-4", flightS=5.0)
+        gang = p.spec(
+            900,
+            gait="group",
+            chicks=4,
+            gpus=4.0,
+            together=True,
+            marsh="a",
+            keeper="team-4",
+            flightS=5.0,
+        )
         while p.now - at < 85.0 and not began:
-            spec = p.spec(n, gait="array", chicks=3, rank="urgent", keeper=f"team-{n % 4}", flightS=9.0)
+            spec = p.spec(
+                n, gait="array", chicks=3, rank="urgent", keeper=f"team-{n % 4}", flightS=9.0
+            )
             p.tasks.start_soon(p.submit, spec)
             if n == 60:
                 p.tasks.start_soon(p.submit, gang)
@@ -31,7 +42,12 @@
                 p.tasks.start_soon(p.crash, "c1", 0.3)
             n += 1
             await anyio.sleep(0.45)
-            on = [k for w in p.fleet.workers.values() for k, t in w.tasks.items() if k[0] == "j-000900" and t["state"] == "running"]
+            on = [
+                k
+                for w in p.fleet.workers.values()
+                for k, t in w.tasks.items()
+                if k[0] == "j-000900" and t["state"] == "running"
+            ]
             if len(on) == 4:
                 began.append(p.now - since)
         await anyio.sleep(12.0)  # it was stopped again after 3 s by what it had been put before
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,7 +19,9 @@
     """A job's end takes its starts out of the count, wherever they may still be."""
     real = Ledger.on_job
 
-    def on_job(self: Ledger, job: Any, jid: str, version: int, now: float, age: float = 0.0) -> None:
+    def on_job(
+        self: Ledger, job: Any, jid: str, version: int, now: float, age: float = 0.0
+    ) -> None:
         real(self, job, jid, version, now, age)
         if job is None and (js := self.jobs.get(jid)) is not None:
             for e in js.entries.values():
@@ -35,7 +37,13 @@
 
     def install_cell(self: Ledger, team: str, found: dict[str, Any], now: float) -> None:
         small = {
-            key: ({jid: [vec if jid in self.jobs else [0.0, 0.0, 0.0], es] for jid, (vec, es) in value.items()}, version)
+            key: (
+                {
+                    jid: [vec if jid in self.jobs else [0.0, 0.0, 0.0], es]
+                    for jid, (vec, es) in value.items()
+                },
+                version,
+            )
             for key, (value, version) in found.items()
         }
         real(self, team, small, now)
@@ -43,11 +51,21 @@
     monkeypatch.setattr(Ledger, "install_cell", install_cell)
 
 
-@pytest.mark.parametrize(("how", "s", "change", "without"), [
-    ("cut", 8.0, True, None), ("cut", 14.0, True, None), ("cut", 14.0, False, None), ("held", 8.0, True, None),
-    ("hang", 8.0, True, None), ("hang", 14.0, True, None), ("hang", 25.0, False, None),
-    ("cut", 14.0, False, over_is_gone), ("hang", 8.0, True, over_is_gone), ("cut", 8.0, True, over_is_small),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("how", "s", "change", "without"),
+    [
+        ("cut", 8.0, True, None),
+        ("cut", 14.0, True, None),
+        ("cut", 14.0, False, None),
+        ("held", 8.0, True, None),
+        ("hang", 8.0, True, None),
+        ("hang", 14.0, True, None),
+        ("hang", 25.0, False, None),
+        ("cut", 14.0, False, over_is_gone),
+        ("hang", 8.0, True, over_is_gone),
+        ("cut", 8.0, True, over_is_small),
+    ],
+)
 def test_what_is_cancelled_where_nobody_can_ask_counts_until_it_is_gone_and_its_room_is_used_at_once(
     how: str, s: float, change: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -60,11 +78,22 @@
         for team in range(2):  # at the limit of 16
             await p.submit(p.spec(900 + team, gait="daemon", chicks=6))
             for n in (910, 912):
-                await p.submit(p.spec(n + team, gait="array", chicks=2, gpus=2.0 + n % 4 / 2, flightS=400.0, pullGb=0.1))
+                await p.submit(
+                    p.spec(
+                        n + team,
+                        gait="array",
+                        chicks=2,
+                        gpus=2.0 + n % 4 / 2,
+                        flightS=400.0,
+                        pullGb=0.1,
+                    )
+                )
         await anyio.sleep(7.0)
         for team in range(2):  # these wait for the room of what is cancelled
             for n in range(4):
-                await p.submit(p.spec(920 + 2 * n + team, gait="array", chicks=4, flightS=3.0, pullGb=0.1))
+                await p.submit(
+                    p.spec(920 + 2 * n + team, gait="array", chicks=4, flightS=3.0, pullGb=0.1)
+                )
         await anyio.sleep(2.0)
         big = {f"j-{n:06d}" for n in (910, 911, 912, 913)}
         theirs = [w.name for w in p.fleet.workers.values() if any(k[0] in big for k in w.tasks)]
@@ -83,7 +112,12 @@
                 p.tasks.start_soon(p.crash, name, 0.2 if s > 10.0 else 20.0)
         await anyio.sleep(until - p.now)
         with anyio.move_on_after(40.0):
-            while not all((j, i) in p.fleet.results for j, sp in p.specs.items() if int(j[2:]) >= 920 for i in range(sp.n)):
+            while not all(
+                (j, i) in p.fleet.results
+                for j, sp in p.specs.items()
+                if int(j[2:]) >= 920
+                for i in range(sp.n)
+            ):
                 await anyio.sleep(0.1)
         used.append(p.now - until)
         assert big <= p.cancelled.keys() and not p.starts_after_told()
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -43,21 +43,52 @@
 def config(ports: list[int]) -> dict[str, Any]:
     node, peer, state, cloud = ports[:4]
     return {
-        "host_name": "c0", "site": "a", "bind": f"127.0.0.1:{node}", "peer_listen": f"127.0.0.1:{peer}",
+        "host_name": "c0",
+        "site": "a",
+        "bind": f"127.0.0.1:{node}",
+        "peer_listen": f"127.0.0.1:{peer}",
         "external": {"cloud": f"127.0.0.1:{cloud}", "state": f"127.0.0.1:{state}"},
         "deployment": {
-            "zones": ["a"], "teams": [{"name": "team", "cpus": 0, "cpus_max": 0, "gpus": 4, "gpus_max": 8}],
-            "workers": {"report_s": 0.2, "lease_s": 10.0, "gang_wait_s": 5.0, "gang_peer_s": 2.0, "cancel_s": 30.0},
-            "state": {"rps": 500.0, "write_rps": 200.0, "value_kb": 4.0, "txn_ops": 8}, "cloud": {"rps": 20.0, "list_lag_s": 0.1},
+            "zones": ["a"],
+            "teams": [{"name": "team", "cpus": 0, "cpus_max": 0, "gpus": 4, "gpus_max": 8}],
+            "workers": {
+                "report_s": 0.2,
+                "lease_s": 10.0,
+                "gang_wait_s": 5.0,
+                "gang_peer_s": 2.0,
+                "cancel_s": 30.0,
+            },
+            "state": {"rps": 500.0, "write_rps": 200.0, "value_kb": 4.0, "txn_ops": 8},
+            "cloud": {"rps": 20.0, "list_lag_s": 0.1},
             "limits": {"core_share": 1.0, "mem_mb": 200.0, "max_sockets": 200},
         },
-    }  # fmt: skip
+    }
 
 
 def spec(jid: str, gait: str, n: int, **kw: Any) -> dict[str, Any]:
-    return {"id": jid, "flock": "f", "keeper": "team", "gait": gait, "rank": "normal", "chicks": n, "cores": 1.0, "gpus": 1.0,
-            "ramGb": 1.0, "plumage": "i", "pullGb": 0.1, "breeds": None, "marsh": None, "together": False, "scatter": False,
-            "driftwood": False, "flightS": 0.3, "nestS": 0.0, "tuckS": 0.0, "duskS": None, **kw}  # fmt: skip
+    return {
+        "id": jid,
+        "flock": "f",
+        "keeper": "team",
+        "gait": gait,
+        "rank": "normal",
+        "chicks": n,
+        "cores": 1.0,
+        "gpus": 1.0,
+        "ramGb": 1.0,
+        "plumage": "i",
+        "pullGb": 0.1,
+        "breeds": None,
+        "marsh": None,
+        "together": False,
+        "scatter": False,
+        "driftwood": False,
+        "flightS": 0.3,
+        "nestS": 0.0,
+        "tuckS": 0.0,
+        "duskS": None,
+        **kw,
+    }
 
 
 @dataclass
@@ -124,11 +155,15 @@
         with anyio.fail_after(20):
             while sum(k.startswith("e/") for k in at.state.store.kv) < 5:
                 await anyio.sleep(0.05)
-        assert sum(k.startswith("p/job/") for k in at.state.store.kv) == 1, "what every controller reads when it starts stays small"
+        assert sum(k.startswith("p/job/") for k in at.state.store.kv) == 1, (
+            "what every controller reads when it starts stays small"
+        )
         for i in range(6):
             path = f"/api/jobs/j-{i:06d}"
             assert (await at.call("GET", path))[1]["stance"] == "done"
-            assert (await at.call("POST", "/api/jobs", spec(f"j-{i:06d}", "array", 1)))[0] == 200, "a late repeat is no new job"
+            assert (await at.call("POST", "/api/jobs", spec(f"j-{i:06d}", "array", 1)))[0] == 200, (
+                "a late repeat is no new job"
+            )
             assert (await at.call("POST", f"{path}/withdraw"))[1]["stance"] == "done"
         assert (await at.call("GET", "/api/jobs/j-000099"))[0] == 404
         assert (await at.call("POST", "/api/jobs/j-000099/withdraw"))[0] == 404
@@ -137,7 +172,11 @@
 async def _play() -> None:
     async with running() as at:
         s, state, fleet, call, until = at.s, at.state, at.fleet, at.call, at.until
-        work = [spec("j-000001", "array", 5), spec("j-000002", "group", 2), spec("j-000003", "daemon", 1)]
+        work = [
+            spec("j-000001", "array", 5),
+            spec("j-000002", "group", 2),
+            spec("j-000003", "daemon", 1),
+        ]
         for w in work:
             fleet.specs[w["id"]] = jobs.parse(w, 0.0)
             assert (await call("POST", "/api/jobs", w))[0] == 201
@@ -149,7 +188,9 @@
         await until("j-000002", "done")
         await until("j-000003", "running")
         state.down = True
-        assert (await call("GET", "/api/jobs/j-000001"))[1]["stance"] == "done", "a final state needs no state service"
+        assert (await call("GET", "/api/jobs/j-000001"))[1]["stance"] == "done", (
+            "a final state needs no state service"
+        )
         assert (await call("GET", "/api/jobs/j-000003"))[0] == 503
         assert (await call("POST", "/api/jobs", spec("j-000004", "array", 1)))[0] == 503
         state.down = False
@@ -167,7 +208,11 @@
         (view,) = (c["view"] for c in status["controllers"].values())
         assert view["teams"]["team"]["gpus"] == 0 and view["machines"]
         shown = "\n".join(text(status, {}))
-        assert shown.startswith("wrong now: nothing") and "ended lately:" in shown and "team team:" in shown
+        assert (
+            shown.startswith("wrong now: nothing")
+            and "ended lately:" in shown
+            and "team team:" in shown
+        )
         huge = spec("j-000005", "array", 100_000, flightS=0.2)
         fleet.specs["j-000005"] = jobs.parse(huge, 0.0)
         assert (await call("POST", "/api/jobs", huge))[0] == 201
@@ -180,7 +225,9 @@
         assert b"400" in await raw.receive()
         await raw.aclose()
         big = await anyio.connect_tcp(*s.bind)
-        await big.send(b"POST /api/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 70000\r\n\r\n" + b"x" * 70000)
+        await big.send(
+            b"POST /api/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 70000\r\n\r\n" + b"x" * 70000
+        )
         assert b"413" in await big.receive()
         await big.aclose()
         assert not fleet.broken and fleet.starts >= 8
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -31,7 +31,16 @@
 from .test_carry import busy
 
 SILENT = 0  # no answer at all
-NO_FORM: tuple[Any, ...] = (None, [], "ok", {}, {"moult": None}, {"moult": "7"}, {"moult": -1}, {"moult": True})
+NO_FORM: tuple[Any, ...] = (
+    None,
+    [],
+    "ok",
+    {},
+    {"moult": None},
+    {"moult": "7"},
+    {"moult": -1},
+    {"moult": True},
+)
 STATUSES = (500, 502, 504, 404, 301)
 
 
@@ -43,12 +52,27 @@
     for op in orjson.loads(q.body).get("apply", ()):
         key, value = op.get("put") or op["delete"], op.get("v")
         if key.startswith("p/job/") and "put" in op:
-            out.add("submission" if not isinstance(value, dict) else "end" if value["s"] == "done" else "cancellation")
+            out.add(
+                "submission"
+                if not isinstance(value, dict)
+                else "end"
+                if value["s"] == "done"
+                else "cancellation"
+            )
         elif key.startswith("p/shard/"):
             out.add("claim" if "put" in op else "hand-back")
         else:
-            for prefix, kind in (("c/", "permits"), ("d/", "progress"), ("p/node/", "member"), ("p/renter", "renter"), ("p/type", "types"),
-                                 ("u/", "grants"), ("p/upkeep/", "order"), ("i/", "images"), ("e/", "archive")):  # fmt: skip
+            for prefix, kind in (
+                ("c/", "permits"),
+                ("d/", "progress"),
+                ("p/node/", "member"),
+                ("p/renter", "renter"),
+                ("p/type", "types"),
+                ("u/", "grants"),
+                ("p/upkeep/", "order"),
+                ("i/", "images"),
+                ("e/", "archive"),
+            ):
                 if key.startswith(prefix):
                     out.add(kind)
     return out
@@ -57,8 +81,15 @@
 class Answers:
     """The state service, with a share of the transactions of some kinds carried out, and their answers lost or of no use."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, kinds: set[str], late: bool, share: float = 0.6, seed: int = 1,
-                 with_no_form: bool = True) -> None:
+    def __init__(
+        self,
+        monkeypatch: pytest.MonkeyPatch,
+        kinds: set[str],
+        late: bool,
+        share: float = 0.6,
+        seed: int = 1,
+        with_no_form: bool = True,
+    ) -> None:
         self.kinds, self.late, self.share, self.rng = kinds, late, share, Random(seed)
         self.odd = [SILENT, SILENT, *STATUSES, *([200] * 3 if with_no_form else [])]
         self.on = False
@@ -69,7 +100,9 @@
 
         async def handle(self: State, q: Any) -> Reply:
             lost = answers.on and not self.down and answers.kinds & kinds_of(q)
-            if not lost or (all(answers.met[k] for k in lost) and answers.rng.random() >= answers.share):  # the first of each surely
+            if not lost or (
+                all(answers.met[k] for k in lost) and answers.rng.random() >= answers.share
+            ):  # the first of each surely
                 return await real(self, q)
             if not answers.late and (reply := await real(self, q)).status != 200:
                 return reply  # nothing was carried out: a claim that came second, say
@@ -79,7 +112,9 @@
             status = answers.rng.choice(answers.odd)
             if status == SILENT:
                 await anyio.sleep(20.0)
-            return Reply(status, {"error": "gateway"} if status != 200 else answers.rng.choice(NO_FORM))
+            return Reply(
+                status, {"error": "gateway"} if status != 200 else answers.rng.choice(NO_FORM)
+            )
 
         monkeypatch.setattr(State, "handle", handle)
 
@@ -104,7 +139,9 @@
         accepted = [j for j, a in p.asked.items() if a.accepted is not None]
         if not accepted:
             continue
-        for jid in dict.fromkeys([*accepted[-2:], *sorted(p.withdrawing)[-1:], p.asker.choice(accepted)]):  # one seed, one course
+        for jid in dict.fromkeys(
+            [*accepted[-2:], *sorted(p.withdrawing)[-1:], p.asker.choice(accepted)]
+        ):  # one seed, one course
             for name in p.names:
                 p.tasks.start_soon(p.ask, jid, name)
             p.tasks.start_soon(p.resubmit, jid, p.asker.choice(p.names))
@@ -115,7 +152,10 @@
     while True:
         for name in ("c2", "c0", "c1"):
             with contextlib.suppress(Unreachable):
-                if (await p.users[name].call("POST", "/upkeep", {"id": jid, **what}, 5.0))[0] in (200, 201):
+                if (await p.users[name].call("POST", "/upkeep", {"id": jid, **what}, 5.0))[0] in (
+                    200,
+                    201,
+                ):
                     return
         await anyio.sleep(1.0)
 
@@ -140,10 +180,15 @@
         for verb in ("pause", "resume", "pause", "resume"):
             for _ in range(20):  # until told so
                 with contextlib.suppress(Unreachable):
-                    if (await p.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0] in (200, 409):
+                    if (await p.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0] in (
+                        200,
+                        409,
+                    ):
                         break
                 await anyio.sleep(1.0)
-    with anyio.move_on_after(40.0):  # a part goes home only when its home has been well for some time
+    with anyio.move_on_after(
+        40.0
+    ):  # a part goes home only when its home has been well for some time
         while "hand-back" in answers.kinds and not answers.met["hand-back"]:
             await anyio.sleep(0.1)
     await anyio.sleep(2.0)
@@ -153,12 +198,18 @@
 
 def whole(p: Played, kills: bool) -> None:
     """Nothing is lost by it. Only where claims are lost while two of three controllers are down may a part be without one for a lease."""
-    assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2], "nobody holds a part, or two do"
+    assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2], (
+        "nobody holds a part, or two do"
+    )
     assert all(f"p/node/{n}" in p.state.store.kv for n in p.names)
     assert all(a.accepted is not None for a in p.asked.values()), "not accepted"
     order = p.state.store.kv.get("p/upkeep/u-1")
-    assert order is None or order[0]["state"] != "paused", "u-1 is paused, though its operator was told that it goes on"
-    assert len(p.cancelled) + sum(p.told.get(j) == "done" for j in p.withdrawing) >= len(p.withdrawing)
+    assert order is None or order[0]["state"] != "paused", (
+        "u-1 is paused, though its operator was told that it goes on"
+    )
+    assert len(p.cancelled) + sum(p.told.get(j) == "done" for j in p.withdrawing) >= len(
+        p.withdrawing
+    )
     over = {j for j in p.asked if p.told.get(j) in ("done", "withdrawn")}
     left = [k for k, (v, _) in p.state.store.kv.items() if k.startswith("c/") and over & set(v)]
     assert not left, f"entries of jobs that are over: {left}"
@@ -170,7 +221,10 @@
     real = Membership.check
 
     async def check(self: Membership, shard: int, now: float) -> None:
-        if self.shared.replica.holder(shard)[0] != self.shared.settings.name or shard in self.shared.held:
+        if (
+            self.shared.replica.holder(shard)[0] != self.shared.settings.name
+            or shard in self.shared.held
+        ):
             await real(self, shard, now)
 
     return Membership, "check", check
@@ -187,14 +241,24 @@
     return Renting, "_store_types", store
 
 
-@pytest.mark.parametrize(("group", "late", "without", "breaks"), [
-    *((group, late, None, "") for group in GROUPS for late in (False, True)),
-    ("users", False, lambda: unguarded("p/job/", "e/"), "went_back|forgotten|list.remove"),  # a job that is over comes to life
-    ("sources", True, lambda: unguarded("c/", "p/shard/"), "ran_twice|quota"),
-    ("hands", False, claims_once, "of .* served|nobody holds"),
-    ("background", False, types_once, "of .* served|not accepted"),
-])  # fmt: skip
-def test_every_kind_of_write(group: str, late: bool, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("group", "late", "without", "breaks"),
+    [
+        *((group, late, None, "") for group in GROUPS for late in (False, True)),
+        (
+            "users",
+            False,
+            lambda: unguarded("p/job/", "e/"),
+            "went_back|forgotten|list.remove",
+        ),  # a job that is over comes to life
+        ("sources", True, lambda: unguarded("c/", "p/shard/"), "ran_twice|quota"),
+        ("hands", False, claims_once, "of .* served|nobody holds"),
+        ("background", False, types_once, "of .* served|not accepted"),
+    ],
+)
+def test_every_kind_of_write(
+    group: str, late: bool, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The writer doesn't know whether it landed; the others read it at once, or only after newer ones of the same writer."""
     if without is not None:
         monkeypatch.setattr(*without())
@@ -234,7 +298,9 @@
     def __init__(self, status: int, body: Any) -> None:
         self.answer = status, body
 
-    async def call(self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0) -> tuple[int, object]:
+    async def call(
+        self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
+    ) -> tuple[int, object]:
         return self.answer
 
 
@@ -247,14 +313,31 @@
     "renew": lambda s: s.renew(7),
 }
 MEANT: dict[str, dict[int, tuple[Any, Any]]] = {  # what the protocol lists, and what it says
-    "get": {200: ({"path": "e/j-000001", "v": {"s": "done"}, "feather": 3}, ({"s": "done"}, 3)), 404: ({"moult": 4}, (None, 0))},
-    "read": {200: ({"items": [{"path": "c/x", "v": {}, "feather": 3}], "hasNext": False, "moult": 4}, ({"c/x": ({}, 3)}, 4))},
-    "txn": {200: ({"moult": 4}, (4, [])), 409: ({"failed": ["a"], "moult": 4}, (0, ["a"])),
-            400: ({"error": "no such lease"}, (0, ["no such lease"]))},
-    "watch": {200: ({"moult": 4, "news": [{"delete": "p/x", "feather": 4}]}, (4, [Event("p/x", None, 4)])), 410: ({}, None)},
+    "get": {
+        200: ({"path": "e/j-000001", "v": {"s": "done"}, "feather": 3}, ({"s": "done"}, 3)),
+        404: ({"moult": 4}, (None, 0)),
+    },
+    "read": {
+        200: (
+            {"items": [{"path": "c/x", "v": {}, "feather": 3}], "hasNext": False, "moult": 4},
+            ({"c/x": ({}, 3)}, 4),
+        )
+    },
+    "txn": {
+        200: ({"moult": 4}, (4, [])),
+        409: ({"failed": ["a"], "moult": 4}, (0, ["a"])),
+        400: ({"error": "no such lease"}, (0, ["no such lease"])),
+    },
+    "watch": {
+        200: (
+            {"moult": 4, "news": [{"delete": "p/x", "feather": 4}]},
+            (4, [Event("p/x", None, 4)]),
+        ),
+        410: ({}, None),
+    },
     "grant": {200: ({"tether": 7}, 7)},
     "renew": {200: ({}, True), 404: ({}, False)},
-}  # fmt: skip
+}
 
 
 def says(call: str, status: int, body: Any) -> Any:
@@ -278,20 +361,46 @@
     assert says(call, 400, {"error": "malformed"}) == "Unknown"
 
 
-@pytest.mark.parametrize(("call", "bodies"), [
-    ("get", [{"v": 1}, {"v": 1, "feather": "3"}, {"feather": 3}]),
-    ("read", [{"items": None, "moult": 1}, {"items": [{}], "moult": 1}, {"items": [], "hasNext": True, "moult": 1}, {"items": []},
-              {"items": [{"path": 5, "v": 1, "feather": 1}], "moult": 1}]),
-    ("txn", [{}, {"moult": None}, {"moult": "7"}, {"moult": -1}, {"moult": True}, {"moult": 7.0}]),
-    ("watch", [{"moult": 4}, {"moult": 4, "news": [{}]},
-               {"moult": 4, "news": [{"put": "p/x", "feather": 4}]}, {"moult": 4, "news": {"a": 1}}]),
-    ("grant", [{}, {"tether": None}, {"tether": "7"}]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("call", "bodies"),
+    [
+        ("get", [{"v": 1}, {"v": 1, "feather": "3"}, {"feather": 3}]),
+        (
+            "read",
+            [
+                {"items": None, "moult": 1},
+                {"items": [{}], "moult": 1},
+                {"items": [], "hasNext": True, "moult": 1},
+                {"items": []},
+                {"items": [{"path": 5, "v": 1, "feather": 1}], "moult": 1},
+            ],
+        ),
+        (
+            "txn",
+            [{}, {"moult": None}, {"moult": "7"}, {"moult": -1}, {"moult": True}, {"moult": 7.0}],
+        ),
+        (
+            "watch",
+            [
+                {"moult": 4},
+                {"moult": 4, "news": [{}]},
+                {"moult": 4, "news": [{"put": "p/x", "feather": 4}]},
+                {"moult": 4, "news": {"a": 1}},
+            ],
+        ),
+        ("grant", [{}, {"tether": None}, {"tether": "7"}]),
+    ],
+)
 def test_a_200_in_no_published_form_is_an_unknown_outcome(call: str, bodies: list[Any]) -> None:
     """Before: a missing field raised KeyError inside the writer, and ended the process."""
     for body in [None, [], "ok", 7, [1], *bodies]:
         assert says(call, 200, body) == "Unknown", body
-    assert says("txn", 409, {}) == says("txn", 409, {"failed": [3]}) == says("txn", 409, None) == "Unknown"
+    assert (
+        says("txn", 409, {})
+        == says("txn", 409, {"failed": [3]})
+        == says("txn", 409, None)
+        == "Unknown"
+    )
 
 
 def test_odd_answers_cost_one_line_now_and_then(capfd: pytest.CaptureFixture[str]) -> None:
@@ -314,8 +423,11 @@
 
 def no_lease_on_500() -> Any:
     """As it was."""
+
     async def renew(self: Store, lease: int) -> bool:
-        status, _ = await self._call("POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True)
+        status, _ = await self._call(
+            "POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True
+        )
         return status == 200
 
     return Store, "renew", renew
@@ -323,6 +435,7 @@
 
 def no_key_on_500() -> Any:
     """As it was."""
+
     async def get(self: Store, key: str) -> tuple[Any, int]:
         status, out = await self._call("GET", f"/kv/{key}")
         return (out["v"], out["feather"]) if status == 200 else (None, 0)
@@ -330,11 +443,19 @@
     return Store, "get", get
 
 
-@pytest.mark.parametrize(("path", "without", "seen"), [
-    ("/grants", None, ""), ("/kv", None, ""), ("/watch", None, ""),
-    ("/grants", no_lease_on_500, "a part was lost"), ("/kv", no_key_on_500, "forgotten"),
-])  # fmt: skip
-def test_reads_and_renewals_that_fail_in_no_listed_way(path: str, without: Any, seen: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("path", "without", "seen"),
+    [
+        ("/grants", None, ""),
+        ("/kv", None, ""),
+        ("/watch", None, ""),
+        ("/grants", no_lease_on_500, "a part was lost"),
+        ("/kv", no_key_on_500, "forgotten"),
+    ],
+)
+def test_reads_and_renewals_that_fail_in_no_listed_way(
+    path: str, without: Any, seen: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A gateway in trouble: nothing is concluded from it, nobody lets go of a part, and no job is unknown."""
     if without is not None:
         monkeypatch.setattr(*without())
@@ -344,7 +465,12 @@
         if on[0] and q.path.startswith(path) and rng.random() < 0.4:
             met[0] += 1
             status = rng.choice((500, 502, 504, 200))
-            return Reply(status, {"error": "gateway"} if status != 200 else rng.choice([None, [], "ok", {"items": [3]}, {"news": 4}]))
+            return Reply(
+                status,
+                {"error": "gateway"}
+                if status != 200
+                else rng.choice([None, [], "ok", {"items": [3]}, {"news": 4}]),
+            )
         return await real(self, q)
 
     monkeypatch.setattr(State, "handle", handle)
@@ -371,7 +497,9 @@
 
 @pytest.mark.parametrize("verbs", [("pause", "pause", "resume"), ("pause", "resume")])
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_late_pause_does_not_stop_an_order_that_goes_on(guarded: bool, verbs: tuple[str, ...], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_late_pause_does_not_stop_an_order_that_goes_on(
+    guarded: bool, verbs: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
+) -> None:
     """An operator pauses an order, once more since the answer was lost (or not), and resumes it; then the first pause is carried out.
 
     Resumed without a second pause, it ran already for all that was known: nothing was written, and nothing stood against the late pause.
@@ -403,12 +531,29 @@
 
 # -- written by a life that has ended, carried out when the next one, or another controller's epoch, has begun -------------------------
 
-LANDS = {"permits": {409}, "progress": {409}, "end": {409}, "images": {409}, "grants": {409}, "submission": {409}, "cancellation": {409},
-         "archive": {409}, "claim": {409, 400}, "renter": {409, 400}, "member": {200, 400}, "order": {200, 409}}  # fmt: skip
+LANDS = {
+    "permits": {409},
+    "progress": {409},
+    "end": {409},
+    "images": {409},
+    "grants": {409},
+    "submission": {409},
+    "cancellation": {409},
+    "archive": {409},
+    "claim": {409, 400},
+    "renter": {409, 400},
+    "member": {200, 400},
+    "order": {200, 409},
+}
 
 
-@pytest.mark.parametrize(("after", "without"), [(0.1, None), (7.0, None), (0.1, lambda: unguarded("p/shard/", "c/", "d/"))])
-def test_carried_out_when_its_writer_has_ended_and_is_back(after: float, without: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("after", "without"),
+    [(0.1, None), (7.0, None), (0.1, lambda: unguarded("p/shard/", "c/", "d/"))],
+)
+def test_carried_out_when_its_writer_has_ended_and_is_back(
+    after: float, without: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """One write of each kind is held back on its way; its writer ends, and is back at once or after another has had its part.
 
     With `after` 0.1 the lease that a claim or a member's key is tethered to still lives, and nobody else has claimed.
@@ -444,10 +589,22 @@
             if kind == "images":
                 p.tasks.start_soon(p.submit, p.spec(990, gait="array", chicks=3, plumage="another"))
             if kind in ("order", "grants"):
-                busiest = max(sorted(p.workers), key=lambda w: sum(t[0] in ("j-000901", "j-000902") for t in p.workers[w].on_machine()))
+                busiest = max(
+                    sorted(p.workers),
+                    key=lambda w: sum(
+                        t[0] in ("j-000901", "j-000902") for t in p.workers[w].on_machine()
+                    ),
+                )
                 p.tasks.start_soon(partial(order, p, f"u-{i}", machines=[busiest]))
             if kind in ("member", "claim", "renter"):
-                rents = next((n for n, node in p.nodes.items() if n not in p.down and node.shared.renter is not None), "c0")
+                rents = next(
+                    (
+                        n
+                        for n, node in p.nodes.items()
+                        if n not in p.down and node.shared.renter is not None
+                    ),
+                    "c0",
+                )
                 p.tasks.start_soon(p.crash, rents, 6.0)
             with anyio.move_on_after(25.0):
                 while not kept:
@@ -461,7 +618,9 @@
             await anyio.sleep(2.5)
         await anyio.sleep(25.0)
         p.broken += [f"not answered: {j}" for j in await p.all_answered(10.0)]
-        p.broken += [f"{kind}: {status}" for kind, status in landed.items() if status not in LANDS[kind]]
+        p.broken += [
+            f"{kind}: {status}" for kind, status in landed.items() if status not in LANDS[kind]
+        ]
 
     def played() -> None:
         whole(play(scene, options=settings.Options(keep_ended=6, handback_s=4.0)), kills=True)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -37,13 +37,22 @@
 def taken_for_gone(p: Played) -> set[str]:
     """Machines that live and that somebody believes to be gone for certain."""
     alive = p.fleet.workers.keys()
-    return {m for n in p.nodes.values() for h in n.shared.held.values() for m in h.owner.fleet.proven_gone & alive}
+    return {
+        m
+        for n in p.nodes.values()
+        for h in n.shared.held.values()
+        for m in h.owner.fleet.proven_gone & alive
+    }
 
 
-def test_the_judge_names_what_is_left_waiting_and_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_judge_names_what_is_left_waiting_and_nothing_else(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Not what its team's limit holds back, nor what fits in a zone without room only, nor a gang that there is not room for."""
     real = Source.wanted
-    monkeypatch.setattr(Source, "wanted", lambda self, js, now: 0 if js.id == "j-000901" else real(self, js, now))
+    monkeypatch.setattr(
+        Source, "wanted", lambda self, js, now: 0 if js.id == "j-000901" else real(self, js, now)
+    )
 
     async def scene(p: Played) -> None:
         p.fleet.most = len(p.fleet.machines)
@@ -51,7 +60,9 @@
         await anyio.sleep(4.0)
         await p.submit(p.spec(901, gait="array", chicks=1))
         await p.submit(p.spec(902, gait="daemon", chicks=1, marsh="a"))
-        await p.submit(p.spec(904, gait="daemon", chicks=8, marsh="b"))  # with 900 beyond the limit of 16
+        await p.submit(
+            p.spec(904, gait="daemon", chicks=8, marsh="b")
+        )  # with 900 beyond the limit of 16
         await p.submit(p.spec(903, gait="group", chicks=9, together=True, flightS=100.0))
         await anyio.sleep(4.0)
         assert await p.left_waiting(20.0) == {"j-000901"}
@@ -102,7 +113,12 @@
                     await anyio.sleep(0.05)
             await anyio.sleep(1.5)
             if wave in (2, 4):  # new machines have had their first starts
-                holder = max(p.nodes, key=lambda n: sum(len(h.owner.permits) for h in p.nodes[n].shared.held.values()))
+                holder = max(
+                    p.nodes,
+                    key=lambda n: sum(
+                        len(h.owner.permits) for h in p.nodes[n].shared.held.values()
+                    ),
+                )
                 p.tasks.start_soon(p.crash, holder, 5.0)
             for _ in range(15):
                 await anyio.sleep(0.2)
@@ -145,7 +161,9 @@
         renting = next(name for name, n in p.nodes.items() if n.shared.renter is not None)
         renter = p.nodes[renting].shared.renter
         assert renter is not None
-        renter.gone.update({f"n-9{i:05d}": p.now for i in range(400)})  # a long day's machines, newer by name
+        renter.gone.update(
+            {f"n-9{i:05d}": p.now for i in range(400)}
+        )  # a long day's machines, newer by name
         leader = next(c for c in p.names if c != renting)
         dead = next(w for w in p.workers_of(leader) if p.fleet.workers[w].tasks)
         lost = {k[:2] for k in p.fleet.workers[dead].tasks}
@@ -192,12 +210,19 @@
     monkeypatch.setattr(Owner, "on_report", on_report)
 
 
-@pytest.mark.parametrize(("where", "without"), [
-    ("unreached", None), ("unreached", believes_a_stranger),
-    ("zone", None), ("zone", silence_of_a_stranger),
-    ("heard", None), ("heard", copies_are_news),
-    ("session", None), ("session", copies_are_news),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("where", "without"),
+    [
+        ("unreached", None),
+        ("unreached", believes_a_stranger),
+        ("zone", None),
+        ("zone", silence_of_a_stranger),
+        ("heard", None),
+        ("heard", copies_are_news),
+        ("session", None),
+        ("session", copies_are_news),
+    ],
+)
 def test_old_reports_at_every_controller_in_the_moment_in_which_a_new_leader_begins(
     where: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -230,7 +255,9 @@
                 for n in range(904, 906):
                     await p.submit(p.spec(n, gait="daemon", chicks=6))
                 await anyio.sleep(6.0)
-                assert all(p.fleet.workers[w].session > 1 for w in mine) and any(p.fleet.workers[w].tasks for w in mine)
+                assert all(p.fleet.workers[w].session > 1 for w in mine) and any(
+                    p.fleet.workers[w].tasks for w in mine
+                )
             before = p.fleet.killed_by_lease
             p.tasks.start_soon(p.crash, "c0", 25.0)
             for w in mine if where == "unreached" else ():
@@ -244,7 +271,9 @@
 
     if without is None:
         play(scene, machines=9)
-        assert where not in ("heard", "session") or lost == [0], "a copy has kept a machine from being answered"
+        assert where not in ("heard", "session") or lost == [0], (
+            "a copy has kept a machine from being answered"
+        )
     else:
         with pytest.raises(AssertionError, match="ran_twice"):
             play(scene, machines=9)
@@ -257,15 +286,23 @@
     """What answers a command is taken for one whose lease has just been renewed."""
     real = Owner.on_report
 
-    def on_report(self: Owner, r: Report, now: float, direct: bool = False, carried: bool = False) -> Any:
+    def on_report(
+        self: Owner, r: Report, now: float, direct: bool = False, carried: bool = False
+    ) -> Any:
         return real(self, r, now, False, carried)
 
     monkeypatch.setattr(Owner, "on_report", on_report)
 
 
-@pytest.mark.parametrize(("s", "change", "without"), [
-    (6.0, False, None), (25.0, False, None), (25.0, True, None), (25.0, False, an_answer_to_a_command_is_a_report),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("s", "change", "without"),
+    [
+        (6.0, False, None),
+        (25.0, False, None),
+        (25.0, True, None),
+        (25.0, False, an_answer_to_a_command_is_a_report),
+    ],
+)
 def test_machines_that_reach_nobody_while_commands_reach_them(
     s: float, change: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -285,14 +322,18 @@
         for n in (900, 901):
             await p.withdraw(f"j-{n:06d}")
         await anyio.sleep(1.0)
-        assert not [k for w in p.fleet.workers.values() for k in w.on_machine() if k[0] in p.cancelled]
+        assert not [
+            k for w in p.fleet.workers.values() for k in w.on_machine() if k[0] in p.cancelled
+        ]
         if change:
             p.tasks.start_soon(p.crash, "c0", 20.0)
         await anyio.sleep(at + s - p.now)
         given.extend(x for x in p.fleet.started_on if x[1] in some and x[0] > at + 5.0)
         await anyio.sleep(15.0)
         assert not p.starts_after_told()
-        assert any(x[1] in some and x[0] > at + s for x in p.fleet.started_on), "they are used again"
+        assert any(x[1] in some and x[0] > at + s for x in p.fleet.started_on), (
+            "they are used again"
+        )
         assert not await p.left_waiting(30.0)
 
     if without is None:
@@ -350,11 +391,20 @@
     monkeypatch.setattr(Owner, "commands", commands)
 
 
-@pytest.mark.parametrize(("how", "s", "without", "rule"), [
-    ("hang", 7.0, None, ""), ("hang", 9.3, None, ""), ("hang", 16.0, None, ""), ("hold", 9.3, None, ""), ("deaf", 9.3, None, ""),
-    ("command", 6.0, None, ""), ("answer", 6.0, None, ""),
-    ("command", 6.0, no_run_is_fenced, "started late"), ("hang", 7.0, nothing_is_stopped, "ran_cancelled"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("how", "s", "without", "rule"),
+    [
+        ("hang", 7.0, None, ""),
+        ("hang", 9.3, None, ""),
+        ("hang", 16.0, None, ""),
+        ("hold", 9.3, None, ""),
+        ("deaf", 9.3, None, ""),
+        ("command", 6.0, None, ""),
+        ("answer", 6.0, None, ""),
+        ("command", 6.0, no_run_is_fenced, "started late"),
+        ("hang", 7.0, nothing_is_stopped, "ran_cancelled"),
+    ],
+)
 def test_jobs_cancelled_just_when_their_machines_hang_or_hear_late(
     how: str, s: float, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -371,7 +421,9 @@
         await anyio.sleep(6.0)  # all have the image
         for wave in range(2):
             running = [f"j-{900 + 2 * wave + i:06d}" for i in range(2)]
-            some = sorted(w.name for w in p.fleet.workers.values() if any(k[0] in running for k in w.tasks))[:8]
+            some = sorted(
+                w.name for w in p.fleet.workers.values() if any(k[0] in running for k in w.tasks)
+            )[:8]
             if how == "hang":
                 p.hang(some, s)
             elif how in ("command", "answer"):
@@ -384,7 +436,9 @@
                         p.net.cut(c, w, HOLD, s)
             at, sent = p.now, range(910 + 10 * wave, 918 + 10 * wave)
             for n in sent:  # they are sent to these machines, too
-                p.tasks.start_soon(p.submit, p.spec(n, gait="daemon" if n % 2 else "array", chicks=2, flightS=8.0))
+                p.tasks.start_soon(
+                    p.submit, p.spec(n, gait="daemon" if n % 2 else "array", chicks=2, flightS=8.0)
+                )
             for jid in running:
                 p.tasks.start_soon(p.withdraw, jid)
             await anyio.sleep(0.6)
@@ -392,8 +446,15 @@
                 p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
             await anyio.sleep(at + s + 4.0 - p.now)
             if without is None:
-                assert not [k for w in p.fleet.workers.values() for k in w.on_machine() if k[0] in p.cancelled]
-        late.extend(x for x in p.starts_after_told() if x[1] > 0.5)  # what was on its way in that moment may still start
+                assert not [
+                    k
+                    for w in p.fleet.workers.values()
+                    for k in w.on_machine()
+                    if k[0] in p.cancelled
+                ]
+        late.extend(
+            x for x in p.starts_after_told() if x[1] > 0.5
+        )  # what was on its way in that moment may still start
         await anyio.sleep(45.0 if without is not None else 8.0)
         assert len(p.cancelled) == 10 and not await p.left_waiting(30.0)
 
@@ -431,10 +492,15 @@
     monkeypatch.setattr(Placement, "may_stop", lambda self, w, c: real(self, w, (*c[:4], False)))
 
 
-@pytest.mark.parametrize(("seed", "room", "without", "rule"), [
-    (2, False, None, ""), (3, False, None, ""), (3, True, None, ""),
-    (2, False, by_the_letter, "to and fro"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("seed", "room", "without", "rule"),
+    [
+        (2, False, None, ""),
+        (3, False, None, ""),
+        (3, True, None, ""),
+        (2, False, by_the_letter, "to and fro"),
+    ],
+)
 def test_jobs_bound_to_one_zone_lose_machines_while_there_is_more_work_than_room_over_slow_links(
     seed: int, room: bool, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -450,7 +516,10 @@
         if not room:
             p.fleet.most = len(p.fleet.machines)  # and what is taken is not to be had again
         n = 900
-        bound: list[tuple[str, dict[str, Any]]] = [("array", {"together": True}), ("array", {"marsh": "a"})]
+        bound: list[tuple[str, dict[str, Any]]] = [
+            ("array", {"together": True}),
+            ("array", {"marsh": "a"}),
+        ]
         for gait, kw in [*bound, ("group", {"together": True}), ("group", {"marsh": "b"})]:
             for rank, chicks in (("normal", 4), ("best_effort", 3)):
                 flight = 25.0 if rank == "normal" else 6.0
@@ -462,12 +531,28 @@
                 if a != b:
                     p.net.cut(a, b, SLOW, 25.0)
         for i in range(6):
-            p.tasks.start_soon(p.submit, p.spec(n + i, gait="array", chicks=6, rank=("urgent", "normal")[i % 2], flightS=5.0))
+            p.tasks.start_soon(
+                p.submit,
+                p.spec(
+                    n + i, gait="array", chicks=6, rank=("urgent", "normal")[i % 2], flightS=5.0
+                ),
+            )
         for i in range(2):
-            p.tasks.start_soon(p.submit, p.spec(n + 6 + i, gait="group", chicks=4, rank="urgent", together=True, flightS=5.0))
+            p.tasks.start_soon(
+                p.submit,
+                p.spec(
+                    n + 6 + i, gait="group", chicks=4, rank="urgent", together=True, flightS=5.0
+                ),
+            )
         await anyio.sleep(3.0)
-        busy = [w.name for w in p.fleet.workers.values() if any(900 <= int(k[0][2:]) < n for k in w.tasks)]
-        taken = next(w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks))
+        busy = [
+            w.name
+            for w in p.fleet.workers.values()
+            if any(900 <= int(k[0][2:]) < n for k in w.tasks)
+        ]
+        taken = next(
+            w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)
+        )
         busy.remove(taken)
         p.fleet.machines.pop(taken)[2].cancel()
         for w in busy[:2]:
@@ -475,7 +560,9 @@
                 p.net.cut(c, w, SILENT, 14.0)
         p.hang(busy[2:3], 7.0)
         shard = p.nodes["c0"].shared.layout.team_shard["team-0"]
-        p.tasks.start_soon(p.crash, next(n for n in p.names if shard in p.nodes[n].shared.held), 12.0)
+        p.tasks.start_soon(
+            p.crash, next(n for n in p.names if shard in p.nodes[n].shared.held), 12.0
+        )
         await anyio.sleep(25.0)
         with anyio.move_on_after(100.0):
             while not all(p.served(j) for j in p.specs):
@@ -491,7 +578,9 @@
     assert rule in found if rule else not found, found
 
 
-@pytest.mark.parametrize(("how", "without"), [("taken", None), ("cut", None), ("taken", only_its_own_starts)])
+@pytest.mark.parametrize(
+    ("how", "without"), [("taken", None), ("cut", None), ("taken", only_its_own_starts)]
+)
 def test_an_array_that_keeps_together_loses_a_machine_as_its_source_ends_and_only_another_zone_has_room(
     how: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -509,10 +598,16 @@
         for w in p.fleet.workers.values():  # the rest of its zone is taken
             if w.zone == zone:
                 n = sum(1 for x in p.asked) + 900
-                await p.submit(p.spec(n, gait="daemon", chicks=int(4 - w.used()), marsh=zone) if w.used() < 4 else p.spec(n, gait="array"))
+                await p.submit(
+                    p.spec(n, gait="daemon", chicks=int(4 - w.used()), marsh=zone)
+                    if w.used() < 4
+                    else p.spec(n, gait="array")
+                )
         await anyio.sleep(4.0)
         shard = p.nodes["c0"].shared.layout.team_shard["team-0"]
-        p.tasks.start_soon(p.crash, next(n for n in p.names if shard in p.nodes[n].shared.held), 12.0)
+        p.tasks.start_soon(
+            p.crash, next(n for n in p.names if shard in p.nodes[n].shared.held), 12.0
+        )
         lost = min(mine)
         if how == "taken":
             p.fleet.machines.pop(lost)[2].cancel()
@@ -520,7 +615,9 @@
             for c in p.names:
                 p.net.cut(c, lost, SILENT, 14.0)
         await anyio.sleep(20.0)
-        zones.update(w.zone for w in p.fleet.workers.values() for k in w.on_machine() if k[0] == "j-000900")
+        zones.update(
+            w.zone for w in p.fleet.workers.values() for k in w.on_machine() if k[0] == "j-000900"
+        )
         with anyio.fail_after(90.0):
             while not p.served("j-000900"):
                 await anyio.sleep(0.5)
@@ -546,10 +643,17 @@
     monkeypatch.setattr(Following, "proof", always)
 
 
-@pytest.mark.parametrize(("how", "mode", "without", "rule"), [
-    ("zone", HOLD, None, ""), ("zone", RESET, None, ""), ("leader", HOLD, None, ""), ("leader", RESET, None, ""),
-    ("zone", RESET, told_at_once, "ran_cancelled"), ("leader", RESET, answers_from_an_old_copy, "forgotten"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("how", "mode", "without", "rule"),
+    [
+        ("zone", HOLD, None, ""),
+        ("zone", RESET, None, ""),
+        ("leader", HOLD, None, ""),
+        ("leader", RESET, None, ""),
+        ("zone", RESET, told_at_once, "ran_cancelled"),
+        ("leader", RESET, answers_from_an_old_copy, "forgotten"),
+    ],
+)
 def test_work_goes_on_with_a_controller_that_is_cut_off_while_jobs_are_cancelled_through_the_others(
     how: str, mode: str, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -577,7 +681,10 @@
         if how == "zone":
             assert any(w.zone == "b" and w.on_machine() for w in p.fleet.workers.values())
         await anyio.sleep(70.0)
-        assert p.cancelled.keys() >= {f"j-{n:06d}" for n in range(900, 904)} and not p.starts_after_told()
+        assert (
+            p.cancelled.keys() >= {f"j-{n:06d}" for n in range(900, 904)}
+            and not p.starts_after_told()
+        )
         assert p.fleet.killed_by_lease == 0
         assert not await p.left_waiting(60.0)
         assert not await p.all_answered(30.0)
@@ -613,9 +720,15 @@
         return 0
 
 
-@pytest.mark.parametrize(("lost", "late", "without", "fault"), [
-    (0.5, 0.0, None, ""), (0.0, 0.6, None, ""), (0.5, 0.0, Never, "claimed again"), (0.0, 0.6, Forgets, "held twice"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("lost", "late", "without", "fault"),
+    [
+        (0.5, 0.0, None, ""),
+        (0.0, 0.6, None, ""),
+        (0.5, 0.0, Never, "claimed again"),
+        (0.0, 0.6, Forgets, "held twice"),
+    ],
+)
 def test_a_claim_whose_answer_is_lost_is_held_at_once_and_no_epoch_is_held_twice(
     lost: float, late: float, without: Any, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -658,5 +771,7 @@
                 play(scene, seed, machines=9)
         if without is None:
             play(scene, seed, machines=9)
-        found += "claimed again " * (lost > 0 and claims[0] > 6) + "held twice " * (len(set(taken)) < len(taken))
+        found += "claimed again " * (lost > 0 and claims[0] > 6) + "held twice " * (
+            len(set(taken)) < len(taken)
+        )
     assert fault in found if fault else not found, found
