--- a/ploverhall/coordination/renter.py
+++ b/ploverhall/autoscaling/autoscaler.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ploverhall.coordination.aims import Aims
-from ploverhall.coordination.fleet import Place as Kind
-from ploverhall.coordination.fleet import Vec, add, fits
+from ploverhall.maintenance.orders import RUNNING, Order
 from ploverhall.protocol.cloud import Listed, MachineType
 from ploverhall.protocol.jobs import Job, from_record
-from ploverhall.protocol.peers import DemandNews, MachineNews
-from ploverhall.upkeep.orders import RUNNING, Order
+from ploverhall.protocol.peer_messages import DemandNews, MachineNews
+from ploverhall.scheduling.inventory import Place as Kind
+from ploverhall.scheduling.inventory import Vec, add, fits
+from ploverhall.scheduling.objectives import Aims
 
 USUAL = 1.6  # times the nominal boot time: what the cloud's machines usually need at most
 BOOTS_S = 300.0  # boots seen within this time count
--- a/ploverhall/cli.py
+++ b/ploverhall/cli.py
@@ -55,7 +55,7 @@
     c.add_argument("id", nargs="?", help="of an order")
     args = p.parse_args(argv)
     if args.command in ("drain", "upkeep"):
-        from ploverhall.upkeep import command
+        from ploverhall.maintenance import command
 
         return command.drain(args) if args.command == "drain" else command.upkeep(args)
     if args.command == "status":
@@ -74,7 +74,7 @@
 
     import anyio
 
-    from ploverhall.control.node import Node
+    from ploverhall.controller.controller import Node
 
     async def serve() -> None:
         await Node(s).run()
--- a/ploverhall/control/workers.py
+++ b/ploverhall/controller/agent_commands.py
@@ -8,13 +8,13 @@
 import anyio
 import orjson
 
-from ploverhall.control.carrying import Carrying, NotCarried
-from ploverhall.control.shared import Shared
-from ploverhall.coordination.fleet import Machine
-from ploverhall.coordination.owner import Owner
-from ploverhall.protocol import carry, workers
-from ploverhall.protocol.carry import Question
-from ploverhall.reach.homing import Homing
+from ploverhall.connectivity.heartbeat_failback import Homing
+from ploverhall.controller.context import Shared
+from ploverhall.controller.relay import Carrying, NotCarried
+from ploverhall.protocol import agents, relay_messages
+from ploverhall.protocol.relay_messages import Question
+from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.shard_owner import Owner
 from ploverhall.transport.client_pool import ClientPool
 from ploverhall.transport.http import Unreachable
 
@@ -81,10 +81,10 @@
         report, now = None, self.shared.clock()
         via = self.homing.via(m.name, now, 2 * self.shared.settings.report_s + 1.0)
         try:
-            if via is not None and self.carrying.ways.carries(via, carry.DO, now):
+            if via is not None and self.carrying.ways.carries(via, relay_messages.DO, now):
                 status, raw = await self.carrying.ask(
                     via,
-                    carry.DO,
+                    relay_messages.DO,
                     timeout=DIRECT_S + MORE_S,
                     method="POST",
                     target=f"{m.addr} /do",
@@ -95,8 +95,8 @@
             else:
                 status, answer = await self._ask(m.addr, "POST", "/do", body)
             if status in (200, 409):
-                report = workers.parse(answer)
-        except (Unreachable, NotCarried, workers.Malformed, orjson.JSONDecodeError):
+                report = agents.parse(answer)
+        except (Unreachable, NotCarried, agents.Malformed, orjson.JSONDecodeError):
             pass
         owner.direct_done(m, report, self.shared.clock())
         self.shared.poke()
@@ -120,8 +120,8 @@
         release that can't be asked counts as reaching them.
         """
         now = self.shared.clock()
-        if not self.carrying.ways.carries(member, carry.DO, now):
-            return not self.carrying.ways.can(member, carry.DO)
+        if not self.carrying.ways.carries(member, relay_messages.DO, now):
+            return not self.carrying.ways.can(member, relay_messages.DO)
         some = [
             m
             for m in owner.machines.values()
@@ -134,7 +134,7 @@
             try:
                 status, _ = await self.carrying.ask(
                     member,
-                    carry.DO,
+                    relay_messages.DO,
                     timeout=DIRECT_S + MORE_S,
                     method="GET",
                     target=f"{m.addr} /show",
--- a/ploverhall/control/renting.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -9,20 +9,16 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.bookkeeping.replica import (
-    RENTER,
-    TYPE,
-    TYPES,
-)
-from ploverhall.control.routing import Routing
-from ploverhall.control.shared import Shared
-from ploverhall.coordination import boards
-from ploverhall.coordination.renter import Rent, Renter
+from ploverhall.autoscaling.autoscaler import Rent, Renter
+from ploverhall.controller.context import Shared
+from ploverhall.controller.routing import Routing
+from ploverhall.coordination import state_channel
+from ploverhall.maintenance import orders
 from ploverhall.protocol import cloud
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.state import Refused, Unknown
+from ploverhall.protocol.key_value_store import Refused, Unknown
+from ploverhall.storage.store_cache import RENTER, TYPE, TYPES
 from ploverhall.transport.http import Caller, Unreachable
-from ploverhall.upkeep import orders
 
 TYPES_EVERY_S, TYPES_AGAIN_S = 60.0, 2.0
 LIST_EVERY_S = 2.0  # between two reads of the machine list, or longer where it has many pages
@@ -58,7 +54,7 @@
             if self.shared.renter is not None and version > self.shared.renter.epoch:
                 self.shared.renter = None
             if self.shared.renter is None:
-                self.shared.outbox.drop(("r",), boards.RENTER)
+                self.shared.outbox.drop(("r",), state_channel.RENTER)
                 pending.clear()
                 if holder is None:
                     self.renter_orphan = self.renter_orphan or now
@@ -159,7 +155,7 @@
             self.shared.renter.on_job(job, now - max(0.0, self.shared.wall() - job.at))
         log.info("renter", epoch=epoch)
         self.routing.route()
-        self.routing.replay(boards.RENTER, ("d", "m"))
+        self.routing.replay(state_channel.RENTER, ("d", "m"))
         self.shared.poke()
         return True
 
--- a/ploverhall/control/shared.py
+++ b/ploverhall/controller/context.py
@@ -9,17 +9,17 @@
 
 import anyio
 
-from ploverhall.bookkeeping.replica import Replica
-from ploverhall.coordination.aims import Aims
-from ploverhall.coordination.boards import Inbox, Outbox
-from ploverhall.coordination.owner import Owner
-from ploverhall.coordination.renter import Renter
-from ploverhall.coordination.shards import Layout
-from ploverhall.coordination.source import Source
+from ploverhall.autoscaling.autoscaler import Renter
+from ploverhall.coordination.shard_map import Layout
+from ploverhall.coordination.state_channel import Inbox, Outbox
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.state import Store
-from ploverhall.seams import Seams
+from ploverhall.protocol.key_value_store import Store
+from ploverhall.runtime import Seams
+from ploverhall.scheduling.objectives import Aims
+from ploverhall.scheduling.permitting import Source
+from ploverhall.scheduling.shard_owner import Owner
 from ploverhall.settings import Settings
+from ploverhall.storage.store_cache import Replica
 from ploverhall.transport.http import Client
 
 SHARE = 0.92  # of the state service's limits that the controllers use together
--- a/ploverhall/control/node.py
+++ b/ploverhall/controller/controller.py
@@ -9,38 +9,38 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.bookkeeping.replica import JOB, RENTER, end_record
-from ploverhall.control.carrying import Carrying
-from ploverhall.control.engine import Engine
-from ploverhall.control.following import Following
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.links import Links
-from ploverhall.control.membership import Membership
-from ploverhall.control.renting import Renting
-from ploverhall.control.reports import Reports
-from ploverhall.control.requests import Requests, is_report
-from ploverhall.control.roles import Roles
-from ploverhall.control.routing import Routing
-from ploverhall.control.shared import SHARE, Held, Shared
-from ploverhall.control.telling import Telling
-from ploverhall.control.upkeep import Upkeep
-from ploverhall.control.users import Users
-from ploverhall.control.view import View
-from ploverhall.control.wire import Wire
-from ploverhall.control.workers import Workers
-from ploverhall.control.writing import Writing
-from ploverhall.coordination.answers import Answers
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.coordination.fleet import Machine
-from ploverhall.coordination.owner import Owner
+from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.controller.agent_commands import Workers
+from ploverhall.controller.autoscaling_loop import Renting
+from ploverhall.controller.context import SHARE, Held, Shared
+from ploverhall.controller.heartbeat_requests import Reports
+from ploverhall.controller.http_routes import Requests, is_report
+from ploverhall.controller.job_requests import Users
+from ploverhall.controller.maintenance_requests import Upkeep
+from ploverhall.controller.outbound import Wire
+from ploverhall.controller.peer_links import Links
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.controller.relay import Carrying
+from ploverhall.controller.routing import Routing
+from ploverhall.controller.scheduling_loop import Engine
+from ploverhall.controller.shard_leases import Membership
+from ploverhall.controller.shard_roles import Roles
+from ploverhall.controller.shard_status import View
+from ploverhall.controller.status_report import Telling
+from ploverhall.controller.store_watch import Following
+from ploverhall.controller.store_writing import Writing
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.coordination.job_answers import Answers
 from ploverhall.log import where
-from ploverhall.protocol import carry
-from ploverhall.protocol.carry import Question
+from ploverhall.protocol import relay_messages
 from ploverhall.protocol.jobs import WITHDRAWN
-from ploverhall.protocol.peers import Cancelled
-from ploverhall.reach.ways import Ways
-from ploverhall.seams import Seams
+from ploverhall.protocol.peer_messages import Cancelled
+from ploverhall.protocol.relay_messages import Question
+from ploverhall.runtime import Seams
+from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.shard_owner import Owner
 from ploverhall.settings import Settings
+from ploverhall.storage.store_cache import JOB, RENTER, end_record
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http import Server
 
@@ -67,7 +67,7 @@
         self.state = Wire(
             shared,
             self.carrying,
-            carry.STATE,
+            relay_messages.STATE,
             shared.client(*s.state, keep=12),
             probe=f"/kv/{RENTER}",
             rate=s.state_rps * SHARE / len(s.nodes),
@@ -78,7 +78,7 @@
         self.cloud = Wire(
             shared,
             self.carrying,
-            carry.CLOUD,
+            relay_messages.CLOUD,
             shared.client(*s.cloud, keep=2),
             probe="/flavors",
             rate=s.cloud_rps,
@@ -164,10 +164,10 @@
         )
         self.carrying.reached, self.carrying.late = self._reached, lambda: self.engine.late
         self.carrying.handlers = {
-            carry.STATE: self.state.carried,
-            carry.CLOUD: self.cloud.carried,
-            carry.REPORT: self.reports.carried,
-            carry.DO: self.workers.carried,
+            relay_messages.STATE: self.state.carried,
+            relay_messages.CLOUD: self.cloud.carried,
+            relay_messages.REPORT: self.reports.carried,
+            relay_messages.DO: self.workers.carried,
         }
 
     async def run(self) -> None:
--- a/ploverhall/control/reports.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -7,20 +7,20 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.control.carrying import Carrying, NotCarried
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.membership import Membership
-from ploverhall.control.routing import Routing
-from ploverhall.control.shared import Held, Shared
-from ploverhall.control.workers import Workers
-from ploverhall.coordination import tokens
-from ploverhall.coordination.fleet import Machine
-from ploverhall.protocol import workers
-from ploverhall.protocol.carry import REPORT, Question
-from ploverhall.protocol.workers import Report
-from ploverhall.reach.ways import Ways
+from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.controller.agent_commands import Workers
+from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.controller.relay import Carrying, NotCarried
+from ploverhall.controller.routing import Routing
+from ploverhall.controller.shard_leases import Membership
+from ploverhall.coordination import fencing_tokens
+from ploverhall.protocol import agents
+from ploverhall.protocol.agents import Report
+from ploverhall.protocol.relay_messages import REPORT, Question
+from ploverhall.scheduling.inventory import Machine
 from ploverhall.transport.http import Reply, Unreachable
-from ploverhall.transport.wire import Request
+from ploverhall.transport.http_parser import Request
 
 AFTER_S = 10.0  # answering for an earlier life is worth a word when it begins
 CARRY_S = 2.4  # a worker waits for 4 s, and has to hear within them that there is no answer
@@ -51,8 +51,8 @@
     async def report(self, q: Request) -> Reply:
         """A worker's report."""
         try:
-            r = workers.decode(q.body)
-        except workers.Malformed as e:
+            r = agents.decode(q.body)
+        except agents.Malformed as e:
             return Reply(400, {"error": str(e)})
         part = self.shared.layout.part(r.zone, r.machine)
         held = self.shared.held.get(part)
@@ -74,21 +74,21 @@
         if self.membership.isolated(now):
             return Reply(421, {}), None
         if (other := self._sent_on(r, held, now)) is not None:
-            return Reply(421, workers.homing(other)), None
+            return Reply(421, agents.homing(other)), None
         m = held.owner.on_report(r, now, carried=carried)
         if m is None:
             log.info("deposed", shard=held.shard, epoch=held.epoch, by=held.owner.deposed_by)
             node = self.shared.replica.holder(held.shard)[0]
-            return Reply(421, workers.homing(node if node != me else None)), None
+            return Reply(421, agents.homing(node if node != me else None)), None
         if m.copy:
-            return Reply(200, workers.answer(m.token, [])), None  # nobody waits for it
+            return Reply(200, agents.answer(m.token, [])), None  # nobody waits for it
         held.owner.right = self.membership.right(now)
         calls = held.owner.commands(m, now)
         # what a worker's lease counts from is when it sent the report, which was before now, whichever way the answer takes
         m.last_answer = now
         if held.owner.dirty or held.owner.changed:
             self.shared.poke()
-        return Reply(200, workers.answer(m.token, calls)), m
+        return Reply(200, agents.answer(m.token, calls)), m
 
     async def _elsewhere(self, body: bytes, r: Report, part: int) -> Reply:
         """A worker of a part that another controller holds: it is sent there, or, if it comes from there, answered through here."""
@@ -96,27 +96,27 @@
         node = self.routing.holder(part)
         if node in (None, me) and (answer := self._afterlife(r, part, now)) is not None:
             other = self._sent_on(r, None, now)
-            return Reply(200, answer) if other is None else Reply(421, workers.homing(other))
+            return Reply(200, answer) if other is None else Reply(421, agents.homing(other))
         holder, epoch = self.shared.replica.holder(part)
         served = (
-            tokens.epoch_of(r.token) == epoch
+            fencing_tokens.epoch_of(r.token) == epoch
         )  # it has left that holder: its answers did not come
         # or it has been sent there, by this controller or another, and could not reach it
-        late = 0 < tokens.epoch_of(r.token) < epoch and self.routing.settled(part, now)
+        late = 0 < fencing_tokens.epoch_of(r.token) < epoch and self.routing.settled(part, now)
         back = late or self.membership.stranded.back(part, r.machine, now)
         if node is not None and node != me and (served or back or self.ways.cut_off(node, part)):
             reply = await self._through(body, r, part, node)
             if reply is not None:
                 return reply
             now = self.shared.clock()
-        if holder is not None and holder != me and tokens.epoch_of(r.token) <= epoch:
+        if holder is not None and holder != me and fencing_tokens.epoch_of(r.token) <= epoch:
             self.membership.stranded.note(part, r.machine, served, now)
             self.membership.shard_wake.set()
             if self.hearing.quiet(holder, part, now):
                 return Reply(
                     421, {}
                 )  # sent back there it would hang; somebody takes the shard in a moment
-        return Reply(421, workers.homing(node if node != me else None))
+        return Reply(421, agents.homing(node if node != me else None))
 
     def _sent_on(self, r: Report, held: Held | None, now: float) -> str | None:
         """To whom a worker is sent by a controller that has nobody but its workers (coordination.alone)."""
@@ -139,7 +139,7 @@
             r, self.shared.me, replica.holder(part)[1], over, self.shared.wall()
         )
         if answer is not None and now - self.after_at > AFTER_S:
-            log.info("answers for its earlier life", shard=part, epoch=tokens.epoch_of(r.token))
+            log.info("answers for its earlier life", shard=part, epoch=fencing_tokens.epoch_of(r.token))
         self.after_at = now if answer is not None else self.after_at
         return answer
 
@@ -171,7 +171,7 @@
             return None
         if (
             status == 200
-            and tokens.epoch_of(answer.get("crest", 0)) < self.shared.replica.holder(part)[1]
+            and fencing_tokens.epoch_of(answer.get("crest", 0)) < self.shared.replica.holder(part)[1]
         ):
             return None  # from a holder that has been deposed meanwhile: the worker would drop it, and stay while its lease runs out
         return Reply(status, answer)
@@ -179,8 +179,8 @@
     async def carried(self, by: str, q: Question) -> tuple[int, bytes]:
         """A member has a report of a worker that can't reach this controller, or one that only this one can pass on."""
         try:
-            r = workers.decode(q.body)
-        except workers.Malformed as e:
+            r = agents.decode(q.body)
+        except agents.Malformed as e:
             raise NotCarried(str(e)) from e
         part = self.shared.layout.part(r.zone, r.machine)
         held = self.shared.held.get(part)
@@ -194,5 +194,5 @@
         reply, m = self._answer(held, r, carried=True)
         if m is not None and self.workers.homing.carried(r.machine, by, self.shared.clock()):
             # it has been listened to; but what it is to do it will be told by itself
-            return 421, orjson.dumps(workers.homing(self.shared.settings.name))
+            return 421, orjson.dumps(agents.homing(self.shared.settings.name))
         return reply.status, orjson.dumps(reply.body)
--- a/ploverhall/control/requests.py
+++ b/ploverhall/controller/http_routes.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 from ploverhall import log
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.membership import Membership
-from ploverhall.control.reports import Reports
-from ploverhall.control.shared import Shared
-from ploverhall.control.telling import Telling
-from ploverhall.control.upkeep import Upkeep
-from ploverhall.control.users import Users
-from ploverhall.coordination.answers import Known, NotNow
+from ploverhall.controller.context import Shared
+from ploverhall.controller.heartbeat_requests import Reports
+from ploverhall.controller.job_requests import Users
+from ploverhall.controller.maintenance_requests import Upkeep
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.controller.shard_leases import Membership
+from ploverhall.controller.status_report import Telling
+from ploverhall.coordination.job_answers import Known, NotNow
 from ploverhall.log import where
 from ploverhall.protocol import jobs
 from ploverhall.transport.http import Reply
-from ploverhall.transport.wire import Request
+from ploverhall.transport.http_parser import Request
 
 REPORT_PATH = "/v1/report"
 STATE_S = 2.5  # the state service's last answer, by whichever way, is no older
--- a/ploverhall/control/users.py
+++ b/ploverhall/controller/job_requests.py
@@ -9,10 +9,9 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.bookkeeping.replica import ARCHIVE, JOB, end_record
-from ploverhall.control.following import Following
-from ploverhall.control.shared import Shared
-from ploverhall.coordination.answers import (
+from ploverhall.controller.context import Shared
+from ploverhall.controller.store_watch import Following
+from ploverhall.coordination.job_answers import (
     UNPROVED,
     UNTOLD,
     Answer,
@@ -22,10 +21,11 @@
     NeverAccepted,
     NotNow,
 )
-from ploverhall.coordination.fleet import fits
 from ploverhall.protocol import jobs
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.state import Refused, Unknown
+from ploverhall.protocol.key_value_store import Refused, Unknown
+from ploverhall.scheduling.inventory import fits
+from ploverhall.storage.store_cache import ARCHIVE, JOB, end_record
 from ploverhall.transport.http import Reply
 
 AGAIN_S = (
--- a/ploverhall/control/upkeep.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -9,16 +9,16 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.bookkeeping.replica import NODE
-from ploverhall.control.following import Following
-from ploverhall.control.shared import Shared
-from ploverhall.control.telling import Telling
-from ploverhall.protocol.state import Refused, Unknown
+from ploverhall.controller.context import Shared
+from ploverhall.controller.status_report import Telling
+from ploverhall.controller.store_watch import Following
+from ploverhall.maintenance import orders
+from ploverhall.maintenance.disruption_budget import Rules
+from ploverhall.maintenance.orders import ORDER, VERBS, Malformed, Order
+from ploverhall.protocol.key_value_store import Refused, Unknown
+from ploverhall.storage.store_cache import NODE
 from ploverhall.transport.http import Reply
-from ploverhall.transport.wire import Request
-from ploverhall.upkeep import orders
-from ploverhall.upkeep.budget import Rules
-from ploverhall.upkeep.orders import ORDER, VERBS, Malformed, Order
+from ploverhall.transport.http_parser import Request
 
 
 class Upkeep:
--- a/ploverhall/control/wire.py
+++ b/ploverhall/controller/outbound.py
@@ -11,11 +11,11 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.control.carrying import Carrying, NotCarried
-from ploverhall.control.shared import Shared
-from ploverhall.protocol.carry import Question
-from ploverhall.protocol.state import Budget
-from ploverhall.reach.gauge import Gauge
+from ploverhall.connectivity.link_health import Gauge
+from ploverhall.controller.context import Shared
+from ploverhall.controller.relay import Carrying, NotCarried
+from ploverhall.protocol.key_value_store import Budget
+from ploverhall.protocol.relay_messages import Question
 from ploverhall.transport.http import Client, Unreachable
 
 TICK_S = 0.1
--- a/ploverhall/control/links.py
+++ b/ploverhall/controller/peer_links.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable
 
 from ploverhall import log
-from ploverhall.control.carrying import Carrying
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.roles import Roles
-from ploverhall.control.routing import Routing
-from ploverhall.control.shared import Shared
-from ploverhall.control.telling import Telling
-from ploverhall.coordination.boards import Message
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.protocol import carry
-from ploverhall.protocol.peers import Cancelled, Malformed, NodeNews, pack_word, word
-from ploverhall.transport.peer import Link, Listener
+from ploverhall.controller.context import Shared
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.controller.relay import Carrying
+from ploverhall.controller.routing import Routing
+from ploverhall.controller.shard_roles import Roles
+from ploverhall.controller.status_report import Telling
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.coordination.state_channel import Message
+from ploverhall.protocol import relay_messages
+from ploverhall.protocol.peer_messages import Cancelled, Malformed, NodeNews, pack_word, word
+from ploverhall.transport.peer_stream import Link, Listener
 
 NEWS_EVERY_S = 0.5
 REFUSED_EVERY_S = 60.0
@@ -96,7 +96,7 @@
                 self.routing.route()
             elif message[0] == "k":
                 self._word(node, message[5])
-            elif message[0] in (carry.WORD, carry.QUESTION, carry.ANSWER):
+            elif message[0] in (relay_messages.WORD, relay_messages.QUESTION, relay_messages.ANSWER):
                 self.carrying.deliver(node, message)
             elif message[0] in ("v", "q", "a"):
                 self.telling.deliver(node, message)
--- a/ploverhall/control/hearing.py
+++ b/ploverhall/controller/peer_liveness.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ploverhall.control.shared import SHARE, Shared
-from ploverhall.protocol.peers import NodeNews
+from ploverhall.controller.context import SHARE, Shared
+from ploverhall.protocol.peer_messages import NodeNews
 
 HEARD_S = 2.5  # a peer that has said nothing for longer can't be heard
 BELIEVED_S = 5.0  # but what it last said of its shards is still better than the store's older word
--- a/ploverhall/control/carrying.py
+++ b/ploverhall/controller/relay.py
@@ -8,14 +8,14 @@
 import anyio
 
 from ploverhall import log
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.shared import Shared
-from ploverhall.coordination.boards import Message
+from ploverhall.connectivity.pending_relays import Calls, too_late
+from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.controller.context import Shared
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.coordination.state_channel import Message
 from ploverhall.log import where
-from ploverhall.protocol import carry
-from ploverhall.protocol.carry import Answer, Question
-from ploverhall.reach.calls import Calls, too_late
-from ploverhall.reach.ways import Ways
+from ploverhall.protocol import relay_messages
+from ploverhall.protocol.relay_messages import Answer, Question
 from ploverhall.transport.http import Unreachable
 
 WORD_EVERY_S = 0.5
@@ -97,7 +97,7 @@
         self.waiting[number] = done
         try:
             if not self.calls.put(
-                via, carry.pack(carry.QUESTION, shared.me, q), len(body) + len(target) + 200, until
+                via, relay_messages.pack(relay_messages.QUESTION, shared.me, q), len(body) + len(target) + 200, until
             ):
                 raise NotCarried("too much waits for it")
             self.poke(via)
@@ -126,7 +126,7 @@
         status, refused, body = 0, True, b""
         try:
             status, body = await self.handlers[q.what](by, q)
-            if len(body) > carry.MOST_BODY:
+            if len(body) > relay_messages.MOST_BODY:
                 status, refused, body = (
                     0,
                     False,
@@ -149,7 +149,7 @@
         a = Answer(q.life, q.number, status, refused, body)
         self.calls.put(
             by,
-            carry.pack(carry.ANSWER, self.shared.me, a),
+            relay_messages.pack(relay_messages.ANSWER, self.shared.me, a),
             len(body) + 100,
             self.shared.clock() + left,
         )
@@ -163,10 +163,10 @@
         if now - self.word_at.get(node, -1e9) > WORD_EVERY_S:
             self.word_at[node] = now
             heard = [n for n in self.ways.said if self.hearing.heard(n, now)]
-            can = list(carry.KINDS) if self.shared.settings.options.carry else []
+            can = list(relay_messages.KINDS) if self.shared.settings.options.carry else []
             out.append(
                 [
-                    carry.WORD,
+                    relay_messages.WORD,
                     self.shared.me,
                     0,
                     0,
@@ -183,10 +183,10 @@
         if node not in self.ways.said:
             return
         try:
-            if kind == carry.WORD and isinstance(value, dict):
+            if kind == relay_messages.WORD and isinstance(value, dict):
                 self.ways.heard(node, value, self.shared.clock())
-            elif kind == carry.QUESTION:
-                q = carry.question(value)
+            elif kind == relay_messages.QUESTION:
+                q = relay_messages.question(value)
                 if too_late(q.until, self.shared.wall()):
                     self.calls.refused += 1  # held back on its way: whoever asked has long gone on
                 elif (
@@ -197,11 +197,11 @@
                     self._answer(node, q, 0, True, b"")
                 else:
                     self.start(node, q)
-            elif kind == carry.ANSWER:
-                a = carry.answer(value)
+            elif kind == relay_messages.ANSWER:
+                a = relay_messages.answer(value)
                 waiting = self.waiting.get(a.number)
                 if self.calls.answered(a.life, a.number, node) and waiting is not None:
                     waiting[1].append(a)
                     waiting[0].set()
-        except carry.Malformed:
+        except relay_messages.Malformed:
             pass
--- a/ploverhall/control/routing.py
+++ b/ploverhall/controller/routing.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from ploverhall.control.hearing import BELIEVED_S, Hearing
-from ploverhall.control.shared import Held, Shared
-from ploverhall.coordination import boards
-from ploverhall.coordination.boards import Message
-from ploverhall.coordination.source import Source
+from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.peer_liveness import BELIEVED_S, Hearing
+from ploverhall.coordination import state_channel
+from ploverhall.coordination.state_channel import Message
 from ploverhall.protocol.jobs import Job
+from ploverhall.scheduling.permitting import Source
 
 FOUND_S = (
     4.5  # a worker that is sent to a holder that it can't reach waits for 4 s there, and 1 s more
@@ -39,7 +39,7 @@
                 self.epochs[shard] = (epoch, now)
         holders = {
             role: self.holder(role)
-            for role in (*range(len(self.shared.layout.nodes)), boards.RENTER)
+            for role in (*range(len(self.shared.layout.nodes)), state_channel.RENTER)
         }
         if holders != self.holders:
             self.holders = holders
@@ -51,7 +51,7 @@
 
     def holder(self, role: int) -> str | None:
         """The node that holds a role, as far as is known here."""
-        if role == boards.RENTER:
+        if role == state_channel.RENTER:
             return self.shared.replica.renter()[0]
         if role in self.shared.held:
             return self.shared.settings.name
@@ -79,7 +79,7 @@
         now = shared.clock()
         if src >= 0 and epoch < shared.replica.holder(src)[1]:
             return  # from a holder that has been deposed
-        if dst == boards.RENTER:
+        if dst == state_channel.RENTER:
             if shared.renter is not None:
                 if kind == "d":
                     shared.renter.on_source(src, full, changes)
--- a/ploverhall/control/engine.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -8,12 +8,12 @@
 import anyio
 
 from ploverhall import log
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.routing import Routing
-from ploverhall.control.shared import Held, Shared
-from ploverhall.coordination import boards
-from ploverhall.coordination.fleet import Machine
-from ploverhall.coordination.owner import Owner
+from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.controller.routing import Routing
+from ploverhall.coordination import state_channel
+from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.shard_owner import Owner
 
 ENGINE_EVERY_S = 0.01
 ENGINE_IDLE_S = 0.1  # a step comes at least this often
@@ -124,11 +124,11 @@
         shared = self.shared
         shards, outbox, renter = range(len(shared.layout.nodes)), shared.outbox, shared.renter
         for h in shared.held.values():
-            to_renter = outbox.board("m", h.shard, boards.RENTER, h.epoch)
+            to_renter = outbox.board("m", h.shard, state_channel.RENTER, h.epoch)
             to_renter.update(h.owner.take_machine_news(now))
             to_renter.put("?", h.owner.suspects(now) or None)
             if h.source is not None:
-                outbox.board("d", h.shard, boards.RENTER, h.epoch).replace(
+                outbox.board("d", h.shard, state_channel.RENTER, h.epoch).replace(
                     h.source.demand(now, shared.wall())
                 )
                 counts = h.source.take_counts()
@@ -136,7 +136,7 @@
                     outbox.board("c", h.shard, part, h.epoch).update(counts)
         if renter is not None:
             for part in shards:
-                b = outbox.board("r", boards.RENTER, part, renter.epoch)
+                b = outbox.board("r", state_channel.RENTER, part, renter.epoch)
                 b.put("drain", renter.drains(part))
                 if renter.looked:
                     b.put("empty", renter.emptying(part))
--- a/ploverhall/control/membership.py
+++ b/ploverhall/controller/shard_leases.py
@@ -8,25 +8,21 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.bookkeeping.replica import (
-    NODE,
-    SHARD,
-    Ended,
-)
-from ploverhall.control.following import Following
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.roles import Roles
-from ploverhall.control.shared import Held, Shared
-from ploverhall.control.workers import Workers
-from ploverhall.coordination.afterlife import Rights
-from ploverhall.coordination.alone import Alone
-from ploverhall.coordination.cancellations import CAN, Cancellations
-from ploverhall.coordination.stranded import Stranded
+from ploverhall.connectivity.failback_backoff import Moves
+from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.controller.agent_commands import Workers
+from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.controller.shard_roles import Roles
+from ploverhall.controller.store_watch import Following
+from ploverhall.coordination.cancellation_barrier import CAN, Cancellations
+from ploverhall.coordination.isolation import Alone
+from ploverhall.coordination.orphaned_machines import Stranded
+from ploverhall.coordination.restart_recovery import Rights
+from ploverhall.maintenance import orders
 from ploverhall.protocol.jobs import DONE
-from ploverhall.protocol.state import Refused, Unknown
-from ploverhall.reach.moves import Moves
-from ploverhall.reach.ways import Ways
-from ploverhall.upkeep import orders
+from ploverhall.protocol.key_value_store import Refused, Unknown
+from ploverhall.storage.store_cache import NODE, SHARD, Ended
 
 READ_S = 2.5  # the copy is proven current at least this often
 ALONE_S = 1.0  # its lease may end so late
--- a/ploverhall/control/roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from ploverhall import log
-from ploverhall.bookkeeping.replica import TYPES
-from ploverhall.control.routing import Routing
-from ploverhall.control.shared import Held, Shared
-from ploverhall.coordination.owner import Owner
+from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.routing import Routing
+from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.storage.store_cache import TYPES
 
 
 class Roles:
--- a/ploverhall/control/view.py
+++ b/ploverhall/controller/shard_status.py
@@ -7,13 +7,13 @@
 
 import orjson
 
-from ploverhall.control.hearing import Hearing
-from ploverhall.control.shared import Held, Shared
-from ploverhall.coordination.fleet import Machine
-from ploverhall.coordination.ledger import JobState
-from ploverhall.coordination.source import Source
+from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.maintenance import orders
+from ploverhall.scheduling.allocations import JobState
+from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.permitting import Source
 from ploverhall.status import LATELY_S, MOST, MOST_TASKS
-from ploverhall.upkeep import orders
 
 
 class View:
--- a/ploverhall/control/telling.py
+++ b/ploverhall/controller/status_report.py
@@ -13,9 +13,9 @@
 import anyio
 
 from ploverhall import log, status
-from ploverhall.control.shared import Shared
-from ploverhall.control.view import View
-from ploverhall.coordination.boards import Message
+from ploverhall.controller.context import Shared
+from ploverhall.controller.shard_status import View
+from ploverhall.coordination.state_channel import Message
 
 VIEW_EVERY_S = 5.0
 ANSWER_S = 1.0  # how long a person waits for what other controllers say
--- a/ploverhall/control/following.py
+++ b/ploverhall/controller/store_watch.py
@@ -8,12 +8,10 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.bookkeeping.replica import (
-    PREFIX,
-)
-from ploverhall.control.shared import Shared
-from ploverhall.coordination.answers import Proof
-from ploverhall.protocol.state import Event, Refused, Unknown
+from ploverhall.controller.context import Shared
+from ploverhall.coordination.job_answers import Proof
+from ploverhall.protocol.key_value_store import Event, Refused, Unknown
+from ploverhall.storage.store_cache import PREFIX
 
 PROOF_S = 1.5  # how long a question waits for the read that proves its answer
 
--- a/ploverhall/control/writing.py
+++ b/ploverhall/controller/store_writing.py
@@ -11,8 +11,14 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.bookkeeping import images
-from ploverhall.bookkeeping.replica import (
+from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.routing import Routing
+from ploverhall.maintenance.disruption_budget import Rules
+from ploverhall.protocol.key_value_store import Refused, Unknown
+from ploverhall.scheduling.allocations import TXN_BYTES, Txn
+from ploverhall.scheduling.permitting import Source
+from ploverhall.storage import image_index
+from ploverhall.storage.store_cache import (
     ARCHIVE,
     ARCHIVED,
     JOB,
@@ -23,12 +29,6 @@
     grants_key,
     progress_prefix,
 )
-from ploverhall.control.routing import Routing
-from ploverhall.control.shared import Held, Shared
-from ploverhall.coordination.ledger import TXN_BYTES, Txn
-from ploverhall.coordination.source import Source
-from ploverhall.protocol.state import Refused, Unknown
-from ploverhall.upkeep.budget import Rules
 
 IMAGES_EVERY_S = 4.0
 ARCHIVE_EVERY_S = 1.0
@@ -106,10 +106,10 @@
 
     async def images(self, held: Held) -> None:
         """Learn which images the part's machines hold, and keep it for the next owner."""
-        fleet, prefix = held.owner.fleet, images.prefix(held.shard)
+        fleet, prefix = held.owner.fleet, image_index.prefix(held.shard)
         with held.image_scope:
             found = await self._read(prefix)
-            fleet.remember(images.unpack([v for v, _ in found.values()]))
+            fleet.remember(image_index.unpack([v for v, _ in found.values()]))
             keys = set(found)
             while not held.lost:
                 await anyio.sleep(IMAGES_EVERY_S)
@@ -119,13 +119,13 @@
                 ):
                     continue  # a hint can wait for a quiet moment
                 fleet.images_changed = False
-                values = images.pack(
+                values = image_index.pack(
                     {m.name: m.images for m in fleet.machines.values()},
                     self.shared.settings.value_bytes,
                 )
                 wanted = {f"{prefix}{i}": v for i, v in enumerate(values)}
                 # one transaction may not take them all: they are hints, so it does no harm that they land apart
-                for puts in images.batches(wanted, self.shared.settings.txn_ops // 2, TXN_BYTES):
+                for puts in image_index.batches(wanted, self.shared.settings.txn_ops // 2, TXN_BYTES):
                     old = sorted(keys - wanted.keys())[:2]
                     try:
                         _, failed = await self.shared.store.txn(
--- a/ploverhall/coordination/cancellations.py
+++ b/ploverhall/coordination/cancellation_barrier.py
@@ -37,7 +37,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ploverhall.protocol.peers import Cancelled, Word
+from ploverhall.protocol.peer_messages import Cancelled, Word
 
 CAN = "told"  # the feature in a member's key: it waits with telling, so others may go on for longer
 DRIFT = 1.002  # steady clocks of two hosts differ by up to 0.05% each; four times that
--- a/ploverhall/coordination/answers.py
+++ b/ploverhall/coordination/job_answers.py
@@ -24,8 +24,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ploverhall.bookkeeping.replica import ARCHIVED, Ended, Replica, ended
 from ploverhall.protocol import jobs
+from ploverhall.storage.store_cache import ARCHIVED, Ended, Replica, ended
 
 
 class Proof(NamedTuple):
--- a/ploverhall/coordination/afterlife.py
+++ b/ploverhall/coordination/restart_recovery.py
@@ -25,12 +25,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ploverhall.coordination import tokens
-from ploverhall.coordination.cancellations import DRIFT
-from ploverhall.protocol import workers
-from ploverhall.protocol.workers import EXITED, Report
+from ploverhall.coordination import fencing_tokens
+from ploverhall.coordination.cancellation_barrier import DRIFT
+from ploverhall.protocol import agents
+from ploverhall.protocol.agents import EXITED, Report
 
-SURE, NONE = 0, tokens.RIGHT
+SURE, NONE = 0, fencing_tokens.RIGHT
 STEP_S = 2.0
 STEPS = NONE - 1  # before a time of day comes round again: 508 s
 SURE_S = 6.0  # contact that is no older is sure
@@ -83,23 +83,23 @@
         `me`: this controller's index; `newest`: the epoch of the worker's part as far as anybody here knows; `over`: which jobs
         among its tasks are known to be over. Nothing is kept between two reports: the token says all.
         """
-        if tokens.holder_of(r.token) != me or tokens.epoch_of(r.token) < newest:
+        if fencing_tokens.holder_of(r.token) != me or fencing_tokens.epoch_of(r.token) < newest:
             return None
-        right = tokens.right_of(r.token)
+        right = fencing_tokens.right_of(r.token)
         left = self.left(right, wall)
         if left <= 0.0:
             return None
         # counted from this report on, what was sure becomes a time of day: a third life must not count from its own first report
         token = (
-            tokens.marked(r.token, 1 + int((wall + left) // STEP_S) % STEPS)
+            fencing_tokens.marked(r.token, 1 + int((wall + left) // STEP_S) % STEPS)
             if right == SURE
             else r.token
         )
         if token is None:
             return None
         calls = [
-            workers.kill(key, 0.0)
+            agents.kill(key, 0.0)
             for key, t in r.tasks().items()
             if t.state != EXITED and key[0] in over
         ]
-        return workers.answer(token, calls)
+        return agents.answer(token, calls)
--- a/ploverhall/protocol/peers.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from ploverhall.protocol import jobs
-from ploverhall.protocol.workers import Key
+from ploverhall.protocol.agents import Key
 
 NOTICE_EMPTY = 3
 JOB, CANDIDATE, PERMIT, OFFER, START = "j", "w", "p", "o", "t"
--- a/ploverhall/seams.py
+++ b/ploverhall/runtime.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ploverhall.transport.net import TCP, Net
+from ploverhall.transport.network import TCP, Net
 
 
 @dataclass(slots=True, frozen=True)
--- a/ploverhall/coordination/ledger.py
+++ b/ploverhall/scheduling/allocations.py
@@ -15,15 +15,15 @@
 
 import orjson
 
-from ploverhall.bookkeeping.replica import cell_prefix, progress_prefix
-from ploverhall.coordination.aims import Aims
-from ploverhall.coordination.fleet import Vec, add
-from ploverhall.protocol import peers
+from ploverhall.protocol import peer_messages
+from ploverhall.protocol.agents import Key
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peers import PermitNews
-from ploverhall.protocol.workers import Key
+from ploverhall.protocol.peer_messages import PermitNews
+from ploverhall.scheduling.inventory import Vec, add
+from ploverhall.scheduling.objectives import Aims
 from ploverhall.settings import Team
+from ploverhall.storage.store_cache import cell_prefix, progress_prefix
 
 PROGRESS_TASKS = 8192  # tasks whose bits share one value: about 1.4 KB
 FILL = 0.92  # of a value's limit that a chunk may take; the rest is room for what json may add
@@ -514,7 +514,7 @@
         if not e.landed:
             self._landed_one(js, e)
         else:
-            self.permit_news[e.part, peers.permit_key((e.job, e.task, e.attempt))] = None
+            self.permit_news[e.part, peer_messages.permit_key((e.job, e.task, e.attempt))] = None
         self.used[js.team] = add(self.used[js.team], js.vec, -1)
         e.chunk.drop(e, js.vec)
         js.running -= e.running
@@ -544,7 +544,7 @@
     def _tell(self, e: Entry) -> None:
         """The owner of a permit must hear of it."""
         if e.landed:
-            self.permit_news[e.part, peers.permit_key((e.job, e.task, e.attempt))] = PermitNews(
+            self.permit_news[e.part, peer_messages.permit_key((e.job, e.task, e.attempt))] = PermitNews(
                 e.machine, e.epoch, e.ticket, e.stop
             )
 
--- a/ploverhall/coordination/grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -9,12 +9,12 @@
 
 from typing import Any
 
-from ploverhall.bookkeeping.replica import SHARD, grants_key
-from ploverhall.coordination.ledger import TXN_BYTES, Entry, JobState, Txn
-from ploverhall.coordination.writes import Writes
-from ploverhall.protocol.workers import Key
+from ploverhall.maintenance.disruption_budget import Facts, Rules, Spent, why_not
+from ploverhall.protocol.agents import Key
+from ploverhall.scheduling.allocations import TXN_BYTES, Entry, JobState, Txn
+from ploverhall.scheduling.store_writer import Writes
 from ploverhall.settings import Team
-from ploverhall.upkeep.budget import Facts, Rules, Spent, why_not
+from ploverhall.storage.store_cache import SHARD, grants_key
 
 GRANT_EVERY_S = 0.5
 MOST_GRANTS = 48  # of one team in one value
--- a/ploverhall/coordination/fleet.py
+++ b/ploverhall/scheduling/inventory.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from ploverhall.protocol.agents import EXITED, Key, Listed, Task
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.workers import EXITED, Key, Listed, Task
 
 Vec = tuple[float, float, float]
 Place = tuple[str, str, bool]  # type, zone, spot
--- a/ploverhall/coordination/source.py
+++ b/ploverhall/scheduling/permitting.py
@@ -11,9 +11,17 @@
 import heapq
 from typing import Any
 
-from ploverhall.coordination.fleet import EPS, MANY, NOTHING, add, fits, times
-from ploverhall.coordination.grants import Grants
-from ploverhall.coordination.ledger import (
+from ploverhall.protocol import peer_messages
+from ploverhall.protocol.jobs import Job
+from ploverhall.protocol.peer_messages import (
+    NOTICE_EMPTY,
+    Candidate,
+    DemandNews,
+    JobNews,
+    OfferNews,
+    StartNews,
+)
+from ploverhall.scheduling.allocations import (
     BEGIN_S,
     WORKED_S,
     Chunk,
@@ -24,16 +32,8 @@
     entry_bytes,
     header_bytes,
 )
-from ploverhall.protocol import peers
-from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peers import (
-    NOTICE_EMPTY,
-    Candidate,
-    DemandNews,
-    JobNews,
-    OfferNews,
-    StartNews,
-)
+from ploverhall.scheduling.eviction_grants import Grants
+from ploverhall.scheduling.inventory import EPS, MANY, NOTHING, add, fits, times
 
 ATTEMPT_BITS = 28
 PATIENCE_S = (
@@ -61,16 +61,16 @@
         """An owner's board: offers, and what became of permits."""
         if full:
             for k in [
-                k for k in self.offer_job if k[0] == part and peers.offer_key(k[1]) not in changes
+                k for k in self.offer_job if k[0] == part and peer_messages.offer_key(k[1]) not in changes
             ]:
                 self._drop_offer(k)
         for key, value in changes.items():
-            if key[0] == peers.OFFER:
+            if key[0] == peer_messages.OFFER:
                 self._offer(
                     part, epoch, int(key[1:]), OfferNews(*value) if value is not None else None
                 )
-            elif key[0] == peers.START and value is not None:
-                job, task, attempt = peers.split_key(key)
+            elif key[0] == peer_messages.START and value is not None:
+                job, task, attempt = peer_messages.split_key(key)
                 js = self.jobs.get(job)
                 e = js.entries.get(task) if js is not None else None
                 if (
@@ -536,7 +536,7 @@
             js = self.jobs.get(jid)
             if js is None:
                 for part in range(parts):
-                    out[part, peers.job_key(jid)] = out[part, peers.candidate_key(jid)] = None
+                    out[part, peer_messages.job_key(jid)] = out[part, peer_messages.candidate_key(jid)] = None
                 for waits in self.waits.values():
                     waits.pop(jid, None)
                 continue
@@ -556,8 +556,8 @@
                 # a permit that is being written still needs the room that is held for it: wanting less at once
                 # made owners cancel that room, and refuse the permit a moment later (kazi-bodi steady)
                 want = n + js.unlanded.get(part, 0)
-                out[part, peers.job_key(jid)] = news
-                out[part, peers.candidate_key(jid)] = (
+                out[part, peer_messages.job_key(jid)] = news
+                out[part, peer_messages.candidate_key(jid)] = (
                     Candidate(want, list(self.order(js)), zones, sorted(js.failed_on))
                     if want and js.job is not None
                     else None
--- a/ploverhall/coordination/placement.py
+++ b/ploverhall/scheduling/placement.py
@@ -12,7 +12,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from ploverhall.coordination.fleet import (
+from ploverhall.protocol import peer_messages
+from ploverhall.protocol.agents import Key
+from ploverhall.protocol.jobs import RANKS, Job
+from ploverhall.protocol.peer_messages import Candidate
+from ploverhall.scheduling.inventory import (
     EPS,
     Class,
     Fleet,
@@ -27,10 +31,6 @@
     occupies,
     times,
 )
-from ploverhall.protocol import peers
-from ploverhall.protocol.jobs import RANKS, Job
-from ploverhall.protocol.peers import Candidate
-from ploverhall.protocol.workers import Key
 
 PREEMPT_EVERY_S = (
     0.25  # how often a waiting candidate is matched anew against work that may be stopped
@@ -105,7 +105,7 @@
         self.next_ticket = 1
         self.next_preempt = 0.0
         self.next_revisit = 0.0
-        self.news: dict[tuple[int, str], list[object] | peers.OfferNews | None] = {}
+        self.news: dict[tuple[int, str], list[object] | peer_messages.OfferNews | None] = {}
 
     # -- what is wanted ----------------------------------------------------------------------
 
@@ -178,7 +178,7 @@
         self.expiry.append(t)
         if victims:
             self.preempting[t.id] = t
-        self.news[t.src, peers.offer_key(t.id)] = peers.OfferNews(
+        self.news[t.src, peer_messages.offer_key(t.id)] = peer_messages.OfferNews(
             t.job, t.machine, t.zone, round(t.cost, 2), len(victims)
         )
         self.fleet.look(m, now)
@@ -193,7 +193,7 @@
         if not held:
             del self.tickets[t.job]
         self.preempting.pop(t.id, None)
-        self.news[t.src, peers.offer_key(t.id)] = None
+        self.news[t.src, peer_messages.offer_key(t.id)] = None
         m = self.fleet.machines.get(t.machine)
         if m is not None:
             m.tickets.pop(t.id, None)
--- a/ploverhall/coordination/owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -10,13 +10,12 @@
 from random import Random
 from typing import Any
 
-from ploverhall.coordination import tokens
-from ploverhall.coordination.fleet import Fleet, Info, Machine, Permit, Vec, fits
-from ploverhall.coordination.placement import Placement
-from ploverhall.protocol import peers, workers
+from ploverhall.coordination import fencing_tokens
+from ploverhall.protocol import agents, peer_messages
+from ploverhall.protocol.agents import EXITED, Key, Report
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job, from_record
-from ploverhall.protocol.peers import (
+from ploverhall.protocol.peer_messages import (
     NOTICE_EMPTY,
     Candidate,
     JobNews,
@@ -24,9 +23,10 @@
     PermitNews,
     StartNews,
 )
-from ploverhall.protocol.workers import EXITED, Key, Report
+from ploverhall.scheduling.inventory import Fleet, Info, Machine, Permit, Vec, fits
+from ploverhall.scheduling.placement import Placement
 
-TOKEN_BITS = tokens.TOKEN_BITS
+TOKEN_BITS = fencing_tokens.TOKEN_BITS
 FAULTS_S = 300.0  # how long a failure on a machine counts against it
 FAULTY_S = 600.0  # how long a machine on which two jobs have failed is not trusted
 DOUBT_S = 20.0  # before it is given back: a job that fails everywhere is found out sooner
@@ -58,7 +58,7 @@
     ) -> None:
         self.part, self.epoch, self.sources = part, epoch, sources
         self.lease_s = lease_s
-        self.first = tokens.first(epoch, holder)  # what every worker is given to begin with
+        self.first = fencing_tokens.first(epoch, holder)  # what every worker is given to begin with
         self.right = (
             0  # what tokens that leave now say of who may answer later (coordination.afterlife)
         )
@@ -129,21 +129,21 @@
         by_kind: dict[str, list[tuple[str, Any]]] = {}
         for key, value in changes.items():
             by_kind.setdefault(key[0], []).append((key, value))
-        for key, value in by_kind.get(peers.JOB, ()):
+        for key, value in by_kind.get(peer_messages.JOB, ()):
             if value is not None:
                 self._job(key[1:], JobNews(*value))
         # a permit takes the room held for it before fewer candidates wanted give that room away
-        for key, value in by_kind.get(peers.PERMIT, ()):
+        for key, value in by_kind.get(peer_messages.PERMIT, ()):
             self._permit(
-                peers.split_key(key), src, PermitNews(*value) if value is not None else None, now
+                peer_messages.split_key(key), src, PermitNews(*value) if value is not None else None, now
             )
-        for key, value in by_kind.get(peers.CANDIDATE, ()):
+        for key, value in by_kind.get(peer_messages.CANDIDATE, ()):
             job = self.jobs.get(key[1:])
             if value is None or job is None:
                 self.placement.cancel(key[1:])
             else:
                 self.placement.want(src, job, Candidate(*value), self.fleet.info[key[1:]].within)
-        for key, value in by_kind.get(peers.JOB, ()):
+        for key, value in by_kind.get(peer_messages.JOB, ()):
             if value is None:
                 self._forget(key[1:])
         self.dirty = True
@@ -227,7 +227,7 @@
         if not there and p.machine not in self.machines:
             del self.fleet.permits[p.machine]
         self.changed.discard(p.key)
-        self.news[p.src, peers.start_key(p.key)] = None
+        self.news[p.src, peer_messages.start_key(p.key)] = None
         self._act(self.machines.get(p.machine))
 
     def _admit(self, p: Permit, stop: float | None, now: float) -> None:
@@ -305,8 +305,8 @@
         Only a message newer than all before it says anything. Any other is marked (`Machine.copy`): it doesn't even show that the
         machine lives, and its answer renews no lease, for the worker has sent another report since and waits for that one's.
         """
-        if tokens.epoch_of(r.token) > self.epoch:
-            self.deposed_by = max(self.deposed_by, tokens.epoch_of(r.token))
+        if fencing_tokens.epoch_of(r.token) > self.epoch:
+            self.deposed_by = max(self.deposed_by, fencing_tokens.epoch_of(r.token))
             return None
         m = self.machines.get(r.machine)
         if m is None:
@@ -352,7 +352,7 @@
                 self._touch(m)
         if (r.session, r.seq) <= (m.session, m.seq):
             return m  # an old message: its list is older than what is known
-        took = m.took or tokens.epoch_of(r.token) == self.epoch
+        took = m.took or fencing_tokens.epoch_of(r.token) == self.epoch
         if m.doubt and r.token >= m.doubt:
             self._hears(m, now)
         elif left or 0 < m.session < r.session:
@@ -642,7 +642,7 @@
 
     def _raise(self, m: Machine) -> bool:
         """Fence what was sent to a machine so far; False when this epoch has no token left for it."""
-        token = tokens.raised(m.token)
+        token = fencing_tokens.raised(m.token)
         if token is None:
             self.spent = True
             return False
@@ -664,7 +664,7 @@
         """What the worker has to do for the wanted state; marks runs as sent under the machine's token."""
         out: list[dict[str, Any]] = []
         runs: list[Permit] = []
-        if (token := tokens.marked(m.token, self.right)) is not None:
+        if (token := fencing_tokens.marked(m.token, self.right)) is not None:
             m.token = token
         else:
             self.spent = True  # the worker keeps an earlier right, which ends sooner
@@ -677,7 +677,7 @@
                     and (t.state != "saving" or p.stop == 0.0)
                 ):
                     if not direct or p.killed != p.stop:
-                        out.append(workers.kill(p.key, p.stop))
+                        out.append(agents.kill(p.key, p.stop))
                         p.killed = p.stop
             elif self._runnable(p, m):
                 if p.run_token and m.session > p.run_session:
@@ -701,10 +701,10 @@
                     # its source has not been heard yet; but a job that is over needs no source to be stopped:
                     # seen when an owner that had just taken over was cut from the source of a cancelled job
                     if t.state != EXITED and self.job_over(key[0]):
-                        out.append(workers.kill(key, 0.0))
+                        out.append(agents.kill(key, 0.0))
                     continue
                 if t.state != EXITED:
-                    out.append(workers.kill(key, 0.0))  # nobody has permitted it
+                    out.append(agents.kill(key, 0.0))  # nobody has permitted it
                 else:
                     if key in m.inflight:
                         if not self._raise(
@@ -712,9 +712,9 @@
                         ):  # a run of it may still arrive; after reap it would start again
                             continue
                         m.inflight.clear()
-                    out.append(workers.reap(key))
+                    out.append(agents.reap(key))
         for p in runs:
-            out.append(workers.run(p.key))
+            out.append(agents.run(p.key))
             p.run_token, p.run_session = m.token, m.session
             if direct:
                 p.direct = True
@@ -735,7 +735,7 @@
             calls = self.commands(m, now, direct=True)
             if calls:
                 m.busy = True
-                out.append((m, workers.direct(m.token, m.session, calls)))
+                out.append((m, agents.direct(m.token, m.session, calls)))
         return out
 
     def direct_done(self, m: Machine, r: Report | None, now: float) -> None:
@@ -781,7 +781,7 @@
         """What has changed for the sources since the last time: (source, key) -> value."""
         for key in sorted(self.changed):
             if (p := self.permits.get(key)) is not None:
-                self.news[p.src, peers.start_key(key)] = self.start_news(p)
+                self.news[p.src, peer_messages.start_key(key)] = self.start_news(p)
         self.changed.clear()
         out = dict(self.news)
         self.news.clear()
--- a/ploverhall/coordination/writes.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ploverhall.bookkeeping.replica import JOB, SHARD, cell_prefix, end_record, progress_prefix
-from ploverhall.coordination.ledger import (
+from ploverhall.protocol.jobs import DONE
+from ploverhall.scheduling.allocations import (
     PROGRESS_TASKS,
     TXN_BYTES,
     Chunk,
@@ -21,7 +21,7 @@
     Txn,
     put_entry,
 )
-from ploverhall.protocol.jobs import DONE
+from ploverhall.storage.store_cache import JOB, SHARD, cell_prefix, end_record, progress_prefix
 
 
 class Writes(Ledger):
--- a/ploverhall/bookkeeping/replica.py
+++ b/ploverhall/storage/store_cache.py
@@ -11,7 +11,7 @@
 
 from ploverhall.protocol import cloud, jobs
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.state import Event
+from ploverhall.protocol.key_value_store import Event
 
 PREFIX = "p/"
 JOB, SHARD, NODE = "p/job/", "p/shard/", "p/node/"
--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -19,7 +19,7 @@
 
 import anyio
 
-from ploverhall.transport.wire import Request
+from ploverhall.transport.http_parser import Request
 
 ACCEPTED_SHARE = 0.8  # of all sockets: accepted connections; beyond that they are told 503
 CROWDED_SHARE = 0.75  # accepted connections; beyond that all are closed after their answers
--- a/ploverhall/transport/http.py
+++ b/ploverhall/transport/http.py
@@ -13,8 +13,8 @@
 import orjson
 
 from ploverhall.transport.connection_limit import Connection, ConnectionLimiter
-from ploverhall.transport.net import TCP, Net
-from ploverhall.transport.wire import Bad, Request, RequestReader, ResponseReader
+from ploverhall.transport.http_parser import Bad, Request, RequestReader, ResponseReader
+from ploverhall.transport.network import TCP, Net
 
 READ = 65536
 SWEEP_S = 0.1  # how often connections are looked at whose time is over
--- a/ploverhall/transport/peer.py
+++ b/ploverhall/transport/peer_stream.py
@@ -16,7 +16,7 @@
 import anyio.abc
 import cbor2
 
-from ploverhall.transport.net import TCP, Net
+from ploverhall.transport.network import TCP, Net
 
 VERSION = 1
 MAX_FRAME = 16 * 1024 * 1024
--- a/scripts/cost.py
+++ b/scripts/cost.py
@@ -42,7 +42,7 @@
 
     from ploverhall.transport import http
 
-    uv = find_spec("ploverhall.transport.wire") is not None  # the version that runs on uvloop
+    uv = find_spec("ploverhall.transport.http_parser") is not None  # the version that runs on uvloop
     body = json.dumps(body_of("n-1", 1, 1, 4)).encode()
     data = (
         b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
@@ -99,14 +99,14 @@
 
 def an_owner(size: int) -> Any:
     """An owner with that many idle machines which have reported to it."""
-    from ploverhall.coordination.owner import TOKEN_BITS, Owner
-    from ploverhall.protocol import workers
+    from ploverhall.protocol import agents
     from ploverhall.protocol.cloud import MachineType
+    from ploverhall.scheduling.shard_owner import TOKEN_BITS, Owner
 
     o = Owner(0, 3, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
     o.types = {"t": MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a",))}
     for i in range(size):
-        o.on_report(workers.parse(body_of(f"n-{i}", 1, 3 << TOKEN_BITS, 0)), 0.0)
+        o.on_report(agents.parse(body_of(f"n-{i}", 1, 3 << TOKEN_BITS, 0)), 0.0)
     o.place(0.0)
     return o
 
@@ -115,9 +115,9 @@
     """One report that says nothing new."""
     import orjson
 
-    from ploverhall.coordination.fleet import Permit
-    from ploverhall.coordination.owner import TOKEN_BITS
-    from ploverhall.protocol import workers
+    from ploverhall.protocol import agents
+    from ploverhall.scheduling.inventory import Permit
+    from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
     o = an_owner(size)
     for i, m in enumerate(o.machines.values()):
@@ -128,7 +128,7 @@
             )
             o.by_job.setdefault(key[0], {})[key] = p
     asked, token = min(size, 1000), 3 << TOKEN_BITS
-    decode = getattr(workers, "decode", None)
+    decode = getattr(agents, "decode", None)
     spent = 0.0
     for seq in range(2, 7):
         bodies = [
@@ -136,8 +136,8 @@
         ]
         begun = time.process_time()
         for b in bodies:
-            m = o.on_report(decode(b) if decode else workers.parse(orjson.loads(b)), float(seq))
-            orjson.dumps(workers.answer(m.token, o.commands(m, float(seq))))
+            m = o.on_report(decode(b) if decode else agents.parse(orjson.loads(b)), float(seq))
+            orjson.dumps(agents.answer(m.token, o.commands(m, float(seq))))
         if seq > 2:  # the first one brings the tasks
             spent += time.process_time() - begun
         o.place(float(seq))
@@ -148,7 +148,7 @@
     """Workers that do at once what they are told, for one source and one owner; no I/O, no time but what is passed in."""
 
     def __init__(self, size: int) -> None:
-        from ploverhall.coordination.source import Source
+        from ploverhall.scheduling.permitting import Source
         from ploverhall.settings import Team
 
         self.now, self.spent, self.permits, self.jobs = 0.0, 0.0, 0, 0
@@ -195,24 +195,24 @@
 
     def report(self, name: str) -> Any:
         """What a worker lists now."""
-        from ploverhall.protocol import workers
+        from ploverhall.protocol import agents
 
         self.seq[name] += 1
         chicks = [
             {"chick": f"{k[0]}/{k[1]}", "hatch": k[2], "stance": t[0], "cause": t[1]}
             for k, t in self.tasks[name].items()
         ]
-        return workers.parse(
+        return agents.parse(
             {**body_of(name, self.seq[name], self.o.machines[name].token, 0), "chicks": chicks}
         )
 
     def execute(self, name: str, calls: list[Any]) -> None:
         """Commands."""
-        from ploverhall.protocol import workers
+        from ploverhall.protocol import agents
 
         here = self.tasks[name]
         for c in calls:
-            key = (*workers.split_task(c["chick"]), c["hatch"])
+            key = (*agents.split_task(c["chick"]), c["hatch"])
             if c["call"] == "run":
                 here.setdefault(key, ["running", "", self.now + self.length[key[0]]])
             elif c["call"] == "reap":
@@ -312,8 +312,8 @@
     import anyio.to_thread
 
     from ploverhall import settings
-    from ploverhall.control.node import Node
-    from ploverhall.seams import Seams
+    from ploverhall.controller.controller import Node
+    from ploverhall.runtime import Seams
 
     with socket.socket() as a, socket.socket() as b, socket.socket() as c, socket.socket() as d:
         held = (a, b, c, d)
@@ -377,9 +377,9 @@
     """State service, cloud and one user, for `users_cost`; a line on standard output where a stretch begins or ends."""
     import anyio
 
-    from ploverhall.bookkeeping.replica import JOB, end_record
+    from ploverhall.storage.store_cache import JOB, end_record
     from ploverhall.transport.http import Client, Reply, Server, Unreachable
-    from ploverhall.transport.wire import Request
+    from ploverhall.transport.http_parser import Request
     from tests.standins import Fleet, State
 
     state = State()
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -23,23 +23,23 @@
 
 import ploverhall
 from ploverhall import settings
-from ploverhall.bookkeeping import images, replica
 from ploverhall.cli import main
-from ploverhall.coordination import tokens
-from ploverhall.coordination.boards import Inbox, Outbox
-from ploverhall.coordination.shards import Layout
-from ploverhall.protocol import carry, cloud, jobs, peers, workers
-from ploverhall.protocol.state import Refused, Store, Unknown
-from ploverhall.reach.ways import Ways
-from ploverhall.upkeep import orders
-from ploverhall.upkeep.budget import Rules
+from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.coordination import fencing_tokens
+from ploverhall.coordination.shard_map import Layout
+from ploverhall.coordination.state_channel import Inbox, Outbox
+from ploverhall.maintenance import orders
+from ploverhall.maintenance.disruption_budget import Rules
+from ploverhall.protocol import agents, cloud, jobs, peer_messages, relay_messages
+from ploverhall.protocol.key_value_store import Refused, Store, Unknown
+from ploverhall.storage import image_index, store_cache
 
 from . import inputs
 
 REFUSALS = (
-    carry.Malformed,
-    peers.Malformed,
-    workers.Malformed,
+    relay_messages.Malformed,
+    peer_messages.Malformed,
+    agents.Malformed,
     orders.Malformed,
     jobs.Malformed,
     settings.SettingsError,
@@ -61,7 +61,7 @@
     """Reports as they are understood: the whole record, with its tasks."""
 
     def decode(body: bytes) -> Any:
-        report = workers.decode(body)
+        report = agents.decode(body)
         listed = [[list(key), list(astuple(task))] for key, task in report.tasks().items()]
         return [
             report.machine,
@@ -105,12 +105,12 @@
 def commands() -> list[Any]:
     """Commands to machines."""
     key = ("j-000412", 3, 2)
-    calls = [workers.run(key), workers.kill(key, 1.5), workers.reap(key)]
+    calls = [agents.run(key), agents.kill(key, 1.5), agents.reap(key)]
     return [
-        workers.answer(5, calls),
-        workers.direct(5, 1, calls),
-        workers.homing("c1"),
-        workers.homing(None),
+        agents.answer(5, calls),
+        agents.direct(5, 1, calls),
+        agents.homing("c1"),
+        agents.homing(None),
     ]
 
 
@@ -246,7 +246,7 @@
         {**whole, "echo": [1, 2]},
     ]
     return [
-        {"value": v, "read": outcome(lambda v: peers.pack_word(peers.word(v)), v)}
+        {"value": v, "read": outcome(lambda v: peer_messages.pack_word(peer_messages.word(v)), v)}
         for v in (whole, *odd)
     ]
 
@@ -268,14 +268,14 @@
     told = {"life": "x", "number": 3, "status": 200, "refused": False, "body": b"[1]"}
     out: list[Any] = []
     for kind, read, good in (
-        (carry.QUESTION, carry.question, ask),
-        (carry.ANSWER, carry.answer, told),
+        (relay_messages.QUESTION, relay_messages.question, ask),
+        (relay_messages.ANSWER, relay_messages.answer, told),
     ):
         wrong = [{k: v for k, v in good.items() if k != key} for key in good]
         for value in (good, {**good, "new": 1}, *wrong, []):
             out.append(
                 outcome(
-                    lambda v, read=read, kind=kind: cbor2.dumps(carry.pack(kind, 1, read(v))).hex(),
+                    lambda v, read=read, kind=kind: cbor2.dumps(relay_messages.pack(kind, 1, read(v))).hex(),
                     value,
                 )
             )
@@ -288,7 +288,7 @@
         ("nothing", ""),
     )
     out += [
-        [what, target, plain(outcome(carry.question, {**ask, "what": what, "target": target}))]
+        [what, target, plain(outcome(relay_messages.question, {**ask, "what": what, "target": target}))]
         for what, target in targets
     ]
     return out
@@ -298,28 +298,28 @@
     """Keys and values of state channels; the older values lack their last places."""
     key = ("j-000412", 3, 2)
     values: list[Any] = [
-        peers.JobNews(None, [1.0], 1),
-        peers.JobNews([1], [1.0], 1, 1),
-        peers.Candidate(1, [0.5], {"a": 1}, ["n-1"]),
-        peers.PermitNews("n-1", 2, 3, None),
-        peers.OfferNews("j-1", "n-1", "a", 0.5, 2),
-        peers.StartNews("gone", "why", 1, 2),
-        peers.StartNews("gone", "why", 1, 2, 3),
-        peers.MachineNews("t", "a", 0, [1.0], 1, 0, 0, 0, 1, [1.0]),
-        peers.DemandNews([1], 2, None, [0.5]),
-        peers.NodeNews(0.5, {0: 5}, {0: 1.5}),
-        peers.NodeNews(0.5, {0: 5}, {}, 2.0),
+        peer_messages.JobNews(None, [1.0], 1),
+        peer_messages.JobNews([1], [1.0], 1, 1),
+        peer_messages.Candidate(1, [0.5], {"a": 1}, ["n-1"]),
+        peer_messages.PermitNews("n-1", 2, 3, None),
+        peer_messages.OfferNews("j-1", "n-1", "a", 0.5, 2),
+        peer_messages.StartNews("gone", "why", 1, 2),
+        peer_messages.StartNews("gone", "why", 1, 2, 3),
+        peer_messages.MachineNews("t", "a", 0, [1.0], 1, 0, 0, 0, 1, [1.0]),
+        peer_messages.DemandNews([1], 2, None, [0.5]),
+        peer_messages.NodeNews(0.5, {0: 5}, {0: 1.5}),
+        peer_messages.NodeNews(0.5, {0: 5}, {}, 2.0),
     ]
     keys = [
-        peers.job_key("j-1"),
-        peers.candidate_key("j-1"),
-        peers.permit_key(key),
-        peers.start_key(key),
-        peers.offer_key(7),
+        peer_messages.job_key("j-1"),
+        peer_messages.candidate_key("j-1"),
+        peer_messages.permit_key(key),
+        peer_messages.start_key(key),
+        peer_messages.offer_key(7),
     ]
     return {
         "keys": keys,
-        "split": plain(peers.split_key(peers.permit_key(key))),
+        "split": plain(peer_messages.split_key(peer_messages.permit_key(key))),
         "values": plain(values),
         "bytes": [cbor2.dumps(v).hex() for v in values],
     }
@@ -394,7 +394,7 @@
     """Keys, tokens and records, written and read."""
     team = "Team é/1 " + "x" * 120
     held = {"n-1": {"i": 0.5, "k": 2.0}, "n-2": {"k": 2.0}, "n-3": {}}
-    packed = [images.pack(held, limit) for limit in (4096, 40)]
+    packed = [image_index.pack(held, limit) for limit in (4096, 40)]
     record = inputs.STORED["p/type/t"]
     job = jobs.parse({**inputs.SUBMISSION, "breeds": ["t", "s"], "duskS": 5, "marsh": "a"}, 1.7e9)
     ends = [inputs.STORED[f"p/job/j-{n:06d}"] for n in (5, 6, 7, 8)]
@@ -402,30 +402,30 @@
     return {
         "keys": [
             f(t)
-            for f in (replica.cell_prefix, replica.progress_prefix, replica.grants_key)
+            for f in (store_cache.cell_prefix, store_cache.progress_prefix, store_cache.grants_key)
             for t in ("t", "a b", team)
         ]
-        + [images.prefix(3)],
+        + [image_index.prefix(3)],
         "tokens": [
             _token(epoch, holder)
             for epoch, holder in ((5, 0), (5, 30), (5, 31), (5, None), (1 << 43, 2))
         ],
-        "images": plain([packed, [images.unpack(p) for p in packed]]),
+        "images": plain([packed, [image_index.unpack(p) for p in packed]]),
         "types": plain([cloud.type_from_record(record), cloud.type_from_record(record).record()]),
         "jobs": plain([job.record(), jobs.from_record([*job.record(), "later"]), job]),
-        "ends": plain([[list(replica.ended(e, 4)) for e in ends], replica.end_record("done", 3)]),
+        "ends": plain([[list(store_cache.ended(e, 4)) for e in ends], store_cache.end_record("done", 3)]),
         "orders": plain([[o, o.record()] for o in orders.all_of(listed)]),
     }
 
 
 def _token(epoch: int, holder: int | None) -> list[Any]:
-    token = tokens.first(epoch, holder)
-    changed = [tokens.raised(token), tokens.marked(token, 7), tokens.marked(token + 9, 3)]
+    token = fencing_tokens.first(epoch, holder)
+    changed = [fencing_tokens.raised(token), fencing_tokens.marked(token, 7), fencing_tokens.marked(token + 9, 3)]
     return [
         token,
-        tokens.epoch_of(token),
-        tokens.holder_of(token),
-        tokens.right_of(token + 9),
+        fencing_tokens.epoch_of(token),
+        fencing_tokens.holder_of(token),
+        fencing_tokens.right_of(token + 9),
         *changed,
     ]
 
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -29,7 +29,7 @@
 import cbor2
 
 from ploverhall import settings
-from ploverhall.protocol.peers import START, StartNews
+from ploverhall.protocol.peer_messages import START, StartNews
 from ploverhall.transport.http import Unreachable
 
 from . import played, world
--- a/tests/played.py
+++ b/tests/played.py
@@ -23,12 +23,12 @@
 from anyio._backends import _asyncio as backend
 
 from ploverhall import settings
-from ploverhall.bookkeeping.replica import SHARD
-from ploverhall.control.node import Node
+from ploverhall.controller.controller import Node
 from ploverhall.protocol import jobs
-from ploverhall.seams import Seams
+from ploverhall.runtime import Seams
+from ploverhall.storage.store_cache import SHARD
 from ploverhall.transport.http import Client, Reply, Server, Unreachable
-from ploverhall.transport.wire import Request
+from ploverhall.transport.http_parser import Request
 
 from . import world
 from .standins import Fleet, State
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -15,10 +15,10 @@
 import orjson
 
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.state import Store
+from ploverhall.protocol.key_value_store import Store
 from ploverhall.transport.http import Client, Reply, Server, Unreachable
-from ploverhall.transport.net import TCP, Net
-from ploverhall.transport.wire import Request
+from ploverhall.transport.http_parser import Request
+from ploverhall.transport.network import TCP, Net
 
 from . import world
 
--- a/tests/test_afterlife.py
+++ b/tests/test_afterlife.py
@@ -16,9 +16,9 @@
 from hypothesis import strategies as st
 
 from ploverhall import settings
-from ploverhall.coordination import afterlife, tokens
-from ploverhall.coordination.afterlife import NONE, SURE, Rights
-from ploverhall.coordination.cancellations import DRIFT
+from ploverhall.coordination import fencing_tokens, restart_recovery
+from ploverhall.coordination.cancellation_barrier import DRIFT
+from ploverhall.coordination.restart_recovery import NONE, SURE, Rights
 
 from . import world
 from .played import HOLD, SILENT, Played, play
@@ -108,7 +108,7 @@
     if guard == "left":
         monkeypatch.setattr(Rights, "left", lambda self, right, wall: 100.0)
     if guard == "marked":  # what was sure stays sure: each report counts anew
-        monkeypatch.setattr(afterlife.tokens, "marked", lambda token, right: token)
+        monkeypatch.setattr(restart_recovery.tokens, "marked", lambda token, right: token)
 
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
@@ -167,7 +167,7 @@
 ) -> None:
     """c0's workers reach only c1, which has just started and can read nothing; c0 counts their silence and is right."""
     if not guarded:
-        monkeypatch.setattr(afterlife.tokens, "holder_of", lambda token: 1)
+        monkeypatch.setattr(restart_recovery.tokens, "holder_of", lambda token: 1)
         monkeypatch.setattr(Rights, "left", lambda self, right, wall: 100.0)
 
     async def scene(p: Played) -> None:
@@ -230,7 +230,7 @@
         handed = (
             right
             if right != SURE
-            else 1 + int((wall + later + left) // afterlife.STEP_S) % afterlife.STEPS
+            else 1 + int((wall + later + left) // restart_recovery.STEP_S) % restart_recovery.STEPS
         )
         again = rights.left(handed, wall + later + on)
         assert again <= 0 or wall + later + on + again <= end + 1e-6
@@ -244,16 +244,16 @@
 def test_tokens_rise_and_say_whose_they_are(
     epoch: int, holder: int, changes: list[int | None]
 ) -> None:
-    token = tokens.first(epoch, holder)
+    token = fencing_tokens.first(epoch, holder)
     assert token < 1 << 64
     for right in changes:
-        up = tokens.raised(token) if right is None else tokens.marked(token, right)
+        up = fencing_tokens.raised(token) if right is None else fencing_tokens.marked(token, right)
         if up is None:
-            assert (token & ~tokens.RIGHT) >> tokens.RIGHT_BITS & 127 == 127
+            assert (token & ~fencing_tokens.RIGHT) >> fencing_tokens.RIGHT_BITS & 127 == 127
             continue
         assert up > token if right is None else up >= token
         token = up
-        assert tokens.epoch_of(token) == epoch and tokens.holder_of(token) == (
+        assert fencing_tokens.epoch_of(token) == epoch and fencing_tokens.holder_of(token) == (
             holder if holder < 31 else None
         )
-        assert right is None or holder >= 31 or tokens.right_of(token) == right
+        assert right is None or holder >= 31 or fencing_tokens.right_of(token) == right
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from ploverhall.coordination.aims import Aim, Aims
-from ploverhall.coordination.renter import Renter
-from ploverhall.protocol import peers
+from ploverhall.autoscaling.autoscaler import Renter
+from ploverhall.protocol import peer_messages
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peers import DemandNews, StartNews
+from ploverhall.protocol.peer_messages import DemandNews, StartNews
+from ploverhall.scheduling.objectives import Aim, Aims
 
 from .test_source import a_job, offers, source
 
@@ -65,7 +65,7 @@
         "20 run, 20 wait, two turns: but the job still shows that it needs its room"
     )
     for e in txn.adds[:10]:
-        key = peers.start_key((e.job, e.task, e.attempt))
+        key = peer_messages.start_key((e.job, e.task, e.attempt))
         s.on_owner(0, 3, False, {key: StartNews("running", "", 0, 0)}, 2.0)
         s.on_owner(0, 3, False, {key: StartNews("exited", "done", 0, 0)}, 52.0)
     exits = s.plan()
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from ploverhall.coordination.alone import Alone
+from ploverhall.coordination.isolation import Alone
 from ploverhall.transport.http import Unreachable
 
 from .played import HOLD, REFUSE, RESET, Played, play
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,11 +10,11 @@
 import anyio
 import pytest
 
-from ploverhall.bookkeeping.replica import ARCHIVE, ARCHIVED, JOB, Replica, end_record
-from ploverhall.control.following import Following
-from ploverhall.coordination.answers import Answers, Known, NeverAccepted, NotNow, Proof
+from ploverhall.controller.store_watch import Following
+from ploverhall.coordination.job_answers import Answers, Known, NeverAccepted, NotNow, Proof
 from ploverhall.protocol import jobs
-from ploverhall.protocol.state import Event
+from ploverhall.protocol.key_value_store import Event
+from ploverhall.storage.store_cache import ARCHIVE, ARCHIVED, JOB, Replica, end_record
 
 from . import world
 from .meetings import CANCEL, KNOWN_S, LEASE
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -14,9 +14,9 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.bookkeeping.replica import JOB, Replica
-from ploverhall.control import users
-from ploverhall.coordination.cancellations import Cancellations
+from ploverhall.controller import job_requests
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.storage.store_cache import JOB, Replica
 
 from .played import HOLD, RESET, Played, play
 from .test_carry import busy
@@ -108,7 +108,7 @@
 
 
 def test_old_jobs_are_looked_up_however_short_requests_are(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(users, "PUT_OFF_S", 5.0)
+    monkeypatch.setattr(job_requests, "PUT_OFF_S", 5.0)
 
     async def scene(p: Played) -> None:
         await busy(p, 20.0, services=0)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 
-from ploverhall.bookkeeping.replica import NODE, SHARD
+from ploverhall.storage.store_cache import NODE, SHARD
 
 from .played import Played, play
 from .standins import unguarded
--- a/tests/test_boards.py
+++ b/tests/test_boards.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ploverhall.coordination.boards import Inbox, Outbox
+from ploverhall.coordination.state_channel import Inbox, Outbox
 
 
 def test_what_an_old_connection_delivers_late_is_dropped() -> None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -12,8 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ploverhall.coordination.cancellations import MOST_NAMED, Cancellations
-from ploverhall.protocol.peers import Cancelled, Malformed, Word, pack_word, word
+from ploverhall.coordination.cancellation_barrier import MOST_NAMED, Cancellations
+from ploverhall.protocol.peer_messages import Cancelled, Malformed, Word, pack_word, word
 
 CANCEL, LEASE, CUT_OFF = 46.0, 16.0, 60.0
 
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -16,13 +16,13 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.control.carrying import Carrying, NotCarried
-from ploverhall.control.following import Following
-from ploverhall.control.reports import Reports
-from ploverhall.control.workers import Workers
-from ploverhall.coordination.answers import Proof
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.protocol import carry
+from ploverhall.controller.agent_commands import Workers
+from ploverhall.controller.heartbeat_requests import Reports
+from ploverhall.controller.relay import Carrying, NotCarried
+from ploverhall.controller.store_watch import Following
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.coordination.job_answers import Proof
+from ploverhall.protocol import relay_messages
 from ploverhall.transport.http import Reply, Unreachable
 
 from . import played
@@ -163,7 +163,7 @@
     """Every question is put twice: the second transaction fails its guards, the second answer is to no open question."""
     real = Carrying.serve
 
-    async def twice(self: Carrying, by: str, q: carry.Question) -> None:
+    async def twice(self: Carrying, by: str, q: relay_messages.Question) -> None:
         async with anyio.create_task_group() as tg:
             tg.start_soon(real, self, by, q)
             if self.calls.begin(by):
@@ -245,19 +245,19 @@
     """c1 takes a write of c0's and gives no answer; c0's part is taken, its new holder starts replicas, and then the write lands."""
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
-    late: list[carry.Question] = []
+    late: list[relay_messages.Question] = []
 
     async def scene(p: Played) -> None:
         await busy(p, 6.0)
         carried = p.nodes["c1"].state.carried
 
-        async def swallows(by: str, q: carry.Question) -> tuple[int, bytes]:
+        async def swallows(by: str, q: relay_messages.Question) -> tuple[int, bytes]:
             if not late and q.target == "/multi" and b'"c/team-0/' in q.body:
                 late.append(q)
                 raise Unreachable("held back")
             return await carried(by, q)
 
-        p.nodes["c1"].carrying.handlers[carry.STATE] = swallows
+        p.nodes["c1"].carrying.handlers[relay_messages.STATE] = swallows
         p.net.cut("c0", "state", SILENT, 30.0)
         p.net.cut("c0", "c2", SILENT, 30.0)
         await anyio.sleep(2.0)
@@ -336,16 +336,16 @@
         number = c0.calls.ask("c1", p.now + 5.0)
         assert number is not None
         c0.waiting[number] = (anyio.Event(), [])
-        mine = carry.Answer(c0.calls.life, number, 200, False, b"{}")
+        mine = relay_messages.Answer(c0.calls.life, number, 200, False, b"{}")
         for wrong, by in (
             (mine._replace(life="before"), "c1"),
             (mine, "c2"),
             (mine._replace(number=number + 1), "c1"),
         ):
-            c0.deliver(by, carry.pack(carry.ANSWER, 1, wrong))
+            c0.deliver(by, relay_messages.pack(relay_messages.ANSWER, 1, wrong))
         assert not c0.waiting[number][1]
-        c0.deliver("c1", carry.pack(carry.ANSWER, 1, mine))
-        c0.deliver("c1", carry.pack(carry.ANSWER, 1, mine))
+        c0.deliver("c1", relay_messages.pack(relay_messages.ANSWER, 1, mine))
+        c0.deliver("c1", relay_messages.pack(relay_messages.ANSWER, 1, mine))
         assert c0.waiting[number][1] == [mine]
 
     play(scene)
@@ -358,7 +358,7 @@
 
         async def read() -> int:
             return (
-                await c0.ask("c1", carry.STATE, timeout=1.0, method="GET", target="/kv/p/renter")
+                await c0.ask("c1", relay_messages.STATE, timeout=1.0, method="GET", target="/kv/p/renter")
             )[0]
 
         assert await read() == 200
@@ -385,7 +385,7 @@
                 got.append(
                     (
                         await c0.ask(
-                            "c1", carry.STATE, timeout=1.0, method="GET", target="/kv/p/renter"
+                            "c1", relay_messages.STATE, timeout=1.0, method="GET", target="/kv/p/renter"
                         )
                     )[0]
                 )
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -12,12 +12,12 @@
 import orjson
 import pytest
 
-from ploverhall.bookkeeping import images
-from ploverhall.control.requests import REPORT_PATH, is_report
+from ploverhall.controller.http_routes import REPORT_PATH, is_report
+from ploverhall.storage import image_index
 from ploverhall.transport.client_pool import ClientPool
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http import Client, Reply, Server, Unreachable
-from ploverhall.transport.wire import Request
+from ploverhall.transport.http_parser import Request
 
 from .played import Loop, Network
 
@@ -249,8 +249,8 @@
 def test_images_of_a_shard_of_4000_machines_fit_into_transactions() -> None:
     """They were written in one: beyond 64 KiB the state service refused it, each time."""
     known = {f"n-{i:06d}": {f"img-{(i + k) % 60:02d}": 2.5 for k in range(12)} for i in range(1334)}
-    values = {f"i/0/{i}": v for i, v in enumerate(images.pack(known, 16 * 1024))}
-    groups = images.batches(values, 24, 56_000)
+    values = {f"i/0/{i}": v for i, v in enumerate(image_index.pack(known, 16 * 1024))}
+    groups = image_index.batches(values, 24, 56_000)
     assert len(groups) > 1 and {k: v for g in groups for k, v in g.items()} == values
     assert all(len(orjson.dumps(g)) < 60_000 for g in groups)
-    assert images.batches({}, 24, 56_000) == [{}]
+    assert image_index.batches({}, 24, 56_000) == [{}]
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -8,9 +8,9 @@
 import anyio
 import pytest
 
-from ploverhall.coordination.owner import Owner
-from ploverhall.protocol import peers, workers
-from ploverhall.protocol.peers import JobNews, PermitNews
+from ploverhall.protocol import agents, peer_messages
+from ploverhall.protocol.peer_messages import JobNews, PermitNews
+from ploverhall.scheduling.shard_owner import Owner
 
 from . import test_world, world
 from .played import Played, play
@@ -158,7 +158,7 @@
         self.attempt = 0
         self.claim()
 
-    def started(self, w: world.Worker, key: workers.Key) -> None:
+    def started(self, w: world.Worker, key: agents.Key) -> None:
         for other in self.workers:
             if other is not w and any(k[:2] == key[:2] for k in other.on_machine()):
                 raise Broken(f"ran_twice: {key}")
@@ -169,19 +169,19 @@
         self.owner.types = {"t": world.TYPE}
         self.owner.proved = 1e9  # whoever asks the store is told that it holds the part
         changes: dict[str, Any] = {
-            peers.job_key(j): JobNews(s.record(), list(s.vec), 0) for j, s in self.specs.items()
+            peer_messages.job_key(j): JobNews(s.record(), list(s.vec), 0) for j, s in self.specs.items()
         }
         for j, (attempt, m) in self.entries.items():
-            changes[peers.permit_key((j, 0, attempt))] = PermitNews(
+            changes[peer_messages.permit_key((j, 0, attempt))] = PermitNews(
                 f"n-{m}", self.epoch - 1, 1, None
             )
         self.owner.on_source(0, True, changes, self.now)
 
     def receive(self, w: world.Worker, body: dict[str, Any], sent: float, answered: bool) -> None:
-        m = self.owner.on_report(workers.parse(body), self.now)
+        m = self.owner.on_report(agents.parse(body), self.now)
         if m is None or m.copy:
             return
-        answer = workers.answer(m.token, self.owner.commands(m, self.now))
+        answer = agents.answer(m.token, self.owner.commands(m, self.now))
         m.last_answer = self.now
         if answered:
             w.on_answer(answer, sent, body["tide"])
@@ -203,7 +203,7 @@
             for m, body in self.owner.direct_work(self.now):
                 x = self.workers[int(m.name[2:])]
                 if n % 2:
-                    self.owner.direct_done(m, workers.parse(x.on_do(body)), self.now)
+                    self.owner.direct_done(m, agents.parse(x.on_do(body)), self.now)
                 else:
                     self.commands.append((x, body))
                     self.owner.direct_done(m, None, self.now)
@@ -221,7 +221,7 @@
             ):
                 self.attempt += 1
                 self.entries[job] = (self.attempt, i)
-                key = peers.permit_key((job, 0, self.attempt))
+                key = peer_messages.permit_key((job, 0, self.attempt))
                 self.owner.on_source(
                     0, False, {key: PermitNews(name, self.epoch, 1, None)}, self.now
                 )
@@ -229,7 +229,7 @@
             job = f"j-{n % 3:06d}"
             if job in self.entries:
                 attempt, m_i = self.entries[job]
-                key = peers.permit_key((job, 0, attempt))
+                key = peer_messages.permit_key((job, 0, attempt))
                 self.owner.on_source(
                     0, False, {key: PermitNews(f"n-{m_i}", self.epoch, 1, 0.0)}, self.now
                 )
@@ -240,14 +240,14 @@
         self.now += 0.1 + n / 40
         self.owner.tick(self.now)
         for (_, key), news in self.owner.take_news().items():
-            if key[0] == peers.START and news is not None and news[0] in ("gone", "exited"):
-                job, _, attempt = peers.split_key(key)
+            if key[0] == peer_messages.START and news is not None and news[0] in ("gone", "exited"):
+                job, _, attempt = peer_messages.split_key(key)
                 if self.entries.get(job, (0, 0))[0] == attempt:
                     del self.entries[
                         job
                     ]  # proven gone, or exited and recorded: it may start elsewhere
                     self.owner.on_source(
-                        0, False, {peers.permit_key((job, 0, attempt)): None}, self.now
+                        0, False, {peer_messages.permit_key((job, 0, attempt)): None}, self.now
                     )
 
 
--- a/tests/test_deaf.py
+++ b/tests/test_deaf.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ploverhall import status
-from ploverhall.coordination.owner import TOKEN_BITS
+from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
 from . import test_owner
 from .played import Played, play
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from ploverhall.bookkeeping.replica import SHARD
+from ploverhall.storage.store_cache import SHARD
 
 from .played import Played, play
 from .test_carry import busy
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.coordination.cancellations import Cancellations
+from ploverhall.coordination.cancellation_barrier import Cancellations
 
 from . import world
 from .meetings import meet
--- a/tests/test_hands.py
+++ b/tests/test_hands.py
@@ -14,10 +14,10 @@
 import anyio
 import pytest
 
-from ploverhall.control.roles import Roles
-from ploverhall.coordination.afterlife import Rights
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.coordination.ledger import Ledger
+from ploverhall.controller.shard_roles import Roles
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.coordination.restart_recovery import Rights
+from ploverhall.scheduling.allocations import Ledger
 
 from . import world
 from .played import HOLD, RESET, SLOW, Played, play
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -60,6 +60,6 @@
 
 def test_only_the_root_knows_all_parts() -> None:
     """A part that is handed the whole composition can't be played without it."""
-    assert [n for n, found in imports().items() if "ploverhall.control.node" in found] == [
+    assert [n for n, found in imports().items() if "ploverhall.controller.controller" in found] == [
         "ploverhall.cli"
     ]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ploverhall.transport.http import Client, Reply, Server, Unreachable
-from ploverhall.transport.wire import Request
+from ploverhall.transport.http_parser import Request
 
 from .test_loopback import free_ports
 
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from ploverhall.bookkeeping import images
+from ploverhall.storage import image_index
 
 
 def test_values_stay_under_the_limit_and_hold_everything() -> None:
@@ -12,13 +12,13 @@
         f"n-{i:06d}": {f"img-{j:02d}": j / 4 for j in ((i * 7 + k) % 50 for k in range(i % 9))}
         for i in range(400)
     }
-    values = images.pack(known, 4096)
+    values = image_index.pack(known, 4096)
     assert len(values) > 1 and all(len(orjson.dumps(v)) <= 4096 for v in values)
-    assert images.unpack(values) == {m: held for m, held in known.items() if held}
+    assert image_index.unpack(values) == {m: held for m, held in known.items() if held}
 
 
 def test_a_machine_with_more_than_a_value_holds_is_left_out() -> None:
-    values = images.pack(
+    values = image_index.pack(
         {"n-1": {"x" * 400 + str(i): 1.0 for i in range(20)}, "n-2": {"a": 1.0}}, 4096
     )
-    assert images.unpack(values) == {"n-2": {"a": 1.0}}
+    assert image_index.unpack(values) == {"n-2": {"a": 1.0}}
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from ploverhall.coordination import ledger, source
+from ploverhall.scheduling import allocations, permitting
 
 from .played import Played, play
 
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize("guarded", [True, False])
 def test_a_gang_of_whole_machines_begins(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """Four of six machines of a zone at once; each time one had room, the next urgent task took it. A controller ends in between."""
-    for module in (ledger, source):
+    for module in (allocations, permitting):
         monkeypatch.setattr(module, "BEGIN_S", 30.0 if guarded else 1e9)
     began: list[float] = []
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from ploverhall.coordination.ledger import Ledger
+from ploverhall.scheduling.allocations import Ledger
 
 from .played import HOLD, SILENT, Played, play
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -13,7 +13,7 @@
 import anyio
 
 from ploverhall import settings
-from ploverhall.control.node import Node
+from ploverhall.controller.controller import Node
 from ploverhall.protocol import jobs
 from ploverhall.status import text
 from ploverhall.transport.http import Client, Server
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -20,9 +20,9 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.control.membership import Membership
-from ploverhall.control.renting import Renting
-from ploverhall.protocol.state import Event, Refused, Store, Unknown
+from ploverhall.controller.autoscaling_loop import Renting
+from ploverhall.controller.shard_leases import Membership
+from ploverhall.protocol.key_value_store import Event, Refused, Store, Unknown
 from ploverhall.transport.http import Reply, Unreachable
 
 from .played import Played, play
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -11,17 +11,17 @@
 import anyio
 import pytest
 
-from ploverhall.control.following import Following
-from ploverhall.control.membership import Membership
-from ploverhall.control.roles import Roles
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.coordination.fleet import Permit
-from ploverhall.coordination.ledger import JobState
-from ploverhall.coordination.owner import Owner
-from ploverhall.coordination.placement import Placement
-from ploverhall.coordination.renter import Renter
-from ploverhall.coordination.source import ATTEMPT_BITS, Source
-from ploverhall.protocol.workers import Report
+from ploverhall.autoscaling.autoscaler import Renter
+from ploverhall.controller.shard_leases import Membership
+from ploverhall.controller.shard_roles import Roles
+from ploverhall.controller.store_watch import Following
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.protocol.agents import Report
+from ploverhall.scheduling.allocations import JobState
+from ploverhall.scheduling.inventory import Permit
+from ploverhall.scheduling.permitting import ATTEMPT_BITS, Source
+from ploverhall.scheduling.placement import Placement
+from ploverhall.scheduling.shard_owner import Owner
 
 from . import world
 from .meetings import MACHINES, meet
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,14 +12,14 @@
 import anyio
 import pytest
 
-from ploverhall.control.following import Following
-from ploverhall.coordination.afterlife import Rights
-from ploverhall.coordination.answers import Proof
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.coordination.fleet import Machine
-from ploverhall.coordination.ledger import JobState
-from ploverhall.coordination.owner import Owner
-from ploverhall.protocol.state import Store
+from ploverhall.controller.store_watch import Following
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.coordination.job_answers import Proof
+from ploverhall.coordination.restart_recovery import Rights
+from ploverhall.protocol.key_value_store import Store
+from ploverhall.scheduling.allocations import JobState
+from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.shard_owner import Owner
 from ploverhall.transport.http import Unreachable
 
 from .meetings import KNOWN_S, Begun, Day, Trouble, begin, draw, meet, rule, shrink
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,15 +9,15 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.bookkeeping.replica import NODE, SHARD, Ended, cell_prefix
-from ploverhall.control.node import Node
-from ploverhall.control.shared import Held
-from ploverhall.coordination.fleet import Machine
-from ploverhall.coordination.owner import Owner
-from ploverhall.coordination.source import Source
-from ploverhall.protocol import peers
-from ploverhall.protocol.peers import NodeNews
-from ploverhall.protocol.state import Budget
+from ploverhall.controller.context import Held
+from ploverhall.controller.controller import Node
+from ploverhall.protocol import peer_messages
+from ploverhall.protocol.key_value_store import Budget
+from ploverhall.protocol.peer_messages import NodeNews
+from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.permitting import Source
+from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.storage.store_cache import NODE, SHARD, Ended, cell_prefix
 
 from .test_loopback import config
 
@@ -136,7 +136,7 @@
 
     anyio.run(play)
     (to_part_1,) = [m for m in sent if m[0] == "s" and m[3] == 1]
-    assert to_part_1[4] and peers.permit_key(("j-000001", 3, 11)) in to_part_1[5]
+    assert to_part_1[4] and peer_messages.permit_key(("j-000001", 3, 11)) in to_part_1[5]
 
 
 def test_what_other_controllers_leave_of_the_changes_is_lent() -> None:
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -5,9 +5,9 @@
 from random import Random
 from typing import Any
 
-from ploverhall.coordination.owner import TOKEN_BITS, Owner
-from ploverhall.protocol import peers, workers
-from ploverhall.protocol.peers import Candidate, JobNews, OfferNews, PermitNews
+from ploverhall.protocol import agents, peer_messages
+from ploverhall.protocol.peer_messages import Candidate, JobNews, OfferNews, PermitNews
+from ploverhall.scheduling.shard_owner import TOKEN_BITS, Owner
 
 from .world import TYPE
 
@@ -46,8 +46,8 @@
 
 def report(
     seq: int, token: int, tasks: list[dict[str, Any]] | None = None, session: int = 1
-) -> workers.Report:
-    return workers.parse(
+) -> agents.Report:
+    return agents.parse(
         {
             "perch": "n-1",
             "endpoint": "x:1",
@@ -67,15 +67,15 @@
     return [{"chick": "j-000001/0", "hatch": 5, "stance": state, "cause": why}]
 
 
-JOB_NEWS = {peers.job_key(KEY[0]): JobNews(RECORD, [2.0, 1.0, 8.0], 1)}
+JOB_NEWS = {peer_messages.job_key(KEY[0]): JobNews(RECORD, [2.0, 1.0, 8.0], 1)}
 
 
 def permit(stop: float | None = None, epoch: int = EPOCH, ticket: int = 0) -> dict[str, Any]:
-    return {**JOB_NEWS, peers.permit_key(KEY): PermitNews("n-1", epoch, ticket, stop)}
+    return {**JOB_NEWS, peer_messages.permit_key(KEY): PermitNews("n-1", epoch, ticket, stop)}
 
 
 def candidate(n: int = 1) -> dict[str, Any]:
-    return {**JOB_NEWS, peers.candidate_key(KEY[0]): Candidate(n, [1.0, 0.0, 2.0, 0.0], None, [])}
+    return {**JOB_NEWS, peer_messages.candidate_key(KEY[0]): Candidate(n, [1.0, 0.0, 2.0, 0.0], None, [])}
 
 
 def state(o: Owner) -> str:
@@ -192,7 +192,7 @@
     o, m = started(direct=False)
     o.on_report(report(2, m.token, listed("ended", "done")), 1.0)
     assert o.commands(m, 1.0) == []
-    o.on_source(0, False, {peers.permit_key(KEY): None}, 2.0)
+    o.on_source(0, False, {peer_messages.permit_key(KEY): None}, 2.0)
     assert [c["call"] for c in o.commands(m, 2.0)] == ["reap"]
 
 
@@ -201,7 +201,7 @@
     m.busy = True
     before = m.token
     o.on_report(report(2, m.token, listed("ended", "done")), 1.0)
-    o.on_source(0, False, {peers.permit_key(KEY): None}, 2.0)
+    o.on_source(0, False, {peer_messages.permit_key(KEY): None}, 2.0)
     assert [c["call"] for c in o.commands(m, 2.0)] == ["reap"]
     assert m.token > before
 
@@ -215,12 +215,12 @@
     o.on_source(0, True, candidate(), 0.0)
     o.place(0.0)
     (ticket,) = m.tickets
-    assert o.take_news() == {(0, peers.offer_key(ticket)): OfferNews(KEY[0], "n-1", "a", 1.0, 0)}
+    assert o.take_news() == {(0, peer_messages.offer_key(ticket)): OfferNews(KEY[0], "n-1", "a", 1.0, 0)}
     assert o.fleet.room(m)[1] == TYPE.gpus - 1
     m.last_report = 5.0
     o.tick(5.1)
     assert o.fleet.room(m)[1] == TYPE.gpus
-    assert o.take_news() == {(0, peers.offer_key(ticket)): None}
+    assert o.take_news() == {(0, peer_messages.offer_key(ticket)): None}
     m.draining = True
     o.on_source(0, False, permit(ticket=ticket), 5.2)
     assert state(o) == "gone"
@@ -239,7 +239,7 @@
     o.place(5.1)
     assert len(m.tickets) == 4 and old not in m.tickets
     o.on_source(
-        0, False, {**candidate(3), peers.permit_key(KEY): PermitNews("n-1", EPOCH, old, None)}, 5.2
+        0, False, {**candidate(3), peer_messages.permit_key(KEY): PermitNews("n-1", EPOCH, old, None)}, 5.2
     )
     assert state(o) == "permitted" and len(m.tickets) == 3
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,11 +4,11 @@
 
 from random import Random
 
-from ploverhall.coordination.fleet import Fleet, Info, Machine, Permit, add, fits
-from ploverhall.coordination.placement import Placement, Want
+from ploverhall.protocol.agents import Task
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peers import Candidate
-from ploverhall.protocol.workers import Task
+from ploverhall.protocol.peer_messages import Candidate
+from ploverhall.scheduling.inventory import Fleet, Info, Machine, Permit, add, fits
+from ploverhall.scheduling.placement import Placement, Want
 
 from .test_source import a_job
 from .world import TYPE
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -6,12 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ploverhall.protocol import carry
-from ploverhall.reach.calls import MOST_BYTES, MOST_OPEN, MOST_WAITING, Calls, too_late
-from ploverhall.reach.gauge import BAD_S, GOOD_S, Gauge
-from ploverhall.reach.homing import AGAIN_S, PROBES, Homing
-from ploverhall.reach.moves import Moves
-from ploverhall.reach.ways import Ways
+from ploverhall.connectivity.failback_backoff import Moves
+from ploverhall.connectivity.heartbeat_failback import AGAIN_S, PROBES, Homing
+from ploverhall.connectivity.link_health import BAD_S, GOOD_S, Gauge
+from ploverhall.connectivity.pending_relays import (
+    MOST_BYTES,
+    MOST_OPEN,
+    MOST_WAITING,
+    Calls,
+    too_late,
+)
+from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.protocol import relay_messages
 
 
 def test_a_link_goes_bad_after_silence_and_is_trusted_after_answers_for_a_while() -> None:
@@ -133,12 +139,12 @@
     w.well("c1", 10.0)
 
 
-GOOD = carry.Question("life", 1, carry.STATE, 5.0, 2, "", "GET", "/kv/a", 0.0, b"")
+GOOD = relay_messages.Question("life", 1, relay_messages.STATE, 5.0, 2, "", "GET", "/kv/a", 0.0, b"")
 
 
 @given(
     st.dictionaries(
-        st.sampled_from(carry.Question._fields),
+        st.sampled_from(relay_messages.Question._fields),
         st.one_of(
             st.none(),
             st.booleans(),
@@ -152,11 +158,11 @@
 )
 def test_any_question_is_checked(wrong: dict[str, object]) -> None:
     try:
-        q = carry.question({**GOOD._asdict(), **wrong})
-    except carry.Malformed:
+        q = relay_messages.question({**GOOD._asdict(), **wrong})
+    except relay_messages.Malformed:
         return
     assert (
-        q.what in carry.KINDS
+        q.what in relay_messages.KINDS
         and isinstance(q.body, bytes)
         and 0 <= q.hold <= 60
         and isinstance(q.number, int)
@@ -164,8 +170,8 @@
 
 
 def test_a_question_asks_for_nothing_but_what_is_carried() -> None:
-    assert carry.question(GOOD._asdict()) == GOOD
-    reboot = {"what": carry.DO, "target": "h:1 /reboot"}
+    assert relay_messages.question(GOOD._asdict()) == GOOD
+    reboot = {"what": relay_messages.DO, "target": "h:1 /reboot"}
     for wrong in (
         {"target": "/admin"},
         {"what": "shell"},
@@ -174,8 +180,8 @@
         {"hops": 9},
         {"body": "x"},
     ):
-        with pytest.raises(carry.Malformed):
-            carry.question({**GOOD._asdict(), **wrong})
+        with pytest.raises(relay_messages.Malformed):
+            relay_messages.question({**GOOD._asdict(), **wrong})
 
 
 def test_what_is_open_and_what_waits_is_bounded() -> None:
--- a/tests/test_renter.py
+++ b/tests/test_renter.py
@@ -5,11 +5,11 @@
 from random import Random
 from typing import Any
 
-from ploverhall.coordination.fleet import add, fits
-from ploverhall.coordination.renter import Bins, Renter
+from ploverhall.autoscaling.autoscaler import Bins, Renter
 from ploverhall.protocol.cloud import Listed, MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peers import DemandNews, MachineNews
+from ploverhall.protocol.peer_messages import DemandNews, MachineNews
+from ploverhall.scheduling.inventory import add, fits
 
 from .test_source import a_job
 
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from ploverhall.bookkeeping.replica import JOB, SHARD
-from ploverhall.coordination.ledger import Txn
-from ploverhall.coordination.source import Source
-from ploverhall.protocol import peers
+from ploverhall.protocol import peer_messages
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peers import OfferNews, StartNews
+from ploverhall.protocol.peer_messages import OfferNews, StartNews
+from ploverhall.scheduling.allocations import Txn
+from ploverhall.scheduling.permitting import Source
 from ploverhall.settings import Team
+from ploverhall.storage.store_cache import JOB, SHARD
 
 from .world import Store
 
@@ -52,7 +52,7 @@
     n: int, part: int = 0, zone: str = "a", first: int = 1, victims: int = 0, job: str = "j-000001"
 ) -> dict[str, Any]:
     return {
-        peers.offer_key(first + i): OfferNews(job, f"n-{part}{i}", zone, 0.0, victims)
+        peer_messages.offer_key(first + i): OfferNews(job, f"n-{part}{i}", zone, 0.0, victims)
         for i in range(n)
     }
 
@@ -61,11 +61,11 @@
     """What the owner of a part knows by now: candidates wanted, and permits."""
     for (p, key), value in s.take_news(2, now).items():
         BOARD[s, p, key] = value
-    want = BOARD.get((s, part, peers.candidate_key("j-000001")))
+    want = BOARD.get((s, part, peer_messages.candidate_key("j-000001")))
     permits = [
         v
         for (src, p, k), v in BOARD.items()
-        if src is s and p == part and k[0] == peers.PERMIT and v is not None
+        if src is s and p == part and k[0] == peer_messages.PERMIT and v is not None
     ]
     return (want.n if want is not None else 0), len(permits)
 
@@ -189,7 +189,7 @@
             s.landed(txn, rev, now)
         js = s.jobs["j-000001"]
         exits = {
-            peers.start_key((e.job, e.task, e.attempt)): StartNews("exited", "done", 0, 0)
+            peer_messages.start_key((e.job, e.task, e.attempt)): StartNews("exited", "done", 0, 0)
             for e in js.entries.values()
         }
         s.on_owner(0, 3, True, exits, now)
@@ -252,7 +252,7 @@
             0,
             3,
             False,
-            {peers.start_key((e.job, e.task, e.attempt)): StartNews("exited", "done", 0, 0)},
+            {peer_messages.start_key((e.job, e.task, e.attempt)): StartNews("exited", "done", 0, 0)},
             3.1,
         )
         settle(s, 3.1, rev)
@@ -305,7 +305,7 @@
         0,
         3,
         False,
-        {peers.start_key((e.job, e.task, e.attempt)): StartNews("exited", "halted", 0, 0)},
+        {peer_messages.start_key((e.job, e.task, e.attempt)): StartNews("exited", "halted", 0, 0)},
         3.1,
     )
     txn = s.plan()
@@ -351,7 +351,7 @@
         0,
         3,
         False,
-        {peers.start_key((e.job, e.task, e.attempt)): StartNews("running", "", 0, 0)},
+        {peer_messages.start_key((e.job, e.task, e.attempt)): StartNews("running", "", 0, 0)},
         365.0,
     )
     assert first()[-1] == "j-000001" and s.wanted(s.jobs["j-000001"], 365.0) == 49, (
@@ -392,7 +392,7 @@
         0,
         3,
         False,
-        {peers.start_key((key.job, key.task, key.attempt)): StartNews("exited", "done", 0, 0)},
+        {peer_messages.start_key((key.job, key.task, key.attempt)): StartNews("exited", "done", 0, 0)},
         3.0,
     )
     write()
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -10,11 +10,11 @@
 import pytest
 
 from ploverhall import log, settings, status
-from ploverhall.control.node import Node
-from ploverhall.control.shared import Held
-from ploverhall.coordination.owner import Owner
-from ploverhall.protocol import peers
-from ploverhall.protocol.peers import StartNews
+from ploverhall.controller.context import Held
+from ploverhall.controller.controller import Node
+from ploverhall.protocol import peer_messages
+from ploverhall.protocol.peer_messages import StartNews
+from ploverhall.scheduling.shard_owner import Owner
 
 from .test_loopback import config
 from .test_source import a_job, source
@@ -138,7 +138,7 @@
         0,
         3,
         False,
-        {peers.start_key((e.job, 0, e.attempt)): StartNews("gone", "its machine is gone", 0, 0)},
+        {peer_messages.start_key((e.job, 0, e.attempt)): StartNews("gone", "its machine is gone", 0, 0)},
         9.0,
     )
     assert [(d.at, d.job, d.machine, d.why) for d in s.deaths] == [
--- a/tests/test_stranded.py
+++ b/tests/test_stranded.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ploverhall.coordination.stranded import Stranded
+from ploverhall.coordination.orphaned_machines import Stranded
 
 
 def test_two_machines_of_a_silent_holder_are_enough() -> None:
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ploverhall.coordination.owner import TOKEN_BITS, Owner
-from ploverhall.coordination.source import Source
-from ploverhall.protocol import peers, workers
-from ploverhall.protocol.peers import Candidate, JobNews, OfferNews, PermitNews, StartNews
+from ploverhall.protocol import agents, peer_messages
+from ploverhall.protocol.peer_messages import Candidate, JobNews, OfferNews, PermitNews, StartNews
+from ploverhall.scheduling.permitting import Source
+from ploverhall.scheduling.shard_owner import TOKEN_BITS, Owner
 
 from .test_owner import EPOCH, owner
 from .test_source import a_job, source
@@ -30,12 +30,12 @@
                 board[key] = value
         changes: dict[str, Any] = {}
         for key, value in board.items():
-            if key[0] == peers.CANDIDATE and value is not None:
+            if key[0] == peer_messages.CANDIDATE and value is not None:
                 for _ in range(value.n):
                     ticket += 1
                     machine = f"n-{ticket % machines}"
                     if machine not in value.avoid:
-                        changes[peers.offer_key(ticket)] = OfferNews(key[1:], machine, "a", 0.0, 0)
+                        changes[peer_messages.offer_key(ticket)] = OfferNews(key[1:], machine, "a", 0.0, 0)
         s.on_owner(0, 3, True, changes, now)
         s.decide(now + 0.1)
         txn = s.plan()
@@ -53,7 +53,7 @@
                         0,
                         3,
                         False,
-                        {peers.start_key((e.job, e.task, e.attempt)): StartNews(state, why, 0, 0)},
+                        {peer_messages.start_key((e.job, e.task, e.attempt)): StartNews(state, why, 0, 0)},
                         now,
                     )
     return starts
@@ -118,11 +118,11 @@
 ) -> None:
     """A task of a job fails on a machine (or runs there)."""
     record = a_job(job, spot=True).record()
-    board: dict[str, Any] = {peers.job_key(job): JobNews(record, [1.0, 1.0, 1.0], 0, broken)}
-    board[peers.permit_key((job, 0, seq))] = PermitNews(machine, EPOCH, 0, None)
+    board: dict[str, Any] = {peer_messages.job_key(job): JobNews(record, [1.0, 1.0, 1.0], 0, broken)}
+    board[peer_messages.permit_key((job, 0, seq))] = PermitNews(machine, EPOCH, 0, None)
     o.on_source(0, False, board, float(seq))
     o.on_report(
-        workers.parse(
+        agents.parse(
             {
                 "perch": machine,
                 "endpoint": "x:1",
@@ -151,7 +151,7 @@
     assert not o.machine_news(one, 5.0).faulty, "but it is not given back yet"  # type: ignore[union-attr]
     for job in ("j-1", "j-2"):
         o.on_source(
-            0, False, {peers.job_key(job): JobNews(a_job(job).record(), [1.0, 1.0, 1.0], 0, 1)}, 5.0
+            0, False, {peer_messages.job_key(job): JobNews(a_job(job).record(), [1.0, 1.0, 1.0], 0, 1)}, 5.0
         )
     assert not one.faulty_until and not one.faults
     failed_on(o, "j-1", "n-1", 9, broken=1)
@@ -179,8 +179,8 @@
             0,
             False,
             {
-                peers.job_key("j-9"): news,
-                peers.candidate_key("j-9"): Candidate(1, [0.0, 0.0, 0.0, 0.0], None, []),
+                peer_messages.job_key("j-9"): news,
+                peer_messages.candidate_key("j-9"): Candidate(1, [0.0, 0.0, 0.0, 0.0], None, []),
             },
             2.0,
         )
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -14,13 +14,13 @@
 from hypothesis import strategies as st
 
 from ploverhall import settings
-from ploverhall.bookkeeping.replica import NODE
 from ploverhall.cli import main
-from ploverhall.control.writing import Writing
-from ploverhall.coordination.grants import Grants
-from ploverhall.coordination.source import Source
-from ploverhall.upkeep import command, orders
-from ploverhall.upkeep.budget import Facts, Rules, Spent, why_not
+from ploverhall.controller.store_writing import Writing
+from ploverhall.maintenance import command, orders
+from ploverhall.maintenance.disruption_budget import Facts, Rules, Spent, why_not
+from ploverhall.scheduling.eviction_grants import Grants
+from ploverhall.scheduling.permitting import Source
+from ploverhall.storage.store_cache import NODE
 
 from .played import HOLD, Played, play
 from .test_source import source
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -16,15 +16,15 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.bookkeeping.replica import JOB, PREFIX, SHARD, Replica, end_record
-from ploverhall.control import users
-from ploverhall.control.following import Following
-from ploverhall.control.users import Users
-from ploverhall.control.writing import Writing
-from ploverhall.coordination.answers import Answers, Proof
-from ploverhall.coordination.ledger import Ledger
+from ploverhall.controller import job_requests
+from ploverhall.controller.job_requests import Users
+from ploverhall.controller.store_watch import Following
+from ploverhall.controller.store_writing import Writing
+from ploverhall.coordination.job_answers import Answers, Proof
 from ploverhall.protocol import jobs
-from ploverhall.protocol.state import Event, Store
+from ploverhall.protocol.key_value_store import Event, Store
+from ploverhall.scheduling.allocations import Ledger
+from ploverhall.storage.store_cache import JOB, PREFIX, SHARD, Replica, end_record
 from ploverhall.transport.http import Reply
 
 from . import world
@@ -373,7 +373,7 @@
     odd: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(Users, "why_never", lambda self, job: None)
-    monkeypatch.setattr(users.jobs, "parse", lambda d, at: real_parse({"nestS": 0.0, **d}, at))
+    monkeypatch.setattr(job_requests.jobs, "parse", lambda d, at: real_parse({"nestS": 0.0, **d}, at))
 
     async def scene(p: Played) -> None:
         await p.try_odd(odd_spec(p, {"gait": "group", **odd}), "c0")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ploverhall.protocol import workers
-from ploverhall.transport.wire import (
+from ploverhall.protocol import agents
+from ploverhall.transport.http_parser import (
     MAX_BODY,
     MAX_HEAD,
     Bad,
@@ -188,13 +188,13 @@
     """A number for `chicks` or a list for `stance` ended in an exception and 503; any `driftwood` was taken for true or false."""
     import orjson
 
-    with pytest.raises(workers.Malformed):
-        workers.parse({**GOOD, **wrong})
+    with pytest.raises(agents.Malformed):
+        agents.parse({**GOOD, **wrong})
     if not any(
         isinstance(v, int) and v >= 1 << 64 for v in wrong.values()
     ) and "18446744073709551616" not in str(wrong):
-        with pytest.raises(workers.Malformed):
-            workers.decode(orjson.dumps({**GOOD, **wrong}))
+        with pytest.raises(agents.Malformed):
+            agents.decode(orjson.dumps({**GOOD, **wrong}))
 
 
 ANY = st.recursive(
@@ -212,6 +212,6 @@
 def test_no_json_is_a_fault(d: object) -> None:
     for value in (d, {**GOOD, **d} if isinstance(d, dict) else d):
         try:
-            workers.parse(value).tasks()
-        except workers.Malformed:
+            agents.parse(value).tasks()
+        except agents.Malformed:
             pass
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.coordination.owner import Owner
-from ploverhall.coordination.source import Source
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.scheduling.permitting import Source
+from ploverhall.scheduling.shard_owner import Owner
 
 from .world import Broken, World, job
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,7 +10,17 @@
 from random import Random
 from typing import Any
 
-from ploverhall.bookkeeping.replica import (
+from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.coordination.shard_map import Layout
+from ploverhall.coordination.state_channel import Inbox, Outbox
+from ploverhall.protocol import agents, peer_messages
+from ploverhall.protocol.cloud import MachineType
+from ploverhall.protocol.jobs import WITHDRAWN, Job
+from ploverhall.protocol.key_value_store import Event
+from ploverhall.scheduling.permitting import Source
+from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.settings import Team
+from ploverhall.storage.store_cache import (
     JOB,
     PREFIX,
     SHARD,
@@ -19,16 +29,6 @@
     end_record,
     progress_prefix,
 )
-from ploverhall.coordination.boards import Inbox, Outbox
-from ploverhall.coordination.cancellations import Cancellations
-from ploverhall.coordination.owner import Owner
-from ploverhall.coordination.shards import Layout
-from ploverhall.coordination.source import Source
-from ploverhall.protocol import peers, workers
-from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.jobs import WITHDRAWN, Job
-from ploverhall.protocol.state import Event
-from ploverhall.settings import Team
 
 LEASE, REPORT, GANG_WAIT, GANG_PEER, CANCEL = 10.0, 1.0, 30.0, 4.0, 35.0
 TYPE = MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a", "b"))
@@ -88,7 +88,7 @@
     def __init__(self, world: World, name: str, zone: str, spot: bool) -> None:
         self.w, self.name, self.zone, self.spot = world, name, zone, spot
         self.session, self.seq, self.token = 1, 0, 0
-        self.tasks: dict[workers.Key, dict[str, Any]] = {}
+        self.tasks: dict[agents.Key, dict[str, Any]] = {}
         self.home = world.rng.randrange(len(world.nodes))
         self.answered_sent = world.now  # when the last answered report was sent
         self.dead = False
@@ -143,7 +143,7 @@
 
     def execute(self, calls: list[dict[str, Any]]) -> None:
         for c in calls:
-            job, index = workers.split_task(c["chick"])
+            job, index = agents.split_task(c["chick"])
             key = (job, index, c["hatch"])
             if c["call"] == "run":
                 if key in self.tasks:
@@ -181,7 +181,7 @@
             self.execute(body["calls"])
         return self.report()
 
-    def on_machine(self) -> list[workers.Key]:
+    def on_machine(self) -> list[agents.Key]:
         if self.w.now - self.answered_sent > LEASE + 0.1:
             return []  # hung beyond its lease: whatever it wakes with, its tasks are killed first
         return [k for k, t in self.tasks.items() if t["state"] not in ("pulling", "ended")]
@@ -290,7 +290,7 @@
                 and self.w.now >= self.spoke.get(n.name, 0.0)
             ):
                 self.spoke[n.name] = self.w.now + 0.5
-                word = peers.pack_word(
+                word = peer_messages.pack_word(
                     self.told.word(
                         n.name, self.replica.rev if self.replica.ready else 0, self.w.now
                     )
@@ -303,7 +303,7 @@
             and self.up
             and not self.w.asleep(self, self.listen, by, word, lives)
         ):
-            for c in self.told.take(by, peers.word(word), self.w.now):
+            for c in self.told.take(by, peer_messages.word(word), self.w.now):
                 if c.version > self.replica.rev and c.job not in self.replica.ended:
                     self.replica.put_own(JOB + c.job, end_record(WITHDRAWN, 0), c.version)
             self.news()
@@ -724,7 +724,7 @@
         if self.asleep(node, self.answer, node, w, body, sent, session, True):
             w.home = (w.home + 1) % len(self.nodes)
             return
-        r = workers.parse(body)
+        r = agents.parse(body)
         h = node.held.get(self.layout.part(r.zone, r.machine)) if not node.isolated else None
         m = h.owner.on_report(r, self.now) if h is not None else None
         if h is None or m is None:
@@ -738,7 +738,7 @@
             return
         if m.copy:
             return  # as in control.reports: an answer without commands, for which nobody waits
-        reply = _copy(workers.answer(m.token, h.owner.commands(m, self.now)))
+        reply = _copy(agents.answer(m.token, h.owner.commands(m, self.now)))
         m.last_answer = self.now
         if self.now < w.deaf_until:
             w.home = (w.home + 1) % len(self.nodes)
@@ -761,7 +761,7 @@
                 and node.held.get(h.shard) is h
                 and not self.asleep(node, done, report)
             ):
-                h.owner.direct_done(m, workers.parse(report) if report else None, self.now)
+                h.owner.direct_done(m, agents.parse(report) if report else None, self.now)
 
         def arrive(answer: bool) -> None:
             if w.dead:
@@ -784,7 +784,7 @@
     # -- gangs ---------------------------------------------------------------------------------
 
     def gangs(self) -> None:
-        groups: dict[tuple[str, int], list[tuple[Worker, workers.Key, dict[str, Any]]]] = {}
+        groups: dict[tuple[str, int], list[tuple[Worker, agents.Key, dict[str, Any]]]] = {}
         for w in self.workers.values():
             for k, t in w.tasks.items():
                 if self.specs[k[0]].kind == "gang" and t["state"] in ("waiting", "running"):
@@ -855,7 +855,7 @@
         if any((jid, i) not in self.results for i in range(self.specs[jid].n)):
             raise Broken(f"not_done: {jid} at {self.now}")
 
-    def started(self, w: Worker, key: workers.Key) -> None:
+    def started(self, w: Worker, key: agents.Key) -> None:
         """A task is on its machine from now on."""
         self.starts += 1
         job = self.specs[key[0]]
