--- a/ploverhall/cli.py
+++ b/ploverhall/cli.py
@@ -10,9 +10,9 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Run one command; the exit code says how it went."""
-    p = argparse.ArgumentParser(prog="ploverhall", description=__doc__)
-    p.add_argument("--version", action="version", version=__version__)
-    sub = p.add_subparsers(dest="command", required=True)
+    parser = argparse.ArgumentParser(prog="ploverhall", description=__doc__)
+    parser.add_argument("--version", action="version", version=__version__)
+    sub = parser.add_subparsers(dest="command", required=True)
     for name, text in (
         ("serve", "run a controller"),
         ("check-config", "check settings and say what is wrong"),
@@ -53,7 +53,7 @@
     c.add_argument("verb", choices=("list", "show", "pause", "resume", "stop"))
     c.add_argument("address", help="HOST:PORT of a running controller")
     c.add_argument("id", nargs="?", help="of an order")
-    args = p.parse_args(argv)
+    args = parser.parse_args(argv)
     if args.command in ("drain", "upkeep"):
         from ploverhall.maintenance import command
 
@@ -63,21 +63,23 @@
 
         return show(args.address, args.json, args.job, args.team, args.machine)
     try:
-        s = settings.load(args.config, args.options)
-    except settings.SettingsError as e:
-        print(f"ploverhall: {e}", file=sys.stderr)
+        config = settings.load(args.config, args.options)
+    except settings.SettingsError as error:
+        print(f"ploverhall: {error}", file=sys.stderr)
         return 2
     if args.command == "check-config":
-        print(f"ok: {s.name} in {s.zone}, {len(s.nodes)} controllers, {len(s.teams)} teams")
+        print(
+            f"ok: {config.name} in {config.zone}, {len(config.controllers)} controllers, {len(config.teams)} teams"
+        )
         return 0
     from importlib.util import find_spec
 
     import anyio
 
-    from ploverhall.controller.controller import Node
+    from ploverhall.controller.controller import Controller
 
     async def serve() -> None:
-        await Node(s).run()
+        await Controller(config).run()
 
     # anyio's own faster loop, where there is one: a third of the processor time of a request (docs/measurements.md)
     anyio.run(serve, backend_options={"use_uvloop": find_spec("uvloop") is not None})
--- a/ploverhall/connectivity/failback_backoff.py
+++ b/ploverhall/connectivity/failback_backoff.py
@@ -8,31 +8,36 @@
 
 from dataclasses import dataclass, field
 
-REMEMBER_S = 180.0
-LONGEST_S = 90.0
+LOSS_WINDOW_S = 180.0
+MAX_FAILBACK_DELAY_S = 90.0
 
 
 @dataclass
-class Moves:
+class FailbackBackoff:
     """What each shard has been through lately."""
 
-    handback_s: float
-    lost: dict[int, list[float]] = field(default_factory=dict)  # per shard: when its home lost it
-    well: dict[int, float] = field(default_factory=dict)  # since when its home has been well
+    base_delay_s: float
+    losses: dict[int, list[float]] = field(default_factory=dict)  # per shard: when its home lost it
+    healthy_since: dict[int, float] = field(
+        default_factory=dict
+    )  # since when its home has been well
 
-    def left(self, shard: int, now: float) -> None:
+    def record_loss(self, shard: int, now: float) -> None:
         """A shard has gone from its home to another."""
-        times = [t for t in self.lost.get(shard, []) if now - t < REMEMBER_S]
-        self.lost[shard] = [*times, now]
+        recent_losses = [at for at in self.losses.get(shard, []) if now - at < LOSS_WINDOW_S]
+        self.losses[shard] = [*recent_losses, now]
 
-    def pause(self, shard: int, now: float) -> float:
+    def delay_s(self, shard: int, now: float) -> float:
         """Seconds for which the home must have been well: the first time as set, twice as long for every further loss."""
-        times = sum(1 for t in self.lost.get(shard, ()) if now - t < REMEMBER_S)
-        return max(self.handback_s, min(LONGEST_S, self.handback_s * 2.0 ** max(0, times - 1)))
+        loss_count = sum(1 for at in self.losses.get(shard, ()) if now - at < LOSS_WINDOW_S)
+        return max(
+            self.base_delay_s,
+            min(MAX_FAILBACK_DELAY_S, self.base_delay_s * 2.0 ** max(0, loss_count - 1)),
+        )
 
-    def home_is(self, shard: int, well: bool, now: float) -> bool:
+    def should_fail_back(self, shard: int, healthy: bool, now: float) -> bool:
         """How the home of a shard held here is; True when it should get it back."""
-        if not well:
-            self.well.pop(shard, None)
+        if not healthy:
+            self.healthy_since.pop(shard, None)
             return False
-        return now - self.well.setdefault(shard, now) > self.pause(shard, now)
+        return now - self.healthy_since.setdefault(shard, now) > self.delay_s(shard, now)
--- a/ploverhall/connectivity/heartbeat_failback.py
+++ b/ploverhall/connectivity/heartbeat_failback.py
@@ -10,79 +10,93 @@
 
 from dataclasses import dataclass, field
 
-PROBE_S = 2.0  # between two questions to one worker
-PROBES = 8  # questions open at once
-AGAIN_S = 20.0  # sent home, and through another again so soon: it could not reach this controller
-PAUSE_S, MOST_PAUSE_S = 10.0, 120.0
-FORGET_S = 60.0
+PROBE_INTERVAL_S = 2.0  # between two questions to one worker
+MAX_CONCURRENT_PROBES = 8  # questions open at once
+FAILED_FAILBACK_S = (
+    20.0  # sent home, and through another again so soon: it could not reach this controller
+)
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 10.0, 120.0
+FORGET_AGENT_S = 60.0
 
 
 @dataclass(slots=True)
-class Away:
+class RelayedAgent:
     """A worker that reports through another member."""
 
     via: str
-    seen: float  # its last report that way
-    probe: float = -1e9  # when it may be asked next
-    asking: bool = False
-    home: bool = False  # it answered: its next report sends it home
-    sent: float = -1e9  # when it was sent home
-    pause: float = 0.0
+    last_heartbeat_at: float  # its last report that way
+    next_probe_at: float = -1e9  # when it may be asked next
+    probing: bool = False
+    failback_due: bool = False  # it answered: its next report sends it home
+    redirected_at: float = -1e9  # when it was sent home
+    backoff_s: float = 0.0
 
 
 @dataclass
-class Homing:
+class HeartbeatFailback:
     """The workers of this controller's shards that are away."""
 
-    away: dict[str, Away] = field(default_factory=dict)
-    asking: int = 0
+    relayed_agents: dict[str, RelayedAgent] = field(default_factory=dict)
+    open_probes: int = 0
 
-    def carried(self, machine: str, via: str, now: float) -> bool:
+    def heartbeat_relayed(self, machine: str, via: str, now: float) -> bool:
         """A report came through a member; True when the worker should be sent home with the answer."""
-        a = self.away.get(machine)
-        if a is None:
-            a = self.away[machine] = Away(via, now)
-        if a.sent > -1e9 and not a.home and now - a.sent < AGAIN_S:
-            a.pause = min(MOST_PAUSE_S, max(PAUSE_S, 2 * a.pause))
-            a.probe, a.sent = now + a.pause, -1e9
-        a.via, a.seen = via, now
-        if a.home:
-            a.home, a.sent = False, now
+        agent = self.relayed_agents.get(machine)
+        if agent is None:
+            agent = self.relayed_agents[machine] = RelayedAgent(via, now)
+        if (
+            agent.redirected_at > -1e9
+            and not agent.failback_due
+            and now - agent.redirected_at < FAILED_FAILBACK_S
+        ):
+            agent.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2 * agent.backoff_s))
+            agent.next_probe_at, agent.redirected_at = now + agent.backoff_s, -1e9
+        agent.via, agent.last_heartbeat_at = via, now
+        if agent.failback_due:
+            agent.failback_due, agent.redirected_at = False, now
             return True
         return False
 
-    def direct(self, machine: str, now: float) -> None:
+    def heartbeat_direct(self, machine: str, now: float) -> None:
         """A worker has reported here itself."""
-        a = self.away.get(machine)
-        if a is not None and (a.pause == 0.0 or now - a.sent > AGAIN_S):
-            del self.away[machine]
+        agent = self.relayed_agents.get(machine)
+        if agent is not None and (
+            agent.backoff_s == 0.0 or now - agent.redirected_at > FAILED_FAILBACK_S
+        ):
+            del self.relayed_agents[machine]
 
-    def via(self, machine: str, now: float, within: float) -> str | None:
+    def relay_for(self, machine: str, now: float, max_age_s: float) -> str | None:
         """Through whom a worker was last heard, if it is away."""
-        a = self.away.get(machine)
-        return a.via if a is not None and now - a.seen < within and a.sent == -1e9 else None
+        agent = self.relayed_agents.get(machine)
+        return (
+            agent.via
+            if agent is not None
+            and now - agent.last_heartbeat_at < max_age_s
+            and agent.redirected_at == -1e9
+            else None
+        )
 
-    def to_probe(self, now: float) -> list[str]:
+    def due_probes(self, now: float) -> list[str]:
         """Workers to be asked now."""
         out = []
-        for name, a in list(self.away.items()):
-            if now - max(a.seen, a.sent) > FORGET_S:
-                del self.away[name]
+        for name, agent in list(self.relayed_agents.items()):
+            if now - max(agent.last_heartbeat_at, agent.redirected_at) > FORGET_AGENT_S:
+                del self.relayed_agents[name]
             elif (
-                self.asking < PROBES
-                and not a.asking
-                and not a.home
-                and a.sent == -1e9
-                and now >= a.probe
+                self.open_probes < MAX_CONCURRENT_PROBES
+                and not agent.probing
+                and not agent.failback_due
+                and agent.redirected_at == -1e9
+                and now >= agent.next_probe_at
             ):
-                a.asking, a.probe = True, now + PROBE_S
-                self.asking += 1
+                agent.probing, agent.next_probe_at = True, now + PROBE_INTERVAL_S
+                self.open_probes += 1
                 out.append(name)
         return out
 
-    def probed(self, machine: str, answered: bool, now: float) -> None:
+    def probe_finished(self, machine: str, answered: bool, now: float) -> None:
         """A worker has answered, or not."""
-        self.asking -= 1
-        a = self.away.get(machine)
-        if a is not None:
-            a.asking, a.home = False, answered
+        self.open_probes -= 1
+        agent = self.relayed_agents.get(machine)
+        if agent is not None:
+            agent.probing, agent.failback_due = False, answered
--- a/ploverhall/connectivity/link_health.py
+++ b/ploverhall/connectivity/link_health.py
@@ -8,61 +8,71 @@
 
 from dataclasses import dataclass
 
-BAD_S = 0.6  # an answer takes tens of milliseconds, now and then a few hundred; nothing at all for so long is a cut
-TIMES = 4.0  # and for so many times what an answer usually takes: a slow service is no cut
-GOOD_S = 1.5  # answers for so long, and nothing else, before a link that was bad is trusted
-FLAP_S = 30.0  # bad again so soon after it was good: the next return takes twice as long
-LONGEST_S = 24.0  # at most
+MIN_FAILURE_S = 0.6  # an answer takes tens of milliseconds, now and then a few hundred; nothing at all for so long is a cut
+FAILURE_RTT_MULTIPLE = (
+    4.0  # and for so many times what an answer usually takes: a slow service is no cut
+)
+INITIAL_RECOVERY_S = (
+    1.5  # answers for so long, and nothing else, before a link that was bad is trusted
+)
+FLAP_WINDOW_S = 30.0  # bad again so soon after it was good: the next return takes twice as long
+MAX_RECOVERY_S = 24.0  # at most
 
 
 @dataclass(slots=True)
-class Gauge:
+class LinkHealth:
     """Fed with what was asked and answered; `good` is what is believed."""
 
-    usual: float = 0.02  # seconds from a question to its answer
-    good: bool = True
-    since: float = -1e9  # of the present state
-    last: float = -1e9  # newest answer
-    failing: float | None = None  # since when nothing but failures came, or silence
-    answering: float | None = None  # since when nothing but answers came
-    pause: float = GOOD_S  # answers for so long make it good again
-    turns: int = 0  # how often it went bad
+    typical_latency_s: float = 0.02  # seconds from a question to its answer
+    healthy: bool = True
+    changed_at: float = -1e9  # of the present state
+    last_answer_at: float = -1e9  # newest answer
+    failing_since: float | None = None  # since when nothing but failures came, or silence
+    answering_since: float | None = None  # since when nothing but answers came
+    recovery_s: float = INITIAL_RECOVERY_S  # answers for so long make it good again
+    failure_count: int = 0  # how often it went bad
 
     @property
-    def patience(self) -> float:
+    def failure_threshold_s(self) -> float:
         """Seconds of nothing but failures or silence that make it bad."""
-        return max(BAD_S, TIMES * self.usual)
+        return max(MIN_FAILURE_S, FAILURE_RTT_MULTIPLE * self.typical_latency_s)
 
-    def answered(self, took: float, now: float) -> None:
+    def record_answer(self, latency_s: float, now: float) -> None:
         """A question was answered after so long."""
-        self.usual += (min(took, 2.0) - self.usual) * 0.1
-        self.failing, self.last = None, now
-        if self.answering is None:
-            self.answering = now
-        if not self.good and now - self.answering >= self.pause:
-            self.good, self.since = True, now
+        self.typical_latency_s += (min(latency_s, 2.0) - self.typical_latency_s) * 0.1
+        self.failing_since, self.last_answer_at = None, now
+        if self.answering_since is None:
+            self.answering_since = now
+        if not self.healthy and now - self.answering_since >= self.recovery_s:
+            self.healthy, self.changed_at = True, now
 
-    def failed(self, begun: float, now: float) -> None:
+    def record_failure(self, started_at: float, now: float) -> None:
         """A question asked then was refused, or got no answer in time."""
-        self.answering = None
-        self._fails(begun, now)
+        self.answering_since = None
+        self._extend_failure(started_at, now)
 
-    def waits(self, oldest: float, now: float) -> None:
+    def record_overdue(self, oldest_due_at: float, now: float) -> None:
         """The oldest question that should have been answered by now was asked then."""
-        if now - max(oldest, self.last) > self.patience:
-            self.answering = None
-            self._fails(oldest, now)
+        if now - max(oldest_due_at, self.last_answer_at) > self.failure_threshold_s:
+            self.answering_since = None
+            self._extend_failure(oldest_due_at, now)
 
-    def _fails(self, begun: float, now: float) -> None:
+    def _extend_failure(self, started_at: float, now: float) -> None:
         since = max(
-            begun, self.last
+            started_at, self.last_answer_at
         )  # an answer to another question, later than this one, says that the link was up
-        self.failing = since if self.failing is None else min(self.failing, since)
-        self._judge(now)
+        self.failing_since = since if self.failing_since is None else min(self.failing_since, since)
+        self._update_state(now)
 
-    def _judge(self, now: float) -> None:
-        if self.good and self.failing is not None and now - self.failing >= self.patience:
-            again = now - self.since < FLAP_S and self.turns > 0
-            self.pause = min(LONGEST_S, self.pause * 2) if again else GOOD_S
-            self.good, self.since = False, now
-            self.turns += 1
+    def _update_state(self, now: float) -> None:
+        if (
+            self.healthy
+            and self.failing_since is not None
+            and now - self.failing_since >= self.failure_threshold_s
+        ):
+            flapping = now - self.changed_at < FLAP_WINDOW_S and self.failure_count > 0
+            self.recovery_s = (
+                min(MAX_RECOVERY_S, self.recovery_s * 2) if flapping else INITIAL_RECOVERY_S
+            )
+            self.healthy, self.changed_at = False, now
+            self.failure_count += 1
--- a/ploverhall/connectivity/pending_relays.py
+++ b/ploverhall/connectivity/pending_relays.py
@@ -11,96 +11,99 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MOST_OPEN = 4096  # questions asked and not answered: a report of each of 4,000 workers
-MOST_WAITING = 2048  # messages for one member that have not gone out
-MOST_BYTES = 8 * 1024 * 1024  # of them
-MOST_AT_ONCE = 2048  # questions of one member that are worked on here: a frame may bring a report of each worker of a shard
-SKEW_S = 2.0  # by how much times of day may differ: a question that comes so late after its end is dropped unread
+MAX_OPEN_REQUESTS = 4096  # questions asked and not answered: a report of each of 4,000 workers
+MAX_QUEUED_MESSAGES = 2048  # messages for one member that have not gone out
+MAX_QUEUED_BYTES = 8 * 1024 * 1024  # of them
+MAX_CONCURRENT_PER_PEER = 2048  # questions of one member that are worked on here: a frame may bring a report of each worker of a shard
+CLOCK_SKEW_S = 2.0  # by how much times of day may differ: a question that comes so late after its end is dropped unread
 
 
 @dataclass(slots=True)
-class Open:
+class OpenRequest:
     """A question that was asked."""
 
-    to: str
-    until: float
+    peer: str
+    deadline: float
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedMessage:
     """A message for a member."""
 
     message: list[Any]
-    size: int
-    until: float
+    size_bytes: int
+    deadline: float
 
 
 @dataclass
-class Calls:
+class PendingRelays:
     """Open questions, and each member's queue."""
 
-    life: str
-    number: int = 0
-    open: dict[int, Open] = field(default_factory=dict)
-    queues: dict[str, deque[Waiting]] = field(default_factory=dict)
-    bytes: dict[str, int] = field(default_factory=dict)
-    working: dict[str, int] = field(default_factory=dict)
-    carried: int = 0  # for others, since the start
-    refused: int = 0  # for others: no room, no time left, no way
+    incarnation: str
+    last_number: int = 0
+    open_requests: dict[int, OpenRequest] = field(default_factory=dict)
+    queues: dict[str, deque[QueuedMessage]] = field(default_factory=dict)
+    queued_bytes: dict[str, int] = field(default_factory=dict)
+    in_progress: dict[str, int] = field(default_factory=dict)
+    relayed_count: int = 0  # for others, since the start
+    refused_count: int = 0  # for others: no room, no time left, no way
 
-    def ask(self, to: str, until: float) -> int | None:
+    def open_request(self, peer: str, deadline: float) -> int | None:
         """A number for a new question; None while too many are open."""
-        if len(self.open) >= MOST_OPEN:
+        if len(self.open_requests) >= MAX_OPEN_REQUESTS:
             return None
-        self.number += 1
-        self.open[self.number] = Open(to, until)
-        return self.number
+        self.last_number += 1
+        self.open_requests[self.last_number] = OpenRequest(peer, deadline)
+        return self.last_number
 
-    def answered(self, life: str, number: int, by: str) -> bool:
+    def complete(self, incarnation: str, number: int, peer: str) -> bool:
         """Whether an answer is to an open question of this life, from whom it was asked; it is closed then."""
-        known = self.open.get(number)
-        if life != self.life or known is None or known.to != by:
+        request = self.open_requests.get(number)
+        if incarnation != self.incarnation or request is None or request.peer != peer:
             return False
-        del self.open[number]
+        del self.open_requests[number]
         return True
 
     def close(self, number: int) -> None:
         """Nobody waits for the answer any more."""
-        self.open.pop(number, None)
+        self.open_requests.pop(number, None)
 
-    def put(self, to: str, message: list[Any], size: int, until: float) -> bool:
+    def enqueue(self, peer: str, message: list[Any], size_bytes: int, deadline: float) -> bool:
         """Queue a message; False when there is no room for it."""
-        queue = self.queues.setdefault(to, deque())
-        if len(queue) >= MOST_WAITING or self.bytes.get(to, 0) + size > MOST_BYTES:
+        queue = self.queues.setdefault(peer, deque())
+        if (
+            len(queue) >= MAX_QUEUED_MESSAGES
+            or self.queued_bytes.get(peer, 0) + size_bytes > MAX_QUEUED_BYTES
+        ):
             return False
-        queue.append(Waiting(message, size, until))
-        self.bytes[to] = self.bytes.get(to, 0) + size
+        queue.append(QueuedMessage(message, size_bytes, deadline))
+        self.queued_bytes[peer] = self.queued_bytes.get(peer, 0) + size_bytes
         return True
 
-    def take(self, to: str, now: float) -> list[list[Any]]:
+    def drain(self, peer: str, now: float) -> list[list[Any]]:
         """What goes out to a member now; what is too late to be of use does not."""
-        queue = self.queues.get(to)
+        queue = self.queues.get(peer)
         if not queue:
             return []
-        out = [w.message for w in queue if w.until > now]
+        out = [queued.message for queued in queue if queued.deadline > now]
         queue.clear()
-        self.bytes[to] = 0
+        self.queued_bytes[peer] = 0
         return out
 
-    def begin(self, member: str) -> bool:
+    def begin_work(self, peer: str) -> bool:
         """A member's question comes in; False when as many of its questions are worked on as may be."""
-        if self.working.get(member, 0) >= MOST_AT_ONCE:
-            self.refused += 1
+        if self.in_progress.get(peer, 0) >= MAX_CONCURRENT_PER_PEER:
+            self.refused_count += 1
             return False
-        self.working[member] = self.working.get(member, 0) + 1
+        self.in_progress[peer] = self.in_progress.get(peer, 0) + 1
         return True
 
-    def end(self, member: str) -> None:
+    def end_work(self, peer: str) -> None:
         """One of its questions was answered."""
-        self.working[member] -= 1
-        self.carried += 1
+        self.in_progress[peer] -= 1
+        self.relayed_count += 1
 
 
-def too_late(until: float, wall: float) -> bool:
+def deadline_passed(deadline: float, wall_time: float) -> bool:
     """Whether a question's time (of day) is over here. It may have been held back for minutes on its way."""
-    return wall > until + SKEW_S
+    return wall_time > deadline + CLOCK_SKEW_S
--- a/ploverhall/connectivity/relay_routes.py
+++ b/ploverhall/connectivity/relay_routes.py
@@ -9,157 +9,178 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-FRESH_S = 1.6  # members speak twice a second; what is older may be over
-BLAME_S = 1.0  # a way that has just failed is left alone for so long, and twice as long each time
-MOST_BLAME_S = 8.0
-SERVICES = frozenset(("state", "cloud"))
+REPORT_MAX_AGE_S = 1.6  # members speak twice a second; what is older may be over
+INITIAL_BACKOFF_S = (
+    1.0  # a way that has just failed is left alone for so long, and twice as long each time
+)
+MAX_BACKOFF_S = 8.0
+OUTSIDE_SERVICES = frozenset(("state", "cloud"))
 
 
 @dataclass(slots=True)
-class Said:
+class PeerConnectivity:
     """One member's newest word on its links."""
 
-    at: float = -1e9  # when it was heard
-    life: str = ""  # changes when its process starts anew
-    can: frozenset[str] = frozenset()  # what it carries; nothing if it is of a release that doesn't
-    good: frozenset[str] = frozenset()  # which outside services it reaches by itself
-    through: dict[str, str] = field(
+    received_at: float = -1e9  # when it was heard
+    incarnation: str = ""  # changes when its process starts anew
+    relay_kinds: frozenset[str] = (
+        frozenset()
+    )  # what it carries; nothing if it is of a release that doesn't
+    reachable_services: frozenset[str] = frozenset()  # which outside services it reaches by itself
+    relays_in_use: dict[str, str] = field(
         default_factory=dict
     )  # others: through whom it reaches them now
-    hears: frozenset[str] = frozenset()  # members that it hears
-    cut: dict[int, int] = field(
+    heard_peers: frozenset[str] = frozenset()  # members that it hears
+    unreachable_shards: dict[int, int] = field(
         default_factory=dict
     )  # shards held whose workers don't reach it, and their epochs
-    blamed: float = -1e9  # until when it is left alone
-    blame_s: float = BLAME_S
+    backoff_until: float = -1e9  # until when it is left alone
+    backoff_s: float = INITIAL_BACKOFF_S
 
 
-class Ways:
+class RelayRoutes:
     """What the other members say, and the ways that follow from it."""
 
-    def __init__(self, others: list[str]) -> None:
-        self.said = {name: Said() for name in sorted(others)}
-        self.last: dict[
+    def __init__(self, peer_names: list[str]) -> None:
+        self.peers = {name: PeerConnectivity() for name in sorted(peer_names)}
+        self.chosen_relays: dict[
             str, str
         ] = {}  # per service: the member that was asked last; kept while it serves
 
-    def heard(self, name: str, word: dict[str, Any], now: float) -> None:
+    def update(self, name: str, report: dict[str, Any], now: float) -> None:
         """A member has spoken. What is not in the known form counts as not said."""
-        said = self.said.get(name)
-        if said is None:
+        peer = self.peers.get(name)
+        if peer is None:
             return
-        through, cut = word.get("through"), word.get("cut")
-        said.at, said.life = now, str(word.get("life"))[:40]
-        said.can, said.good, said.hears = (
-            _names(word.get("can")),
-            _names(word.get("good")),
-            _names(word.get("hears")),
+        through, cut = report.get("through"), report.get("cut")
+        peer.received_at, peer.incarnation = now, str(report.get("life"))[:40]
+        peer.relay_kinds, peer.reachable_services, peer.heard_peers = (
+            _string_set(report.get("can")),
+            _string_set(report.get("good")),
+            _string_set(report.get("hears")),
         )
-        said.through = (
-            {k: v for k, v in through.items() if isinstance(k, str) and isinstance(v, str)}
+        peer.relays_in_use = (
+            {
+                k: value
+                for k, value in through.items()
+                if isinstance(k, str) and isinstance(value, str)
+            }
             if isinstance(through, dict)
             else {}
         )
-        said.cut = (
-            {k: v for k, v in cut.items() if isinstance(k, int) and isinstance(v, int)}
+        peer.unreachable_shards = (
+            {k: value for k, value in cut.items() if isinstance(k, int) and isinstance(value, int)}
             if isinstance(cut, dict)
             else {}
         )
 
-    def fresh(self, name: str, now: float) -> bool:
+    def is_fresh(self, name: str, now: float) -> bool:
         """Whether a member has spoken just now."""
-        return name in self.said and now - self.said[name].at < FRESH_S
+        return name in self.peers and now - self.peers[name].received_at < REPORT_MAX_AGE_S
 
-    def carries(self, name: str, what: str, now: float) -> bool:
+    def can_relay_now(self, name: str, kind: str, now: float) -> bool:
         """Whether a member can be asked to carry something of that kind."""
         return (
-            self.fresh(name, now) and what in self.said[name].can and now >= self.said[name].blamed
+            self.is_fresh(name, now)
+            and kind in self.peers[name].relay_kinds
+            and now >= self.peers[name].backoff_until
         )
 
-    def can(self, name: str, what: str) -> bool:
+    def supports_relay(self, name: str, kind: str) -> bool:
         """Whether a member has ever said, in its present life, that it carries that kind."""
-        return name in self.said and what in self.said[name].can
+        return name in self.peers and kind in self.peers[name].relay_kinds
 
-    def to_service(
+    def route_to_service(
         self,
         service: str,
-        what: str,
+        kind: str,
         now: float,
         avoid: frozenset[str] = frozenset(),
         hops: int = 2,
     ) -> str | None:
         """Through whom an outside service is reached: one that reaches it by itself, else (two hops) one that hears such a one."""
-        near = [
-            n
-            for n in self.said
-            if n not in avoid and self.carries(n, what, now) and service in self.said[n].good
+        relays = [
+            name
+            for name in self.peers
+            if name not in avoid
+            and self.can_relay_now(name, kind, now)
+            and service in self.peers[name].reachable_services
         ]
-        if not near and hops > 1:
-            near = [
-                n
-                for n in self.said
-                if n not in avoid
-                and self.carries(n, what, now)
-                and self._second(n, service, what, avoid)
+        if not relays and hops > 1:
+            relays = [
+                name
+                for name in self.peers
+                if name not in avoid
+                and self.can_relay_now(name, kind, now)
+                and self._hears_direct_relay(name, service, kind, avoid)
             ]
-        if not near:
+        if not relays:
             return None
-        if self.last.get(service) not in near:
-            self.last[service] = near[0]
-        return self.last[service]
+        if self.chosen_relays.get(service) not in relays:
+            self.chosen_relays[service] = relays[0]
+        return self.chosen_relays[service]
 
-    def _second(self, name: str, service: str, what: str, avoid: frozenset[str]) -> bool:
+    def _hears_direct_relay(
+        self, name: str, service: str, kind: str, avoid: frozenset[str]
+    ) -> bool:
         """Whether a member hears another that reaches the service, by what both say."""
         return any(
-            n not in avoid
-            and n != name
-            and n in self.said[name].hears
-            and what in said.can
-            and service in said.good
-            for n, said in self.said.items()
+            controller_name not in avoid
+            and controller_name != name
+            and controller_name in self.peers[name].heard_peers
+            and kind in said.relay_kinds
+            and service in said.reachable_services
+            for controller_name, said in self.peers.items()
         )
 
-    def to_member(
-        self, name: str, what: str, now: float, avoid: frozenset[str] = frozenset(), hops: int = 2
+    def route_to_peer(
+        self, name: str, kind: str, now: float, avoid: frozenset[str] = frozenset(), hops: int = 2
     ) -> str | None:
         """Whom to hand something for a member: itself if it is heard, else one that hears it."""
-        if self.carries(name, what, now):
+        if self.can_relay_now(name, kind, now):
             return name
         if hops > 1:
-            for n, said in self.said.items():
+            for controller_name, said in self.peers.items():
                 if (
-                    n != name
-                    and n not in avoid
-                    and self.carries(n, what, now)
-                    and name in said.hears
+                    controller_name != name
+                    and controller_name not in avoid
+                    and self.can_relay_now(controller_name, kind, now)
+                    and name in said.heard_peers
                 ):
-                    return n
+                    return controller_name
         return None
 
-    def cut_off(self, name: str, shard: int) -> bool:
+    def reports_unreachable_shard(self, name: str, shard: int) -> bool:
         """Whether a member says that no worker of a shard it holds reaches it."""
-        return name in self.said and shard in self.said[name].cut
+        return name in self.peers and shard in self.peers[name].unreachable_shards
 
-    def well(self, name: str, now: float) -> bool:
+    def all_services_reachable(self, name: str, now: float) -> bool:
         """Whether a member says that it reaches all outside services by itself. One of a release that says nothing counts as well."""
-        said = self.said.get(name)
-        return said is None or said.at < 0 or (self.fresh(name, now) and said.good >= SERVICES)
+        peer = self.peers.get(name)
+        return (
+            peer is None
+            or peer.received_at < 0
+            or (self.is_fresh(name, now) and peer.reachable_services >= OUTSIDE_SERVICES)
+        )
 
-    def worked(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """A way has served."""
-        said = self.said[name]
-        said.blame_s, said.blamed = BLAME_S, -1e9
+        peer = self.peers[name]
+        peer.backoff_s, peer.backoff_until = INITIAL_BACKOFF_S, -1e9
 
-    def failed(self, name: str, now: float) -> None:
+    def record_failure(self, name: str, now: float) -> None:
         """A way has not served: the next one, or none, for a while."""
-        said = self.said[name]
-        if now >= said.blamed:
-            said.blamed, said.blame_s = now + said.blame_s, min(MOST_BLAME_S, 2 * said.blame_s)
+        peer = self.peers[name]
+        if now >= peer.backoff_until:
+            peer.backoff_until, peer.backoff_s = (
+                now + peer.backoff_s,
+                min(MAX_BACKOFF_S, 2 * peer.backoff_s),
+            )
 
 
-def _names(value: Any) -> frozenset[str]:
+def _string_set(value: Any) -> frozenset[str]:
     return (
-        frozenset(v for v in value if isinstance(v, str))
+        frozenset(item for item in value if isinstance(item, str))
         if isinstance(value, (list, tuple))
         else frozenset()
     )
--- a/ploverhall/controller/agent_commands.py
+++ b/ploverhall/controller/agent_commands.py
@@ -8,170 +8,195 @@
 import anyio
 import orjson
 
-from ploverhall.connectivity.heartbeat_failback import Homing
-from ploverhall.controller.context import Shared
-from ploverhall.controller.relay import Carrying, NotCarried
+from ploverhall.connectivity.heartbeat_failback import HeartbeatFailback
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.relay import Relay, RelayRefusedError
 from ploverhall.protocol import agents, relay_messages
-from ploverhall.protocol.relay_messages import Question
+from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.scheduling.inventory import Machine
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.transport.client_pool import ClientPool
 from ploverhall.transport.http import Unreachable
 
-DIRECT_S = 1.5  # how long a worker has to answer
-MORE_S = 0.3  # and a member that asks it
-COME_S = 6.0  # so long after a takeover its workers may still be on their way: 4 s at the old one, 1 s until they go on
-PROBE_EVERY_S = 0.25
-SOME = 5  # workers that a member is asked to try
+COMMAND_TIMEOUT_S = 1.5  # how long a worker has to answer
+RELAY_EXTRA_S = 0.3  # and a member that asks it
+FIRST_HEARTBEAT_GRACE_S = 6.0  # so long after a takeover its workers may still be on their way: 4 s at the old one, 1 s until they go on
+PROBE_CHECK_INTERVAL_S = 0.25
+REACHABILITY_SAMPLE = 5  # workers that a member is asked to try
 
 
-class Workers:
+class AgentCommands:
     """Kept connections to the workers that were sent something, and what is known of who reaches this controller."""
 
     def __init__(
         self,
-        shared: Shared,
-        carrying: Carrying,
-        start: Callable[[str, str], None],
+        context: ControllerContext,
+        relay: Relay,
+        start_probe: Callable[[str, str], None],
         room: Callable[[], int],
     ) -> None:
-        self.shared, self.carrying = shared, carrying
-        self.start = start  # a probe, as a task of its own
-        self.clients = ClientPool(lambda host, port: shared.client(host, port, keep=1), room)
-        self.homing = Homing()
-        self.direct_at: dict[int, float] = {}  # per shard: the newest report that came by itself
-
-    def reported(self, shard: int, machine: str, now: float) -> None:
+        self.context, self.relay = context, relay
+        self.start_probe = start_probe  # a probe, as a task of its own
+        self.clients = ClientPool(lambda host, port: context.client(host, port, keep=1), room)
+        self.failback = HeartbeatFailback()
+        self.direct_heartbeat_at: dict[
+            int, float
+        ] = {}  # per shard: the newest report that came by itself
+
+    def heartbeat_received(self, shard: int, machine: str, now: float) -> None:
         """A report has come here by itself."""
-        self.direct_at[shard] = now
-        self.homing.direct(machine, now)
+        self.direct_heartbeat_at[shard] = now
+        self.failback.heartbeat_direct(machine, now)
 
-    def cut(self, now: float) -> dict[int, int]:
+    def unreachable_shards(self, now: float) -> dict[int, int]:
         """Shards held here that no worker reaches, and their epochs."""
-        silent = 1.3 * self.shared.settings.report_s + 0.3
+        silent = 1.3 * self.context.settings.heartbeat_interval_s + 0.3
         out = {}
-        for h in self.shared.held.values():
-            at = self.direct_at.get(h.shard, -1e9)
+        for held in self.context.held_shards.values():
+            received_at = self.direct_heartbeat_at.get(held.shard, -1e9)
             if (
-                h.owner.machines
-                and now - max(at, h.owner.started + (COME_S if at < h.owner.started else 0.0))
+                held.owner.machines
+                and now
+                - max(
+                    received_at,
+                    held.owner.started
+                    + (FIRST_HEARTBEAT_GRACE_S if received_at < held.owner.started else 0.0),
+                )
                 > silent
             ):
-                out[h.shard] = h.epoch
+                out[held.shard] = held.epoch
         return out
 
-    async def _ask(self, addr: str, method: str, path: str, body: Any = None) -> tuple[int, object]:
+    async def _request(
+        self, address: str, method: str, path: str, body: Any = None
+    ) -> tuple[int, object]:
         """One request to a worker by the own link."""
-        host, _, port = addr.rpartition(":")
+        host, _, port = address.rpartition(":")
         if not host or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
             raise Unreachable(
                 "not an address"
             )  # a worker says where it is: whatever it says must end nothing here
         try:
-            return await self.clients.call(host, int(port), method, path, body, DIRECT_S)
-        except ValueError as e:  # no name of a host either
-            raise Unreachable(f"{addr!r}: {e}") from e
+            return await self.clients.call(host, int(port), method, path, body, COMMAND_TIMEOUT_S)
+        except ValueError as error:  # no name of a host either
+            raise Unreachable(f"{address!r}: {error}") from error
 
-    async def send(self, owner: Owner, m: Machine, body: dict[str, Any]) -> None:
+    async def send(self, owner: ShardOwner, machine: Machine, body: dict[str, Any]) -> None:
         """Send one /do and hand its answer, or that there was none, to the owner.
 
         Through the member that the worker reports to, where it is away. Either way it may be executed later than that, and the
         owner's next token fences it.
         """
-        report, now = None, self.shared.clock()
-        via = self.homing.via(m.name, now, 2 * self.shared.settings.report_s + 1.0)
+        report, now = None, self.context.clock()
+        via = self.failback.relay_for(
+            machine.name, now, 2 * self.context.settings.heartbeat_interval_s + 1.0
+        )
         try:
-            if via is not None and self.carrying.ways.carries(via, relay_messages.DO, now):
-                status, raw = await self.carrying.ask(
+            if via is not None and self.relay.routes.can_relay_now(
+                via, relay_messages.AGENT_COMMAND, now
+            ):
+                status, raw = await self.relay.send(
                     via,
-                    relay_messages.DO,
-                    timeout=DIRECT_S + MORE_S,
+                    relay_messages.AGENT_COMMAND,
+                    timeout=COMMAND_TIMEOUT_S + RELAY_EXTRA_S,
                     method="POST",
-                    target=f"{m.addr} /do",
+                    target=f"{machine.address} /do",
                     body=orjson.dumps(body),
                     hops=1,
                 )
                 answer = orjson.loads(raw)
             else:
-                status, answer = await self._ask(m.addr, "POST", "/do", body)
+                status, answer = await self._request(machine.address, "POST", "/do", body)
             if status in (200, 409):
-                report = agents.parse(answer)
-        except (Unreachable, NotCarried, agents.Malformed, orjson.JSONDecodeError):
+                report = agents.heartbeat_from_json(answer)
+        except (
+            Unreachable,
+            RelayRefusedError,
+            agents.InvalidHeartbeatError,
+            orjson.JSONDecodeError,
+        ):
             pass
-        owner.direct_done(m, report, self.shared.clock())
-        self.shared.poke()
+        owner.on_direct_answer(machine, report, self.context.clock())
+        self.context.wake_scheduling()
 
-    async def carried(self, by: str, q: Question) -> tuple[int, bytes]:
+    async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
         """A member has a command for a worker that reports here."""
-        addr, _, path = q.target.rpartition(" ")
+        addr, _, path = request.target.rpartition(" ")
         try:
-            status, out = await self._ask(
-                addr, q.method, path, orjson.loads(q.body) if q.body else None
+            status, out = await self._request(
+                addr, request.method, path, orjson.loads(request.body) if request.body else None
             )
-        except orjson.JSONDecodeError as e:
-            raise NotCarried("not JSON") from e
+        except orjson.JSONDecodeError as error:
+            raise RelayRefusedError("not JSON") from error
         return status, orjson.dumps(out)
 
-    async def reached_by(self, member: str, owner: Owner) -> bool:
+    async def reachable_from(self, peer: str, owner: ShardOwner) -> bool:
         """Whether a member reaches the workers of a shard held here: it asks a few of them something by its own links.
 
         A controller that holds nothing can't tell by itself that no worker reaches it. One that had lost its workers while its
         part was away got the part back, and 769 tasks were killed by their leases (kazi-bodi-fleet, a drawn day of cuts). One of a
         release that can't be asked counts as reaching them.
         """
-        now = self.shared.clock()
-        if not self.carrying.ways.carries(member, relay_messages.DO, now):
-            return not self.carrying.ways.can(member, relay_messages.DO)
+        now = self.context.clock()
+        if not self.relay.routes.can_relay_now(peer, relay_messages.AGENT_COMMAND, now):
+            return not self.relay.routes.supports_relay(peer, relay_messages.AGENT_COMMAND)
         some = [
-            m
-            for m in owner.machines.values()
-            if now - m.last_report < 2 * self.shared.settings.report_s
+            machine
+            for machine in owner.machines.values()
+            if now - machine.last_heartbeat_at < 2 * self.context.settings.heartbeat_interval_s
         ]
-        some = self.shared.rng.sample(some, min(SOME, len(some)))
+        some = self.context.random.sample(some, min(REACHABILITY_SAMPLE, len(some)))
         reached: list[bool] = []
 
-        async def ask(m: Machine) -> None:
+        async def ask(machine: Machine) -> None:
             try:
-                status, _ = await self.carrying.ask(
-                    member,
-                    relay_messages.DO,
-                    timeout=DIRECT_S + MORE_S,
+                status, _ = await self.relay.send(
+                    peer,
+                    relay_messages.AGENT_COMMAND,
+                    timeout=COMMAND_TIMEOUT_S + RELAY_EXTRA_S,
                     method="GET",
-                    target=f"{m.addr} /show",
+                    target=f"{machine.address} /show",
                     hops=1,
                 )
                 reached.append(status == 200)
-            except (Unreachable, NotCarried):
+            except (Unreachable, RelayRefusedError):
                 reached.append(False)
 
-        async with anyio.create_task_group() as tg:
-            for m in some:
-                tg.start_soon(ask, m)
+        async with anyio.create_task_group() as task_group:
+            for machine in some:
+                task_group.start_soon(ask, machine)
         return 2 * sum(reached) >= len(some)
 
-    def all_cut(self, now: float) -> bool:
+    def all_shards_unreachable(self, now: float) -> bool:
         """Whether no worker of any shard held here reaches this controller by itself."""
-        with_machines = [h.shard for h in self.shared.held.values() if h.owner.machines]
-        return bool(with_machines) and self.cut(now).keys() >= set(with_machines)
+        with_machines = [
+            held.shard for held in self.context.held_shards.values() if held.owner.machines
+        ]
+        return bool(with_machines) and self.unreachable_shards(now).keys() >= set(with_machines)
 
     async def probe_loop(self) -> None:
         """Try the links to workers that are away."""
         while True:
-            await anyio.sleep(PROBE_EVERY_S)
+            await anyio.sleep(PROBE_CHECK_INTERVAL_S)
             await self.clients.trim()
-            for name in self.homing.to_probe(self.shared.clock()):
+            for name in self.failback.due_probes(self.context.clock()):
                 owner = next(
-                    (h.owner for h in self.shared.held.values() if name in h.owner.machines), None
+                    (
+                        held.owner
+                        for held in self.context.held_shards.values()
+                        if name in held.owner.machines
+                    ),
+                    None,
                 )
                 if owner is None:
-                    self.homing.probed(name, False, self.shared.clock())
+                    self.failback.probe_finished(name, False, self.context.clock())
                 else:
-                    self.start(name, owner.machines[name].addr)
+                    self.start_probe(name, owner.machines[name].address)
 
-    async def probe(self, name: str, addr: str) -> None:
+    async def probe(self, name: str, address: str) -> None:
         """Ask one worker by the own link; its report is not used, the next one says more."""
         try:
-            status, _ = await self._ask(addr, "GET", "/show")
+            status, _ = await self._request(address, "GET", "/show")
         except Unreachable:
             status = 0
-        self.homing.probed(name, status == 200, self.shared.clock())
+        self.failback.probe_finished(name, status == 200, self.context.clock())
--- a/ploverhall/controller/context.py
+++ b/ploverhall/controller/context.py
@@ -9,77 +9,82 @@
 
 import anyio
 
-from ploverhall.autoscaling.autoscaler import Renter
-from ploverhall.coordination.shard_map import Layout
-from ploverhall.coordination.state_channel import Inbox, Outbox
+from ploverhall.autoscaling.autoscaler import Autoscaler
+from ploverhall.coordination.shard_map import ShardMap
+from ploverhall.coordination.state_channel import InboundChannels, OutboundChannels
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.key_value_store import Store
-from ploverhall.runtime import Seams
-from ploverhall.scheduling.objectives import Aims
-from ploverhall.scheduling.permitting import Source
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.protocol.key_value_store import KeyValueStore
+from ploverhall.runtime import Runtime
+from ploverhall.scheduling.objectives import Objectives
+from ploverhall.scheduling.permitting import JobSource
+from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
-from ploverhall.storage.store_cache import Replica
+from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http import Client
 
-SHARE = 0.92  # of the state service's limits that the controllers use together
+STORE_LIMIT_SHARE = 0.92  # of the state service's limits that the controllers use together
 
 
 @dataclass
-class Held:
+class HeldShard:
     """A shard held here: the owner of its part, and the source of its teams once the cells are read."""
 
     shard: int
     epoch: int
-    owner: Owner
-    source: Source | None = None
-    wake: anyio.Event = field(default_factory=anyio.Event)
-    scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+    owner: ShardOwner
+    source: JobSource | None = None
+    write_wake: anyio.Event = field(default_factory=anyio.Event)
+    write_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     image_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    lost: bool = False
+    released: bool = False
 
 
-class Shared:
+class ControllerContext:
     """One process's state that more than one part reads."""
 
-    def __init__(self, settings: Settings, seams: Seams) -> None:
-        s = self.settings = settings
-        self.seams, self.clock, self.wall, self.rng = seams, seams.clock, seams.wall, seams.rng
-        self.layout = Layout(s.nodes, [t.name for t in s.teams])
-        self.teams = {t.name: t for t in s.teams}
-        self.aims = Aims(s.objectives)
-        self.me = self.layout.index[s.name]
-        share = SHARE / len(s.nodes)
-        self.store = Store(
-            self.client(*s.state, keep=12),
-            s.state_rps * share,
-            s.state_write_rps * share,
-            seams.clock,
+    def __init__(self, settings: Settings, runtime: Runtime) -> None:
+        config = self.settings = settings
+        self.runtime, self.clock, self.wall_clock, self.random = (
+            runtime,
+            runtime.clock,
+            runtime.wall_clock,
+            runtime.random,
         )
-        self.replica = Replica()
-        self.outbox, self.inbox = Outbox(), Inbox()
-        self.held: dict[int, Held] = {}
-        self.renter: Renter | None = None
-        self.types: dict[str, MachineType] | None = None
-        self.cancelled_rev = (
+        self.shard_map = ShardMap(config.controllers, [team.name for team in config.teams])
+        self.teams = {team.name: team for team in config.teams}
+        self.objectives = Objectives(config.objectives)
+        self.controller_index = self.shard_map.controller_indices[config.name]
+        share = STORE_LIMIT_SHARE / len(config.controllers)
+        self.store = KeyValueStore(
+            self.client(*config.store, keep=12),
+            config.store_rps * share,
+            config.store_write_rps * share,
+            runtime.clock,
+        )
+        self.store_cache = StoreCache()
+        self.outbound, self.inbound = OutboundChannels(), InboundChannels()
+        self.held_shards: dict[int, HeldShard] = {}
+        self.autoscaler: Autoscaler | None = None
+        self.machine_types: dict[str, MachineType] | None = None
+        self.cancelled_revision = (
             0  # the newest revision at which a job was cancelled, as far as is known here
         )
-        self.wake = anyio.Event()  # of the engine
-        self.started = self.clock()
-        self.stood_at, self.stood_s = (
+        self.scheduling_wake = anyio.Event()  # of the engine
+        self.started_at = self.clock()
+        self.stalled_at, self.stall_s = (
             -1e9,
             0.0,
         )  # when this process last stood still, and for how long
 
     def client(self, host: str, port: int, keep: int = 8) -> Client:
         """Calls to one address."""
-        return Client(host, port, keep, self.seams.net, self.seams.clock)
+        return Client(host, port, keep, self.runtime.network, self.runtime.clock)
 
-    def poke(self) -> None:
+    def wake_scheduling(self) -> None:
         """There is something to decide."""
-        self.wake.set()
+        self.scheduling_wake.set()
 
-    def job_vec(self, jid: str) -> tuple[float, float, float] | None:
+    def resources_of_job(self, job_id: str) -> tuple[float, float, float] | None:
         """What a task of a live job takes."""
-        known = self.replica.live.get(jid)
-        return known[0].vec if known else None
+        known = self.store_cache.live_jobs.get(job_id)
+        return known[0].resources if known else None
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -9,290 +9,338 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.connectivity.relay_routes import Ways
-from ploverhall.controller.agent_commands import Workers
-from ploverhall.controller.autoscaling_loop import Renting
-from ploverhall.controller.context import SHARE, Held, Shared
-from ploverhall.controller.heartbeat_requests import Reports
-from ploverhall.controller.http_routes import Requests, is_report
-from ploverhall.controller.job_requests import Users
-from ploverhall.controller.maintenance_requests import Upkeep
-from ploverhall.controller.outbound import Wire
-from ploverhall.controller.peer_links import Links
-from ploverhall.controller.peer_liveness import Hearing
-from ploverhall.controller.relay import Carrying
+from ploverhall.connectivity.relay_routes import RelayRoutes
+from ploverhall.controller.agent_commands import AgentCommands
+from ploverhall.controller.autoscaling_loop import AutoscalingLoop
+from ploverhall.controller.context import STORE_LIMIT_SHARE, HeldShard, ControllerContext
+from ploverhall.controller.heartbeat_requests import HeartbeatRequests
+from ploverhall.controller.http_routes import HttpRoutes, is_report
+from ploverhall.controller.job_requests import JobRequests
+from ploverhall.controller.maintenance_requests import MaintenanceRequests
+from ploverhall.controller.outbound import OutsideService
+from ploverhall.controller.peer_links import PeerLinks
+from ploverhall.controller.peer_liveness import PeerLiveness
+from ploverhall.controller.relay import Relay
 from ploverhall.controller.routing import Routing
-from ploverhall.controller.scheduling_loop import Engine
-from ploverhall.controller.shard_leases import Membership
-from ploverhall.controller.shard_roles import Roles
-from ploverhall.controller.shard_status import View
-from ploverhall.controller.status_report import Telling
-from ploverhall.controller.store_watch import Following
-from ploverhall.controller.store_writing import Writing
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.coordination.job_answers import Answers
-from ploverhall.log import where
+from ploverhall.controller.scheduling_loop import SchedulingLoop
+from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_roles import ShardRoles
+from ploverhall.controller.shard_status import ShardStatus
+from ploverhall.controller.status_report import StatusReport
+from ploverhall.controller.store_watch import StoreWatch
+from ploverhall.controller.store_writing import StoreWriting
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.coordination.job_answers import JobAnswers
+from ploverhall.log import raised_at
 from ploverhall.protocol import relay_messages
-from ploverhall.protocol.jobs import WITHDRAWN
-from ploverhall.protocol.peer_messages import Cancelled
-from ploverhall.protocol.relay_messages import Question
-from ploverhall.runtime import Seams
+from ploverhall.protocol.jobs import CANCELLED
+from ploverhall.protocol.peer_messages import Cancellation
+from ploverhall.protocol.relay_messages import RelayRequest
+from ploverhall.runtime import Runtime
 from ploverhall.scheduling.inventory import Machine
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
-from ploverhall.storage.store_cache import JOB, RENTER, end_record
+from ploverhall.storage.store_cache import JOB_PREFIX, AUTOSCALER_KEY, end_record
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http import Server
 
 
-class Node:
+class Controller:
     """The process's parts and loops."""
 
-    def __init__(self, settings: Settings, seams: Seams | None = None) -> None:
-        s, shared = settings, Shared(settings, seams or Seams())
-        self.settings, self.shared = s, shared
+    def __init__(self, settings: Settings, runtime: Runtime | None = None) -> None:
+        settings, shared = settings, ControllerContext(settings, runtime or Runtime())
+        self.settings, self.context = settings, shared
         self.tasks: anyio.abc.TaskGroup
-        self.named: set[str] = set()  # jobs whose records can't be read, and that the log has named
-        self.hearing = Hearing(shared)
-        self.routing = Routing(shared, self.hearing)
-        self.ways = Ways([p.name for p in s.peers])
-        self.carrying = Carrying(
+        self.logged_unreadable_jobs: set[str] = (
+            set()
+        )  # jobs whose records can't be read, and that the log has named
+        self.peer_liveness = PeerLiveness(shared)
+        self.routing = Routing(shared, self.peer_liveness)
+        self.relay_routes = RelayRoutes([peer.name for peer in settings.peers])
+        self.relay = Relay(
             shared,
-            self.hearing,
-            self.ways,
-            lambda name: self.links.poke(name),
-            self._up,
-            self._serve,
+            self.peer_liveness,
+            self.relay_routes,
+            lambda name: self.peer_links.notify(name),
+            self._is_connected,
+            self._serve_relay,
         )
-        self.state = Wire(
+        self.store_service = OutsideService(
             shared,
-            self.carrying,
-            relay_messages.STATE,
-            shared.client(*s.state, keep=12),
-            probe=f"/kv/{RENTER}",
-            rate=s.state_rps * SHARE / len(s.nodes),
-            refusals=True,
+            self.relay,
+            relay_messages.STORE,
+            shared.client(*settings.store, keep=12),
+            probe_target=f"/kv/{AUTOSCALER_KEY}",
+            rate=settings.store_rps * STORE_LIMIT_SHARE / len(settings.controllers),
+            refuses_with_503=True,
             repeatable=("/grants",),
         )
-        shared.store.caller = self.state
-        self.cloud = Wire(
+        shared.store.caller = self.store_service
+        self.cloud_service = OutsideService(
             shared,
-            self.carrying,
+            self.relay,
             relay_messages.CLOUD,
-            shared.client(*s.cloud, keep=2),
-            probe="/flavors",
-            rate=s.cloud_rps,
-            refusals=False,
+            shared.client(*settings.cloud, keep=2),
+            probe_target="/flavors",
+            rate=settings.cloud_rps,
+            refuses_with_503=False,
             repeatable=("/hosts",),
         )
         self.limiter = ConnectionLimiter(
-            SocketLimits.of_platform(s.max_sockets), is_report, stale_s=s.lease_s
+            SocketLimits.of_platform(settings.max_sockets), is_report, stale_s=settings.lease_s
         )
-        self.workers = Workers(shared, self.carrying, self._probe, self.limiter.room_for_outgoing)
-        self.cancellations = Cancellations(
-            [p.name for p in s.peers],
-            s.cancel_s,
-            s.lease_s,
-            s.options.cut_off_s,
+        self.agent_commands = AgentCommands(
+            shared, self.relay, self._probe_agent, self.limiter.room_for_outgoing
+        )
+        self.cancellation_barrier = CancellationBarrier(
+            [peer.name for peer in settings.peers],
+            settings.cancel_s,
+            settings.lease_s,
+            settings.options.cut_off_s,
             shared.clock(),
-            self.carrying.calls.life,
+            self.relay.pending.incarnation,
+        )
+        self.store_watch = StoreWatch(
+            shared, self.on_store_changed, lambda begun: self.shard_roles.confirm_epochs(begun)
         )
-        self.following = Following(shared, self.news, lambda begun: self.roles.proved(begun))
-        self.roles = Roles(shared, self.routing, self._begin)
-        self.membership = Membership(
+        self.shard_roles = ShardRoles(shared, self.routing, self._start_shard_tasks)
+        self.shard_leases = ShardLeases(
             shared,
-            self.hearing,
-            self.following,
-            self.roles,
-            self.cancellations,
-            self.ways,
-            self.workers,
-            lambda: len(self.links.up()) == len(s.peers),
+            self.peer_liveness,
+            self.store_watch,
+            self.shard_roles,
+            self.cancellation_barrier,
+            self.relay_routes,
+            self.agent_commands,
+            lambda: len(self.peer_links.connected()) == len(settings.peers),
         )
-        self.writing = Writing(
+        self.store_writing = StoreWriting(
             shared,
             self.routing,
-            current=self.following.current,
-            news=self.news,
-            may_archive=self.membership.may_archive,
-            deposed=self._deposed,
+            is_current=self.store_watch.is_current,
+            on_store_changed=self.on_store_changed,
+            may_archive=self.shard_leases.may_archive,
+            on_superseded=self._on_superseded,
         )
-        self.renting = Renting(shared, self.routing, lambda: self.membership.lease, self.cloud)
-        self.view = View(shared, self.hearing, lambda: self.engine.short(), self._reach_view)
-        self.telling = Telling(
-            shared, self.view, lambda: self.links.up(), lambda name: self.links.poke(name)
+        self.autoscaling_loop = AutoscalingLoop(
+            shared, self.routing, lambda: self.shard_leases.lease_id, self.cloud_service
+        )
+        self.shard_status = ShardStatus(
+            shared,
+            self.peer_liveness,
+            lambda: self.scheduling_loop.capacity_shortages(),
+            self._connectivity_status,
         )
-        self.links = Links(
+        self.status_report = StatusReport(
             shared,
-            self.hearing,
+            self.shard_status,
+            lambda: self.peer_links.connected(),
+            lambda name: self.peer_links.notify(name),
+        )
+        self.peer_links = PeerLinks(
+            shared,
+            self.peer_liveness,
             self.routing,
-            self.roles,
-            self.telling,
-            self.cancellations,
-            self.carrying,
-            self._cancelled,
+            self.shard_roles,
+            self.status_report,
+            self.cancellation_barrier,
+            self.relay,
+            self._on_cancellations,
         )
-        self.engine = Engine(
+        self.scheduling_loop = SchedulingLoop(
             shared,
-            self.hearing,
+            self.peer_liveness,
             self.routing,
-            poke=self.links.poke,
-            ask=self.following.ask,
-            stood_still=self._stood_still,
-            right=self.membership.right,
-            direct=self._direct,
+            notify_peers=self.peer_links.notify,
+            request_read=self.store_watch.request_read,
+            on_stall=self._on_event_loop_stall,
+            renewal_grant=self.shard_leases.renewal_grant,
+            send_direct_command=self._send_direct_command,
+        )
+        answers = JobAnswers(
+            shared.store_cache, self.shard_leases.may_acknowledge, self.routing.task_counts
         )
-        answers = Answers(shared.replica, self.membership.may_tell, self.routing.progress)
-        self.users = Users(shared, self.following, answers, self.news)
-        self.reports = Reports(
+        self.job_requests = JobRequests(shared, self.store_watch, answers, self.on_store_changed)
+        self.heartbeat_requests = HeartbeatRequests(
             shared,
-            self.hearing,
+            self.peer_liveness,
             self.routing,
-            self.membership,
-            self.ways,
-            self.carrying,
-            self.workers,
+            self.shard_leases,
+            self.relay_routes,
+            self.relay,
+            self.agent_commands,
         )
-        self.requests = Requests(
+        self.http_routes = HttpRoutes(
             shared,
-            self.hearing,
-            self.membership,
-            self.telling,
-            self.users,
-            self.reports,
-            Upkeep(shared, self.following, self.telling, self.news),
+            self.peer_liveness,
+            self.shard_leases,
+            self.status_report,
+            self.job_requests,
+            self.heartbeat_requests,
+            MaintenanceRequests(
+                shared, self.store_watch, self.status_report, self.on_store_changed
+            ),
         )
-        self.carrying.reached, self.carrying.late = self._reached, lambda: self.engine.late
-        self.carrying.handlers = {
-            relay_messages.STATE: self.state.carried,
-            relay_messages.CLOUD: self.cloud.carried,
-            relay_messages.REPORT: self.reports.carried,
-            relay_messages.DO: self.workers.carried,
+        self.relay.own_connectivity, self.relay.scheduling_lag = (
+            self._connectivity_gossip,
+            lambda: self.scheduling_loop.last_step_lag_s,
+        )
+        self.relay.handlers = {
+            relay_messages.STORE: self.store_service.serve_relayed,
+            relay_messages.CLOUD: self.cloud_service.serve_relayed,
+            relay_messages.HEARTBEAT: self.heartbeat_requests.serve_relayed,
+            relay_messages.AGENT_COMMAND: self.agent_commands.serve_relayed,
         }
 
     async def run(self) -> None:
         """Serve until cancelled."""
-        s, seams = self.settings, self.shared.seams
-        async with anyio.create_task_group() as tg:
-            self.tasks = tg
+        settings, seams = self.settings, self.context.runtime
+        async with anyio.create_task_group() as task_group:
+            self.tasks = task_group
             cap = self.limiter.limits.accepted
             server = Server(
-                self.requests.handle, cap, net=seams.net, clock=seams.clock, limiter=self.limiter
+                self.http_routes.handle,
+                cap,
+                net=seams.network,
+                clock=seams.clock,
+                limiter=self.limiter,
             )
-            tg.start_soon(server.run, *s.bind)
-            tg.start_soon(self.links.listener.run, *s.peer_listen)
-            for link in self.links.links.values():
-                tg.start_soon(link.run)
+            task_group.start_soon(server.run, *settings.bind)
+            task_group.start_soon(self.peer_links.listener.run, *settings.peer_listen)
+            for link in self.peer_links.links.values():
+                task_group.start_soon(link.run)
             for loop in (
-                self.membership.lease_loop,
-                self.following.watch_loop,
-                self.following.prove_loop,
-                self.membership.shard_loop,
-                self.engine.loop,
-                self.renting.loop,
-                self.telling.loop,
-                self.writing.archive_loop,
-                self.state.loop,
-                self.cloud.loop,
-                self.workers.probe_loop,
+                self.shard_leases.lease_loop,
+                self.store_watch.watch_loop,
+                self.store_watch.fresh_read_loop,
+                self.shard_leases.shard_loop,
+                self.scheduling_loop.loop,
+                self.autoscaling_loop.loop,
+                self.status_report.loop,
+                self.store_writing.archive_loop,
+                self.store_service.loop,
+                self.cloud_service.loop,
+                self.agent_commands.probe_loop,
             ):
-                tg.start_soon(self._guarded, loop)
-            log.info("started", node=s.name, zone=s.zone, shards=len(s.nodes))
+                task_group.start_soon(self._run_restarting, loop)
+            log.info(
+                "started", node=settings.name, zone=settings.zone, shards=len(settings.controllers)
+            )
 
-    async def _guarded(self, loop: Callable[[], Awaitable[None]]) -> None:
+    async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
         """A fault in one loop must not end the others; it is logged and the loop begins again."""
         while True:
             try:
                 await loop()
-            except Exception as e:
+            except Exception as error:
                 log.error(
                     "loop failed",
                     loop=getattr(loop, "__qualname__", "?"),
-                    error=repr(e),
-                    at=where(e),
+                    error=repr(error),
+                    at=raised_at(error),
                 )
                 await anyio.sleep(0.5)
 
-    def _begin(self, held: Held) -> None:
+    def _start_shard_tasks(self, held: HeldShard) -> None:
         """A shard has just been taken: read its cells and images, then write."""
-        self.tasks.start_soon(self.writing.source, held)
-        self.tasks.start_soon(self.writing.images, held)
+        self.tasks.start_soon(self.store_writing.run_source, held)
+        self.tasks.start_soon(self.store_writing.run_image_index, held)
 
-    def _deposed(self, shard: int) -> None:
+    def _on_superseded(self, shard: int) -> None:
         """A write was refused because another controller holds the shard."""
-        self.roles.lose(shard, "write refused")
-        self.membership.shard_wake.set()
+        self.shard_roles.release(shard, "write refused")
+        self.shard_leases.wake.set()
 
-    def _direct(self, owner: Owner, m: Machine, body: dict[str, Any]) -> None:
-        self.tasks.start_soon(self.workers.send, owner, m, body)
+    def _send_direct_command(
+        self, owner: ShardOwner, machine: Machine, body: dict[str, Any]
+    ) -> None:
+        self.tasks.start_soon(self.agent_commands.send, owner, machine, body)
 
-    def _probe(self, name: str, addr: str) -> None:
-        self.tasks.start_soon(self.workers.probe, name, addr)
+    def _probe_agent(self, name: str, addr: str) -> None:
+        self.tasks.start_soon(self.agent_commands.probe, name, addr)
 
-    def _cancelled(self, named: list[Cancelled]) -> None:
+    def _on_cancellations(self, named: list[Cancellation]) -> None:
         """Another controller has named jobs that are cancelled: they are over here, too, before the store has been read."""
-        replica = self.shared.replica
-        new = [c for c in named if c.version > replica.rev and c.job not in replica.ended]
-        for c in new:
-            replica.put_own(JOB + c.job, end_record(WITHDRAWN, 0), c.version)
+        replica = self.context.store_cache
+        new = [
+            cancellation
+            for cancellation in named
+            if cancellation.revision > replica.revision
+            and cancellation.job_id not in replica.ended_jobs
+        ]
+        for cancellation in new:
+            replica.apply_own_write(
+                JOB_PREFIX + cancellation.job_id, end_record(CANCELLED, 0), cancellation.revision
+            )
         if new:
             log.info(
-                "cancelled jobs named by another controller", jobs=len(new), to=new[-1].version
+                "cancelled jobs named by another controller", jobs=len(new), to=new[-1].revision
             )
-            self.news()
+            self.on_store_changed()
 
-    def _up(self, name: str) -> bool:
-        return self.links.links[name].up
+    def _is_connected(self, name: str) -> bool:
+        return self.peer_links.links[name].connected
 
-    def _serve(self, by: str, q: Question) -> None:
-        self.tasks.start_soon(self.carrying.serve, by, q)
+    def _serve_relay(self, peer: str, request: RelayRequest) -> None:
+        self.tasks.start_soon(self.relay.serve, peer, request)
 
-    def _reach_view(self) -> dict[str, Any]:
+    def _connectivity_status(self) -> dict[str, Any]:
         """What people are told of this controller's links."""
-        through = {w.service: via for w in (self.state, self.cloud) if (via := w.way()) is not None}
-        calls = self.carrying.calls
+        through = {
+            service.service: via
+            for service in (self.store_service, self.cloud_service)
+            if (via := service.current_relay()) is not None
+        }
+        calls = self.relay.pending
         return {
             "through": through,
-            "away": len(self.workers.homing.away),
-            "carried": calls.carried,
-            "not_carried": calls.refused,
+            "away": len(self.agent_commands.failback.relayed_agents),
+            "carried": calls.relayed_count,
+            "not_carried": calls.refused_count,
         }
 
-    def _reached(self) -> dict[str, Any]:
+    def _connectivity_gossip(self) -> dict[str, Any]:
         """What this controller tells the others of its links."""
-        wires = (self.state, self.cloud)
-        through = {w.service: via for w in wires if (via := w.way()) is not None}
+        wires = (self.store_service, self.cloud_service)
+        through = {
+            service.service: via
+            for service in wires
+            if (via := service.current_relay()) is not None
+        }
         return {
-            "good": [w.service for w in wires if w.gauge.good],
+            "good": [service.service for service in wires if service.health.healthy],
             "through": through,
-            "cut": self.workers.cut(self.shared.clock()),
+            "cut": self.agent_commands.unreachable_shards(self.context.clock()),
         }
 
-    def _stood_still(self, s: float, now: float) -> None:
-        self.roles.stood_still(s, now)
-        self.renting.stood_still()
-        self.following.ask()
+    def _on_event_loop_stall(self, seconds: float, now: float) -> None:
+        self.shard_roles.on_event_loop_stall(seconds, now)
+        self.autoscaling_loop.on_event_loop_stall()
+        self.store_watch.request_read()
 
-    def news(self) -> None:
+    def on_store_changed(self) -> None:
         """The copy of the store has changed: hand on what is new."""
-        shared, now = self.shared, self.shared.clock()
-        ended, changed = shared.replica.ended, shared.replica.changed_jobs
-        self.membership.notice(now)
+        shared, now = self.context, self.context.clock()
+        ended, changed = shared.store_cache.ended_jobs, shared.store_cache.changed_jobs
+        self.shard_leases.update_peers(now)
         cancelled = 0
-        for j in changed:
-            if (e := ended.get(j)) is not None and e.how == WITHDRAWN:
-                self.cancellations.note(j, e.version)
-                log.debug("withdrawn", job=j)  # whoever wrote it may not know that it has landed
-                cancelled = max(cancelled, e.version)
-        if cancelled > shared.cancelled_rev:
-            shared.cancelled_rev = (
+        for job_id in changed:
+            if (ended_job := ended.get(job_id)) is not None and ended_job.outcome == CANCELLED:
+                self.cancellation_barrier.record_cancellation(job_id, ended_job.version)
+                log.debug(
+                    "withdrawn", job=job_id
+                )  # whoever wrote it may not know that it has landed
+                cancelled = max(cancelled, ended_job.version)
+        if cancelled > shared.cancelled_revision:
+            shared.cancelled_revision = (
                 cancelled  # the users' answers wait for everybody's word that it has been read
             )
-            self.links.poke(*self.links.links)
-        for jid in sorted(shared.replica.unreadable - self.named):
-            self.named.add(jid)
-            log.error("job's record can't be read", job=jid)
-        self.roles.changed(now)
-        self.routing.route()
-        self.membership.shard_wake.set()
-        shared.poke()
+            self.peer_links.notify(*self.peer_links.links)
+        for other_id in sorted(shared.store_cache.unreadable_jobs - self.logged_unreadable_jobs):
+            self.logged_unreadable_jobs.add(other_id)
+            log.error("job's record can't be read", job=other_id)
+        self.shard_roles.on_store_changed(now)
+        self.routing.update_routes()
+        self.shard_leases.wake.set()
+        shared.wake_scheduling()
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -7,192 +7,246 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.connectivity.relay_routes import Ways
-from ploverhall.controller.agent_commands import Workers
-from ploverhall.controller.context import Held, Shared
-from ploverhall.controller.peer_liveness import Hearing
-from ploverhall.controller.relay import Carrying, NotCarried
+from ploverhall.connectivity.relay_routes import RelayRoutes
+from ploverhall.controller.agent_commands import AgentCommands
+from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.peer_liveness import PeerLiveness
+from ploverhall.controller.relay import Relay, RelayRefusedError
 from ploverhall.controller.routing import Routing
-from ploverhall.controller.shard_leases import Membership
+from ploverhall.controller.shard_leases import ShardLeases
 from ploverhall.coordination import fencing_tokens
 from ploverhall.protocol import agents
-from ploverhall.protocol.agents import Report
-from ploverhall.protocol.relay_messages import REPORT, Question
+from ploverhall.protocol.agents import Heartbeat
+from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.transport.http import Reply, Unreachable
 from ploverhall.transport.http_parser import Request
 
-AFTER_S = 10.0  # answering for an earlier life is worth a word when it begins
-CARRY_S = 2.4  # a worker waits for 4 s, and has to hear within them that there is no answer
+RECOVERY_LOG_INTERVAL_S = 10.0  # answering for an earlier life is worth a word when it begins
+RELAY_TIMEOUT_S = 2.4  # a worker waits for 4 s, and has to hear within them that there is no answer
 
 
-class Reports:
+class HeartbeatRequests:
     """What workers report."""
 
     def __init__(
         self,
-        shared: Shared,
-        hearing: Hearing,
+        context: ControllerContext,
+        peer_liveness: PeerLiveness,
         routing: Routing,
-        membership: Membership,
-        ways: Ways,
-        carrying: Carrying,
-        links: Workers,
+        shard_leases: ShardLeases,
+        relay_routes: RelayRoutes,
+        relay: Relay,
+        agent_commands: AgentCommands,
     ) -> None:
-        self.shared, self.hearing, self.routing, self.membership = (
-            shared,
-            hearing,
+        self.context, self.peer_liveness, self.routing, self.shard_leases = (
+            context,
+            peer_liveness,
             routing,
-            membership,
+            shard_leases,
         )
-        self.ways, self.carrying, self.workers = ways, carrying, links
-        self.after_at = -1e9  # when a worker of this controller's earlier life was last answered
+        self.relay_routes, self.relay, self.agent_commands = relay_routes, relay, agent_commands
+        self.recovered_answer_at = (
+            -1e9
+        )  # when a worker of this controller's earlier life was last answered
 
-    async def report(self, q: Request) -> Reply:
+    async def receive(self, request: Request) -> Reply:
         """A worker's report."""
         try:
-            r = agents.decode(q.body)
-        except agents.Malformed as e:
-            return Reply(400, {"error": str(e)})
-        part = self.shared.layout.part(r.zone, r.machine)
-        held = self.shared.held.get(part)
+            heartbeat = agents.decode_heartbeat(request.body)
+        except agents.InvalidHeartbeatError as error:
+            return Reply(400, {"error": str(error)})
+        shard = self.context.shard_map.shard_of_machine(heartbeat.zone, heartbeat.machine)
+        held = self.context.held_shards.get(shard)
         if held is None:
-            return await self._elsewhere(q.body, r, part)
-        reply, m = self._answer(held, r)
-        if m is not None:
-            self.workers.reported(part, r.machine, self.shared.clock())
+            return await self._answer_not_held(request.body, heartbeat, shard)
+        reply, machine = self._answer_held(held, heartbeat)
+        if machine is not None:
+            self.agent_commands.heartbeat_received(shard, heartbeat.machine, self.context.clock())
 
             def sent() -> None:
-                m.last_answer = self.shared.clock()
+                machine.last_answer_at = self.context.clock()
 
             reply.sent = sent
         return reply
 
-    def _answer(self, held: Held, r: Report, carried: bool = False) -> tuple[Reply, Machine | None]:
+    def _answer_held(
+        self, held: HeldShard, heartbeat: Heartbeat, relayed: bool = False
+    ) -> tuple[Reply, Machine | None]:
         """What the owner of a worker's part answers; and the machine, if the worker is there to be answered by this one."""
-        now, me = self.shared.clock(), self.shared.settings.name
-        if self.membership.isolated(now):
+        now, own_name = self.context.clock(), self.context.settings.name
+        if self.shard_leases.isolated(now):
             return Reply(421, {}), None
-        if (other := self._sent_on(r, held, now)) is not None:
-            return Reply(421, agents.homing(other)), None
-        m = held.owner.on_report(r, now, carried=carried)
-        if m is None:
-            log.info("deposed", shard=held.shard, epoch=held.epoch, by=held.owner.deposed_by)
-            node = self.shared.replica.holder(held.shard)[0]
-            return Reply(421, agents.homing(node if node != me else None)), None
-        if m.copy:
-            return Reply(200, agents.answer(m.token, [])), None  # nobody waits for it
-        held.owner.right = self.membership.right(now)
-        calls = held.owner.commands(m, now)
+        if (other := self._isolation_redirect(heartbeat, held, now)) is not None:
+            return Reply(421, agents.redirect(other)), None
+        machine = held.owner.on_heartbeat(heartbeat, now, relayed=relayed)
+        if machine is None:
+            log.info("deposed", shard=held.shard, epoch=held.epoch, by=held.owner.superseded_by)
+            controller = self.context.store_cache.holder(held.shard)[0]
+            return Reply(421, agents.redirect(controller if controller != own_name else None)), None
+        if machine.stale_heartbeat:
+            return Reply(
+                200, agents.heartbeat_answer(machine.token, [])
+            ), None  # nobody waits for it
+        held.owner.renewal_grant = self.shard_leases.renewal_grant(now)
+        commands = held.owner.commands_for(machine, now)
         # what a worker's lease counts from is when it sent the report, which was before now, whichever way the answer takes
-        m.last_answer = now
-        if held.owner.dirty or held.owner.changed:
-            self.shared.poke()
-        return Reply(200, agents.answer(m.token, calls)), m
+        machine.last_answer_at = now
+        if held.owner.needs_step or held.owner.changed_attempts:
+            self.context.wake_scheduling()
+        return Reply(200, agents.heartbeat_answer(machine.token, commands)), machine
 
-    async def _elsewhere(self, body: bytes, r: Report, part: int) -> Reply:
+    async def _answer_not_held(self, body: bytes, heartbeat: Heartbeat, shard: int) -> Reply:
         """A worker of a part that another controller holds: it is sent there, or, if it comes from there, answered through here."""
-        me, now = self.shared.settings.name, self.shared.clock()
-        node = self.routing.holder(part)
-        if node in (None, me) and (answer := self._afterlife(r, part, now)) is not None:
-            other = self._sent_on(r, None, now)
-            return Reply(200, answer) if other is None else Reply(421, agents.homing(other))
-        holder, epoch = self.shared.replica.holder(part)
+        own_name, now = self.context.settings.name, self.context.clock()
+        controller = self.routing.holder(shard)
+        if (
+            controller in (None, own_name)
+            and (answer := self._recovered_answer(heartbeat, shard, now)) is not None
+        ):
+            other = self._isolation_redirect(heartbeat, None, now)
+            return Reply(200, answer) if other is None else Reply(421, agents.redirect(other))
+        holder, epoch = self.context.store_cache.holder(shard)
         served = (
-            fencing_tokens.epoch_of(r.token) == epoch
+            fencing_tokens.epoch_of(heartbeat.token) == epoch
         )  # it has left that holder: its answers did not come
         # or it has been sent there, by this controller or another, and could not reach it
-        late = 0 < fencing_tokens.epoch_of(r.token) < epoch and self.routing.settled(part, now)
-        back = late or self.membership.stranded.back(part, r.machine, now)
-        if node is not None and node != me and (served or back or self.ways.cut_off(node, part)):
-            reply = await self._through(body, r, part, node)
+        overdue = 0 < fencing_tokens.epoch_of(heartbeat.token) < epoch and self.routing.settled(
+            shard, now
+        )
+        returned = overdue or self.shard_leases.orphaned_machines.returned(
+            shard, heartbeat.machine, now
+        )
+        if (
+            controller is not None
+            and controller != own_name
+            and (
+                served or returned or self.relay_routes.reports_unreachable_shard(controller, shard)
+            )
+        ):
+            reply = await self._relay(body, heartbeat, shard, controller)
             if reply is not None:
                 return reply
-            now = self.shared.clock()
-        if holder is not None and holder != me and fencing_tokens.epoch_of(r.token) <= epoch:
-            self.membership.stranded.note(part, r.machine, served, now)
-            self.membership.shard_wake.set()
-            if self.hearing.quiet(holder, part, now):
+            now = self.context.clock()
+        if (
+            holder is not None
+            and holder != own_name
+            and fencing_tokens.epoch_of(heartbeat.token) <= epoch
+        ):
+            self.shard_leases.orphaned_machines.record(shard, heartbeat.machine, served, now)
+            self.shard_leases.wake.set()
+            if self.peer_liveness.holder_without_heartbeats(holder, shard, now):
                 return Reply(
                     421, {}
                 )  # sent back there it would hang; somebody takes the shard in a moment
-        return Reply(421, agents.homing(node if node != me else None))
+        return Reply(421, agents.redirect(controller if controller != own_name else None))
 
-    def _sent_on(self, r: Report, held: Held | None, now: float) -> str | None:
+    def _isolation_redirect(
+        self, heartbeat: Heartbeat, held: HeldShard | None, now: float
+    ) -> str | None:
         """To whom a worker is sent by a controller that has nobody but its workers (coordination.alone)."""
-        if self.membership.alone.since is None:
+        if self.shard_leases.isolated_redirects.isolated_since is None:
             return None
-        known = held.owner.machines.get(r.machine) if held is not None else None
-        answered = known.last_answer if known is not None else 0.0
-        return self.membership.alone.sends_to(r.machine, now - answered if r.listed else None, now)
+        known = held.owner.machines.get(heartbeat.machine) if held is not None else None
+        answered = known.last_answer_at if known is not None else 0.0
+        return self.shard_leases.isolated_redirects.redirect_target(
+            heartbeat.machine, now - answered if heartbeat.listed_tasks else None, now
+        )
 
-    def _afterlife(self, r: Report, part: int, now: float) -> dict[str, Any] | None:
+    def _recovered_answer(
+        self, heartbeat: Heartbeat, shard: int, now: float
+    ) -> dict[str, Any] | None:
         """What a worker is answered whose part this controller held in an earlier life, before it holds it again; None: nothing."""
-        replica = self.shared.replica
+        replica = self.context.store_cache
         # what another controller has named as cancelled is over before the store has been read, too
-        over = {
+        ended_jobs = {
             key[0]
-            for key in r.tasks()
-            if (key[0] in replica.ended or (replica.ready and key[0] not in replica.live))
+            for key in heartbeat.tasks()
+            if (key[0] in replica.ended_jobs or (replica.ready and key[0] not in replica.live_jobs))
         }
-        answer = self.membership.rights.answer(
-            r, self.shared.me, replica.holder(part)[1], over, self.shared.wall()
+        answer = self.shard_leases.renewal_grants.answer_heartbeat(
+            heartbeat,
+            self.context.controller_index,
+            replica.holder(shard)[1],
+            ended_jobs,
+            self.context.wall_clock(),
         )
-        if answer is not None and now - self.after_at > AFTER_S:
-            log.info("answers for its earlier life", shard=part, epoch=fencing_tokens.epoch_of(r.token))
-        self.after_at = now if answer is not None else self.after_at
+        if answer is not None and now - self.recovered_answer_at > RECOVERY_LOG_INTERVAL_S:
+            log.info(
+                "answers for its earlier life",
+                shard=shard,
+                epoch=fencing_tokens.epoch_of(heartbeat.token),
+            )
+        self.recovered_answer_at = now if answer is not None else self.recovered_answer_at
         return answer
 
-    async def _through(
+    async def _relay(
         self,
         body: bytes,
-        r: Report,
-        part: int,
-        node: str,
-        avoid: frozenset[str] = frozenset(),
+        heartbeat: Heartbeat,
+        shard: int,
+        controller: str,
+        avoided_relays: frozenset[str] = frozenset(),
         hops: int = 2,
     ) -> Reply | None:
         """Put a report through to the holder of its part, and answer what that one answers; None where there is no way."""
         via = (
-            self.ways.to_member(node, REPORT, self.shared.clock(), avoid, hops)
-            if self.shared.settings.options.carry
+            self.relay_routes.route_to_peer(
+                controller, HEARTBEAT, self.context.clock(), avoided_relays, hops
+            )
+            if self.context.settings.options.carry
             else None
         )
         if via is None:
             return None
         try:
-            status, raw = await self.carrying.ask(
-                via, REPORT, timeout=CARRY_S * hops / 2, to=node, body=body, hops=hops
+            status, raw = await self.relay.send(
+                via,
+                HEARTBEAT,
+                timeout=RELAY_TIMEOUT_S * hops / 2,
+                destination=controller,
+                body=body,
+                hops=hops,
             )
             answer = orjson.loads(raw)
-        except (NotCarried, Unreachable, orjson.JSONDecodeError):
+        except (RelayRefusedError, Unreachable, orjson.JSONDecodeError):
             return None
         if status not in (200, 421) or not isinstance(answer, dict):
             return None
         if (
             status == 200
-            and fencing_tokens.epoch_of(answer.get("crest", 0)) < self.shared.replica.holder(part)[1]
+            and fencing_tokens.epoch_of(answer.get("crest", 0))
+            < self.context.store_cache.holder(shard)[1]
         ):
             return None  # from a holder that has been deposed meanwhile: the worker would drop it, and stay while its lease runs out
         return Reply(status, answer)
 
-    async def carried(self, by: str, q: Question) -> tuple[int, bytes]:
+    async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
         """A member has a report of a worker that can't reach this controller, or one that only this one can pass on."""
         try:
-            r = agents.decode(q.body)
-        except agents.Malformed as e:
-            raise NotCarried(str(e)) from e
-        part = self.shared.layout.part(r.zone, r.machine)
-        held = self.shared.held.get(part)
+            heartbeat = agents.decode_heartbeat(request.body)
+        except agents.InvalidHeartbeatError as error:
+            raise RelayRefusedError(str(error)) from error
+        shard = self.context.shard_map.shard_of_machine(heartbeat.zone, heartbeat.machine)
+        held = self.context.held_shards.get(shard)
         if held is None:
-            if q.hops < 2 or q.to in ("", self.shared.settings.name):
-                raise NotCarried("not held here")
-            reply = await self._through(q.body, r, part, q.to, frozenset((by,)), q.hops - 1)
+            if request.hops < 2 or request.destination in ("", self.context.settings.name):
+                raise RelayRefusedError("not held here")
+            reply = await self._relay(
+                request.body,
+                heartbeat,
+                shard,
+                request.destination,
+                frozenset((peer,)),
+                request.hops - 1,
+            )
             if reply is None:
-                raise NotCarried("no way from here either")
+                raise RelayRefusedError("no way from here either")
             return reply.status, orjson.dumps(reply.body)
-        reply, m = self._answer(held, r, carried=True)
-        if m is not None and self.workers.homing.carried(r.machine, by, self.shared.clock()):
+        reply, machine = self._answer_held(held, heartbeat, relayed=True)
+        if machine is not None and self.agent_commands.failback.heartbeat_relayed(
+            heartbeat.machine, peer, self.context.clock()
+        ):
             # it has been listened to; but what it is to do it will be told by itself
-            return 421, orjson.dumps(agents.homing(self.shared.settings.name))
+            return 421, orjson.dumps(agents.redirect(self.context.settings.name))
         return reply.status, orjson.dumps(reply.body)
--- a/ploverhall/controller/http_routes.py
+++ b/ploverhall/controller/http_routes.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from ploverhall import log
-from ploverhall.controller.context import Shared
-from ploverhall.controller.heartbeat_requests import Reports
-from ploverhall.controller.job_requests import Users
-from ploverhall.controller.maintenance_requests import Upkeep
-from ploverhall.controller.peer_liveness import Hearing
-from ploverhall.controller.shard_leases import Membership
-from ploverhall.controller.status_report import Telling
-from ploverhall.coordination.job_answers import Known, NotNow
-from ploverhall.log import where
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.heartbeat_requests import HeartbeatRequests
+from ploverhall.controller.job_requests import JobRequests
+from ploverhall.controller.maintenance_requests import MaintenanceRequests
+from ploverhall.controller.peer_liveness import PeerLiveness
+from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.status_report import StatusReport
+from ploverhall.coordination.job_answers import JobStatus, Unavailable
+from ploverhall.log import raised_at
 from ploverhall.protocol import jobs
 from ploverhall.transport.http import Reply
 from ploverhall.transport.http_parser import Request
 
 REPORT_PATH = "/v1/report"
-STATE_S = 2.5  # the state service's last answer, by whichever way, is no older
+STORE_ANSWER_MAX_AGE_S = 2.5  # the state service's last answer, by whichever way, is no older
 
 
 def is_report(request: Request) -> bool:
@@ -25,83 +25,96 @@
     return request.path == REPORT_PATH
 
 
-class Requests:
+class HttpRoutes:
     """One controller's front door."""
 
     def __init__(
         self,
-        shared: Shared,
-        hearing: Hearing,
-        membership: Membership,
-        telling: Telling,
-        users: Users,
-        reports: Reports,
-        upkeep: Upkeep,
+        context: ControllerContext,
+        peer_liveness: PeerLiveness,
+        shard_leases: ShardLeases,
+        status_report: StatusReport,
+        job_requests: JobRequests,
+        heartbeat_requests: HeartbeatRequests,
+        maintenance_requests: MaintenanceRequests,
     ) -> None:
-        self.shared, self.hearing, self.membership, self.telling = (
-            shared,
-            hearing,
-            membership,
-            telling,
+        self.context, self.peer_liveness, self.shard_leases, self.status_report = (
+            context,
+            peer_liveness,
+            shard_leases,
+            status_report,
+        )
+        self.job_requests, self.heartbeat_requests, self.maintenance_requests = (
+            job_requests,
+            heartbeat_requests,
+            maintenance_requests,
         )
-        self.users, self.reports, self.upkeep = users, reports, upkeep
 
-    async def handle(self, q: Request) -> Reply:
+    async def handle(self, request: Request) -> Reply:
         """Route one request."""
         try:
-            if q.path == REPORT_PATH:
+            if request.path == REPORT_PATH:
                 return (
-                    await self.reports.report(q)
-                    if q.method == "POST"
+                    await self.heartbeat_requests.receive(request)
+                    if request.method == "POST"
                     else Reply(405, {"error": "method"})
                 )
-            if q.path == "/healthz":
+            if request.path == "/healthz":
                 return Reply(200, {"ok": True}) if self.healthy() else Reply(503, {"ok": False})
-            if q.path == "/api/jobs":
+            if request.path == "/api/jobs":
                 return (
-                    await self.users.submit(q.body)
-                    if q.method == "POST"
+                    await self.job_requests.submit(request.body)
+                    if request.method == "POST"
                     else Reply(405, {"error": "method"})
                 )
-            if q.path.startswith("/api/jobs/"):
-                jid, _, verb = q.path[len("/api/jobs/") :].partition("/")
-                if q.method == "GET" and not verb:
-                    return await self.users.poll(jid)
-                if q.method == "POST" and verb == "withdraw":
-                    return await self.users.withdraw(jid)
-            if q.path == "/status" and q.method == "GET":
+            if request.path.startswith("/api/jobs/"):
+                job_id, _, verb = request.path[len("/api/jobs/") :].partition("/")
+                if request.method == "GET" and not verb:
+                    return await self.job_requests.poll(job_id)
+                if request.method == "POST" and verb == "withdraw":
+                    return await self.job_requests.cancel(job_id)
+            if request.path == "/status" and request.method == "GET":
                 return await self._status(
-                    {k: v for k, v in q.query.items() if k in ("job", "team", "machine") and v}
+                    {
+                        key: value
+                        for key, value in request.query.items()
+                        if key in ("job", "team", "machine") and value
+                    }
                 )
-            if q.path == "/upkeep" or q.path.startswith("/upkeep/"):
-                return await self.upkeep.handle(q)
+            if request.path == "/upkeep" or request.path.startswith("/upkeep/"):
+                return await self.maintenance_requests.handle(request)
             return Reply(404, {"error": "no such path"})
-        except Exception as e:
-            log.error("request failed", path=q.path, error=repr(e), at=where(e))
+        except Exception as error:
+            log.error("request failed", path=request.path, error=repr(error), at=raised_at(error))
             return Reply(503, {"error": "internal"}, 1.0)
 
     def healthy(self) -> bool:
         """Ready, not the only one that the state service refuses, and not alone with its workers."""
-        now = self.shared.clock()
+        now = self.context.clock()
         if (
-            not self.shared.replica.ready
-            or self.shared.types is None
-            or self.membership.alone.since is not None
+            not self.context.store_cache.ready
+            or self.context.machine_types is None
+            or self.shard_leases.isolated_redirects.isolated_since is not None
         ):
             return False
-        return now - self.shared.store.last_ok < STATE_S or not self.hearing.others_reach_state(now)
+        return (
+            now - self.context.store.last_answer_at < STORE_ANSWER_MAX_AGE_S
+            or not self.peer_liveness.peers_reach_store(now)
+        )
 
-    async def _status(self, chosen: dict[str, str]) -> Reply:
+    async def _status(self, selection: dict[str, str]) -> Reply:
         """What controllers see, for people; of one job also what its user is told now, or why nothing."""
-        out = await self.telling.answer(chosen)
-        told = (
-            await self.users.known(chosen["job"]) if jobs.ID.match(chosen.get("job", "")) else None
+        out = await self.status_report.answer(selection)
+        answer = (
+            await self.job_requests.answer_for(selection["job"])
+            if jobs.JOB_ID_PATTERN.match(selection.get("job", ""))
+            else None
         )
         return Reply(
             200,
             {
                 **out,
-                "told": told.view if isinstance(told, Known) else None,
-                "untold": told.why if isinstance(told, NotNow) else None,
+                "told": answer.body if isinstance(answer, JobStatus) else None,
+                "untold": answer.reason if isinstance(answer, Unavailable) else None,
             },
         )
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -9,85 +9,102 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.controller.context import Shared
-from ploverhall.controller.store_watch import Following
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.job_answers import (
-    UNPROVED,
-    UNTOLD,
-    Answer,
-    Answers,
-    InArchive,
-    Known,
-    NeverAccepted,
-    NotNow,
+    STATE_UNKNOWN,
+    CANCELLATION_NOT_ACKNOWLEDGED,
+    JobAnswer,
+    JobAnswers,
+    ArchiveLookupNeeded,
+    JobStatus,
+    UnknownJob,
+    Unavailable,
 )
 from ploverhall.protocol import jobs
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.key_value_store import Refused, Unknown
+from ploverhall.protocol.key_value_store import RequestRefusedError, OutcomeUnknownError
 from ploverhall.scheduling.inventory import fits
-from ploverhall.storage.store_cache import ARCHIVE, JOB, end_record
+from ploverhall.storage.store_cache import ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.transport.http import Reply
 
-AGAIN_S = (
+WRITE_RETRY_S = (
     1.5  # a change whose outcome is not known so soon is written again: its user waits for 5 s
 )
-SETTLE_S = 1.0  # how long a cancellation's answer waits for the other controllers' word before its user is sent away
-PUT_OFF_S, MOST_PUT_OFF = 20.0, 1000  # a question is sent away for so long at most
-WAIT_S, GUEST_WAIT_S = (
+ACK_WAIT_S = 1.0  # how long a cancellation's answer waits for the other controllers' word before its user is sent away
+MAX_LOOKUP_DELAY_S, MAX_DELAYED_LOOKUPS = 20.0, 1000  # a question is sent away for so long at most
+MAX_SUBMISSION_WAIT_S, MAX_UNGUARANTEED_WAIT_S = (
     1.5,
     0.5,
 )  # a submission that would wait for longer is refused at once, and told when to come back
 
 
-def _reply(answer: Answer) -> Reply:
+def _reply(answer: JobAnswer) -> Reply:
     """An answer as it goes out."""
-    if isinstance(answer, Known):
-        return Reply(200, answer.view)
+    if isinstance(answer, JobStatus):
+        return Reply(200, answer.body)
     return (
-        Reply(503, {"error": answer.why}, 1.0)
-        if isinstance(answer, NotNow)
+        Reply(503, {"error": answer.reason}, 1.0)
+        if isinstance(answer, Unavailable)
         else Reply(404, {"error": "no such job"})
     )
 
 
-def _refused(status: int, why: str, **known: str) -> Reply:
+def _rejected(status: int, reason: str, **known: str) -> Reply:
     """A submission that is not retried. Nothing of what was sent is shown or told, but an id that is well formed."""
-    log.info("refused", status=status, **known, why=why)
-    return Reply(status, {"error": why})
+    log.info("refused", status=status, **known, why=reason)
+    return Reply(status, {"error": reason})
 
 
-class Users:
+class JobRequests:
     """What users ask."""
 
     def __init__(
-        self, shared: Shared, following: Following, answers: Answers, news: Callable[[], None]
+        self,
+        context: ControllerContext,
+        store_watch: StoreWatch,
+        answers: JobAnswers,
+        on_store_changed: Callable[[], None],
     ) -> None:
-        self.shared, self.following, self.answers, self.news = shared, following, answers, news
-        self.put_off: dict[
+        self.context, self.store_watch, self.answers, self.on_store_changed = (
+            context,
+            store_watch,
+            answers,
+            on_store_changed,
+        )
+        self.delayed_lookups: dict[
             str, float
         ] = {}  # old or unknown jobs that were not looked up, and since when
-        self.storing = 0  # submissions that wait to be written
+        self.pending_submissions = 0  # submissions that wait to be written
 
-    def why_never(self, job: Job) -> str | None:
+    def rejection_reason(self, job: Job) -> str | None:
         """Why a job can never run; None if it can."""
-        team = self.shared.teams.get(job.team)
+        team = self.context.teams.get(job.team)
         if team is None:
             return "unknown team"
-        types = self.shared.types or {}
+        types = self.context.machine_types or {}
         allowed = [
-            t
-            for t in types.values()
-            if fits(job.vec, t.vec) and (job.types is None or t.name in job.types)
+            machine_type
+            for machine_type in types.values()
+            if fits(job.resources, machine_type.resources)
+            and (job.machine_types is None or machine_type.name in job.machine_types)
         ]
-        zones = {z for t in allowed for z in t.zones if job.zone in (None, z)}
+        zones = {
+            zone
+            for machine_type in allowed
+            for zone in machine_type.zones
+            if job.zone in (None, zone)
+        }
         if not zones:
             return "no machine type fits a task"
-        if job.kind == "gang" and job.n > job.zone_cap * (1 if job.one_zone else len(zones)):
+        if job.kind == "gang" and job.task_count > job.max_tasks_per_zone * (
+            1 if job.single_zone else len(zones)
+        ):
             # of an array the others run after these, of a service half the replicas do
             return "no machine type fits a task in a zone that the gang's other tasks leave to it"
-        n = 1 if job.kind == "array" else job.n
-        if (team.cpus_max > 0 and n * job.cpus > team.cpus_max + 1e-6) or (
-            team.gpus_max > 0 and n * job.gpus > team.gpus_max + 1e-6
+        count = 1 if job.kind == "array" else job.task_count
+        if (team.max_cpus > 0 and count * job.cpus > team.max_cpus + 1e-6) or (
+            team.max_gpus > 0 and count * job.gpus > team.max_gpus + 1e-6
         ):
             return "more than the team's limit"
         return None
@@ -95,119 +112,130 @@
     async def submit(self, body: bytes) -> Reply:
         """POST /api/jobs."""
         try:
-            job = jobs.parse(orjson.loads(body), self.shared.wall())
-        except (orjson.JSONDecodeError, jobs.Malformed) as e:
-            return _refused(400, str(e))
+            job = jobs.parse_submission(orjson.loads(body), self.context.wall_clock())
+        except (orjson.JSONDecodeError, jobs.InvalidJobError) as error:
+            return _rejected(400, str(error))
         if (end := self.answers.final(job.id)) is not None:
             return _reply(end)
-        if not self.shared.replica.ready or self.shared.types is None:
+        if not self.context.store_cache.ready or self.context.machine_types is None:
             return Reply(503, {"error": "not ready"}, 1.0)
         if self.answers.is_live(job.id):
-            return _reply(await self.known(job.id))
-        if (why := self.why_never(job)) is not None:
+            return _reply(await self.answer_for(job.id))
+        if (reason := self.rejection_reason(job)) is not None:
             # what was accepted once stays accepted, whatever the cloud sells by now
-            known = await self.known(job.id)
+            known = await self.answer_for(job.id)
             return (
-                _refused(422, why, job=job.id)
-                if isinstance(known, NeverAccepted)
+                _rejected(422, reason, job=job.id)
+                if isinstance(known, UnknownJob)
                 else _reply(known)
             )
         record = job.record()
-        if len(orjson.dumps(record)) > self.shared.settings.value_bytes - 64:
-            return _refused(400, "description too long to be kept", job=job.id)
-        writes, team = self.shared.store.writes, self.shared.teams[job.team]
-        guest = team.cpus <= 0 and team.gpus <= 0
-        wait = writes.wait(1) + self.storing / writes.rate
-        if wait > (GUEST_WAIT_S if guest else WAIT_S):
+        if len(orjson.dumps(record)) > self.context.settings.max_value_bytes - 64:
+            return _rejected(400, "description too long to be kept", job=job.id)
+        writes, team = self.context.store.writes, self.context.teams[job.team]
+        unguaranteed = team.guaranteed_cpus <= 0 and team.guaranteed_gpus <= 0
+        wait = writes.delay(1) + self.pending_submissions / writes.rate
+        if wait > (MAX_UNGUARANTEED_WAIT_S if unguaranteed else MAX_SUBMISSION_WAIT_S):
             return Reply(429, {"error": "busy"}, wait + 1)
-        self.storing += 1
+        self.pending_submissions += 1
         try:
-            rev, failed = await self._write(
-                {JOB + job.id: 0, ARCHIVE + job.id: 0}, JOB + job.id, record
+            revision, failed = await self._write(
+                {JOB_PREFIX + job.id: 0, ARCHIVE_PREFIX + job.id: 0}, JOB_PREFIX + job.id, record
             )
-        except (Refused, Unknown):
+        except (RequestRefusedError, OutcomeUnknownError):
             return Reply(503, {"error": "not stored"}, 1.0)
         finally:
-            self.storing -= 1
+            self.pending_submissions -= 1
         if failed:
-            known = await self.known(job.id)
-            return _reply(UNPROVED if isinstance(known, NeverAccepted) else known)
-        log.info("accepted", job=job.id, team=job.team, kind=job.kind, tasks=job.n, klass=job.klass)
-        self.shared.replica.put_own(JOB + job.id, record, rev)
-        self.news()
-        return Reply(201, self.answers.accepted(job.id).view)
-
-    async def _write(self, guards: dict[str, int], key: str, record: Any) -> tuple[int, list[str]]:
+            known = await self.answer_for(job.id)
+            return _reply(STATE_UNKNOWN if isinstance(known, UnknownJob) else known)
+        log.info(
+            "accepted",
+            job=job.id,
+            team=job.team,
+            kind=job.kind,
+            tasks=job.task_count,
+            klass=job.job_class,
+        )
+        self.context.store_cache.apply_own_write(JOB_PREFIX + job.id, record, revision)
+        self.on_store_changed()
+        return Reply(201, self.answers.accepted(job.id).body)
+
+    async def _write(self, compare: dict[str, int], key: str, record: Any) -> tuple[int, list[str]]:
         """One guarded change. Of unknown outcome it is written again, once: if it landed after all, its guard fails now.
 
         A link that is cut takes the request that finds it out with it; its user would come again after a second at the soonest.
         """
-        begun = self.shared.clock()
+        started_at = self.context.clock()
         try:
-            return await self.shared.store.txn(guards, {key: record}, [])
-        except Unknown:
-            if self.shared.clock() - begun > AGAIN_S:
+            return await self.context.store.compare_and_swap(compare, {key: record}, [])
+        except OutcomeUnknownError:
+            if self.context.clock() - started_at > WRITE_RETRY_S:
                 raise
-            return await self.shared.store.txn(guards, {key: record}, [])
+            return await self.context.store.compare_and_swap(compare, {key: record}, [])
 
-    async def poll(self, jid: str) -> Reply:
+    async def poll(self, job_id: str) -> Reply:
         """GET /api/jobs/{id}."""
-        if not jobs.ID.match(jid):
+        if not jobs.JOB_ID_PATTERN.match(job_id):
             return _reply(
-                NeverAccepted()
+                UnknownJob()
             )  # nobody can have submitted it; and it goes into no request of ours
-        return _reply(await self.known(jid))
+        return _reply(await self.answer_for(job_id))
 
-    async def known(self, jid: str) -> Answer:
+    async def answer_for(self, job_id: str) -> JobAnswer:
         """What may be told of a job, proved where it has to be."""
-        asked = self.shared.clock()
-        answer = self.answers.final(jid) or self.answers.proved(
-            jid, asked, await self.following.proof()
+        asked_at = self.context.clock()
+        answer = self.answers.final(job_id) or self.answers.verified(
+            job_id, asked_at, await self.store_watch.fresh_read()
         )
-        if answer is UNTOLD:
-            self.following.ask()  # it may be the copy that is behind
-        if not isinstance(answer, InArchive):
+        if answer is CANCELLATION_NOT_ACKNOWLEDGED:
+            self.store_watch.request_read()  # it may be the copy that is behind
+        if not isinstance(answer, ArchiveLookupNeeded):
             return answer
-        if self.shared.store.requests.wait(self.shared.store.requests.rate / 2) > 0:
+        if self.context.store.requests.delay(self.context.store.requests.rate / 2) > 0:
             # who asks for old or unknown jobs does not delay a lease or a permit; but nobody is sent away for ever
-            now = self.shared.clock()
-            if now - self.put_off.setdefault(jid, now) < PUT_OFF_S:
-                while len(self.put_off) > MOST_PUT_OFF:
-                    del self.put_off[next(iter(self.put_off))]
-                return NotNow("busy")
-        self.put_off.pop(jid, None)
+            now = self.context.clock()
+            if now - self.delayed_lookups.setdefault(job_id, now) < MAX_LOOKUP_DELAY_S:
+                while len(self.delayed_lookups) > MAX_DELAYED_LOOKUPS:
+                    del self.delayed_lookups[next(iter(self.delayed_lookups))]
+                return Unavailable("busy")
+        self.delayed_lookups.pop(job_id, None)
         try:
-            return self.answers.archived(jid, *await self.shared.store.get(ARCHIVE + jid))
-        except (Refused, Unknown):
-            return UNPROVED
+            return self.answers.archived(
+                job_id, *await self.context.store.get(ARCHIVE_PREFIX + job_id)
+            )
+        except (RequestRefusedError, OutcomeUnknownError):
+            return STATE_UNKNOWN
 
-    async def _settled(self, jid: str) -> Reply:
+    async def _final_answer(self, job_id: str) -> Reply:
         """How a job ended, waiting a moment for the other controllers' word."""
-        with anyio.move_on_after(SETTLE_S):
-            while self.answers.final(jid) is UNTOLD:
-                self.following.ask()
+        with anyio.move_on_after(ACK_WAIT_S):
+            while self.answers.final(job_id) is CANCELLATION_NOT_ACKNOWLEDGED:
+                self.store_watch.request_read()
                 await anyio.sleep(0.03)
-        return _reply(await self.known(jid))
+        return _reply(await self.answer_for(job_id))
 
-    async def withdraw(self, jid: str) -> Reply:
+    async def cancel(self, job_id: str) -> Reply:
         """POST /api/jobs/{id}/withdraw."""
-        if not jobs.ID.match(jid):
-            return _reply(NeverAccepted())
+        if not jobs.JOB_ID_PATTERN.match(job_id):
+            return _reply(UnknownJob())
         for _ in range(3):
-            if self.answers.final(jid) is not None:
-                return await self._settled(jid)
-            if (version := self.answers.live_at(jid)) is not None:
-                record = end_record(jobs.WITHDRAWN, 0)
+            if self.answers.final(job_id) is not None:
+                return await self._final_answer(job_id)
+            if (version := self.answers.live_version(job_id)) is not None:
+                record = end_record(jobs.CANCELLED, 0)
                 try:
-                    rev, failed = await self._write({JOB + jid: version}, JOB + jid, record)
-                except (Refused, Unknown):
+                    revision, failed = await self._write(
+                        {JOB_PREFIX + job_id: version}, JOB_PREFIX + job_id, record
+                    )
+                except (RequestRefusedError, OutcomeUnknownError):
                     return Reply(503, {"error": "not stored"}, 1.0)
                 if not failed:
-                    log.info("withdrawn", job=jid)
-                    self.shared.replica.put_own(JOB + jid, record, rev)
-                    self.news()
-                    return await self._settled(jid)
-            answer = await self.known(jid)
-            if not isinstance(answer, Known) or answer.over:
+                    log.info("withdrawn", job=job_id)
+                    self.context.store_cache.apply_own_write(JOB_PREFIX + job_id, record, revision)
+                    self.on_store_changed()
+                    return await self._final_answer(job_id)
+            answer = await self.answer_for(job_id)
+            if not isinstance(answer, JobStatus) or answer.final:
                 return _reply(answer)
-        return _reply(UNPROVED)
+        return _reply(STATE_UNKNOWN)
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -9,162 +9,219 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.controller.context import Shared
-from ploverhall.controller.status_report import Telling
-from ploverhall.controller.store_watch import Following
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.status_report import StatusReport
+from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.maintenance import orders
-from ploverhall.maintenance.disruption_budget import Rules
-from ploverhall.maintenance.orders import ORDER, VERBS, Malformed, Order
-from ploverhall.protocol.key_value_store import Refused, Unknown
-from ploverhall.storage.store_cache import NODE
+from ploverhall.maintenance.disruption_budget import DisruptionBudgets
+from ploverhall.maintenance.orders import (
+    ORDER_PREFIX,
+    STATE_BY_VERB,
+    InvalidOrderError,
+    MaintenanceOrder,
+)
+from ploverhall.protocol.key_value_store import RequestRefusedError, OutcomeUnknownError
+from ploverhall.storage.store_cache import CONTROLLER_PREFIX
 from ploverhall.transport.http import Reply
 from ploverhall.transport.http_parser import Request
 
 
-class Upkeep:
+class MaintenanceRequests:
     """What an operator asks."""
 
     def __init__(
-        self, shared: Shared, following: Following, telling: Telling, news: Callable[[], None]
+        self,
+        context: ControllerContext,
+        store_watch: StoreWatch,
+        status_report: StatusReport,
+        on_store_changed: Callable[[], None],
     ) -> None:
-        self.shared, self.following, self.telling, self.news = shared, following, telling, news
-        self.rules = Rules(shared.settings.options.budget)
+        self.context, self.store_watch, self.status_report, self.on_store_changed = (
+            context,
+            store_watch,
+            status_report,
+            on_store_changed,
+        )
+        self.budgets = DisruptionBudgets(context.settings.options.budget)
 
-    async def handle(self, q: Request) -> Reply:
+    async def handle(self, request: Request) -> Reply:
         """GET /upkeep; POST /upkeep (an order), /upkeep/try (what it would be about), /upkeep/ID/pause, resume, stop."""
-        path = [p for p in q.path.split("/") if p][1:]
-        if q.method == "GET" and not path:
-            return await self._show()
-        if q.method != "POST" or len(path) > 2:
+        path = [part for part in request.path.split("/") if part][1:]
+        if request.method == "GET" and not path:
+            return await self._list()
+        if request.method != "POST" or len(path) > 2:
             return Reply(405, {"error": "method"})
         try:
             if not path or path == ["try"]:
                 try:
-                    body = orjson.loads(q.body)
-                except orjson.JSONDecodeError as e:
-                    raise Malformed("not JSON") from e
+                    body = orjson.loads(request.body)
+                except orjson.JSONDecodeError as error:
+                    raise InvalidOrderError("not JSON") from error
                 if not isinstance(body, dict):
-                    raise Malformed("not an object")
-                return await (self._try(body) if path else self._place(body))
+                    raise InvalidOrderError("not an object")
+                return await (self._preview(body) if path else self._create(body))
             return await self._change(path[0], path[1] if len(path) > 1 else "")
-        except Malformed as e:
-            return Reply(400, {"error": str(e)})
-        except (Refused, Unknown):
+        except InvalidOrderError as error:
+            return Reply(400, {"error": str(error)})
+        except (RequestRefusedError, OutcomeUnknownError):
             return Reply(
                 503, {"error": "not stored: ask again, the same order is placed once"}, 1.0
             )
 
-    def _known(self) -> list[Order]:
-        return orders.all_of(self.shared.replica.keys)
+    def _all_orders(self) -> list[MaintenanceOrder]:
+        return orders.orders_in(self.context.store_cache.entries)
 
-    async def _place(self, body: dict[str, Any]) -> Reply:
+    async def _create(self, body: dict[str, Any]) -> Reply:
         order = replace(
-            orders.parse(body.get("id"), {k: v for k, v in body.items() if k != "state"}),
-            at=self.shared.wall(),
+            orders.parse_order(
+                body.get("id"),
+                {entry_key: value for entry_key, value in body.items() if entry_key != "state"},
+            ),
+            created_at=self.context.wall_clock(),
         )
-        if not self.shared.replica.ready or not await self.following.current():
+        if not self.context.store_cache.ready or not await self.store_watch.is_current():
             return Reply(503, {"error": "state unknown"}, 1.0)
-        known = next((o for o in self._known() if o.id == order.id), None)
+        known = next(
+            (
+                maintenance_order
+                for maintenance_order in self._all_orders()
+                if maintenance_order.id == order.id
+            ),
+            None,
+        )
         if known is not None:
-            same = replace(known, at=0.0, state=order.state, version=0) == replace(order, at=0.0)
+            same = replace(known, created_at=0.0, state=order.state, version=0) == replace(
+                order, created_at=0.0
+            )
             return (
                 Reply(200, {"id": known.id, **known.record()})
                 if same
                 else Reply(409, {"error": "another order has this id"})
             )
-        if older := self._older():
+        if older := self._controllers_without_support():
             return Reply(
                 409,
                 {"error": f"{', '.join(older)} can't carry out orders: a release before this one"},
             )
-        if sum(1 for o in self._known() if not o.over) >= orders.MOST:
-            return Reply(429, {"error": f"{orders.MOST} orders are not over"}, 30.0)
-        if len(orjson.dumps(order.record())) > self.shared.settings.value_bytes - 64:
+        if (
+            sum(1 for maintenance_order in self._all_orders() if not maintenance_order.finished)
+            >= orders.MAX_ACTIVE_ORDERS
+        ):
+            return Reply(429, {"error": f"{orders.MAX_ACTIVE_ORDERS} orders are not over"}, 30.0)
+        if len(orjson.dumps(order.record())) > self.context.settings.max_value_bytes - 64:
             return Reply(400, {"error": "too long to be kept: fewer machines in one order"})
-        key = ORDER + order.id
-        rev, failed = await self.shared.store.txn({key: 0}, {key: order.record()}, [])
+        key = ORDER_PREFIX + order.id
+        revision, failed = await self.context.store.compare_and_swap(
+            {key: 0}, {key: order.record()}, []
+        )
         if failed:
             return Reply(503, {"error": "state unknown"}, 1.0)
         log.info(
             "order placed",
             order=order.id,
-            **{k: v for k, v in order.record().items() if v not in (None, "")},
+            **{
+                entry_key: value
+                for entry_key, value in order.record().items()
+                if value not in (None, "")
+            },
         )
-        self.shared.replica.put_own(key, order.record(), rev)
-        self.news()
+        self.context.store_cache.apply_own_write(key, order.record(), revision)
+        self.on_store_changed()
         return Reply(201, {"id": order.id, **order.record()})
 
-    def _older(self) -> list[str]:
+    def _controllers_without_support(self) -> list[str]:
         """Members that don't know orders: their owners and sources would not keep to the budgets."""
         out = []
-        for name in self.shared.layout.nodes:
-            value, _ = self.shared.replica.keys.get(NODE + name, (None, 0))
+        for name in self.context.shard_map.controllers:
+            value, _ = self.context.store_cache.entries.get(CONTROLLER_PREFIX + name, (None, 0))
             can = value.get("can") if isinstance(value, dict) else None
-            if value is not None and not (isinstance(can, list) and orders.CAN in can):
+            if value is not None and not (
+                isinstance(can, list) and orders.FEATURE_MAINTENANCE in can
+            ):
                 out.append(name)
         return out
 
-    async def _change(self, jid: str, verb: str) -> Reply:
-        if verb not in VERBS:
+    async def _change(self, order_id: str, verb: str) -> Reply:
+        if verb not in STATE_BY_VERB:
             return Reply(404, {"error": "pause, resume or stop"})
-        if not await self.following.current():
+        if not await self.store_watch.is_current():
             return Reply(503, {"error": "state unknown"}, 1.0)
-        order = next((o for o in self._known() if o.id == jid), None)
+        order = next(
+            (
+                maintenance_order
+                for maintenance_order in self._all_orders()
+                if maintenance_order.id == order_id
+            ),
+            None,
+        )
         if order is None:
             return Reply(404, {"error": "no such order"})
-        if order.over:
-            same = order.state == VERBS[verb]
+        if order.finished:
+            same = order.state == STATE_BY_VERB[verb]
             return (
-                Reply(200, {"id": jid, **order.record()})
+                Reply(200, {"id": order_id, **order.record()})
                 if same
                 else Reply(409, {"error": f"it is {order.state}"})
             )
         # written where nothing changes, too: a change asked for before, of unknown outcome, could land after this answer
         changed = replace(
-            order, state=VERBS[verb], at=self.shared.wall() if verb == "stop" else order.at
+            order,
+            state=STATE_BY_VERB[verb],
+            created_at=self.context.wall_clock() if verb == "stop" else order.created_at,
+        )
+        key = ORDER_PREFIX + order_id
+        revision, failed = await self.context.store.compare_and_swap(
+            {key: order.version}, {key: changed.record()}, []
         )
-        key = ORDER + jid
-        rev, failed = await self.shared.store.txn({key: order.version}, {key: changed.record()}, [])
         if failed:
             return Reply(503, {"error": "it has just been changed"}, 1.0)
-        log.info("order changed", order=jid, state=changed.state)
-        self.shared.replica.put_own(key, changed.record(), rev)
-        self.news()
-        return Reply(200, {"id": jid, **changed.record()})
+        log.info("order changed", order=order_id, state=changed.state)
+        self.context.store_cache.apply_own_write(key, changed.record(), revision)
+        self.on_store_changed()
+        return Reply(200, {"id": order_id, **changed.record()})
 
-    async def _views(self, chosen: dict[str, str]) -> dict[str, Any]:
-        answer = await self.telling.answer(chosen)
+    async def _controller_reports(self, selection: dict[str, str]) -> dict[str, Any]:
+        answer = await self.status_report.answer(selection)
         return {name: c["view"] for name, c in answer["controllers"].items() if c["view"]}
 
-    async def _show(self) -> Reply:
-        views = await self._views({})
+    async def _list(self) -> Reply:
+        views = await self._controller_reports({})
         how_far: dict[str, Any] = {}
         asked: dict[str, int] = {}
-        for v in views.values():
-            how_far.update(v.get("orders") or {})
-            for why, n in (v.get("asked") or {}).items():
+        for value in views.values():
+            how_far.update(value.get("orders") or {})
+            for why, n in (value.get("asked") or {}).items():
                 asked[why] = asked.get(why, 0) + n
-        shown = [{"id": o.id, **o.record(), **how_far.get(o.id, {})} for o in self._known()]
+        shown = [
+            {"id": order.id, **order.record(), **how_far.get(order.id, {})}
+            for order in self._all_orders()
+        ]
         return Reply(200, {"orders": shown, "stops_that_wait": asked})
 
-    async def _try(self, body: dict[str, Any]) -> Reply:
+    async def _preview(self, body: dict[str, Any]) -> Reply:
         """What would be emptied and stopped, and at least how long that takes by the budgets."""
-        order = orders.parse("u-0", {k: v for k, v in body.items() if k not in ("id", "state")})
-        views = await self._views({"would": orjson.dumps(order.record()).decode()})
+        order = orders.parse_order(
+            "u-0", {key: value for key, value in body.items() if key not in ("id", "state")}
+        )
+        views = await self._controller_reports({"would": orjson.dumps(order.record()).decode()})
         machines, teams = 0, dict[str, dict[str, int]]()
-        for v in views.values():
-            would = v.get("would") or {}
+        for value in views.values():
+            would = value.get("would") or {}
             machines += would.get("machines", 0)
             for team, kinds in (would.get("teams") or {}).items():
                 mine = teams.setdefault(team, {})
                 for kind, n in kinds.items():
                     mine[kind] = mine.get(kind, 0) + n
-        rounds = -(-machines // order.at_once)
+        rounds = -(-machines // order.max_concurrent)
         for team, kinds in teams.items():
             rounds = max(
-                rounds, -(-kinds.get("service", 0) // max(1, self.rules.of(team, "", "").team_down))
+                rounds,
+                -(
+                    -kinds.get("service", 0)
+                    // max(1, self.budgets.for_job(team, "", "").team_max_unavailable)
+                ),
             )
-        unheard = sorted(set(self.shared.layout.nodes) - views.keys())
+        unheard = sorted(set(self.context.shard_map.controllers) - views.keys())
         return Reply(
             200,
             {"machines": machines, "teams": teams, "rounds_at_least": rounds, "not_asked": unheard},
--- a/ploverhall/controller/outbound.py
+++ b/ploverhall/controller/outbound.py
@@ -11,206 +11,210 @@
 import orjson
 
 from ploverhall import log
-from ploverhall.connectivity.link_health import Gauge
-from ploverhall.controller.context import Shared
-from ploverhall.controller.relay import Carrying, NotCarried
-from ploverhall.protocol.key_value_store import Budget
-from ploverhall.protocol.relay_messages import Question
+from ploverhall.connectivity.link_health import LinkHealth
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.relay import Relay, RelayRefusedError
+from ploverhall.protocol.key_value_store import RateLimiter
+from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.transport.http import Client, Unreachable
 
-TICK_S = 0.1
-LATE_S = 0.5  # a tick so late: this process stood still, and nobody else was silent for that time
-PROBE_S = 0.5
-HOLD_S = 1.0  # a watch is held for so long at most where another carries it
-LEAST_S = 0.8  # a request that was given up here has at least so long through another
+CHECK_INTERVAL_S = 0.1
+STALL_S = 0.5  # a tick so late: this process stood still, and nobody else was silent for that time
+PROBE_INTERVAL_S = 0.5
+MAX_RELAYED_HOLD_S = 1.0  # a watch is held for so long at most where another carries it
+MIN_RELAY_TIMEOUT_S = 0.8  # a request that was given up here has at least so long through another
 
 
-class Wire:
+class OutsideService:
     """One outside service."""
 
     def __init__(
         self,
-        shared: Shared,
-        carrying: Carrying,
+        context: ControllerContext,
+        relay: Relay,
         service: str,
         client: Client,
         *,
-        probe: str,
+        probe_target: str,
         rate: float,
-        refusals: bool,
+        refuses_with_503: bool,
         repeatable: tuple[str, ...],
     ) -> None:
-        self.shared, self.carrying, self.service, self.client = shared, carrying, service, client
-        self.probe = probe  # a cheap read
-        self.refusals = refusals  # its 503 says that it executed nothing, and any other 5xx that something between is in trouble
+        self.context, self.relay, self.service, self.client = context, relay, service, client
+        self.probe_target = probe_target  # a cheap read
+        self.refuses_with_503 = refuses_with_503  # its 503 says that it executed nothing, and any other 5xx that something between is in trouble
         self.repeatable = repeatable  # targets that may be asked twice
-        self.gauge = Gauge()
-        self.flying: dict[
+        self.health = LinkHealth()
+        self.in_flight: dict[
             int, tuple[float, anyio.CancelScope]
         ] = {}  # when each should have been answered, and what gives it up
-        self.number = 0
-        self.lent = {
-            p.name: Budget(rate, shared.clock) for p in shared.settings.peers
+        self.last_number = 0
+        self.peer_limiters = {
+            peer.name: RateLimiter(rate, context.clock) for peer in context.settings.peers
         }  # what each may ask here: its own slice
-        self.probed = -1e9
+        self.probed_at = -1e9
 
-    def way(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
+    def current_relay(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
         """Through whom to ask; None: by the own link, there is no better."""
-        if self.gauge.good or not self.shared.settings.options.carry:
+        if self.health.healthy or not self.context.settings.options.carry:
             return None
-        return self._another(avoid, hops)
+        return self._find_relay(avoid, hops)
 
-    def _another(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
-        if not self.shared.settings.options.carry:
+    def _find_relay(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
+        if not self.context.settings.options.carry:
             return None
-        return self.carrying.ways.to_service(
-            self.service, self.service, self.shared.clock(), avoid, hops
+        return self.relay.routes.route_to_service(
+            self.service, self.service, self.context.clock(), avoid, hops
         )
 
     async def call(
         self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
     ) -> tuple[int, object]:
         """One request: (status, JSON). Unreachable: it may or may not have been executed, now or later."""
-        until = self.shared.clock() + timeout + hold
-        via = self.way()
+        until = self.context.clock() + timeout + hold
+        via = self.current_relay()
         if via is None:
             try:
-                status, out = await self._direct(method, target, body, timeout, hold)
+                status, out = await self._call_directly(method, target, body, timeout, hold)
             except Unreachable:
-                via = self.way()
+                via = self.current_relay()
                 if via is None or not (method == "GET" or target.startswith(self.repeatable)):
                     raise
             else:
                 # refused: surely not executed; another 5xx (a gateway's, say) does not tell, and only reads are put again
                 again = status == 503 or method == "GET" or target.startswith(self.repeatable)
-                via = self._another() if self._fails(status) and again else None
+                via = self._find_relay() if self._indicates_failure(status) and again else None
                 if via is None:
                     return status, out
-        left = max(LEAST_S, until - self.shared.clock())
-        hold = min(hold, HOLD_S)
+        left = max(MIN_RELAY_TIMEOUT_S, until - self.context.clock())
+        hold = min(hold, MAX_RELAYED_HOLD_S)
         data = orjson.dumps(body) if body is not None else b""
-        target = target if not hold else _held(target, hold)
+        target = target if not hold else _with_hold(target, hold)
         try:
-            status, raw = await self.carrying.ask(
+            status, raw = await self.relay.send(
                 via,
                 self.service,
                 timeout=min(timeout, left),
                 method=method,
                 target=target,
-                hold=hold,
+                hold_s=hold,
                 body=data,
             )
-        except NotCarried:
+        except RelayRefusedError:
             return 503, {"error": "no way"}
         try:
             return status, orjson.loads(raw) if raw else None
-        except orjson.JSONDecodeError as e:
-            raise Unreachable(f"{method} {target}: not JSON") from e
+        except orjson.JSONDecodeError as error:
+            raise Unreachable(f"{method} {target}: not JSON") from error
 
-    async def _direct(
+    async def _call_directly(
         self, method: str, target: str, body: object, timeout: float, hold: float
     ) -> tuple[int, object]:
         """By the own link, measured; given up when the link turns out to be bad and there is a way."""
-        clock = self.shared.clock
-        begun = clock()
-        self.number += 1
-        number, scope = self.number, anyio.CancelScope()
-        self.flying[number] = (begun + hold, scope)
+        clock = self.context.clock
+        started_at = clock()
+        self.last_number += 1
+        number, scope = self.last_number, anyio.CancelScope()
+        self.in_flight[number] = (started_at + hold, scope)
         try:
             with scope:
                 status, out = await self.client.call(method, target, body, timeout, hold)
                 now = clock()
-                if self._fails(status):
-                    self.gauge.failed(begun, now)
+                if self._indicates_failure(status):
+                    self.health.record_failure(started_at, now)
                 else:
-                    self.gauge.answered(max(0.0, now - begun - hold) if hold else now - begun, now)
+                    self.health.record_answer(
+                        max(0.0, now - started_at - hold) if hold else now - started_at, now
+                    )
                 return status, out
             raise Unreachable(f"{method} {target}: given up")
         except Unreachable:
-            self.gauge.failed(begun + hold, clock())
+            self.health.record_failure(started_at + hold, clock())
             raise
         finally:
-            del self.flying[number]
+            del self.in_flight[number]
 
-    def _fails(self, status: int) -> bool:
+    def _indicates_failure(self, status: int) -> bool:
         """Whether an answer says that the link does not serve: of a service whose 503 is a refusal, every 5xx does."""
-        return self.refusals and status >= 500
+        return self.refuses_with_503 and status >= 500
 
     async def loop(self) -> None:
         """Look at what has no answer yet, and try a link that is bad."""
-        last, good = self.shared.clock(), True
+        last, good = self.context.clock(), True
         while True:
-            await anyio.sleep(TICK_S)
-            now = self.shared.clock()
-            if self.gauge.good != good:
-                good = self.gauge.good
+            await anyio.sleep(CHECK_INTERVAL_S)
+            now = self.context.clock()
+            if self.health.healthy != good:
+                good = self.health.healthy
                 log.info(
                     "link good" if good else "link bad",
                     to=self.service,
-                    through=self.way() or "-",
-                    turns=self.gauge.turns,
+                    through=self.current_relay() or "-",
+                    turns=self.health.failure_count,
                 )
-            if now - last > TICK_S + LATE_S:
-                self.gauge.last = now
+            if now - last > CHECK_INTERVAL_S + STALL_S:
+                self.health.last_answer_at = now
             last = now
-            if self.flying and (oldest := min(due for due, _ in self.flying.values())) < now:
-                self.gauge.waits(oldest, now)
-            if self.gauge.good:
+            if self.in_flight and (oldest := min(due for due, _ in self.in_flight.values())) < now:
+                self.health.record_overdue(oldest, now)
+            if self.health.healthy:
                 continue
-            if self.way() is not None:
-                for _, scope in self.flying.values():
+            if self.current_relay() is not None:
+                for _, scope in self.in_flight.values():
                     scope.cancel()
-            if now - self.probed > PROBE_S:
-                self.probed = now
-                await self._try()
-                last = self.shared.clock()
+            if now - self.probed_at > PROBE_INTERVAL_S:
+                self.probed_at = now
+                await self._probe()
+                last = self.context.clock()
 
-    async def _try(self) -> None:
+    async def _probe(self) -> None:
         """One cheap read by the own link, which nobody waits for."""
-        begun = self.shared.clock()
+        started_at = self.context.clock()
         try:
-            status, _ = await self.client.call("GET", self.probe, None, PROBE_S)
+            status, _ = await self.client.call("GET", self.probe_target, None, PROBE_INTERVAL_S)
         except Unreachable:
-            self.gauge.failed(begun, self.shared.clock())
+            self.health.record_failure(started_at, self.context.clock())
             return
-        now = self.shared.clock()
-        if self._fails(status):
-            self.gauge.failed(begun, now)
+        now = self.context.clock()
+        if self._indicates_failure(status):
+            self.health.record_failure(started_at, now)
         else:
-            self.gauge.answered(now - begun, now)
+            self.health.record_answer(now - started_at, now)
 
-    async def carried(self, by: str, q: Question) -> tuple[int, bytes]:
+    async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
         """A member asks through this one. Its requests come out of its own slice, and never before this one's own."""
-        lent = self.lent.get(by)
-        if lent is None or lent.wait(1) > 0:
-            raise NotCarried("more than its share")
-        lent.spend(1)
-        left = q.until - self.shared.wall() - q.hold
-        if not self.gauge.good:
-            via = self.way(frozenset((by,)), q.hops - 1)
-            if q.hops < 2 or via is None:
-                raise NotCarried("not reached from here either")
-            return await self.carrying.ask(
+        lent = self.peer_limiters.get(peer)
+        if lent is None or lent.delay(1) > 0:
+            raise RelayRefusedError("more than its share")
+        lent.consume(1)
+        left = request.deadline - self.context.wall_clock() - request.hold_s
+        if not self.health.healthy:
+            via = self.current_relay(frozenset((peer,)), request.hops - 1)
+            if request.hops < 2 or via is None:
+                raise RelayRefusedError("not reached from here either")
+            return await self.relay.send(
                 via,
                 self.service,
                 timeout=left,
-                method=q.method,
-                target=q.target,
-                hold=q.hold,
-                body=q.body,
-                hops=q.hops - 1,
+                method=request.method,
+                target=request.target,
+                hold_s=request.hold_s,
+                body=request.body,
+                hops=request.hops - 1,
             )
         try:
-            body = orjson.loads(q.body) if q.body else None
-        except orjson.JSONDecodeError as e:
-            raise NotCarried("not JSON") from e
-        status, out = await self._direct(q.method, q.target, body, max(0.1, left), q.hold)
-        if status == 503 and self.refusals:
-            raise NotCarried("refused here, too")
+            body = orjson.loads(request.body) if request.body else None
+        except orjson.JSONDecodeError as error:
+            raise RelayRefusedError("not JSON") from error
+        status, out = await self._call_directly(
+            request.method, request.target, body, max(0.1, left), request.hold_s
+        )
+        if status == 503 and self.refuses_with_503:
+            raise RelayRefusedError("refused here, too")
         return status, orjson.dumps(out)
 
 
-def _held(target: str, hold: float) -> str:
+def _with_hold(target: str, hold_s: float) -> str:
     """A watch's target with a shorter hold."""
     head, _, _ = target.partition("&holdMs=")
-    return f"{head}&holdMs={int(hold * 1000)}"
+    return f"{head}&holdMs={int(hold_s * 1000)}"
--- a/ploverhall/controller/peer_links.py
+++ b/ploverhall/controller/peer_links.py
@@ -5,115 +5,150 @@
 from collections.abc import Callable
 
 from ploverhall import log
-from ploverhall.controller.context import Shared
-from ploverhall.controller.peer_liveness import Hearing
-from ploverhall.controller.relay import Carrying
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.peer_liveness import PeerLiveness
+from ploverhall.controller.relay import Relay
 from ploverhall.controller.routing import Routing
-from ploverhall.controller.shard_roles import Roles
-from ploverhall.controller.status_report import Telling
-from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.controller.shard_roles import ShardRoles
+from ploverhall.controller.status_report import StatusReport
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.state_channel import Message
 from ploverhall.protocol import relay_messages
-from ploverhall.protocol.peer_messages import Cancelled, Malformed, NodeNews, pack_word, word
-from ploverhall.transport.peer_stream import Link, Listener
+from ploverhall.protocol.peer_messages import (
+    Cancellation,
+    InvalidPeerMessageError,
+    PeerStatus,
+    encode_gossip,
+    decode_gossip,
+)
+from ploverhall.transport.peer_stream import PeerLink, PeerListener
 
-NEWS_EVERY_S = 0.5
-REFUSED_EVERY_S = 60.0
+STATUS_INTERVAL_S = 0.5
+REJECTED_LOG_INTERVAL_S = 60.0
 
 
-class Links:
+class PeerLinks:
     """One link to each peer, and the listener for theirs."""
 
     def __init__(
         self,
-        shared: Shared,
-        hearing: Hearing,
+        context: ControllerContext,
+        peer_liveness: PeerLiveness,
         routing: Routing,
-        roles: Roles,
-        telling: Telling,
-        cancellations: Cancellations,
-        carrying: Carrying,
-        cancelled: Callable[[list[Cancelled]], None],
+        shard_roles: ShardRoles,
+        status_report: StatusReport,
+        cancellation_barrier: CancellationBarrier,
+        relay: Relay,
+        on_cancellations: Callable[[list[Cancellation]], None],
     ) -> None:
-        self.shared, self.hearing, self.routing, self.roles, self.telling = (
-            shared,
-            hearing,
+        self.context, self.peer_liveness, self.routing, self.shard_roles, self.status_report = (
+            context,
+            peer_liveness,
             routing,
-            roles,
-            telling,
+            shard_roles,
+            status_report,
         )
-        self.cancellations, self.carrying = cancellations, carrying
-        self.cancelled = cancelled  # acts on what a peer says has been cancelled
-        s, seams = shared.settings, shared.seams
+        self.cancellation_barrier, self.relay = cancellation_barrier, relay
+        self.on_cancellations = on_cancellations  # acts on what a peer says has been cancelled
+        settings, seams = context.settings, context.runtime
         self.links = {
-            p.name: Link(s.name, p.name, p.host, p.port, self.collect, seams.net, seams.clock)
-            for p in s.peers
+            peer.name: PeerLink(
+                settings.name,
+                peer.name,
+                peer.host,
+                peer.port,
+                self.collect,
+                seams.network,
+                seams.clock,
+            )
+            for peer in settings.peers
         }
-        self.listener = Listener(self.deliver, seams.net, seams.clock)
-        self.news_at: dict[str, float] = {}
-        self.known_sent: dict[str, int] = {}  # per peer: the watermark that it was told
-        self.refused_at: dict[
+        self.listener = PeerListener(self.deliver, seams.network, seams.clock)
+        self.status_sent_at: dict[str, float] = {}
+        self.gossiped_revision: dict[str, int] = {}  # per peer: the watermark that it was told
+        self.rejection_logged_at: dict[
             str, float
         ] = {}  # per peer: when a word of its that is in no form was last named in the log
-        self.numbers = 0
+        self.gossip_sequence = 0
 
-    def up(self) -> list[str]:
+    def connected(self) -> list[str]:
         """The peers to which there is a connection."""
-        return [name for name, link in self.links.items() if link.up]
+        return [name for name, link in self.links.items() if link.connected]
 
-    def poke(self, *names: str | None) -> None:
+    def notify(self, *names: str | None) -> None:
         """There is something for these peers."""
         for name in names:
             if name is not None and name in self.links:
-                self.links[name].poke()
+                self.links[name].notify()
 
-    def collect(self, node: str, generation: int) -> list[Message]:
+    def collect(self, controller: str, generation: int) -> list[Message]:
         """What goes to a peer now."""
-        out = self.routing.collect(node, generation)
-        shared, now = self.shared, self.shared.clock()
-        told = now - self.news_at.get(node, -1e9) > NEWS_EVERY_S
-        if told:
-            self.news_at[node] = now
-            out.append(["n", shared.me, 0, 0, True, self.hearing.own(now), 0])
-        if told or self.known_sent.get(node, 0) < min(
-            shared.cancelled_rev, max(shared.replica.rev, self.cancellations.informed)
+        out = self.routing.collect(controller, generation)
+        shared, now = self.context, self.context.clock()
+        status_due = now - self.status_sent_at.get(controller, -1e9) > STATUS_INTERVAL_S
+        if status_due:
+            self.status_sent_at[controller] = now
+            out.append(
+                ["n", shared.controller_index, 0, 0, True, self.peer_liveness.own_status(now), 0]
+            )
+        if status_due or self.gossiped_revision.get(controller, 0) < min(
+            shared.cancelled_revision,
+            max(shared.store_cache.revision, self.cancellation_barrier.informed_revision),
         ):
             # a message of its own, in the form of a board: a release that does not know it takes it for one of nobody's
-            said = self.cancellations.word(node, shared.replica.rev, now)
-            self.known_sent[node] = said.known
-            self.numbers += 1
-            out.append(["k", shared.me, 0, 0, True, pack_word(said), self.numbers])
-        return out + self.telling.collect(node, now) + self.carrying.collect(node, now)
+            gossip = self.cancellation_barrier.gossip_for(
+                controller, shared.store_cache.revision, now
+            )
+            self.gossiped_revision[controller] = gossip.known_revision
+            self.gossip_sequence += 1
+            out.append(
+                [
+                    "k",
+                    shared.controller_index,
+                    0,
+                    0,
+                    True,
+                    encode_gossip(gossip),
+                    self.gossip_sequence,
+                ]
+            )
+        return (
+            out + self.status_report.collect(controller, now) + self.relay.collect(controller, now)
+        )
 
-    def deliver(self, node: str, batch: list[Message]) -> None:
+    def deliver(self, controller: str, batch: list[Message]) -> None:
         """A peer's messages."""
-        news = False
+        changed = False
         for message in batch:
             if message[0] == "n":
-                said = NodeNews(*message[5])
-                self.hearing.take(node, said)
-                self.roles.deposed(said.epochs, node)
-                self.routing.route()
+                status = PeerStatus(*message[5])
+                self.peer_liveness.record(controller, status)
+                self.shard_roles.release_superseded(status.epochs, controller)
+                self.routing.update_routes()
             elif message[0] == "k":
-                self._word(node, message[5])
-            elif message[0] in (relay_messages.WORD, relay_messages.QUESTION, relay_messages.ANSWER):
-                self.carrying.deliver(node, message)
+                self._receive_gossip(controller, message[5])
+            elif message[0] in (
+                relay_messages.CONNECTIVITY,
+                relay_messages.REQUEST,
+                relay_messages.RESPONSE,
+            ):
+                self.relay.deliver(controller, message)
             elif message[0] in ("v", "q", "a"):
-                self.telling.deliver(node, message)
-            elif self.routing.take(message):
-                news = True
-        if news:
-            self.shared.poke()
+                self.status_report.deliver(controller, message)
+            elif self.routing.accept(message):
+                changed = True
+        if changed:
+            self.context.wake_scheduling()
 
-    def _word(self, node: str, value: object) -> None:
+    def _receive_gossip(self, controller: str, value: object) -> None:
         """What a peer knows of cancellations; one that is in no form changes nothing."""
-        now = self.shared.clock()
+        now = self.context.clock()
         try:
-            said = word(value)
-        except Malformed as e:
-            if now - self.refused_at.get(node, -1e9) > REFUSED_EVERY_S:
-                self.refused_at[node] = now
-                log.error("word of a controller refused", by=node, field=e)
+            gossip = decode_gossip(value)
+        except InvalidPeerMessageError as error:
+            if now - self.rejection_logged_at.get(controller, -1e9) > REJECTED_LOG_INTERVAL_S:
+                self.rejection_logged_at[controller] = now
+                log.error("word of a controller refused", by=controller, field=error)
             return
-        if named := self.cancellations.take(node, said, now):
-            self.cancelled(named)
+        if named := self.cancellation_barrier.receive_gossip(controller, gossip, now):
+            self.on_cancellations(named)
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -8,200 +8,236 @@
 import anyio
 
 from ploverhall import log
-from ploverhall.connectivity.pending_relays import Calls, too_late
-from ploverhall.connectivity.relay_routes import Ways
-from ploverhall.controller.context import Shared
-from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.connectivity.pending_relays import PendingRelays, deadline_passed
+from ploverhall.connectivity.relay_routes import RelayRoutes
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.coordination.state_channel import Message
-from ploverhall.log import where
+from ploverhall.log import raised_at
 from ploverhall.protocol import relay_messages
-from ploverhall.protocol.relay_messages import Answer, Question
+from ploverhall.protocol.relay_messages import RelayResponse, RelayRequest
 from ploverhall.transport.http import Unreachable
 
-WORD_EVERY_S = 0.5
-LATE_S = 0.5  # its own work comes first: so far behind it carries nothing
-UP_S = (
+CONNECTIVITY_INTERVAL_S = 0.5
+MAX_LAG_S = 0.5  # its own work comes first: so far behind it carries nothing
+CONNECTION_CHECK_S = (
     0.25  # how soon it is seen that there is no connection any more over which it could be answered
 )
-Handler = Callable[[str, Question], Awaitable[tuple[int, bytes]]]
+Handler = Callable[[str, RelayRequest], Awaitable[tuple[int, bytes]]]
 
 
-class NotCarried(Exception):
+class RelayRefusedError(Exception):
     """Surely not executed: no way, no room, no time."""
 
 
-class Carrying:
+class Relay:
     """Both sides: what is asked of others, and what others ask."""
 
     def __init__(
         self,
-        shared: Shared,
-        hearing: Hearing,
-        ways: Ways,
-        poke: Callable[[str], None],
-        up: Callable[[str], bool],
-        start: Callable[[str, Question], None],
+        context: ControllerContext,
+        peer_liveness: PeerLiveness,
+        routes: RelayRoutes,
+        notify_peer: Callable[[str], None],
+        is_connected: Callable[[str], bool],
+        start_serving: Callable[[str, RelayRequest], None],
     ) -> None:
-        self.shared, self.hearing, self.ways, self.poke, self.up, self.start = (
-            shared,
-            hearing,
-            ways,
-            poke,
-            up,
-            start,
+        (
+            self.context,
+            self.peer_liveness,
+            self.routes,
+            self.notify_peer,
+            self.is_connected,
+            self.start_serving,
+        ) = (
+            context,
+            peer_liveness,
+            routes,
+            notify_peer,
+            is_connected,
+            start_serving,
         )
-        self.calls = Calls(f"{shared.rng.getrandbits(64):x}")
-        self.waiting: dict[int, tuple[anyio.Event, list[Answer]]] = {}
+        self.pending = PendingRelays(f"{context.random.getrandbits(64):x}")
+        self.response_waiters: dict[int, tuple[anyio.Event, list[RelayResponse]]] = {}
         self.handlers: dict[str, Handler] = {}
-        self.late: Callable[[], float] = float  # by how much this controller's own work is behind
-        self.reached: Callable[[], dict[str, Any]] = dict  # what this member reaches, for its word
-        self.word_at: dict[str, float] = {}
+        self.scheduling_lag: Callable[[], float] = (
+            float  # by how much this controller's own work is behind
+        )
+        self.own_connectivity: Callable[[], dict[str, Any]] = (
+            dict  # what this member reaches, for its word
+        )
+        self.connectivity_sent_at: dict[str, float] = {}
 
     # -- asking --------------------------------------------------------------------------------
 
-    async def ask(
+    async def send(
         self,
         via: str,
-        what: str,
+        kind: str,
         *,
         timeout: float,
         method: str = "",
         target: str = "",
-        hold: float = 0.0,
+        hold_s: float = 0.0,
         body: bytes = b"",
-        to: str = "",
+        destination: str = "",
         hops: int = 2,
     ) -> tuple[int, bytes]:
         """One question to a member: (status, body). NotCarried: surely not executed; Unreachable: that is not known."""
-        shared = self.shared
-        until = shared.clock() + timeout + hold
-        if not self.up(via):
-            self.ways.failed(via, shared.clock())
-            raise NotCarried(f"no connection to {via}")
-        number = self.calls.ask(via, until)
+        shared = self.context
+        deadline = shared.clock() + timeout + hold_s
+        if not self.is_connected(via):
+            self.routes.record_failure(via, shared.clock())
+            raise RelayRefusedError(f"no connection to {via}")
+        number = self.pending.open_request(via, deadline)
         if number is None:
-            raise NotCarried("too many open questions")
-        q = Question(
-            self.calls.life,
+            raise RelayRefusedError("too many open questions")
+        request = RelayRequest(
+            self.pending.incarnation,
             number,
-            what,
-            shared.wall() + timeout + hold,
+            kind,
+            shared.wall_clock() + timeout + hold_s,
             hops,
-            to,
+            destination,
             method,
             target,
-            hold,
+            hold_s,
             body,
         )
-        done: tuple[anyio.Event, list[Answer]] = (anyio.Event(), [])
-        self.waiting[number] = done
+        waiter: tuple[anyio.Event, list[RelayResponse]] = (anyio.Event(), [])
+        self.response_waiters[number] = waiter
         try:
-            if not self.calls.put(
-                via, relay_messages.pack(relay_messages.QUESTION, shared.me, q), len(body) + len(target) + 200, until
+            if not self.pending.enqueue(
+                via,
+                relay_messages.encode(relay_messages.REQUEST, shared.controller_index, request),
+                len(body) + len(target) + 200,
+                deadline,
+            ):
+                raise RelayRefusedError("too much waits for it")
+            self.notify_peer(via)
+            while (
+                (remaining_s := deadline - shared.clock()) > 0
+                and not waiter[1]
+                and self.is_connected(via)
             ):
-                raise NotCarried("too much waits for it")
-            self.poke(via)
-            while (left := until - shared.clock()) > 0 and not done[1] and self.up(via):
-                with anyio.move_on_after(min(left, UP_S)):
-                    await done[0].wait()
+                with anyio.move_on_after(min(remaining_s, CONNECTION_CHECK_S)):
+                    await waiter[0].wait()
         finally:
-            del self.waiting[number]
-            self.calls.close(number)
-        if not done[1]:
-            self.ways.failed(via, shared.clock())
-            raise Unreachable(f"{what} through {via}: no answer")
-        a = done[1][0]
-        if a.status == 0:
-            self.ways.failed(via, shared.clock())
-            if a.refused:
-                raise NotCarried(f"{what} through {via}: refused")
-            raise Unreachable(f"{what} through {via}: outcome not known")
-        self.ways.worked(via)
-        return a.status, a.body
+            del self.response_waiters[number]
+            self.pending.close(number)
+        if not waiter[1]:
+            self.routes.record_failure(via, shared.clock())
+            raise Unreachable(f"{kind} through {via}: no answer")
+        response = waiter[1][0]
+        if response.status == 0:
+            self.routes.record_failure(via, shared.clock())
+            if response.refused:
+                raise RelayRefusedError(f"{kind} through {via}: refused")
+            raise Unreachable(f"{kind} through {via}: outcome not known")
+        self.routes.record_success(via)
+        return response.status, response.body
 
     # -- being asked ---------------------------------------------------------------------------
 
-    async def serve(self, by: str, q: Question) -> None:
+    async def serve(self, peer: str, request: RelayRequest) -> None:
         """Work on a member's question, and answer."""
         status, refused, body = 0, True, b""
         try:
-            status, body = await self.handlers[q.what](by, q)
-            if len(body) > relay_messages.MOST_BODY:
+            status, body = await self.handlers[request.kind](peer, request)
+            if len(body) > relay_messages.MAX_BODY_BYTES:
                 status, refused, body = (
                     0,
                     False,
                     b"",
                 )  # it has been executed: only its answer can't be carried
-        except NotCarried:
+        except RelayRefusedError:
             pass
         except Unreachable:
             refused = False
-        except Exception as e:  # one question must not end the process
+        except Exception as error:  # one question must not end the process
             refused = False
-            log.error("carrying failed", kind=q.what, by=by, error=repr(e), at=where(e))
+            log.error(
+                "carrying failed",
+                kind=request.kind,
+                by=peer,
+                error=repr(error),
+                at=raised_at(error),
+            )
         finally:
-            self.calls.end(by)
-        self._answer(by, q, status, refused, body)
+            self.pending.end_work(peer)
+        self._respond(peer, request, status, refused, body)
 
-    def _answer(self, by: str, q: Question, status: int, refused: bool, body: bytes) -> None:
+    def _respond(
+        self, peer: str, request: RelayRequest, status: int, refused: bool, body: bytes
+    ) -> None:
         """Put an answer in the member's queue; where there is no room for it, it will have to ask again."""
-        left = q.until - self.shared.wall()
-        a = Answer(q.life, q.number, status, refused, body)
-        self.calls.put(
-            by,
-            relay_messages.pack(relay_messages.ANSWER, self.shared.me, a),
+        remaining_s = request.deadline - self.context.wall_clock()
+        response = RelayResponse(request.incarnation, request.number, status, refused, body)
+        self.pending.enqueue(
+            peer,
+            relay_messages.encode(relay_messages.RESPONSE, self.context.controller_index, response),
             len(body) + 100,
-            self.shared.clock() + left,
+            self.context.clock() + remaining_s,
         )
-        self.poke(by)
+        self.notify_peer(peer)
 
     # -- on the links --------------------------------------------------------------------------
 
-    def collect(self, node: str, now: float) -> list[Message]:
+    def collect(self, controller: str, now: float) -> list[Message]:
         """What goes to a peer now."""
-        out = self.calls.take(node, now)
-        if now - self.word_at.get(node, -1e9) > WORD_EVERY_S:
-            self.word_at[node] = now
-            heard = [n for n in self.ways.said if self.hearing.heard(n, now)]
-            can = list(relay_messages.KINDS) if self.shared.settings.options.carry else []
+        out = self.pending.drain(controller, now)
+        if now - self.connectivity_sent_at.get(controller, -1e9) > CONNECTIVITY_INTERVAL_S:
+            self.connectivity_sent_at[controller] = now
+            heard = [name for name in self.routes.peers if self.peer_liveness.is_alive(name, now)]
+            can = list(relay_messages.KINDS) if self.context.settings.options.carry else []
             out.append(
                 [
-                    relay_messages.WORD,
-                    self.shared.me,
+                    relay_messages.CONNECTIVITY,
+                    self.context.controller_index,
                     0,
                     0,
                     True,
-                    {"life": self.calls.life, "can": can, "hears": heard, **self.reached()},
+                    {
+                        "life": self.pending.incarnation,
+                        "can": can,
+                        "hears": heard,
+                        **self.own_connectivity(),
+                    },
                     0,
                 ]
             )
         return out
 
-    def deliver(self, node: str, message: Message) -> None:
+    def deliver(self, controller: str, message: Message) -> None:
         """A peer's word, question or answer; one that is not in the form is nobody's."""
         kind, value = message[0], message[5]
-        if node not in self.ways.said:
+        if controller not in self.routes.peers:
             return
         try:
-            if kind == relay_messages.WORD and isinstance(value, dict):
-                self.ways.heard(node, value, self.shared.clock())
-            elif kind == relay_messages.QUESTION:
-                q = relay_messages.question(value)
-                if too_late(q.until, self.shared.wall()):
-                    self.calls.refused += 1  # held back on its way: whoever asked has long gone on
+            if kind == relay_messages.CONNECTIVITY and isinstance(value, dict):
+                self.routes.update(controller, value, self.context.clock())
+            elif kind == relay_messages.REQUEST:
+                request = relay_messages.decode_request(value)
+                if deadline_passed(request.deadline, self.context.wall_clock()):
+                    self.pending.refused_count += (
+                        1  # held back on its way: whoever asked has long gone on
+                    )
                 elif (
-                    q.what not in self.handlers
-                    or self.late() > LATE_S
-                    or not self.calls.begin(node)
+                    request.kind not in self.handlers
+                    or self.scheduling_lag() > MAX_LAG_S
+                    or not self.pending.begin_work(controller)
                 ):
-                    self._answer(node, q, 0, True, b"")
+                    self._respond(controller, request, 0, True, b"")
                 else:
-                    self.start(node, q)
-            elif kind == relay_messages.ANSWER:
-                a = relay_messages.answer(value)
-                waiting = self.waiting.get(a.number)
-                if self.calls.answered(a.life, a.number, node) and waiting is not None:
-                    waiting[1].append(a)
+                    self.start_serving(controller, request)
+            elif kind == relay_messages.RESPONSE:
+                response = relay_messages.decode_response(value)
+                waiting = self.response_waiters.get(response.number)
+                if (
+                    self.pending.complete(response.incarnation, response.number, controller)
+                    and waiting is not None
+                ):
+                    waiting[1].append(response)
                     waiting[0].set()
-        except relay_messages.Malformed:
+        except relay_messages.InvalidRelayMessageError:
             pass
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -8,154 +8,176 @@
 import anyio
 
 from ploverhall import log
-from ploverhall.controller.context import Held, Shared
-from ploverhall.controller.peer_liveness import Hearing
+from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.routing import Routing
 from ploverhall.coordination import state_channel
 from ploverhall.scheduling.inventory import Machine
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.scheduling.shard_owner import ShardOwner
 
-ENGINE_EVERY_S = 0.01
-ENGINE_IDLE_S = 0.1  # a step comes at least this often
-STOOD_S = 1.0  # a step later than this by so much: the process has stood still
-READ_FIRST_S = 0.1  # then what has queued up is read for so long
-VIEWS_EVERY_S = 0.5
-SHORT_EVERY_S = 10.0
-LAG_S = 0.25  # what is late by less is not worth a word
+STEP_INTERVAL_S = 0.01
+IDLE_INTERVAL_S = 0.1  # a step comes at least this often
+STALL_THRESHOLD_S = 1.0  # a step later than this by so much: the process has stood still
+DRAIN_QUEUE_S = 0.1  # then what has queued up is read for so long
+SLOW_UPDATE_INTERVAL_S = 0.5
+SHORTAGE_LOG_INTERVAL_S = 10.0
+REPORTED_LAG_S = 0.25  # what is late by less is not worth a word
 
 
-class Engine:
+class SchedulingLoop:
     """Steps of all roles held here."""
 
     def __init__(
         self,
-        shared: Shared,
-        hearing: Hearing,
+        context: ControllerContext,
+        peer_liveness: PeerLiveness,
         routing: Routing,
         *,
-        poke: Callable[..., None],
-        ask: Callable[[], None],
-        stood_still: Callable[[float, float], None],
-        right: Callable[[float], int],
-        direct: Callable[[Owner, Machine, dict[str, Any]], None],
+        notify_peers: Callable[..., None],
+        request_read: Callable[[], None],
+        on_stall: Callable[[float, float], None],
+        renewal_grant: Callable[[float], int],
+        send_direct_command: Callable[[ShardOwner, Machine, dict[str, Any]], None],
     ) -> None:
-        self.shared, self.hearing, self.routing = shared, hearing, routing
-        self.poke_peers, self.ask, self.stood_still, self.right, self.direct = (
-            poke,
-            ask,
-            stood_still,
-            right,
-            direct,
+        self.context, self.peer_liveness, self.routing = context, peer_liveness, routing
+        (
+            self.notify_peers,
+            self.request_read,
+            self.on_stall,
+            self.renewal_grant,
+            self.send_direct_command,
+        ) = (
+            notify_peers,
+            request_read,
+            on_stall,
+            renewal_grant,
+            send_direct_command,
         )
-        self.views_at = 0.0
-        self.late = 0.0  # by how much the newest step came late
-        self.lag = 0.0  # longest that a step has come late, since it was last told
-        self.next_short = 0.0
+        self.slow_update_at = 0.0
+        self.last_step_lag_s = 0.0  # by how much the newest step came late
+        self.max_lag_s = 0.0  # longest that a step has come late, since it was last told
+        self.next_shortage_log_at = 0.0
 
     async def loop(self) -> None:
         """Step whenever there is something to decide, and now and then."""
-        shared = self.shared
+        shared = self.context
         last = shared.clock()
         while True:
             impatient = any(
-                h.source is not None and h.source.impatient for h in shared.held.values()
+                held_shard.source is not None and held_shard.source.holding_back_offers
+                for held_shard in shared.held_shards.values()
             )
-            with anyio.move_on_after(ENGINE_IDLE_S / 2 if impatient else ENGINE_IDLE_S):
-                await shared.wake.wait()
-            shared.wake = anyio.Event()
+            with anyio.move_on_after(IDLE_INTERVAL_S / 2 if impatient else IDLE_INTERVAL_S):
+                await shared.scheduling_wake.wait()
+            shared.scheduling_wake = anyio.Event()
             now = shared.clock()
-            late = now - last - ENGINE_IDLE_S - ENGINE_EVERY_S
-            if late > STOOD_S:
-                self.stood_still(late, now)
+            late = now - last - IDLE_INTERVAL_S - STEP_INTERVAL_S
+            if late > STALL_THRESHOLD_S:
+                self.on_stall(late, now)
                 await anyio.sleep(
-                    READ_FIRST_S
+                    DRAIN_QUEUE_S
                 )  # what has queued up is read before time passes for others
                 now = shared.clock()
-            self.late, self.lag = late, max(self.lag, late)
+            self.last_step_lag_s, self.max_lag_s = late, max(self.max_lag_s, late)
             last = now
-            if now - self.views_at > VIEWS_EVERY_S:
-                self.views_at = now
-                self.routing.route()  # what a peer said of its shards holds for a while only
-                self.hearing.share(now)
-                self._views(now)
-            if now > self.next_short:
-                if self.next_short and (short := self.short()):
+            if now - self.slow_update_at > SLOW_UPDATE_INTERVAL_S:
+                self.slow_update_at = now
+                self.routing.update_routes()  # what a peer said of its shards holds for a while only
+                self.peer_liveness.update_write_share(now)
+                self._slow_updates(now)
+            if now > self.next_shortage_log_at:
+                if self.next_shortage_log_at and (short := self.capacity_shortages()):
                     log.info("short of", **short)
-                self.next_short, self.lag = now + SHORT_EVERY_S, 0.0
+                self.next_shortage_log_at, self.max_lag_s = now + SHORTAGE_LOG_INTERVAL_S, 0.0
             for _ in range(4):  # what roles here tell one another is answered in the same breath
                 now = shared.clock()
-                for held in list(shared.held.values()):
+                for held in list(shared.held_shards.values()):
                     self._step(held, now)
                 local = self.routing.collect(shared.settings.name, 0)
                 for message in local:
-                    self.routing.take(message)
+                    self.routing.accept(message)
                 if not local:
                     break
-            self.poke_peers(
+            self.notify_peers(
                 *dict.fromkeys(
-                    self.routing.holders.get(key[2]) for key in sorted(shared.outbox.fresh)
+                    self.routing.holders.get(key[2]) for key in sorted(shared.outbound.pending)
                 )
             )
-            await anyio.sleep(ENGINE_EVERY_S)
+            await anyio.sleep(STEP_INTERVAL_S)
 
-    def _step(self, held: Held, now: float) -> None:
+    def _step(self, held: HeldShard, now: float) -> None:
         owner, source = held.owner, held.source
-        owner.tick(now)
-        owner.dirty = False
-        if owner.unproved:
-            owner.unproved = False
-            self.ask()
-        owner.place(now)
-        if self.shared.settings.options.direct:
-            owner.right = self.right(now)
-            for m, body in owner.direct_work(now):
-                self.direct(owner, m, body)
-        for (src, key), value in owner.take_news().items():
-            self.shared.outbox.board("o", held.shard, src, held.epoch).put(key, value)
+        owner.advance_time(now)
+        owner.needs_step = False
+        if owner.confirmation_needed:
+            owner.confirmation_needed = False
+            self.request_read()
+        owner.place_candidates(now)
+        if self.context.settings.options.direct:
+            owner.renewal_grant = self.renewal_grant(now)
+            for machine, body in owner.direct_commands(now):
+                self.send_direct_command(owner, machine, body)
+        for (src, key), value in owner.take_source_updates().items():
+            self.context.outbound.channel("o", held.shard, src, held.epoch).put(key, value)
         if source is not None:
             source.decide(now)
-            source.grant(now, self.shared.wall())
-            if source.dirty_chunks or source.ending or source.dirty_grants:
-                held.wake.set()
-            self.routing.tell_owners(held, source, now)
+            source.grant_evictions(now, self.context.wall_clock())
+            if source.dirty_chunks or source.jobs_to_end or source.teams_with_unwritten_grants:
+                held.write_wake.set()
+            self.routing.update_owners(held, source, now)
 
-    def _views(self, now: float) -> None:
+    def _slow_updates(self, now: float) -> None:
         """What is told at a slower pace: machines and demand to the renter, numbers for display, what the renter wants."""
-        shared = self.shared
-        shards, outbox, renter = range(len(shared.layout.nodes)), shared.outbox, shared.renter
-        for h in shared.held.values():
-            to_renter = outbox.board("m", h.shard, state_channel.RENTER, h.epoch)
-            to_renter.update(h.owner.take_machine_news(now))
-            to_renter.put("?", h.owner.suspects(now) or None)
-            if h.source is not None:
-                outbox.board("d", h.shard, state_channel.RENTER, h.epoch).replace(
-                    h.source.demand(now, shared.wall())
-                )
-                counts = h.source.take_counts()
+        shared = self.context
+        shards, outbox, renter = (
+            range(len(shared.shard_map.controllers)),
+            shared.outbound,
+            shared.autoscaler,
+        )
+        for held in shared.held_shards.values():
+            to_renter = outbox.channel(
+                "m", held.shard, state_channel.AUTOSCALER_ENDPOINT, held.epoch
+            )
+            to_renter.update(held.owner.take_machine_updates(now))
+            to_renter.put("?", held.owner.unprovable_machines(now) or None)
+            if held.source is not None:
+                outbox.channel(
+                    "d", held.shard, state_channel.AUTOSCALER_ENDPOINT, held.epoch
+                ).replace(held.source.demand(now, shared.wall_clock()))
+                counts = held.source.take_task_counts()
                 for part in shards:
-                    outbox.board("c", h.shard, part, h.epoch).update(counts)
+                    outbox.channel("c", held.shard, part, held.epoch).update(counts)
         if renter is not None:
             for part in shards:
-                b = outbox.board("r", state_channel.RENTER, part, renter.epoch)
-                b.put("drain", renter.drains(part))
-                if renter.looked:
-                    b.put("empty", renter.emptying(part))
-                b.put("gone", renter.gone_for(part))
+                channel = outbox.channel("r", state_channel.AUTOSCALER_ENDPOINT, part, renter.epoch)
+                channel.put("drain", renter.draining_machines(part))
+                if renter.orders_evaluated:
+                    channel.put("empty", renter.machines_under_maintenance(part))
+                channel.put("gone", renter.deleted_for(part))
 
-    def short(self) -> dict[str, float]:
+    def capacity_shortages(self) -> dict[str, float]:
         """What this controller is short of, and by how much; what it has enough of is left out."""
-        shared = self.shared
-        sources = [h.source for h in shared.held.values() if h.source is not None]
+        shared = self.context
+        sources = [held.source for held in shared.held_shards.values() if held.source is not None]
         now = shared.clock()
-        refused = shared.renter.refused if shared.renter is not None else {}
-        backlog = sum(len(s.dirty_chunks) + len(s.ending) for s in sources)
+        refused = shared.autoscaler.refused_pools if shared.autoscaler is not None else {}
+        backlog = sum(len(source.dirty_chunks) + len(source.jobs_to_end) for source in sources)
         found = {
-            "processor_lag_s": round(self.lag, 2) if self.lag > LAG_S else 0.0,
-            "changes_wait_s": round(w, 2) if (w := shared.store.writes.wait(1)) > LAG_S else 0.0,
-            "values_to_write": float(backlog) if backlog > shared.settings.txn_ops else 0.0,
+            "processor_lag_s": round(self.max_lag_s, 2) if self.max_lag_s > REPORTED_LAG_S else 0.0,
+            "changes_wait_s": round(wait_s, 2)
+            if (wait_s := shared.store.writes.delay(1)) > REPORTED_LAG_S
+            else 0.0,
+            "values_to_write": float(backlog)
+            if backlog > shared.settings.max_transaction_ops
+            else 0.0,
             "tasks_waiting": float(
-                sum(js.waiting() for s in sources for w in s.waits.values() for js in w.values())
+                sum(
+                    job_state.waiting_count()
+                    for source in sources
+                    for w in source.waiting_jobs.values()
+                    for job_state in w.values()
+                )
             ),
             "kinds_refused": float(sum(1 for until, _ in refused.values() if until > now)),
         }
-        return {k: v for k, v in found.items() if v}
+        return {key: value for key, value in found.items() if value}
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -5,105 +5,111 @@
 from collections.abc import Callable
 
 from ploverhall import log
-from ploverhall.controller.context import Held, Shared
+from ploverhall.controller.context import HeldShard, ControllerContext
 from ploverhall.controller.routing import Routing
-from ploverhall.scheduling.shard_owner import Owner
-from ploverhall.storage.store_cache import TYPES
+from ploverhall.scheduling.shard_owner import ShardOwner
+from ploverhall.storage.store_cache import MACHINE_TYPE_COUNT_KEY
 
 
-class Roles:
+class ShardRoles:
     """Owners and sources, from the claim to the loss."""
 
-    def __init__(self, shared: Shared, routing: Routing, begin: Callable[[Held], None]) -> None:
-        self.shared, self.routing = shared, routing
-        self.begin = begin  # starts what reads and writes for a shard that has just been taken
+    def __init__(
+        self, context: ControllerContext, routing: Routing, start_tasks: Callable[[HeldShard], None]
+    ) -> None:
+        self.context, self.routing = context, routing
+        self.start_tasks = (
+            start_tasks  # starts what reads and writes for a shard that has just been taken
+        )
 
-    def take(self, shard: int, epoch: int) -> None:
+    def acquire(self, shard: int, epoch: int) -> None:
         """A shard is held from now on: serve its workers at once, its teams when their cells are read."""
-        shared, s = self.shared, self.shared.settings
-        owner = Owner(
+        shared, settings = self.context, self.context.settings
+        owner = ShardOwner(
             shard,
             epoch,
-            len(shared.layout.nodes),
-            s.lease_s,
-            s.report_s,
-            s.options.hold_s,
-            s.options.sample,
-            shared.rng,
+            len(shared.shard_map.controllers),
+            settings.lease_s,
+            settings.heartbeat_interval_s,
+            settings.options.hold_s,
+            settings.options.sample,
+            shared.random,
             shared.clock(),
-            shared.me,
+            shared.controller_index,
         )
-        owner.types = shared.types or {}
-        owner.fleet.job_vec = shared.job_vec
-        owner.job_over = shared.replica.ended.__contains__
-        held = shared.held[shard] = Held(shard, epoch, owner)
+        owner.machine_types = shared.machine_types or {}
+        owner.inventory.resources_of_job = shared.resources_of_job
+        owner.job_ended_in_store = shared.store_cache.ended_jobs.__contains__
+        held = shared.held_shards[shard] = HeldShard(shard, epoch, owner)
         log.info("shard taken", shard=shard, epoch=epoch)
-        self.routing.route()
+        self.routing.update_routes()
         self.routing.replay(shard, ("s", "r"))
-        self.begin(held)
-        shared.poke()
+        self.start_tasks(held)
+        shared.wake_scheduling()
 
-    def lose(self, shard: int, why: str) -> None:
+    def release(self, shard: int, reason: str) -> None:
         """A shard is not held any more."""
-        held = self.shared.held.pop(shard, None)
+        held = self.context.held_shards.pop(shard, None)
         if held is not None:
-            held.lost = True
-            held.scope.cancel()
+            held.released = True
+            held.write_scope.cancel()
             held.image_scope.cancel()
-            self.shared.outbox.drop(("s", "o", "d", "m", "c"), shard)
-            self.routing.route()
-            log.info("shard lost", shard=shard, epoch=held.epoch, why=why)
+            self.context.outbound.drop(("s", "o", "d", "m", "c"), shard)
+            self.routing.update_routes()
+            log.info("shard lost", shard=shard, epoch=held.epoch, why=reason)
 
-    def deposed(self, epochs: dict[int, int], by: str) -> None:
+    def release_superseded(self, epochs: dict[int, int], peer: str) -> None:
         """Another controller says what it holds: the state service may not be reached from here."""
         for shard, epoch in epochs.items():
-            held = self.shared.held.get(shard)
+            held = self.context.held_shards.get(shard)
             if held is not None and epoch > held.epoch:
-                self.lose(shard, f"{by} holds it")
+                self.release(shard, f"{peer} holds it")
 
-    def proved(self, begun: float) -> None:
+    def confirm_epochs(self, read_started_at: float) -> None:
         """A read of the store begun then has shown who holds what."""
-        for h in self.shared.held.values():
-            if self.shared.replica.holder(h.shard)[1] == h.epoch:
-                h.owner.proved = max(h.owner.proved, begun)
+        for held in self.context.held_shards.values():
+            if self.context.store_cache.holder(held.shard)[1] == held.epoch:
+                held.owner.epoch_confirmed_at = max(held.owner.epoch_confirmed_at, read_started_at)
 
-    def stood_still(self, s: float, now: float) -> None:
+    def on_event_loop_stall(self, seconds: float, now: float) -> None:
         """A step came far later than it was due: what was believed before is old, and what came meanwhile is unread."""
         log.warn(
-            "stood still", seconds=round(s, 1), shards=",".join(map(str, self.shared.held)) or "-"
+            "stood still",
+            seconds=round(seconds, 1),
+            shards=",".join(map(str, self.context.held_shards)) or "-",
         )
-        self.shared.stood_at, self.shared.stood_s = now, s
-        for h in self.shared.held.values():
-            h.owner.stood_still(s, now)
+        self.context.stalled_at, self.context.stall_s = now, seconds
+        for held in self.context.held_shards.values():
+            held.owner.on_event_loop_stall(seconds, now)
 
-    def changed(self, now: float) -> None:
+    def on_store_changed(self, now: float) -> None:
         """The copy of the store has changed: types, jobs that came, jobs that are over."""
-        shared, r = self.shared, self.shared.replica
-        if shared.types is None or TYPES in r.keys:
-            types = r.types()
-            if types is not None and types != shared.types:
-                shared.types = types
-                for h in shared.held.values():
-                    h.owner.types = types
-                    if h.source is not None:
-                        h.source.types = types
-        changed, r.changed_jobs = r.changed_jobs, []
-        for jid in changed:
-            known = r.live.get(jid)
+        shared, store_cache = self.context, self.context.store_cache
+        if shared.machine_types is None or MACHINE_TYPE_COUNT_KEY in store_cache.entries:
+            types = store_cache.machine_types()
+            if types is not None and types != shared.machine_types:
+                shared.machine_types = types
+                for held_shard in shared.held_shards.values():
+                    held_shard.owner.machine_types = types
+                    if held_shard.source is not None:
+                        held_shard.source.machine_types = types
+        changed, store_cache.changed_jobs = store_cache.changed_jobs, []
+        for job_id in changed:
+            known = store_cache.live_jobs.get(job_id)
             if known is not None:
-                if shared.renter is not None and jid not in shared.renter.arrivals:
-                    shared.renter.on_job(known[0], now)
-                held = shared.held.get(shared.layout.team_shard.get(known[0].team, -1))
+                if shared.autoscaler is not None and job_id not in shared.autoscaler.arrivals:
+                    shared.autoscaler.on_job(known[0], now)
+                held = shared.held_shards.get(shared.shard_map.team_shard.get(known[0].team, -1))
                 if held is not None and held.source is not None:
-                    held.source.on_job(known[0], jid, known[1], now)
-                    held.wake.set()
+                    held.source.on_job(known[0], job_id, known[1], now)
+                    held.write_wake.set()
             else:
-                for held in shared.held.values():
-                    held.owner.job_ended(jid)
+                for held in shared.held_shards.values():
+                    held.owner.job_ended(job_id)
                     if (
                         held.source is not None
-                        and jid in held.source.jobs
-                        and held.source.jobs[jid].job is not None
+                        and job_id in held.source.jobs
+                        and held.source.jobs[job_id].job is not None
                     ):
-                        held.source.on_job(None, jid, 0, now)
-                        held.wake.set()
+                        held.source.on_job(None, job_id, 0, now)
+                        held.write_wake.set()
