--- a/ploverhall/controller/status_report.py
+++ b/ploverhall/controller/status_report.py
@@ -13,112 +13,124 @@
 import anyio
 
 from ploverhall import log, status
-from ploverhall.controller.context import Shared
-from ploverhall.controller.shard_status import View
+from ploverhall.controller.context import ControllerContext
+from ploverhall.controller.shard_status import ShardStatus
 from ploverhall.coordination.state_channel import Message
 
-VIEW_EVERY_S = 5.0
-ANSWER_S = 1.0  # how long a person waits for what other controllers say
+REPORT_INTERVAL_S = 5.0
+PEER_ANSWER_TIMEOUT_S = 1.0  # how long a person waits for what other controllers say
 
 
-class Telling:
+class StatusReport:
     """Views of all controllers, and the troubles that the log has named."""
 
     def __init__(
-        self, shared: Shared, view: View, up: Callable[[], list[str]], poke: Callable[[str], None]
+        self,
+        context: ControllerContext,
+        shard_status: ShardStatus,
+        connected_peers: Callable[[], list[str]],
+        notify_peer: Callable[[str], None],
     ) -> None:
-        self.shared, self.own = shared, view
-        self.up, self.poke = (
-            up,
-            poke,
+        self.context, self.shard_status = context, shard_status
+        self.connected_peers, self.notify_peer = (
+            connected_peers,
+            notify_peer,
         )  # the peers there is a connection to, and how to say that there is something for one
-        self.views: dict[
+        self.peer_reports: dict[
             str, tuple[float, dict[str, Any]]
         ] = {}  # other controllers': when heard, and what
-        self.sent: dict[str, float] = {}
-        self.view: dict[str, Any] = {}
-        self.questions: dict[
+        self.sent_at: dict[str, float] = {}
+        self.own_report: dict[str, Any] = {}
+        self.open_questions: dict[
             int, tuple[dict[str, str], dict[str, Any], anyio.Event]
         ] = {}  # asked here: what, answers, all in
-        self.asked = 0
-        self.out: dict[str, list[Message]] = {}  # questions and answers to be sent
-        self.troubles: dict[str, str] = {}
+        self.question_count = 0
+        self.outbound: dict[str, list[Message]] = {}  # questions and answers to be sent
+        self.active_conditions: dict[str, str] = {}
 
     async def loop(self) -> None:
         """Look, and warn of what is new. (Not at once: a controller that has just started has heard nobody yet.)"""
         while True:
-            await anyio.sleep(VIEW_EVERY_S)
-            self.view = self.own.of()
-            now = {key: text for key, text in status.troubles(self.view).items() if key[0] != "~"}
-            for key in now.keys() - self.troubles.keys():
-                log.warn("trouble begins", that=now[key])
-            for key in self.troubles.keys() - now.keys():
-                log.warn("trouble ended", that=self.troubles[key])
-            self.troubles = now
+            await anyio.sleep(REPORT_INTERVAL_S)
+            self.own_report = self.shard_status.report()
+            current = {
+                key: text
+                for key, text in status.conditions(self.own_report).items()
+                if key[0] != "~"
+            }
+            for key in current.keys() - self.active_conditions.keys():
+                log.warn("trouble begins", that=current[key])
+            for key in self.active_conditions.keys() - current.keys():
+                log.warn("trouble ended", that=self.active_conditions[key])
+            self.active_conditions = current
 
     # -- between controllers -------------------------------------------------------------------
 
-    def collect(self, node: str, now: float) -> list[Message]:
+    def collect(self, controller: str, now: float) -> list[Message]:
         """What goes to a peer now."""
-        out = self.out.pop(node, [])
-        if self.view and now - self.sent.get(node, -1e9) > VIEW_EVERY_S:
-            self.sent[node] = now
-            out.append(["v", self.shared.me, 0, 0, True, self.view, 0])
+        out = self.outbound.pop(controller, [])
+        if self.own_report and now - self.sent_at.get(controller, -1e9) > REPORT_INTERVAL_S:
+            self.sent_at[controller] = now
+            out.append(["v", self.context.controller_index, 0, 0, True, self.own_report, 0])
         return out
 
-    def deliver(self, node: str, message: Message) -> None:
+    def deliver(self, controller: str, message: Message) -> None:
         """A peer's view, question or answer."""
         kind, value, number = message[0], message[5], message[6]
         if kind == "v":
-            self.views[node] = (self.shared.clock(), value)
+            self.peer_reports[controller] = (self.context.clock(), value)
         elif kind == "q":
-            self._send(node, "a", self.own.of(value), number)
-        elif number in self.questions:
-            _, answers, done = self.questions[number]
-            answers[node] = value
-            self.views[node] = (
-                (self.shared.clock(), value)
-                if not self.questions[number][0]
-                else self.views.get(node, (0.0, {}))
+            self._send(controller, "a", self.shard_status.report(value), number)
+        elif number in self.open_questions:
+            _, answers, done = self.open_questions[number]
+            answers[controller] = value
+            self.peer_reports[controller] = (
+                (self.context.clock(), value)
+                if not self.open_questions[number][0]
+                else self.peer_reports.get(controller, (0.0, {}))
             )
-            if len(answers) == len(self.shared.settings.peers):
+            if len(answers) == len(self.context.settings.peers):
                 done.set()
 
-    def _send(self, node: str, kind: str, value: Any, number: int) -> None:
-        self.out.setdefault(node, []).append([kind, self.shared.me, 0, 0, True, value, number])
-        self.poke(node)
+    def _send(self, controller: str, kind: str, value: Any, number: int) -> None:
+        self.outbound.setdefault(controller, []).append(
+            [kind, self.context.controller_index, 0, 0, True, value, number]
+        )
+        self.notify_peer(controller)
 
     # -- people --------------------------------------------------------------------------------
 
-    async def answer(self, chosen: dict[str, str]) -> dict[str, Any]:
+    async def answer(self, selection: dict[str, str]) -> dict[str, Any]:
         """All controllers' views: asked now, or as last heard."""
-        self.asked += 1
-        number, answers, done = self.asked, dict[str, Any](), anyio.Event()
-        self.questions[number] = (chosen, answers, done)
-        up = self.up()
-        for name in up:
-            self._send(name, "q", chosen, number)
+        self.question_count += 1
+        number, answers, done = self.question_count, dict[str, Any](), anyio.Event()
+        self.open_questions[number] = (selection, answers, done)
+        connected = self.connected_peers()
+        for name in connected:
+            self._send(name, "q", selection, number)
         try:
-            if up:
-                with anyio.move_on_after(ANSWER_S):
+            if connected:
+                with anyio.move_on_after(PEER_ANSWER_TIMEOUT_S):
                     await done.wait()
         finally:
-            del self.questions[number]
-            for queue in self.out.values():
-                queue[:] = [m for m in queue if m[0] != "q" or m[6] != number]
-        now = self.shared.clock()
+            del self.open_questions[number]
+            for queue in self.outbound.values():
+                queue[:] = [
+                    message for message in queue if message[0] != "q" or message[6] != number
+                ]
+        now = self.context.clock()
         views: dict[str, Any] = {
-            self.shared.settings.name: {"age_s": 0.0, "view": self.own.of(chosen)}
+            self.context.settings.name: {"age_s": 0.0, "view": self.shard_status.report(selection)}
         }
-        for peer in self.shared.settings.peers:
+        for peer in self.context.settings.peers:
             if peer.name in answers:
                 views[peer.name] = {"age_s": 0.0, "view": answers[peer.name]}
-            elif peer.name in self.views:
-                heard, view = self.views[peer.name]
+            elif peer.name in self.peer_reports:
+                heard, view = self.peer_reports[peer.name]
                 views[peer.name] = {
                     "age_s": round(now - heard, 1),
-                    "view": status.choose(view, chosen),
+                    "view": status.select(view, selection),
                 }
             else:
                 views[peer.name] = {"age_s": None, "view": None}
-        return {"asked": self.shared.settings.name, "controllers": views}
+        return {"asked": self.context.settings.name, "controllers": views}
--- a/ploverhall/coordination/cancellation_barrier.py
+++ b/ploverhall/coordination/cancellation_barrier.py
@@ -37,195 +37,257 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ploverhall.protocol.peer_messages import Cancelled, Word
+from ploverhall.protocol.peer_messages import Cancellation, CancellationGossip
 
-CAN = "told"  # the feature in a member's key: it waits with telling, so others may go on for longer
-DRIFT = 1.002  # steady clocks of two hosts differ by up to 0.05% each; four times that
-MARGIN_S = 2.0  # answers on their way, steps that come late
-MOST_PATIENCE_S = 60.0  # nobody waits for longer to be told, whatever the times are; no question goes unanswered for 75 s
-EARLY_S = 8.0  # how much earlier than it had to the old rule let go
-MOST_NAMED = 400  # cancellations in one word; the next one goes on from there
+FEATURE_CANCELLATION_ACK = (
+    "told"  # the feature in a member's key: it waits with telling, so others may go on for longer
+)
+CLOCK_DRIFT = 1.002  # steady clocks of two hosts differ by up to 0.05% each; four times that
+IN_FLIGHT_MARGIN_S = 2.0  # answers on their way, steps that come late
+MAX_ACK_DELAY_S = 60.0  # nobody waits for longer to be told, whatever the times are; no question goes unanswered for 75 s
+LEGACY_EARLY_STOP_S = 8.0  # how much earlier than it had to the old rule let go
+MAX_CANCELLATIONS_PER_MESSAGE = 400  # cancellations in one word; the next one goes on from there
 
 
 @dataclass(slots=True)
-class Member:
+class PeerKnowledge:
     """What is known of another controller."""
 
-    can: bool = False  # it waits with telling
-    known: int = 0  # its watermark; what it has known stays known, by its next life too
-    absent: float | None = None  # since when its key has been seen to be gone; None: it is there
-    left: int = -1  # the revision at which its key went, as far as this controller has seen
-    owed: float = -1e9  # when its newest word came that has been answered
-    sure: float = -1e9  # when the newest own word left that it has answered
-    word: tuple[str, float] | None = (
+    supports_ack: bool = False  # it waits with telling
+    known_revision: int = 0  # its watermark; what it has known stays known, by its next life too
+    absent_since: float | None = (
+        None  # since when its key has been seen to be gone; None: it is there
+    )
+    absent_revision: int = (
+        -1
+    )  # the revision at which its key went, as far as this controller has seen
+    acknowledged_at: float = -1e9  # when its newest word came that has been answered
+    confirmed_contact_at: float = -1e9  # when the newest own word left that it has answered
+    last_gossip: tuple[str, float] | None = (
         None  # its newest word, to be answered: its life, and its clock then
     )
-    heard: float = -1e9  # when that came
+    last_gossip_at: float = -1e9  # when that came
 
 
-class Cancellations:
+class CancellationBarrier:
     """The other controllers, what each knows, and what passes between them."""
 
     def __init__(
         self,
-        others: Iterable[str],
+        peer_names: Iterable[str],
         cancel_s: float,
         lease_s: float,
         cut_off_s: float,
         now: float,
-        life: str = "",
+        incarnation: str = "",
     ) -> None:
-        self.cancel_s, self.lease_s, self.life, self.started = cancel_s, lease_s, life, now
-        self.cut_off_s = min(cut_off_s, MOST_PATIENCE_S + cancel_s - lease_s * DRIFT - MARGIN_S)
+        self.cancel_s, self.lease_s, self.incarnation, self.started = (
+            cancel_s,
+            lease_s,
+            incarnation,
+            now,
+        )
+        self.cut_off_s = min(
+            cut_off_s, MAX_ACK_DELAY_S + cancel_s - lease_s * CLOCK_DRIFT - IN_FLIGHT_MARGIN_S
+        )
         # a controller that has just started does not know for how long a key has been gone
-        self.members = {name: Member(absent=now, owed=now) for name in others}
-        self.read_at = (
+        self.peers = {
+            name: PeerKnowledge(absent_since=now, acknowledged_at=now) for name in peer_names
+        }
+        self.store_contact_at = (
             -1e9
         )  # this one's own contact with the store: it had read all, and its key was there
-        self.own: list[Cancelled] = []  # cancellations that not all are known to know, by revision
-        self.informed = 0  # this one's watermark, as far as others have brought it
+        self.unconfirmed: list[
+            Cancellation
+        ] = []  # cancellations that not all are known to know, by revision
+        self.informed_revision = 0  # this one's watermark, as far as others have brought it
         self.lapsed = False  # it was without contact for so long that others may have forgotten what it does not know
 
     # -- what is seen in the store -------------------------------------------------------------
 
-    def present(self, name: str, can: bool, known: int) -> None:
+    def peer_present(self, name: str, supports_ack: bool, known_revision: int) -> None:
         """A member's key is in the store, and says this of it."""
-        if (m := self.members.get(name)) is not None:
-            m.can, m.absent = can, None
-            m.known = max(m.known, known)
+        if (peer := self.peers.get(name)) is not None:
+            peer.supports_ack, peer.absent_since = supports_ack, None
+            peer.known_revision = max(peer.known_revision, known_revision)
 
-    def gone(self, name: str, now: float, left: int = 0) -> None:
+    def peer_absent(self, name: str, now: float, revision: int = 0) -> None:
         """A member's key is not in the store; it went at that revision. (Between two looks it may have come and gone again.)"""
-        if (m := self.members.get(name)) is not None and (m.absent is None or m.left != left):
-            m.absent, m.left = now, left
+        if (peer := self.peers.get(name)) is not None and (
+            peer.absent_since is None or peer.absent_revision != revision
+        ):
+            peer.absent_since, peer.absent_revision = now, revision
 
-    def contacted(self, at: float) -> None:
+    def store_contacted(self, received_at: float) -> None:
         """At that time this controller had read the whole store, and its key was there."""
-        if at > self.read_at:
-            self.read_at, self.lapsed = at, False
+        if received_at > self.store_contact_at:
+            self.store_contact_at, self.lapsed = received_at, False
 
-    def note(self, job: str, version: int) -> None:
+    def record_cancellation(self, job: str, version: int) -> None:
         """A job has been cancelled."""
-        one = Cancelled(version, job)
-        at = bisect_left(self.own, one)
-        if self.own[at : at + 1] != [one] and any(m.known < version for m in self.members.values()):
-            self.own.insert(at, one)
+        cancellation = Cancellation(version, job)
+        position = bisect_left(self.unconfirmed, cancellation)
+        if self.unconfirmed[position : position + 1] != [cancellation] and any(
+            peer.known_revision < version for peer in self.peers.values()
+        ):
+            self.unconfirmed.insert(position, cancellation)
 
     # -- words ---------------------------------------------------------------------------------
 
-    def word(self, name: str, read: int, now: float) -> Word:
+    def gossip_for(self, name: str, read_revision: int, now: float) -> CancellationGossip:
         """What a member is told now; `read`: the revision that this controller has read up to, 0 before it has read at all."""
-        m, known = self.members[name], max(read, self.informed)
-        news, echo = (
-            self.own[bisect_right(self.own, Cancelled(m.known, "~")) :] if read else [],
-            m.word,
+        peer, known_revision = self.peers[name], max(read_revision, self.informed_revision)
+        cancellations, echo = (
+            self.unconfirmed[
+                bisect_right(self.unconfirmed, Cancellation(peer.known_revision, "~")) :
+            ]
+            if read_revision
+            else [],
+            peer.last_gossip,
         )
-        if len(news) > MOST_NAMED:
-            news, echo = news[:MOST_NAMED], None
-            known = min(known, news[-1].version)
+        if len(cancellations) > MAX_CANCELLATIONS_PER_MESSAGE:
+            cancellations, echo = cancellations[:MAX_CANCELLATIONS_PER_MESSAGE], None
+            known_revision = min(known_revision, cancellations[-1].revision)
         if echo is not None:
-            m.owed = (
-                m.heard
+            peer.acknowledged_at = (
+                peer.last_gossip_at
             )  # not from now on: the same word may come back to its sender many times
-        return Word(known, self.life, now, now - self.started, read > 0, echo, news)
+        return CancellationGossip(
+            known_revision,
+            self.incarnation,
+            now,
+            now - self.started,
+            read_revision > 0,
+            echo,
+            cancellations,
+        )
 
-    def take(self, name: str, word: Word, now: float) -> list[Cancelled]:
+    def receive_gossip(
+        self, name: str, gossip: CancellationGossip, now: float
+    ) -> list[Cancellation]:
         """A member's word has come: the cancellations that it names. They are to be acted on before anything else is sent."""
-        m = self.members.get(name)
-        if m is None:
+        peer = self.peers.get(name)
+        if peer is None:
             return []
-        before = m.known
-        m.known = max(m.known, word.known)
-        if before < m.known:
+        previously_known = peer.known_revision
+        peer.known_revision = max(peer.known_revision, gossip.known_revision)
+        if previously_known < peer.known_revision:
             self._prune(now)
-        if word.life:
-            m.word, m.heard = (word.life, word.at), now
+        if gossip.incarnation:
+            peer.last_gossip, peer.last_gossip_at = (gossip.incarnation, gossip.sent_at), now
         else:
-            m.owed = now  # of a release without words: it may take it for contact that it is heard and hears
-        if word.read:
-            self.informed = max(self.informed, word.known)
-        if now - self.contact(now) > self.over / DRIFT:
+            peer.acknowledged_at = now  # of a release without words: it may take it for contact that it is heard and hears
+        if gossip.has_read_store:
+            self.informed_revision = max(self.informed_revision, gossip.known_revision)
+        if now - self.last_contact(now) > self.all_leases_expired_s / CLOCK_DRIFT:
             self.lapsed = True
-        if word.echo is not None and word.echo[0] == self.life and word.echo[1] <= now:
+        if gossip.echo is not None and gossip.echo[0] == self.incarnation and gossip.echo[1] <= now:
             # one that has not read the store has confirmed nothing in this life, nor its last one if that ended while it owed
-            if word.read or now - word.up <= max(self.read_at, m.sure) + self.patience / DRIFT:
-                m.sure = max(m.sure, word.echo[1])
-        return word.cancelled
+            if (
+                gossip.has_read_store
+                or now - gossip.uptime_s
+                <= max(self.store_contact_at, peer.confirmed_contact_at)
+                + self.ack_delay_s / CLOCK_DRIFT
+            ):
+                peer.confirmed_contact_at = max(peer.confirmed_contact_at, gossip.echo[1])
+        return gossip.cancellations
 
     def _prune(self, now: float) -> None:
-        least = min(
-            (m.known for m in self.members.values() if not self._over(m, now)), default=None
+        lowest_known = min(
+            (
+                peer.known_revision
+                for peer in self.peers.values()
+                if not self._leases_expired(peer, now)
+            ),
+            default=None,
         )
-        if least is None:
-            self.own.clear()
+        if lowest_known is None:
+            self.unconfirmed.clear()
         else:
-            del self.own[: bisect_right(self.own, Cancelled(least, "~"))]
+            del self.unconfirmed[: bisect_right(self.unconfirmed, Cancellation(lowest_known, "~"))]
 
     # -- the answerer's side -------------------------------------------------------------------
 
-    def contact(self, now: float) -> float:
+    def last_contact(self, now: float) -> float:
         """The newest time at which every other controller owed this one."""
-        return min((max(self.read_at, m.sure) for m in self.members.values()), default=now)
+        return min(
+            (max(self.store_contact_at, peer.confirmed_contact_at) for peer in self.peers.values()),
+            default=now,
+        )
 
     def isolated(self, now: float) -> bool:
         """Whether others may have told a user of a cancellation that this one does not know: it must not answer workers."""
-        return self.lapsed or now - self.contact(now) >= self.fence
+        return self.lapsed or now - self.last_contact(now) >= self.max_contact_age_s
 
     @property
-    def early(self) -> float:
+    def legacy_answer_s(self) -> float:
         """Seconds after its last contact at which a controller had to stop answering by the old rule."""
-        return max(1.0, self.cancel_s - self.lease_s - EARLY_S)
+        return max(1.0, self.cancel_s - self.lease_s - LEGACY_EARLY_STOP_S)
 
     @property
-    def fence(self) -> float:
+    def max_contact_age_s(self) -> float:
         """Seconds after its last contact at which this controller stops answering workers.
 
         The long time only if every other controller waits with telling: during a rolling upgrade the old rule holds.
         """
-        return self.longest if all(m.can for m in self.members.values()) else self.early
+        return (
+            self.longest_answer_s
+            if all(peer.supports_ack for peer in self.peers.values())
+            else self.legacy_answer_s
+        )
 
     @property
-    def longest(self) -> float:
+    def longest_answer_s(self) -> float:
         """What any controller's `fence` can be."""
-        return max(self.early, self.cut_off_s)
+        return max(self.legacy_answer_s, self.cut_off_s)
 
     @property
-    def over(self) -> float:
+    def all_leases_expired_s(self) -> float:
         """Seconds after its last contact at which all workers that a controller has answered have given up their tasks."""
-        return (self.longest + self.lease_s) * DRIFT + MARGIN_S
+        return (self.longest_answer_s + self.lease_s) * CLOCK_DRIFT + IN_FLIGHT_MARGIN_S
 
     # -- the teller's side ---------------------------------------------------------------------
 
     @property
-    def patience(self) -> float:
+    def ack_delay_s(self) -> float:
         """Seconds for which a controller must have been owed nothing before what it does not know may be told.
 
         It answers for at most `fence` after its last sign of that, a worker's lease runs on from there, and all of that must be over
         `cancel_s` after the telling.
         """
-        return max(0.0, self.over - self.cancel_s)
+        return max(0.0, self.all_leases_expired_s - self.cancel_s)
 
-    def may_tell(self, version: int, now: float) -> bool:
+    def may_acknowledge(self, version: int, now: float) -> bool:
         """Whether a user may be told of a cancellation written at this revision."""
-        return not self.waits_for(version, now)
+        return not self.waiting_for(version, now)
 
-    def waits_for(self, version: int, now: float) -> list[str]:
+    def waiting_for(self, version: int, now: float) -> list[str]:
         """Whom the telling of a cancellation waits for, for people."""
         return sorted(
-            n
-            for n, m in self.members.items()
+            name
+            for name, peer in self.peers.items()
             # who is there and tells at once itself stops by the old time: nothing has to wait for it
-            if m.known < version
-            and (m.can if m.absent is None else now - self._owed(m) < self.patience)
+            if peer.known_revision < version
+            and (
+                peer.supports_ack
+                if peer.absent_since is None
+                else now - self._last_obligation(peer) < self.ack_delay_s
+            )
         )
 
     def may_forget(self, version: int, now: float) -> bool:
         """Whether nobody can need to be told of a cancellation any more who has not read the store since."""
-        return all(m.known >= version or self._over(m, now) for m in self.members.values())
+        return all(
+            peer.known_revision >= version or self._leases_expired(peer, now)
+            for peer in self.peers.values()
+        )
 
-    def _over(self, m: Member, now: float) -> bool:
-        return m.absent is not None and now - self._owed(m) > self.over
+    def _leases_expired(self, peer: PeerKnowledge, now: float) -> bool:
+        return (
+            peer.absent_since is not None
+            and now - self._last_obligation(peer) > self.all_leases_expired_s
+        )
 
-    def _owed(self, m: Member) -> float:
+    def _last_obligation(self, peer: PeerKnowledge) -> float:
         """When a member whose key is gone was last owed something."""
-        return max(m.absent or 0.0, m.owed)
+        return max(peer.absent_since or 0.0, peer.acknowledged_at)
--- a/ploverhall/coordination/fencing_tokens.py
+++ b/ploverhall/coordination/fencing_tokens.py
@@ -15,17 +15,17 @@
 from __future__ import annotations
 
 TOKEN_BITS = 20  # below the epoch; the same in the releases before this layout, or they could not follow one another
-RIGHT_BITS, COUNT_BITS, HOLDER_BITS = 8, 7, 5
-RIGHT = (1 << RIGHT_BITS) - 1
-COUNT = ((1 << COUNT_BITS) - 1) << RIGHT_BITS
-PLAIN = (1 << (RIGHT_BITS + COUNT_BITS)) - 1
-HOLDERS = (1 << HOLDER_BITS) - 1
+RENEWAL_GRANT_BITS, COUNT_BITS, HOLDER_BITS = 8, 7, 5
+RENEWAL_GRANT_MASK = (1 << RENEWAL_GRANT_BITS) - 1
+COUNT_MASK = ((1 << COUNT_BITS) - 1) << RENEWAL_GRANT_BITS
+UNNAMED_HOLDER_MASK = (1 << (RENEWAL_GRANT_BITS + COUNT_BITS)) - 1
+HOLDER_MASK = (1 << HOLDER_BITS) - 1
 
 
-def first(epoch: int, holder: int | None) -> int:
+def initial_token(epoch: int, holder: int | None) -> int:
     """The lowest token of an epoch; a holder beyond what the field holds does not say who it is."""
-    told = holder + 1 if holder is not None and 0 <= holder < HOLDERS else 0
-    return epoch << TOKEN_BITS | told << (RIGHT_BITS + COUNT_BITS)
+    encoded_holder = holder + 1 if holder is not None and 0 <= holder < HOLDER_MASK else 0
+    return epoch << TOKEN_BITS | encoded_holder << (RENEWAL_GRANT_BITS + COUNT_BITS)
 
 
 def epoch_of(token: int) -> int:
@@ -35,27 +35,31 @@
 
 def holder_of(token: int) -> int | None:
     """The index of the controller that gave a token, if it says so."""
-    told = token >> (RIGHT_BITS + COUNT_BITS) & HOLDERS
-    return told - 1 if told else None
+    encoded_holder = token >> (RENEWAL_GRANT_BITS + COUNT_BITS) & HOLDER_MASK
+    return encoded_holder - 1 if encoded_holder else None
 
 
-def right_of(token: int) -> int:
+def renewal_grant_of(token: int) -> int:
     """The right that a token carries."""
-    return token & RIGHT
+    return token & RENEWAL_GRANT_MASK
 
 
-def raised(token: int) -> int | None:
+def next_token(token: int) -> int | None:
     """The next token that fences what was sent with this one; None when the epoch has none left."""
     if holder_of(token) is None:
-        return token + 1 if token & PLAIN < PLAIN else None
-    return token + (1 << RIGHT_BITS) if token & COUNT < COUNT else None
+        return token + 1 if token & UNNAMED_HOLDER_MASK < UNNAMED_HOLDER_MASK else None
+    return token + (1 << RENEWAL_GRANT_BITS) if token & COUNT_MASK < COUNT_MASK else None
 
 
-def marked(token: int, right: int) -> int | None:
+def with_renewal_grant(token: int, renewal_grant: int) -> int | None:
     """The lowest token that is no lower and carries this right; None when the epoch has none left."""
-    if holder_of(token) is None or right_of(token) == right:
+    if holder_of(token) is None or renewal_grant_of(token) == renewal_grant:
         return token
-    if right > right_of(token):
-        return token - right_of(token) + right
-    up = raised(token)
-    return up - right_of(up) + right if up is not None else None
+    if renewal_grant > renewal_grant_of(token):
+        return token - renewal_grant_of(token) + renewal_grant
+    raised_token = next_token(token)
+    return (
+        raised_token - renewal_grant_of(raised_token) + renewal_grant
+        if raised_token is not None
+        else None
+    )
--- a/ploverhall/coordination/isolation.py
+++ b/ploverhall/coordination/isolation.py
@@ -17,77 +17,88 @@
 
 from dataclasses import dataclass, field
 
-TIMEOUT_S, PAUSE_S = (
+AGENT_TIMEOUT_S, AGENT_RETRY_PAUSE_S = (
     4.0,
     1.0,
 )  # a worker waits so long for an answer, and then so long before it tries the next controller
-SCOUTS, BUSY_SCOUTS = 3, 1  # one that is busy loses its tasks if this controller ends just then
-AGAIN_S, MOST_AGAIN_S = 15.0, 60.0
+IDLE_SCOUTS, BUSY_SCOUTS = (
+    3,
+    1,
+)  # one that is busy loses its tasks if this controller ends just then
+INITIAL_ROUND_INTERVAL_S, MAX_ROUND_INTERVAL_S = 15.0, 60.0
 
 
 @dataclass(slots=True)
-class Alone:
+class IsolatedRedirects:
     """The scouts of one spell of being alone."""
 
-    others: list[
+    candidates: list[
         str
     ]  # the other controllers; the one after which a worker tries this one comes first, then the one before that
-    report_s: float
+    heartbeat_interval_s: float
     lease_s: float
-    since: float | None = None
-    away: dict[str, float] = field(default_factory=dict)  # scouts, and when each was sent
-    turn: int = 0  # where the scouts are sent
-    next_round: float = 0.0
-    again_s: float = AGAIN_S
-    served: bool = False  # scouts have stayed away: somebody answers them
+    isolated_since: float | None = None
+    scouts: dict[str, float] = field(default_factory=dict)  # scouts, and when each was sent
+    candidate_index: int = 0  # where the scouts are sent
+    next_round_at: float = 0.0
+    round_interval_s: float = INITIAL_ROUND_INTERVAL_S
+    scouts_served_elsewhere: bool = False  # scouts have stayed away: somebody answers them
 
     @property
-    def back_s(self) -> float:
+    def scout_return_s(self) -> float:
         """A scout that nobody answers has reported here again after this."""
-        return 0.5 + (self.turn + 1) * (TIMEOUT_S + PAUSE_S) + 1.0
+        return 0.5 + (self.candidate_index + 1) * (AGENT_TIMEOUT_S + AGENT_RETRY_PAUSE_S) + 1.0
 
-    def look(self, alone: bool, now: float) -> None:
+    def update(self, isolated: bool, now: float) -> None:
         """Whether this controller reaches nobody but its workers."""
-        if not alone:
-            if self.since is not None:
-                self.since, self.served, self.turn, self.next_round, self.again_s = (
+        if not isolated:
+            if self.isolated_since is not None:
+                (
+                    self.isolated_since,
+                    self.scouts_served_elsewhere,
+                    self.candidate_index,
+                    self.next_round_at,
+                    self.round_interval_s,
+                ) = (
                     None,
                     False,
                     0,
                     0.0,
-                    AGAIN_S,
+                    INITIAL_ROUND_INTERVAL_S,
                 )
-                self.away.clear()
-        elif self.since is None:
-            self.since = now
+                self.scouts.clear()
+        elif self.isolated_since is None:
+            self.isolated_since = now
 
-    def sends_to(self, machine: str, answered_s: float | None, now: float) -> str | None:
+    def redirect_target(
+        self, machine: str, last_answer_age_s: float | None, now: float
+    ) -> str | None:
         """A worker has come: to whom it is sent instead of being answered.
 
         `answered_s`: how long ago it was last answered here; None where nothing on it can be lost.
         """
-        if self.since is None or not self.others:
+        if self.isolated_since is None or not self.candidates:
             return None
-        if self.served:
-            return self.others[self.turn]
-        if machine in self.away:  # nobody has answered it
-            self.away.clear()
-            self.next_round, self.again_s = (
-                now + self.again_s,
-                min(MOST_AGAIN_S, 2.0 * self.again_s),
+        if self.scouts_served_elsewhere:
+            return self.candidates[self.candidate_index]
+        if machine in self.scouts:  # nobody has answered it
+            self.scouts.clear()
+            self.next_round_at, self.round_interval_s = (
+                now + self.round_interval_s,
+                min(MAX_ROUND_INTERVAL_S, 2.0 * self.round_interval_s),
             )
-            self.turn = (self.turn + 1) % len(self.others)
+            self.candidate_index = (self.candidate_index + 1) % len(self.candidates)
             return None
-        if self.away and now - max(self.away.values()) > self.back_s:
-            self.served = True
-            return self.others[self.turn]
-        fresh = not self.away or now - min(self.away.values()) < self.report_s
+        if self.scouts and now - max(self.scouts.values()) > self.scout_return_s:
+            self.scouts_served_elsewhere = True
+            return self.candidates[self.candidate_index]
+        round_open = not self.scouts or now - min(self.scouts.values()) < self.heartbeat_interval_s
         if (
-            now >= self.next_round
-            and fresh
-            and len(self.away) < (SCOUTS if answered_s is None else BUSY_SCOUTS)
+            now >= self.next_round_at
+            and round_open
+            and len(self.scouts) < (IDLE_SCOUTS if last_answer_age_s is None else BUSY_SCOUTS)
         ):
-            if answered_s is None or answered_s + self.back_s < self.lease_s:
-                self.away[machine] = now
-                return self.others[self.turn]
+            if last_answer_age_s is None or last_answer_age_s + self.scout_return_s < self.lease_s:
+                self.scouts[machine] = now
+                return self.candidates[self.candidate_index]
         return None
--- a/ploverhall/coordination/job_answers.py
+++ b/ploverhall/coordination/job_answers.py
@@ -25,94 +25,110 @@
 from typing import Any, NamedTuple
 
 from ploverhall.protocol import jobs
-from ploverhall.storage.store_cache import ARCHIVED, Ended, Replica, ended
+from ploverhall.storage.store_cache import (
+    ARCHIVE_MARKER_KEY,
+    EndedJob,
+    StoreCache,
+    ended_from_record,
+)
 
 
-class Proof(NamedTuple):
+class FreshRead(NamedTuple):
     """A read of the store that began at this time of the steady clock has brought the copy up to date."""
 
-    begun: float
+    started_at: float
 
 
-class Known(NamedTuple):
+class JobStatus(NamedTuple):
     """May be said: the answer's body, and whether it is final."""
 
-    view: dict[str, Any]
-    over: bool
+    body: dict[str, Any]
+    final: bool
 
 
-class NotNow(NamedTuple):
+class Unavailable(NamedTuple):
     """Nothing may be said of the job at the moment."""
 
-    why: str
+    reason: str
 
 
-class NeverAccepted(NamedTuple):
+class UnknownJob(NamedTuple):
     """Nobody has submitted the job."""
 
 
-class InArchive(NamedTuple):
+class ArchiveLookupNeeded(NamedTuple):
     """Only the archive can say whether there was such a job."""
 
 
-Answer = Known | NotNow | NeverAccepted
-UNTOLD = NotNow("not known to all controllers yet")
-UNPROVED = NotNow("state unknown")
+JobAnswer = JobStatus | Unavailable | UnknownJob
+CANCELLATION_NOT_ACKNOWLEDGED = Unavailable("not known to all controllers yet")
+STATE_UNKNOWN = Unavailable("state unknown")
 
 
-class Answers:
+class JobAnswers:
     """One controller's."""
 
     def __init__(
         self,
-        replica: Replica,
-        may_tell: Callable[[Ended], bool],
+        store_cache: StoreCache,
+        may_acknowledge: Callable[[EndedJob], bool],
         progress: Callable[[jobs.Job], tuple[int, int]],
     ) -> None:
-        self.replica = replica
-        self.may_tell = may_tell
+        self.store_cache = store_cache
+        self.may_acknowledge = may_acknowledge
         self.progress = progress  # a live job's tasks done and running, for display
 
-    def final(self, jid: str) -> Known | NotNow | None:
+    def final(self, job_id: str) -> JobStatus | Unavailable | None:
         """How a job ended, as far as may be told, whenever it was read; None: not over as far as the copy knows."""
-        end = self.replica.ended.get(jid)
+        end = self.store_cache.ended_jobs.get(job_id)
         if end is None:
             return None
-        return Known(jobs.view(jid, end.how, end.done), True) if self.may_tell(end) else UNTOLD
-
-    def proved(self, jid: str, asked: float, proof: Proof | None) -> Answer | InArchive:
+        return (
+            JobStatus(jobs.status_body(job_id, end.outcome, end.tasks_done), True)
+            if self.may_acknowledge(end)
+            else CANCELLATION_NOT_ACKNOWLEDGED
+        )
+
+    def verified(
+        self, job_id: str, asked_at: float, fresh_read: FreshRead | None
+    ) -> JobAnswer | ArchiveLookupNeeded:
         """What is known for certain of a job that was asked about at that time."""
-        if (end := self.final(jid)) is not None:
+        if (end := self.final(job_id)) is not None:
             return end
-        if proof is None or proof.begun < asked:
-            return UNPROVED
-        if (live := self.replica.live.get(jid)) is not None:
+        if fresh_read is None or fresh_read.started_at < asked_at:
+            return STATE_UNKNOWN
+        if (live := self.store_cache.live_jobs.get(job_id)) is not None:
             done, running = self.progress(live[0])
-            return Known(
-                jobs.view(jid, jobs.RUNNING if running else jobs.QUEUED, done, running), False
+            return JobStatus(
+                jobs.status_body(job_id, jobs.RUNNING if running else jobs.QUEUED, done, running),
+                False,
             )
-        if jid in self.replica.unreadable:
-            return Known(jobs.view(jid, jobs.QUEUED), False)
-        return InArchive() if ARCHIVED in self.replica.keys else NeverAccepted()
+        if job_id in self.store_cache.unreadable_jobs:
+            return JobStatus(jobs.status_body(job_id, jobs.QUEUED), False)
+        return (
+            ArchiveLookupNeeded()
+            if ARCHIVE_MARKER_KEY in self.store_cache.entries
+            else UnknownJob()
+        )
 
     def archived(
-        self, jid: str, value: dict[str, Any] | None, version: int
-    ) -> Known | NeverAccepted:
+        self, job_id: str, value: dict[str, Any] | None, version: int
+    ) -> JobStatus | UnknownJob:
         """What a look into the archive has brought, begun after the proof."""
         if value is None:
-            return NeverAccepted()
-        end = ended(value, version)
-        return Known(jobs.view(jid, end.how, end.done), True)
+            return UnknownJob()
+        end = ended_from_record(value, version)
+        return JobStatus(jobs.status_body(job_id, end.outcome, end.tasks_done), True)
 
-    def accepted(self, jid: str) -> Known:
+    def accepted(self, job_id: str) -> JobStatus:
         """This controller's own submission has landed, and nothing of the job had been there before."""
-        return Known({"id": jid, "stance": jobs.QUEUED}, False)
+        return JobStatus({"id": job_id, "stance": jobs.QUEUED}, False)
 
-    def live_at(self, jid: str) -> int | None:
+    def live_version(self, job_id: str) -> int | None:
         """The version under which the copy holds a job that is not over: what a cancellation is guarded on."""
-        live = self.replica.live.get(jid)
+        live = self.store_cache.live_jobs.get(job_id)
         return live[1] if live is not None else None
 
-    def is_live(self, jid: str) -> bool:
+    def is_live(self, job_id: str) -> bool:
         """Whether the copy holds a job as accepted and not over. (For what to do next, not for what to say.)"""
-        return jid in self.replica.live or jid in self.replica.unreadable
+        return job_id in self.store_cache.live_jobs or job_id in self.store_cache.unreadable_jobs
--- a/ploverhall/coordination/orphaned_machines.py
+++ b/ploverhall/coordination/orphaned_machines.py
@@ -11,29 +11,41 @@
 
 from dataclasses import dataclass, field
 
-RECENT_S = 4.0  # a worker's own timeout
-BACK_S = 2.0  # sent to the holder, and here again after at least this
-FORGET_S = 12.0  # a worker that tries two silent controllers in between is back after 10 s
+RECENT_SIGHTING_S = 4.0  # a worker's own timeout
+RETURNED_AFTER_S = 2.0  # sent to the holder, and here again after at least this
+FORGET_SIGHTING_S = 12.0  # a worker that tries two silent controllers in between is back after 10 s
 
 
 @dataclass(slots=True)
-class Stranded:
+class OrphanedMachines:
     """Which machines of other controllers' parts came here, and since when they keep coming."""
 
-    seen: dict[int, dict[str, tuple[float, float, bool]]] = field(default_factory=dict)
+    sightings: dict[int, dict[str, tuple[float, float, bool]]] = field(default_factory=dict)
 
-    def note(self, part: int, machine: str, served: bool, now: float) -> None:
+    def record(self, shard: int, machine: str, served_by_holder: bool, now: float) -> None:
         """A machine reports here instead; `served`: the holder has answered it before."""
-        at = self.seen.setdefault(part, {})
-        first, last, _ = at.get(machine, (now, now, served))
-        at[machine] = (first if now - last < FORGET_S else now, now, served)
+        machines = self.sightings.setdefault(shard, {})
+        first, last, _ = machines.get(machine, (now, now, served_by_holder))
+        machines[machine] = (
+            first if now - last < FORGET_SIGHTING_S else now,
+            now,
+            served_by_holder,
+        )
 
-    def back(self, part: int, machine: str, now: float) -> bool:
+    def returned(self, shard: int, machine: str, now: float) -> bool:
         """Whether a machine has been here a moment ago: it was sent to the holder, and is back."""
-        return machine in (at := self.seen.get(part, {})) and now - at[machine][1] < FORGET_S
+        return (
+            machine in (machines := self.sightings.get(shard, {}))
+            and now - machines[machine][1] < FORGET_SIGHTING_S
+        )
 
-    def should_take(
-        self, part: int, holder_heard: bool, now: float, home: bool = False, quiet: bool = False
+    def should_acquire(
+        self,
+        shard: int,
+        holder_heard: bool,
+        now: float,
+        is_preferred: bool = False,
+        holder_without_heartbeats: bool = False,
     ) -> bool:
         """Two machines, so that one odd worker moves nothing; longer proof while the holder can be heard.
 
@@ -44,19 +56,21 @@
         every boot: these count only at the part's own home, and only while the holder is silent. (Counting them
         once they came a second time made two controllers take one shard from each other fifty times a second.)
         """
-        at = self.seen.get(part)
-        if not at:
+        machines = self.sightings.get(shard)
+        if not machines:
             return False
         recent = [
-            (last - first, served) for first, last, served in at.values() if now - last < RECENT_S
+            (last - first, served)
+            for first, last, served in machines.values()
+            if now - last < RECENT_SIGHTING_S
         ]
-        if not recent and all(now - last > FORGET_S for _, last, _ in at.values()):
-            del self.seen[part]
+        if not recent and all(now - last > FORGET_SIGHTING_S for _, last, _ in machines.values()):
+            del self.sightings[shard]
         # come here again, not merely seen here some time ago: a controller that was back within a second lost its part to two workers
         # that had met its closed port once and were long served by it again
-        back = sum(1 for over, served in recent if served and over >= BACK_S)
-        if quiet and sum(1 for _, served in recent if served) >= 2:
+        returned_machines = sum(1 for over, served in recent if served and over >= RETURNED_AFTER_S)
+        if holder_without_heartbeats and sum(1 for _, served in recent if served) >= 2:
             return True
-        return back >= 2 or (
-            not holder_heard and sum(1 for _, served in recent if served or home) >= 2
+        return returned_machines >= 2 or (
+            not holder_heard and sum(1 for _, served in recent if served or is_preferred) >= 2
         )
--- a/ploverhall/coordination/restart_recovery.py
+++ b/ploverhall/coordination/restart_recovery.py
@@ -26,20 +26,22 @@
 from typing import Any
 
 from ploverhall.coordination import fencing_tokens
-from ploverhall.coordination.cancellation_barrier import DRIFT
+from ploverhall.coordination.cancellation_barrier import CLOCK_DRIFT
 from ploverhall.protocol import agents
-from ploverhall.protocol.agents import EXITED, Report
+from ploverhall.protocol.agents import EXITED, Heartbeat
 
-SURE, NONE = 0, fencing_tokens.RIGHT
-STEP_S = 2.0
-STEPS = NONE - 1  # before a time of day comes round again: 508 s
-SURE_S = 6.0  # contact that is no older is sure
-MOST_S = 200.0  # no right reaches further, or its time of day could be taken for an earlier one
+GRANT_FROM_ANSWER, NO_GRANT = 0, fencing_tokens.RENEWAL_GRANT_MASK
+GRANT_STEP_S = 2.0
+GRANT_STEPS = NO_GRANT - 1  # before a time of day comes round again: 508 s
+RECENT_CONTACT_S = 6.0  # contact that is no older is sure
+MAX_GRANT_S = (
+    200.0  # no right reaches further, or its time of day could be taken for an earlier one
+)
 MARGIN_S = 1.0  # answers on their way
 
 
 @dataclass(frozen=True, slots=True)
-class Rights:
+class RenewalGrants:
     """What a token promises, and what is read from one."""
 
     cancel_s: float
@@ -48,58 +50,76 @@
     cut_off_s: float = 60.0
 
     @property
-    def known_s(self) -> float:
+    def informed_renewal_s(self) -> float:
         """For how long after a knowing answer a worker may be answered, for the sake of what may be told meanwhile."""
         return min(
-            MOST_S,
-            self.cut_off_s - SURE_S,
-            self.cancel_s - self.lease_s * DRIFT - MARGIN_S - 2 * self.skew_s,
+            MAX_GRANT_S,
+            self.cut_off_s - RECENT_CONTACT_S,
+            self.cancel_s - self.lease_s * CLOCK_DRIFT - MARGIN_S - 2 * self.skew_s,
         )
 
-    def given(self, age: float, fence: float, wall: float) -> int:
+    def encode(self, contact_age_s: float, max_contact_age_s: float, wall_time: float) -> int:
         """The right that an answer or command carries which leaves now; contact is `age` old, and may grow as old as `fence`."""
-        left = min(fence - age, self.known_s)
-        if left <= 0.0:
-            return NONE
-        if age <= SURE_S:
-            return SURE if fence - SURE_S >= self.known_s else NONE
-        return 1 + int((wall + left) // STEP_S) % STEPS
+        remaining_s = min(max_contact_age_s - contact_age_s, self.informed_renewal_s)
+        if remaining_s <= 0.0:
+            return NO_GRANT
+        if contact_age_s <= RECENT_CONTACT_S:
+            return (
+                GRANT_FROM_ANSWER
+                if max_contact_age_s - RECENT_CONTACT_S >= self.informed_renewal_s
+                else NO_GRANT
+            )
+        return 1 + int((wall_time + remaining_s) // GRANT_STEP_S) % GRANT_STEPS
 
-    def left(self, right: int, wall: float) -> float:
+    def remaining_s(self, grant: int, wall_time: float) -> float:
         """For how long a worker that reports now may be answered; it was last answered a lease ago at the most."""
-        if right == NONE:
+        if grant == NO_GRANT:
             return 0.0
-        if right == SURE:
-            return self.known_s - self.lease_s * DRIFT - MARGIN_S
-        step = wall / STEP_S
-        ahead = (right - 1 - step) % STEPS  # steps until that time of day comes, or comes again
-        return (ahead if ahead <= STEPS / 2 else ahead - STEPS) * STEP_S - 2 * self.skew_s
+        if grant == GRANT_FROM_ANSWER:
+            return self.informed_renewal_s - self.lease_s * CLOCK_DRIFT - MARGIN_S
+        step = wall_time / GRANT_STEP_S
+        ahead = (
+            grant - 1 - step
+        ) % GRANT_STEPS  # steps until that time of day comes, or comes again
+        return (
+            ahead if ahead <= GRANT_STEPS / 2 else ahead - GRANT_STEPS
+        ) * GRANT_STEP_S - 2 * self.skew_s
 
-    def answer(
-        self, r: Report, me: int, newest: int, over: Container[str], wall: float
+    def answer_heartbeat(
+        self,
+        heartbeat: Heartbeat,
+        controller_index: int,
+        newest_epoch: int,
+        ended_jobs: Container[str],
+        wall_time: float,
     ) -> dict[str, Any] | None:
         """What this life answers a worker that bears a token of its earlier one; None where it may not answer.
 
         `me`: this controller's index; `newest`: the epoch of the worker's part as far as anybody here knows; `over`: which jobs
         among its tasks are known to be over. Nothing is kept between two reports: the token says all.
         """
-        if fencing_tokens.holder_of(r.token) != me or fencing_tokens.epoch_of(r.token) < newest:
+        if (
+            fencing_tokens.holder_of(heartbeat.token) != controller_index
+            or fencing_tokens.epoch_of(heartbeat.token) < newest_epoch
+        ):
             return None
-        right = fencing_tokens.right_of(r.token)
-        left = self.left(right, wall)
-        if left <= 0.0:
+        grant = fencing_tokens.renewal_grant_of(heartbeat.token)
+        remaining_s = self.remaining_s(grant, wall_time)
+        if remaining_s <= 0.0:
             return None
         # counted from this report on, what was sure becomes a time of day: a third life must not count from its own first report
         token = (
-            fencing_tokens.marked(r.token, 1 + int((wall + left) // STEP_S) % STEPS)
-            if right == SURE
-            else r.token
+            fencing_tokens.with_renewal_grant(
+                heartbeat.token, 1 + int((wall_time + remaining_s) // GRANT_STEP_S) % GRANT_STEPS
+            )
+            if grant == GRANT_FROM_ANSWER
+            else heartbeat.token
         )
         if token is None:
             return None
-        calls = [
-            agents.kill(key, 0.0)
-            for key, t in r.tasks().items()
-            if t.state != EXITED and key[0] in over
+        commands = [
+            agents.kill_command(key, 0.0)
+            for key, task in heartbeat.tasks().items()
+            if task.state != EXITED and key[0] in ended_jobs
         ]
-        return agents.answer(token, calls)
+        return agents.heartbeat_answer(token, commands)
--- a/ploverhall/coordination/state_channel.py
+++ b/ploverhall/coordination/state_channel.py
@@ -15,22 +15,22 @@
 
 # a message: [kind, from shard, epoch, to shard, full, changes, number]
 Message = list[Any]
-RENTER = -1  # stands for the renter where a shard is named
+AUTOSCALER_ENDPOINT = -1  # stands for the renter where a shard is named
 
 
 @dataclass(slots=True)
-class Board:
+class StateChannel:
     """What one role tells another."""
 
     kind: str
-    src: int
-    dst: int
+    source: int
+    destination: int
     epoch: int
     state: dict[str, Any] = field(default_factory=dict)
-    dirty: set[str] = field(default_factory=set)
-    sent: tuple[str, int] | None = None
-    number: int = 0
-    fresh: set[tuple[str, int, int]] = field(
+    changed_keys: set[str] = field(default_factory=set)
+    sent_to: tuple[str, int] | None = None
+    sequence: int = 0
+    pending_channels: set[tuple[str, int, int]] = field(
         default_factory=set
     )  # shared by all boards of an outbox: those with something new
 
@@ -38,13 +38,13 @@
         """Set or remove (None) one key."""
         if self.state.get(key) == value:
             return
-        if not self.dirty:
-            self.fresh.add((self.kind, self.src, self.dst))
+        if not self.changed_keys:
+            self.pending_channels.add((self.kind, self.source, self.destination))
         if value is None:
             self.state.pop(key, None)
         else:
             self.state[key] = value
-        self.dirty.add(key)
+        self.changed_keys.add(key)
 
     def update(self, changes: dict[str, Any]) -> None:
         """Set some keys."""
@@ -53,40 +53,42 @@
 
     def replace(self, state: dict[str, Any]) -> None:
         """Set all keys."""
-        self.update({k: None for k in self.state if k not in state})
+        self.update({key: None for key in self.state if key not in state})
         self.update(state)
 
 
-class Outbox:
+class OutboundChannels:
     """All boards of the roles held here."""
 
     def __init__(self) -> None:
-        self.boards: dict[tuple[str, int, int], Board] = {}
-        self.fresh: set[tuple[str, int, int]] = (
+        self.channels: dict[tuple[str, int, int], StateChannel] = {}
+        self.pending: set[tuple[str, int, int]] = (
             set()
         )  # boards with something that has not been sent
         self.routes: dict[
             str, tuple[int, int | None]
         ] = {}  # per node: the generation and the routing that all its boards were sent under
 
-    def board(self, kind: str, src: int, dst: int, epoch: int) -> Board:
+    def channel(self, kind: str, source: int, destination: int, epoch: int) -> StateChannel:
         """The board of a role; a new epoch starts it anew."""
-        key = (kind, src, dst)
-        b = self.boards.get(key)
-        if b is None or b.epoch != epoch:
-            b = self.boards[key] = Board(kind, src, dst, epoch, fresh=self.fresh)
-            self.fresh.add(key)
-        return b
-
-    def drop(self, kinds: tuple[str, ...], src: int) -> None:
+        key = (kind, source, destination)
+        channel = self.channels.get(key)
+        if channel is None or channel.epoch != epoch:
+            channel = self.channels[key] = StateChannel(
+                kind, source, destination, epoch, pending_channels=self.pending
+            )
+            self.pending.add(key)
+        return channel
+
+    def drop(self, kinds: tuple[str, ...], source: int) -> None:
         """A role is not held here any more."""
-        for key in [k for k in self.boards if k[0] in kinds and k[1] == src]:
-            del self.boards[key]
-            self.fresh.discard(key)
+        for key in [k for k in self.channels if k[0] in kinds and k[1] == source]:
+            del self.channels[key]
+            self.pending.discard(key)
 
     def collect(
         self,
-        node: str,
+        controller: str,
         generation: int,
         holder: Callable[[int], str | None],
         routing: int | None = None,
@@ -97,48 +99,65 @@
         every board looked at; else only those with something new. None: every board, always.
         """
         out: list[Message] = []
-        same = routing is not None and self.routes.get(node) == (generation, routing)
-        self.routes[node] = (generation, routing)
+        same = routing is not None and self.routes.get(controller) == (generation, routing)
+        self.routes[controller] = (generation, routing)
         # sorted: a set's order differs from process to process, and with it who hears what first, and every draw after that
-        for key in sorted(self.fresh) if same else list(self.boards):
-            b = self.boards[key]
-            if holder(b.dst) != node:
+        for key in sorted(self.pending) if same else list(self.channels):
+            channel = self.channels[key]
+            if holder(channel.destination) != controller:
                 continue
-            full = b.sent != (node, generation)
-            if full or b.dirty:
-                b.number += 1
-                changes = dict(b.state) if full else {k: b.state.get(k) for k in sorted(b.dirty)}
-                out.append([b.kind, b.src, b.epoch, b.dst, full, changes, b.number])
-                b.sent = (node, generation)
-                b.dirty.clear()
-                self.fresh.discard(key)
+            full = channel.sent_to != (controller, generation)
+            if full or channel.changed_keys:
+                channel.sequence += 1
+                changes = (
+                    dict(channel.state)
+                    if full
+                    else {
+                        entry_key: channel.state.get(entry_key)
+                        for entry_key in sorted(channel.changed_keys)
+                    }
+                )
+                out.append(
+                    [
+                        channel.kind,
+                        channel.source,
+                        channel.epoch,
+                        channel.destination,
+                        full,
+                        changes,
+                        channel.sequence,
+                    ]
+                )
+                channel.sent_to = (controller, generation)
+                channel.changed_keys.clear()
+                self.pending.discard(key)
         return out
 
 
-class Inbox:
+class InboundChannels:
     """The newest boards received, kept whether or not the role they are meant for is held here yet."""
 
     def __init__(self) -> None:
-        self.boards: dict[tuple[str, int, int], tuple[int, dict[str, Any]]] = {}
-        self.numbers: dict[tuple[str, int, int], int] = {}
+        self.channels: dict[tuple[str, int, int], tuple[int, dict[str, Any]]] = {}
+        self.sequences: dict[tuple[str, int, int], int] = {}
 
-    def take(self, message: Message) -> bool:
+    def accept(self, message: Message) -> bool:
         """False for a message of an epoch that is over, or older than what is known."""
-        kind, src, epoch, dst, full, changes, number = message
-        key = (kind, src, dst)
-        old_epoch, state = self.boards.get(key, (0, {}))
+        kind, source, epoch, destination, full, changes, sequence = message
+        key = (kind, source, destination)
+        old_epoch, state = self.channels.get(key, (0, {}))
         if epoch < old_epoch or (epoch > old_epoch and not full):
             return False
-        last = self.numbers.get(key, 0) if epoch == old_epoch else 0
-        if number <= last or (not full and number != last + 1):
+        last_sequence = self.sequences.get(key, 0) if epoch == old_epoch else 0
+        if sequence <= last_sequence or (not full and sequence != last_sequence + 1):
             return False
-        self.numbers[key] = number
+        self.sequences[key] = sequence
         if full:
             state = {}
-        for k, v in changes.items():
-            if v is None:
+        for k, value in changes.items():
+            if value is None:
                 state.pop(k, None)
             else:
-                state[k] = v
-        self.boards[key] = (epoch, state)
+                state[k] = value
+        self.channels[key] = (epoch, state)
         return True
--- a/ploverhall/log.py
+++ b/ploverhall/log.py
@@ -11,12 +11,12 @@
 
 
 def _emit(level: str, what: str, fields: dict[str, Any]) -> None:
-    pairs = " ".join(f"{k}={_plain(v)}" for k, v in fields.items())
+    pairs = " ".join(f"{key}={_printable(value)}" for key, value in fields.items())
     sys.stderr.write(f"{level} {what} {pairs}\n" if pairs else f"{level} {what}\n")
     sys.stderr.flush()
 
 
-def _plain(value: Any) -> str:
+def _printable(value: Any) -> str:
     """As it is shown: a class or machine may be called anything, and a line break in a name must not forge a line."""
     text = str(value)
     return text if text.isprintable() else text.encode("unicode_escape").decode()
@@ -44,11 +44,11 @@
         _emit("debug", what, fields)
 
 
-def where(e: BaseException) -> str:
+def raised_at(error: BaseException) -> str:
     """The place in the sources where an exception was raised."""
-    tb = e.__traceback__
+    traceback = error.__traceback__
     out = "?"
-    while tb is not None:
-        out = f"{tb.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{tb.tb_lineno}"
-        tb = tb.tb_next
+    while traceback is not None:
+        out = f"{traceback.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{traceback.tb_lineno}"
+        traceback = traceback.tb_next
     return out
--- a/ploverhall/maintenance/command.py
+++ b/ploverhall/maintenance/command.py
@@ -10,28 +10,28 @@
 import urllib.request
 from typing import Any
 
-TRIES = 5
+MAX_ATTEMPTS = 5
 
 
-def ask(address: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+def request(address: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
     """One request, asked again while the controller can't decide: an order is placed once, whatever became of the answer."""
     data = json.dumps(body).encode() if body is not None else b"" if method == "POST" else None
     status, out = 0, None
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         try:
             with urllib.request.urlopen(
                 urllib.request.Request(f"http://{address}{path}", data, method=method), timeout=5
             ) as f:
                 return f.status, json.load(f)
-        except urllib.error.HTTPError as e:
+        except urllib.error.HTTPError as error:
             try:
-                status, out = e.code, json.load(e)
+                status, out = error.code, json.load(error)
             except ValueError:
-                status, out = e.code, None
+                status, out = error.code, None
             if status != 503:
                 break
-        except (OSError, ValueError) as e:
-            status, out = 0, {"error": str(e)}
+        except (OSError, ValueError) as error:
+            status, out = 0, {"error": str(error)}
     return status, out
 
 
@@ -54,7 +54,7 @@
         "note": args.note,
     }
     if args.dry_run:
-        status, out = ask(args.address, "POST", "/upkeep/try", order)
+        status, out = request(args.address, "POST", "/upkeep/try", order)
         if status != 200:
             return _refused(status, out)
         print(f"{out['machines']} machines, in at least {out['rounds_at_least']} rounds")
@@ -66,7 +66,7 @@
         if out["not_asked"]:
             print(f"  not asked, so not counted: what {', '.join(out['not_asked'])} hold")
         return 0
-    status, out = ask(args.address, "POST", "/upkeep", order)
+    status, out = request(args.address, "POST", "/upkeep", order)
     if status not in (200, 201):
         return _refused(status, out)
     print(f"order {out['id']} is {out['state']}")
@@ -76,31 +76,31 @@
 def upkeep(args: argparse.Namespace) -> int:
     """List, show or change orders."""
     if args.verb in ("list", "show"):
-        status, out = ask(args.address, "GET", "/upkeep")
+        status, out = request(args.address, "GET", "/upkeep")
         if status != 200:
             return _refused(status, out)
         found = [o for o in out["orders"] if args.verb == "list" or o["id"] == args.id]
         if args.verb == "show" and not found:
             return _refused(404, {"error": "no such order"})
-        print("\n".join(lines(found, out["stops_that_wait"])))
+        print("\n".join(format_lines(found, out["stops_that_wait"])))
         return 0
     if not args.id:
         return _refused(0, {"error": "which order?"})
-    status, out = ask(args.address, "POST", f"/upkeep/{args.id}/{args.verb}")
+    status, out = request(args.address, "POST", f"/upkeep/{args.id}/{args.verb}")
     if status != 200:
         return _refused(status, out)
     print(f"order {out['id']} is {out['state']}")
     return 0
 
 
-def lines(found: list[dict[str, Any]], asked: dict[str, int]) -> list[str]:
+def format_lines(found: list[dict[str, Any]], asked: dict[str, int]) -> list[str]:
     """Orders for a person."""
     out = []
     for o in found:
         about = [
-            f"{k} {v}"
-            for k, v in (("zone", o["zone"]), ("type", o["type"]), ("part", o["part"]))
-            if v is not None
+            f"{key} {value}"
+            for key, value in (("zone", o["zone"]), ("type", o["type"]), ("part", o["part"]))
+            if value is not None
         ]
         about += ["spot" if o["spot"] else "ordinary"] if o["spot"] is not None else []
         about += [f"{len(o['machines'])} named machines"] if o["machines"] else []
@@ -112,5 +112,5 @@
             )
         if o.get("waits"):
             out.append(f"  waits: {o['waits']}")
-    out += [f"stops that wait: {n}, {why}" for why, n in sorted(asked.items())]
+    out += [f"stops that wait: {count}, {why}" for why, count in sorted(asked.items())]
     return out or ["no orders"]
--- a/ploverhall/protocol/cloud.py
+++ b/ploverhall/protocol/cloud.py
@@ -13,8 +13,8 @@
     name: str
     cpus: float
     gpus: float
-    mem: float
-    cache_gb: float
+    memory_gb: float
+    image_cache_gb: float
     fetch_gb_s: float
     price: float
     spot_price: float
@@ -22,9 +22,9 @@
     zones: tuple[str, ...]
 
     @property
-    def vec(self) -> tuple[float, float, float]:
+    def resources(self) -> tuple[float, float, float]:
         """What tasks can take."""
-        return (self.cpus, self.gpus, self.mem)
+        return (self.cpus, self.gpus, self.memory_gb)
 
     def record(self) -> list[Any]:
         """The form kept in the state service, for starts while the cloud is down."""
@@ -32,8 +32,8 @@
             self.name,
             self.cpus,
             self.gpus,
-            self.mem,
-            self.cache_gb,
+            self.memory_gb,
+            self.image_cache_gb,
             self.fetch_gb_s,
             self.price,
             self.spot_price,
@@ -42,37 +42,37 @@
         ]
 
 
-def type_from_record(r: list[Any]) -> MachineType:
+def type_from_record(record: list[Any]) -> MachineType:
     """The inverse of MachineType.record."""
-    name, cpus, gpus, mem, cache, fetch, price, spot_price, boot, zones = r[:10]
+    name, cpus, gpus, mem, cache, fetch, price, spot_price, boot, zones = record[:10]
     return MachineType(name, cpus, gpus, mem, cache, fetch, price, spot_price, boot, tuple(zones))
 
 
-def types(body: Any) -> dict[str, MachineType]:
+def decode_machine_types(body: Any) -> dict[str, MachineType]:
     """GET /flavors."""
     out = {}
-    for b in body["breeds"]:
-        out[b["name"]] = MachineType(
-            b["name"],
-            float(b["cores"]),
-            float(b["gpus"]),
-            float(b["ramGb"]),
-            float(b.get("localGb") or 0),
-            float(b.get("pullGbPerS") or 1),
-            float(b.get("price") or 0),
-            float(b.get("lowPrice") or 0),
-            float(b.get("startupS") or 0),
-            tuple(b.get("marshes") or ()),
+    for flavor in body["breeds"]:
+        out[flavor["name"]] = MachineType(
+            flavor["name"],
+            float(flavor["cores"]),
+            float(flavor["gpus"]),
+            float(flavor["ramGb"]),
+            float(flavor.get("localGb") or 0),
+            float(flavor.get("pullGbPerS") or 1),
+            float(flavor.get("price") or 0),
+            float(flavor.get("lowPrice") or 0),
+            float(flavor.get("startupS") or 0),
+            tuple(flavor.get("marshes") or ()),
         )
     return out
 
 
 @dataclass(slots=True)
-class Listed:
+class CloudMachine:
     """A machine as the cloud lists it."""
 
     name: str
-    addr: str
+    address: str
     type: str
     zone: str
     spot: bool
@@ -80,10 +80,10 @@
     age_s: float
 
 
-def listed(body: Any) -> tuple[list[Listed], bool]:
+def decode_machine_page(body: Any) -> tuple[list[CloudMachine], bool]:
     """One page of GET /hosts."""
     items = [
-        Listed(
+        CloudMachine(
             p["id"],
             p.get("endpoint") or "",
             p["breed"],
@@ -97,6 +97,14 @@
     return items, bool(body.get("hasNext"))
 
 
-def rent(name: str, type_: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+def rental_request(
+    request_id: str, machine_type: str, zone: str, spot: bool, count: int
+) -> dict[str, Any]:
     """POST /hosts."""
-    return {"plea": name, "breed": type_, "marsh": zone, "driftwood": spot, "count": count}
+    return {
+        "plea": request_id,
+        "breed": machine_type,
+        "marsh": zone,
+        "driftwood": spot,
+        "count": count,
+    }
--- a/ploverhall/protocol/jobs.py
+++ b/ploverhall/protocol/jobs.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-ID = re.compile(r"j-[0-9]{1,18}\Z")
+JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,18}\Z")
 KINDS = {"array": "array", "group": "gang", "daemon": "service"}
-RANKS = {"production": 0, "urgent": 1, "normal": 2, "best_effort": 3}
-QUEUED, RUNNING, DONE, WITHDRAWN = "queued", "running", "done", "withdrawn"
+PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "best_effort": 3}
+QUEUED, RUNNING, DONE, CANCELLED = "queued", "running", "done", "withdrawn"
 MAX_TASKS = 100_000
 
 
-class Malformed(Exception):
+class InvalidJobError(Exception):
     """A submission that is not in the published form."""
 
 
@@ -22,165 +22,170 @@
     """A job as its user described it, in standard words."""
 
     id: str
-    klass: str
+    job_class: str
     team: str
     kind: str
-    rank: int
-    n: int
+    priority: int
+    task_count: int
     cpus: float
     gpus: float
-    mem: float
+    memory_gb: float
     image: str
     image_gb: float
-    types: tuple[str, ...] | None
+    machine_types: tuple[str, ...] | None
     zone: str | None
-    one_zone: bool
-    spread: bool
+    single_zone: bool
+    spread_zones: bool
     spot: bool
     estimate_s: float
     checkpoint_s: float
     save_s: float
     deadline_s: float | None
-    at: float  # wall clock when accepted
+    submitted_at: float  # wall clock when accepted
 
     @property
-    def vec(self) -> tuple[float, float, float]:
+    def resources(self) -> tuple[float, float, float]:
         """What each task takes."""
-        return (self.cpus, self.gpus, self.mem)
+        return (self.cpus, self.gpus, self.memory_gb)
 
     @property
-    def zone_cap(self) -> int:
+    def max_tasks_per_zone(self) -> int:
         """How many tasks may be in one zone."""
-        return (self.n + 1) // 2 if self.spread else self.n
+        return (self.task_count + 1) // 2 if self.spread_zones else self.task_count
 
     def record(self) -> list[Any]:
         """The compact form kept in the state service and sent between controllers."""
         return [
             self.id,
-            self.klass,
+            self.job_class,
             self.team,
             self.kind,
-            self.rank,
-            self.n,
+            self.priority,
+            self.task_count,
             self.cpus,
             self.gpus,
-            self.mem,
+            self.memory_gb,
             self.image,
             self.image_gb,
-            list(self.types) if self.types is not None else None,
+            list(self.machine_types) if self.machine_types is not None else None,
             self.zone,
-            int(self.one_zone),
-            int(self.spread),
+            int(self.single_zone),
+            int(self.spread_zones),
             int(self.spot),
             self.estimate_s,
             self.checkpoint_s,
             self.save_s,
             self.deadline_s,
-            self.at,
+            self.submitted_at,
         ]
 
 
-def from_record(r: list[Any]) -> Job:
+def from_record(record: list[Any]) -> Job:
     """The inverse of Job.record; later fields are ignored."""
     return Job(
-        r[0],
-        r[1],
-        r[2],
-        r[3],
-        r[4],
-        r[5],
-        r[6],
-        r[7],
-        r[8],
-        r[9],
-        r[10],
-        tuple(r[11]) if r[11] is not None else None,
-        r[12],
-        bool(r[13]),
-        bool(r[14]),
-        bool(r[15]),
-        r[16],
-        r[17],
-        r[18],
-        r[19],
-        r[20],
+        record[0],
+        record[1],
+        record[2],
+        record[3],
+        record[4],
+        record[5],
+        record[6],
+        record[7],
+        record[8],
+        record[9],
+        record[10],
+        tuple(record[11]) if record[11] is not None else None,
+        record[12],
+        bool(record[13]),
+        bool(record[14]),
+        bool(record[15]),
+        record[16],
+        record[17],
+        record[18],
+        record[19],
+        record[20],
     )
 
 
-def _amount(d: dict[str, Any], key: str, over: bool = False) -> float:
-    v = d.get(key)
+def _amount(fields: dict[str, Any], key: str, positive: bool = False) -> float:
+    value = fields.get(key)
     if (
-        isinstance(v, bool)
-        or not isinstance(v, (int, float))
-        or not 0 <= v < 1e12
-        or (over and v <= 0)
+        isinstance(value, bool)
+        or not isinstance(value, (int, float))
+        or not 0 <= value < 1e12
+        or (positive and value <= 0)
     ):
-        raise Malformed(f"{key}: must be an amount")
-    return float(v)
+        raise InvalidJobError(f"{key}: must be an amount")
+    return float(value)
 
 
-def _text(d: dict[str, Any], key: str) -> str:
-    v = d.get(key)
-    if not isinstance(v, str) or not v or len(v) > 500:
-        raise Malformed(f"{key}: must be a name")
-    return v
+def _text(fields: dict[str, Any], key: str) -> str:
+    value = fields.get(key)
+    if not isinstance(value, str) or not value or len(value) > 500:
+        raise InvalidJobError(f"{key}: must be a name")
+    return value
 
 
-def _flag(d: dict[str, Any], key: str) -> bool:
-    v = d.get(key)
-    if not isinstance(v, bool):
-        raise Malformed(f"{key}: must be true or false")
-    return v
+def _flag(fields: dict[str, Any], key: str) -> bool:
+    value = fields.get(key)
+    if not isinstance(value, bool):
+        raise InvalidJobError(f"{key}: must be true or false")
+    return value
 
 
-def parse(d: Any, at: float) -> Job:
+def parse_submission(fields: Any, submitted_at: float) -> Job:
     """Check a submission; Malformed names the field."""
-    if not isinstance(d, dict):
-        raise Malformed("not an object")
-    jid = d.get("id")
-    if not isinstance(jid, str) or not ID.match(jid):
-        raise Malformed("id: must be like j-000412")
-    kind, rank, n = d.get("gait"), d.get("rank"), d.get("chicks")
+    if not isinstance(fields, dict):
+        raise InvalidJobError("not an object")
+    job_id = fields.get("id")
+    if not isinstance(job_id, str) or not JOB_ID_PATTERN.match(job_id):
+        raise InvalidJobError("id: must be like j-000412")
+    kind, priority, task_count = fields.get("gait"), fields.get("rank"), fields.get("chicks")
     if not isinstance(kind, str) or kind not in KINDS:
-        raise Malformed("gait: must be array, group or daemon")
-    if not isinstance(rank, str) or rank not in RANKS:
-        raise Malformed("rank: unknown")
-    if isinstance(n, bool) or not isinstance(n, int) or not 1 <= n <= MAX_TASKS:
-        raise Malformed("chicks: must be 1 to 100000")
-    types = d.get("breeds")
-    if types is not None and not (
-        isinstance(types, list) and all(isinstance(t, str) and len(t) <= 500 for t in types)
+        raise InvalidJobError("gait: must be array, group or daemon")
+    if not isinstance(priority, str) or priority not in PRIORITIES:
+        raise InvalidJobError("rank: unknown")
+    if (
+        isinstance(task_count, bool)
+        or not isinstance(task_count, int)
+        or not 1 <= task_count <= MAX_TASKS
+    ):
+        raise InvalidJobError("chicks: must be 1 to 100000")
+    machine_types = fields.get("breeds")
+    if machine_types is not None and not (
+        isinstance(machine_types, list)
+        and all(isinstance(t, str) and len(t) <= 500 for t in machine_types)
     ):
-        raise Malformed("breeds: must be null or a list of names")
-    zone = d.get("marsh")
+        raise InvalidJobError("breeds: must be null or a list of names")
+    zone = fields.get("marsh")
     if zone is not None and (not isinstance(zone, str) or len(zone) > 500):
-        raise Malformed("marsh: must be null or a name")
-    deadline = _amount(d, "duskS") if d.get("duskS") is not None else None
+        raise InvalidJobError("marsh: must be null or a name")
+    deadline = _amount(fields, "duskS") if fields.get("duskS") is not None else None
     return Job(
-        id=jid,
-        klass=_text(d, "flock"),
-        team=_text(d, "keeper"),
+        id=job_id,
+        job_class=_text(fields, "flock"),
+        team=_text(fields, "keeper"),
         kind=KINDS[kind],
-        rank=RANKS[rank],
-        n=n,
-        cpus=_amount(d, "cores"),
-        gpus=_amount(d, "gpus"),
-        mem=_amount(d, "ramGb"),
-        image=_text(d, "plumage"),
-        image_gb=_amount(d, "pullGb"),
-        types=tuple(sorted(set(types))) if types is not None else None,
+        priority=PRIORITIES[priority],
+        task_count=task_count,
+        cpus=_amount(fields, "cores"),
+        gpus=_amount(fields, "gpus"),
+        memory_gb=_amount(fields, "ramGb"),
+        image=_text(fields, "plumage"),
+        image_gb=_amount(fields, "pullGb"),
+        machine_types=tuple(sorted(set(machine_types))) if machine_types is not None else None,
         zone=zone,
-        one_zone=_flag(d, "together"),
-        spread=_flag(d, "scatter"),
-        spot=_flag(d, "driftwood"),
-        estimate_s=_amount(d, "flightS"),
-        checkpoint_s=_amount(d, "nestS"),
-        save_s=_amount(d, "tuckS"),
+        single_zone=_flag(fields, "together"),
+        spread_zones=_flag(fields, "scatter"),
+        spot=_flag(fields, "driftwood"),
+        estimate_s=_amount(fields, "flightS"),
+        checkpoint_s=_amount(fields, "nestS"),
+        save_s=_amount(fields, "tuckS"),
         deadline_s=deadline,
-        at=round(at, 3),
+        submitted_at=round(submitted_at, 3),
     )
 
 
-def view(jid: str, stance: str, done: int = 0, running: int = 0) -> dict[str, Any]:
+def status_body(job_id: str, state: str, done: int = 0, running: int = 0) -> dict[str, Any]:
     """What users are answered."""
-    return {"id": jid, "stance": stance, "done": done, "running": running}
+    return {"id": job_id, "stance": state, "done": done, "running": running}
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -15,91 +15,93 @@
 from ploverhall import log
 from ploverhall.transport.http import Caller, Unreachable
 
-ODD_EVERY_S = 10.0  # answers in no published form are worth a line so often at most
+INVALID_RESPONSE_LOG_INTERVAL_S = (
+    10.0  # answers in no published form are worth a line so often at most
+)
 
 
-class Unknown(Exception):
+class OutcomeUnknownError(Exception):
     """A request whose outcome is not known: no answer, one with a status of no list, or one in no published form.
 
     A write may have been executed, or may be executed later; a read says nothing of what is there.
     """
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """The state service did not execute the request (outage, or over its limits): only its 503 and 429 say so."""
 
 
 @dataclass(slots=True)
-class Budget:
+class RateLimiter:
     """A token bucket. Urgent takers may go below zero, so leases never wait behind ordinary traffic."""
 
     rate: float
     clock: Callable[[], float] = time.monotonic
-    level: float = 0.0
-    at: float = 0.0
-    line: anyio.Lock = field(default_factory=anyio.Lock)
+    tokens: float = 0.0
+    refilled_at: float = 0.0
+    queue: anyio.Lock = field(default_factory=anyio.Lock)
     taken: float = 0.0  # since counted
-    counted: float = 0.0
-    usual: float = 0.0
+    usage_counted_at: float = 0.0
+    usage_rate: float = 0.0
     burst: float = 0.0  # at most so much at once, whatever the rate is by now
 
     def __post_init__(self) -> None:
-        self.level = self.burst = self.rate
-        self.at = self.counted = self.clock()
+        self.tokens = self.burst = self.rate
+        self.refilled_at = self.usage_counted_at = self.clock()
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self.clock()
-        self.level = min(self.burst, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
 
-    def wait(self, n: float) -> float:
+    def delay(self, count: float) -> float:
         """Seconds until n may be taken."""
-        self._fill()
-        return max(0.0, (min(n, self.burst) - self.level) / self.rate)
+        self._refill()
+        return max(0.0, (min(count, self.burst) - self.tokens) / self.rate)
 
-    def free(self) -> float:
+    def available(self) -> float:
         """What may be taken at once."""
-        self._fill()
-        return self.level
+        self._refill()
+        return self.tokens
 
-    async def take(
-        self, n: float, urgent: bool = False, reserve: float = 0.0, patience: float = math.inf
+    async def acquire(
+        self, count: float, urgent: bool = False, reserve: float = 0.0, patience: float = math.inf
     ) -> None:
         """Take n unless urgent in turn: else small takers, for whom there is always enough, kept larger ones waiting for ever.
 
         With a reserve it waits aside until so much more is left, and lets everybody else go first, as long as its patience lasts.
         """
-        until = self.clock() + patience
+        deadline = self.clock() + patience
         while reserve and (
-            (w := self.wait(n + reserve)) > 0 or self.line.statistics().tasks_waiting
+            (delay := self.delay(count + reserve)) > 0 or self.queue.statistics().tasks_waiting
         ):
-            if (left := until - self.clock()) <= 0:
+            if (remaining_s := deadline - self.clock()) <= 0:
                 reserve = 0.0
                 break
-            await anyio.sleep(min(w + 0.02, left))
+            await anyio.sleep(min(delay + 0.02, remaining_s))
         if not reserve and not urgent:
-            async with self.line:
-                while (w := self.wait(n)) > 0:
-                    await anyio.sleep(w + 0.001)
-        self.spend(n)
+            async with self.queue:
+                while (delay := self.delay(count)) > 0:
+                    await anyio.sleep(delay + 0.001)
+        self.consume(count)
 
-    def spend(self, n: float) -> None:
+    def consume(self, count: float) -> None:
         """Take n now, whatever is left."""
-        self._fill()
-        self.level -= n
-        self.taken += n
+        self._refill()
+        self.tokens -= count
+        self.taken += count
 
-    def used(self) -> float:
+    def recent_usage(self) -> float:
         """What was taken a second, lately."""
         now = self.clock()
-        if (passed := now - self.counted) >= 0.5:
-            self.usual += (self.taken / passed - self.usual) * min(1.0, passed / 2.0)
-            self.taken, self.counted = 0.0, now
-        return self.usual
+        if (passed := now - self.usage_counted_at) >= 0.5:
+            self.usage_rate += (self.taken / passed - self.usage_rate) * min(1.0, passed / 2.0)
+            self.taken, self.usage_counted_at = 0.0, now
+        return self.usage_rate
 
 
 @dataclass(slots=True)
-class Event:
+class WatchEvent:
     """One change: value None means deleted."""
 
     key: str
@@ -107,7 +109,7 @@
     version: int
 
 
-class Store:
+class KeyValueStore:
     """Typed calls to the state service."""
 
     def __init__(
@@ -118,10 +120,10 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.caller, self.clock = caller, clock
-        self.requests = Budget(rps, clock)
-        self.writes = Budget(write_rps, clock)
-        self.last_ok = 0.0
-        self.odd, self.odd_at = (
+        self.requests = RateLimiter(rps, clock)
+        self.writes = RateLimiter(write_rps, clock)
+        self.last_answer_at = 0.0
+        self.invalid_responses, self.invalid_logged_at = (
             0,
             -math.inf,
         )  # answers in no published form since the last line about them, and when that was
@@ -135,45 +137,45 @@
         urgent: bool = False,
         hold: float = 0.0,
     ) -> tuple[int, Any]:
-        await self.requests.take(1, urgent)
+        await self.requests.acquire(1, urgent)
         try:
             status, out = await self.caller.call(method, target, body, timeout, hold)
-        except Unreachable as e:
-            raise Unknown(str(e)) from e
+        except Unreachable as error:
+            raise OutcomeUnknownError(str(error)) from error
         if status in (429, 503):
-            raise Refused(f"{method} {target}: {status}")
+            raise RequestRefusedError(f"{method} {target}: {status}")
         return status, out
 
     @contextlib.contextmanager
-    def _form(self, what: str, status: int, out: Any) -> Iterator[None]:
+    def _expecting_valid_response(self, what: str, status: int, out: Any) -> Iterator[None]:
         """Take an answer apart: whatever is not in the published form says nothing, neither "landed" nor "not executed"."""
         try:
             yield
-        except (TypeError, KeyError, ValueError) as e:
-            self.odd += 1
+        except (TypeError, KeyError, ValueError) as error:
+            self.invalid_responses += 1
             now = self.clock()
-            if now - self.odd_at > ODD_EVERY_S:
+            if now - self.invalid_logged_at > INVALID_RESPONSE_LOG_INTERVAL_S:
                 log.warn(
                     "state service: odd answer",
                     request=what[:80],
                     status=status,
                     answer=repr(out)[:120],
-                    times=self.odd,
+                    times=self.invalid_responses,
                 )
-                self.odd, self.odd_at = 0, now
-            raise Unknown(f"{what}: {status}, {e!r}") from e
-        self.last_ok = self.clock()
+                self.invalid_responses, self.invalid_logged_at = 0, now
+            raise OutcomeUnknownError(f"{what}: {status}, {error!r}") from error
+        self.last_answer_at = self.clock()
 
     async def get(self, key: str) -> tuple[Any, int]:
         """Value and version; (None, 0) when there is none: only 404 says so."""
         status, out = await self._call("GET", f"/kv/{quote(key, safe='/')}")
-        with self._form(f"get {key}", status, out):
+        with self._expecting_valid_response(f"get {key}", status, out):
             if status == 404:
                 return None, 0
-            _expect(status, 200)
-            return out["v"], _count(out["feather"])
+            _require_status(status, 200)
+            return out["v"], _checked_count(out["feather"])
 
-    async def read(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
+    async def list_prefix(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
         """All keys with a prefix, and the revision of the first page."""
         found: dict[str, tuple[Any, int]] = {}
         after, first = "", -1
@@ -182,21 +184,21 @@
                 f"&from={quote(after, safe='/')}" if after else ""
             )
             status, out = await self._call("GET", target, timeout=5.0)
-            with self._form(f"list {prefix}", status, out):
-                _expect(status, 200)
+            with self._expecting_valid_response(f"list {prefix}", status, out):
+                _require_status(status, 200)
                 for item in out["items"]:
-                    found[_key(item["path"])] = (item["v"], _count(item["feather"]))
+                    found[_checked_key(item["path"])] = (item["v"], _checked_count(item["feather"]))
                     after = item["path"]
                 if first < 0:
-                    first = _count(out["moult"])
+                    first = _checked_count(out["moult"])
                 if not out.get("hasNext"):
                     return found, first
                 if not out["items"]:
                     raise ValueError("more to come, and nothing listed")
 
-    async def txn(
+    async def compare_and_swap(
         self,
-        guards: dict[str, int],
+        compare: dict[str, int],
         puts: dict[str, Any],
         deletes: list[str],
         lease: int | None = None,
@@ -212,73 +214,76 @@
         """
         apply: list[dict[str, Any]] = []
         for key, value in puts.items():
-            op = {"put": key, "v": value}
+            operation = {"put": key, "v": value}
             if key in leased:
-                op["tether"] = lease
-            apply.append(op)
-        apply += [{"delete": k} for k in deletes]
-        body = {"guards": [{"path": k, "feather": v} for k, v in guards.items()], "apply": apply}
-        await self.writes.take(len(apply), urgent, reserve, patience)
+                operation["tether"] = lease
+            apply.append(operation)
+        apply += [{"delete": entry_key} for entry_key in deletes]
+        body = {
+            "guards": [{"path": entry_key, "feather": item} for entry_key, item in compare.items()],
+            "apply": apply,
+        }
+        await self.writes.acquire(len(apply), urgent, reserve, patience)
         status, out = await self._call("POST", "/multi", body, urgent=urgent)
-        with self._form(f"multi {', '.join([*puts, *deletes])}", status, out):
+        with self._expecting_valid_response(f"multi {', '.join([*puts, *deletes])}", status, out):
             if status == 409:
-                return 0, [_key(k) for k in out["failed"]] or ["?"]
+                return 0, [_checked_key(k) for k in out["failed"]] or ["?"]
             if status == 400 and isinstance(out, dict) and "lease" in str(out.get("error")):
                 return 0, ["no such lease"]
-            _expect(status, 200)
-            return _count(out["moult"]), []
+            _require_status(status, 200)
+            return _checked_count(out["moult"]), []
 
     async def watch(
         self, prefix: str, since: int, hold_ms: int, urgent: bool = False
-    ) -> tuple[int, list[Event]] | None:
+    ) -> tuple[int, list[WatchEvent]] | None:
         """Changes after a revision; None when that is too old and the keys must be read again."""
         target = f"/watch?starts={quote(prefix, safe='/')}&from={since}&holdMs={hold_ms}"
         status, out = await self._call("GET", target, urgent=urgent, hold=hold_ms / 1000)
-        with self._form(f"watch {prefix}", status, out):
+        with self._expecting_valid_response(f"watch {prefix}", status, out):
             if status == 410:
                 return None
-            _expect(status, 200)
-            return _count(out["moult"]), [
-                Event(_key(e["put"]), e["v"], _count(e["feather"]))
+            _require_status(status, 200)
+            return _checked_count(out["moult"]), [
+                WatchEvent(_checked_key(e["put"]), e["v"], _checked_count(e["feather"]))
                 if "put" in e
-                else Event(_key(e["delete"]), None, _count(e["feather"]))
+                else WatchEvent(_checked_key(e["delete"]), None, _checked_count(e["feather"]))
                 for e in out["news"]
             ]
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """A new lease."""
         status, out = await self._call(
             "POST", "/grants", {"lifeMs": int(ttl_s * 1000)}, urgent=True
         )
-        with self._form("grants", status, out):
-            _expect(status, 200)
-            return _count(out["tether"])
+        with self._expecting_valid_response("grants", status, out):
+            _require_status(status, 200)
+            return _checked_count(out["tether"])
 
-    async def renew(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """False when the lease has ended: only 404 says so."""
         status, out = await self._call(
             "POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True
         )
-        with self._form(f"extend {lease}", status, out):
+        with self._expecting_valid_response(f"extend {lease}", status, out):
             if status == 404:
                 return False
-            _expect(status, 200)
+            _require_status(status, 200)
             return True
 
 
-def _expect(status: int, wanted: int) -> None:
-    if status != wanted:
+def _require_status(status: int, expected: int) -> None:
+    if status != expected:
         raise ValueError(f"status {status}")
 
 
-def _count(value: Any) -> int:
+def _checked_count(value: Any) -> int:
     """A version, revision or lease."""
     if type(value) is not int or value < 0:
         raise TypeError(f"not a count: {value!r}"[:60])
     return value
 
 
-def _key(value: Any) -> str:
+def _checked_key(value: Any) -> str:
     if not isinstance(value, str):
         raise TypeError(f"not a key: {value!r}"[:60])
     return value
--- a/ploverhall/protocol/peer_messages.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -11,139 +11,139 @@
 from typing import Any, NamedTuple
 
 from ploverhall.protocol import jobs
-from ploverhall.protocol.agents import Key
+from ploverhall.protocol.agents import AttemptId
 
-NOTICE_EMPTY = 3
-JOB, CANDIDATE, PERMIT, OFFER, START = "j", "w", "p", "o", "t"
+NOTICE_EVICTION_REQUESTED = 3
+JOB, CANDIDATE, PERMIT, OFFER, ATTEMPT = "j", "w", "p", "o", "t"
 
 
-class JobNews(NamedTuple):
+class JobUpdate(NamedTuple):
     """Source to owner: what a job is. Without a record it is over, and only its tasks remain."""
 
     record: list[Any] | None
-    vec: list[float]
-    within: int  # of its team's guarantee
-    broken: int = (
+    resources: list[float]
+    within_guarantee: int  # of its team's guarantee
+    failing_everywhere: int = (
         0  # it fails wherever it starts: no machine is to blame for it, and it may stop nothing
     )
 
 
-class Candidate(NamedTuple):
+class CandidateUpdate(NamedTuple):
     """Source to owner: how many of a job's tasks wait, identical ones as one entry."""
 
-    n: int
-    order: list[float]  # place in every queue
-    zones: dict[str, int] | None  # how many more each zone may take
-    avoid: list[str]  # machines it failed on
+    waiting_tasks: int
+    queue_order: list[float]  # place in every queue
+    zone_limits: dict[str, int] | None  # how many more each zone may take
+    avoided_machines: list[str]  # machines it failed on
 
 
-class PermitNews(NamedTuple):
+class PermitUpdate(NamedTuple):
     """Source to owner: a start that has been written, and how it should stop (None: it should run)."""
 
     machine: str
     epoch: int  # of the owner that offered the room
-    ticket: int
-    stop: float | None
+    reservation_id: int
+    stop_grace_s: float | None
 
 
-class OfferNews(NamedTuple):
+class OfferUpdate(NamedTuple):
     """Owner to source: room is held for a candidate."""
 
     job: str
     machine: str
     zone: str
     cost: float
-    victims: int
+    victim_count: int
 
 
-class StartNews(NamedTuple):
+class AttemptUpdate(NamedTuple):
     """Owner to source: what became of a permit."""
 
     state: str
-    why: str
-    saved: int
+    reason: str
+    checkpoint_saved: int
     notice: int  # 1: its machine goes, 2: its room is needed, 3: its machine is to be emptied, when its team can do without
-    suspect: int = 0  # other jobs have failed on this machine lately, too
+    machine_suspect: int = 0  # other jobs have failed on this machine lately, too
 
 
-class MachineNews(NamedTuple):
+class MachineUpdate(NamedTuple):
     """Owner to renter: one machine."""
 
     type: str
     zone: str
     spot: int
-    room: list[float]
-    empty: int
+    free: list[float]
+    idle: int
     draining: int  # 1: for good, 2: while an order holds
     notice: int
     faulty: int
-    firm: int  # runs work that can't be on a cheap machine
-    firm_room: list[
+    on_demand_work: int  # runs work that can't be on a cheap machine
+    free_for_services: list[
         float
     ]  # what services could have: the room of work that may be stopped counts as free
 
 
-class DemandNews(NamedTuple):
+class DemandUpdate(NamedTuple):
     """Source to renter: a job's waiting tasks, each once."""
 
     record: list[Any]
-    n: int
-    zones: dict[str, int] | None
-    order: list[float]
+    waiting_tasks: int
+    zone_limits: dict[str, int] | None
+    queue_order: list[float]
 
 
-class NodeNews(NamedTuple):
+class PeerStatus(NamedTuple):
     """Controller to controller: how it stands with the state service and its workers."""
 
-    age: float  # of the state service's last answer
+    store_age_s: float  # of the state service's last answer
     epochs: dict[int, int]  # of the shards held
-    quiet: dict[int, float]  # seconds since any worker of a shard held has reported
-    writes: float = 0.0  # changes a second made lately
+    without_heartbeats_s: dict[int, float]  # seconds since any worker of a shard held has reported
+    write_rate: float = 0.0  # changes a second made lately
 
 
-class Cancelled(NamedTuple):
+class Cancellation(NamedTuple):
     """A job that its user has cancelled, and the revision of the store at which that was written."""
 
-    version: int
-    job: str
+    revision: int
+    job_id: str
 
 
-class Word(NamedTuple):
+class CancellationGossip(NamedTuple):
     """Controller to controller: what it knows of cancellations, and that it has heard the other (coordination.cancellations)."""
 
-    known: int  # it knows all cancellations up to this revision, and after this word so does whoever gets it
-    life: str  # of the sender's process; none in a release that says only what it knows
-    at: float  # the sender's steady clock
-    up: float  # seconds for which that life has run
-    read: bool  # it has read the store in this life
+    known_revision: int  # it knows all cancellations up to this revision, and after this word so does whoever gets it
+    incarnation: str  # of the sender's process; none in a release that says only what it knows
+    sent_at: float  # the sender's steady clock
+    uptime_s: float  # seconds for which that life has run
+    has_read_store: bool  # it has read the store in this life
     echo: tuple[str, float] | None  # life and clock of the receiver's newest word
-    cancelled: list[Cancelled]  # what the receiver may not know, by revision
+    cancellations: list[Cancellation]  # what the receiver may not know, by revision
 
 
-class Malformed(ValueError):
+class InvalidPeerMessageError(ValueError):
     """A message that is not in its form."""
 
 
-MOST_CANCELLED = 1000  # named in one word
+MAX_CANCELLATIONS = 1000  # named in one word
 
 
-def pack_word(w: Word) -> dict[str, Any]:
+def encode_gossip(gossip: CancellationGossip) -> dict[str, Any]:
     """As it is sent. A release before this one reads `seen`, and passes over the rest."""
     return {
-        "seen": w.known,
-        "life": w.life,
-        "at": w.at,
-        "up": w.up,
-        "read": w.read,
-        "echo": w.echo,
-        "cancelled": w.cancelled,
+        "seen": gossip.known_revision,
+        "life": gossip.incarnation,
+        "at": gossip.sent_at,
+        "up": gossip.uptime_s,
+        "read": gossip.has_read_store,
+        "echo": gossip.echo,
+        "cancelled": gossip.cancellations,
     }
 
 
-def word(value: Any) -> Word:
+def decode_gossip(value: Any) -> CancellationGossip:
     """Check a word. Raises Malformed, naming the field."""
     if not isinstance(value, dict):
-        raise Malformed("not a table")
+        raise InvalidPeerMessageError("not a table")
     known, life, echo, cancelled = (
         value.get("seen"),
         value.get("life", ""),
@@ -152,22 +152,22 @@
     )
     at, up, read = value.get("at", 0.0), value.get("up", 0.0), value.get("read", False)
     if type(known) is not int or not 0 <= known < 1 << 64:
-        raise Malformed("seen")
+        raise InvalidPeerMessageError("seen")
     if not isinstance(life, str) or len(life) > 64:
-        raise Malformed("life")
-    if not _time(at) or not _time(up) or up < 0:
-        raise Malformed("at")
+        raise InvalidPeerMessageError("life")
+    if not _is_finite_number(at) or not _is_finite_number(up) or up < 0:
+        raise InvalidPeerMessageError("at")
     if type(read) is not bool:
-        raise Malformed("read")
+        raise InvalidPeerMessageError("read")
     if echo is not None and not (
         isinstance(echo, (list, tuple))
         and len(echo) == 2
         and isinstance(echo[0], str)
-        and _time(echo[1])
+        and _is_finite_number(echo[1])
     ):
-        raise Malformed("echo")
-    if not isinstance(cancelled, (list, tuple)) or len(cancelled) > MOST_CANCELLED:
-        raise Malformed("cancelled")
+        raise InvalidPeerMessageError("echo")
+    if not isinstance(cancelled, (list, tuple)) or len(cancelled) > MAX_CANCELLATIONS:
+        raise InvalidPeerMessageError("cancelled")
     named = []
     for one in cancelled:
         if not (
@@ -176,11 +176,11 @@
             and type(one[0]) is int
             and 0 < one[0] < 1 << 64
             and isinstance(one[1], str)
-            and jobs.ID.match(one[1])
+            and jobs.JOB_ID_PATTERN.match(one[1])
         ):
-            raise Malformed("cancelled")
-        named.append(Cancelled(one[0], one[1]))
-    return Word(
+            raise InvalidPeerMessageError("cancelled")
+        named.append(Cancellation(one[0], one[1]))
+    return CancellationGossip(
         known,
         life,
         float(at),
@@ -191,36 +191,36 @@
     )
 
 
-def _time(value: Any) -> bool:
+def _is_finite_number(value: Any) -> bool:
     return type(value) in (int, float) and math.isfinite(value)
 
 
-def job_key(job: str) -> str:
+def job_key(job_id: str) -> str:
     """Key of a JobNews."""
-    return JOB + job
+    return JOB + job_id
 
 
-def candidate_key(job: str) -> str:
+def candidate_key(job_id: str) -> str:
     """Key of a Candidate."""
-    return CANDIDATE + job
+    return CANDIDATE + job_id
 
 
-def permit_key(key: Key) -> str:
+def permit_key(attempt_id: AttemptId) -> str:
     """Key of a PermitNews."""
-    return f"{PERMIT}{key[0]}/{key[1]}/{key[2]}"
+    return f"{PERMIT}{attempt_id[0]}/{attempt_id[1]}/{attempt_id[2]}"
 
 
-def start_key(key: Key) -> str:
+def attempt_key(attempt_id: AttemptId) -> str:
     """Key of a StartNews."""
-    return f"{START}{key[0]}/{key[1]}/{key[2]}"
+    return f"{ATTEMPT}{attempt_id[0]}/{attempt_id[1]}/{attempt_id[2]}"
 
 
-def offer_key(ticket: int) -> str:
+def offer_key(reservation_id: int) -> str:
     """Key of an OfferNews."""
-    return f"{OFFER}{ticket}"
+    return f"{OFFER}{reservation_id}"
 
 
-def split_key(key: str) -> Key:
+def attempt_id_of_key(key: str) -> AttemptId:
     """The start that a permit's or start's key names."""
     job, task, attempt = key[1:].rsplit("/", 2)
     return job, int(task), int(attempt)
--- a/ploverhall/protocol/relay_messages.py
+++ b/ploverhall/protocol/relay_messages.py
@@ -8,91 +8,119 @@
 
 from typing import Any, NamedTuple
 
-QUESTION, ANSWER, WORD = "x", "y", "h"
-STATE, CLOUD, REPORT, DO = "state", "cloud", "report", "do"
-KINDS = (STATE, CLOUD, REPORT, DO)
-MOST_BODY = (
+REQUEST, RESPONSE, CONNECTIVITY = "x", "y", "h"
+STORE, CLOUD, HEARTBEAT, AGENT_COMMAND = "state", "cloud", "report", "do"
+KINDS = (STORE, CLOUD, HEARTBEAT, AGENT_COMMAND)
+MAX_BODY_BYTES = (
     4 * 1024 * 1024
 )  # bytes of one question or answer: a watch answers with all changes since it was last asked
-TARGETS = {
-    STATE: ("/kv", "/multi", "/grants", "/watch"),
+ALLOWED_TARGETS = {
+    STORE: ("/kv", "/multi", "/grants", "/watch"),
     CLOUD: ("/flavors", "/hosts"),
-    DO: ("/do", "/show"),
+    AGENT_COMMAND: ("/do", "/show"),
 }
 
 
-class Malformed(Exception):
+class InvalidRelayMessageError(Exception):
     """A message that is not in this form."""
 
 
-class Question(NamedTuple):
+# Field names on the link between controllers, in the order of the types below.
+REQUEST_WIRE_NAMES = (
+    "life",
+    "number",
+    "what",
+    "until",
+    "hops",
+    "to",
+    "method",
+    "target",
+    "hold",
+    "body",
+)
+RESPONSE_WIRE_NAMES = ("life", "number", "status", "refused", "body")
+
+
+class RelayRequest(NamedTuple):
     """Something to be done for the member that asks."""
 
-    life: str
+    incarnation: str
     number: int
-    what: str
-    until: float  # time of day after which nobody waits for the answer
+    kind: str
+    deadline: float  # time of day after which nobody waits for the answer
     hops: int  # how many members it may still go through, this one included
-    to: str  # the member that it is meant for, or nothing: whoever reaches the service
+    destination: str  # the member that it is meant for, or nothing: whoever reaches the service
     method: str
     target: str  # of a request; the worker's address before it, with a space between, for `do`
-    hold: float  # seconds for which the service may keep the answer back
+    hold_s: float  # seconds for which the service may keep the answer back
     body: bytes
 
 
-class Answer(NamedTuple):
+class RelayResponse(NamedTuple):
     """What came of it: a status and a body, or why there is none."""
 
-    life: str
+    incarnation: str
     number: int
     status: int  # 0: there is none
     refused: bool  # without a status: surely not executed; else that is not known
     body: bytes
 
 
-def pack(kind: str, me: int, value: Question | Answer) -> list[Any]:
+def encode(kind: str, controller_index: int, value: RelayRequest | RelayResponse) -> list[Any]:
     """A message for a link."""
-    return [kind, me, 0, 0, True, value._asdict(), value.number]
+    names = REQUEST_WIRE_NAMES if isinstance(value, RelayRequest) else RESPONSE_WIRE_NAMES
+    fields = dict(zip(names, value, strict=True))
+    return [kind, controller_index, 0, 0, True, fields, value.number]
 
 
-def question(value: Any) -> Question:
+def decode_request(value: Any) -> RelayRequest:
     """Check a question. Raises Malformed, naming the field."""
-    q = Question(
-        *_read(
-            Question._fields,
+    request = RelayRequest(
+        *_read_fields(
+            REQUEST_WIRE_NAMES,
             value,
             {"number": int, "until": float, "hops": int, "hold": float, "body": bytes},
         )
     )
-    if q.what not in KINDS:
-        raise Malformed("what")
-    if q.what in TARGETS:
-        path = q.target.rpartition(" ")[2] if q.what == DO else q.target
-        if not path.startswith(TARGETS[q.what]) or q.method not in ("GET", "POST", "DELETE"):
-            raise Malformed("target")
-    if not 0 <= q.hold <= 60 or not 0 <= q.hops <= 4:
-        raise Malformed("hold")
-    return q
-
-
-def answer(value: Any) -> Answer:
+    if request.kind not in KINDS:
+        raise InvalidRelayMessageError("what")
+    if request.kind in ALLOWED_TARGETS:
+        path = (
+            request.target.rpartition(" ")[2] if request.kind == AGENT_COMMAND else request.target
+        )
+        if not path.startswith(ALLOWED_TARGETS[request.kind]) or request.method not in (
+            "GET",
+            "POST",
+            "DELETE",
+        ):
+            raise InvalidRelayMessageError("target")
+    if not 0 <= request.hold_s <= 60 or not 0 <= request.hops <= 4:
+        raise InvalidRelayMessageError("hold")
+    return request
+
+
+def decode_response(value: Any) -> RelayResponse:
     """Check an answer. Raises Malformed, naming the field."""
-    return Answer(
-        *_read(
-            Answer._fields, value, {"number": int, "status": int, "refused": bool, "body": bytes}
+    return RelayResponse(
+        *_read_fields(
+            RESPONSE_WIRE_NAMES,
+            value,
+            {"number": int, "status": int, "refused": bool, "body": bytes},
         )
     )
 
 
-def _read(names: tuple[str, ...], value: Any, types: dict[str, type]) -> list[Any]:
+def _read_fields(names: tuple[str, ...], value: Any, types: dict[str, type]) -> list[Any]:
     if not isinstance(value, dict):
-        raise Malformed("not a table")
+        raise InvalidRelayMessageError("not a table")
     fields: list[Any] = []
     for name in names:
-        v, want = value.get(name), types.get(name, str)
-        if want is float and isinstance(v, int):
-            v = float(v)
-        if type(v) is not want or (isinstance(v, (str, bytes)) and len(v) > MOST_BODY):
-            raise Malformed(name)
-        fields.append(v)
+        field_value, expected_type = value.get(name), types.get(name, str)
+        if expected_type is float and isinstance(field_value, int):
+            field_value = float(field_value)
+        if type(field_value) is not expected_type or (
+            isinstance(field_value, (str, bytes)) and len(field_value) > MAX_BODY_BYTES
+        ):
+            raise InvalidRelayMessageError(name)
+        fields.append(field_value)
     return fields
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -9,19 +9,29 @@
 
 from typing import Any
 
-from ploverhall.maintenance.disruption_budget import Facts, Rules, Spent, why_not
-from ploverhall.protocol.agents import Key
-from ploverhall.scheduling.allocations import TXN_BYTES, Entry, JobState, Txn
-from ploverhall.scheduling.store_writer import Writes
+from ploverhall.maintenance.disruption_budget import (
+    EvictionRequest,
+    DisruptionBudgets,
+    RecentDisruptions,
+    denial_reason,
+)
+from ploverhall.protocol.agents import AttemptId
+from ploverhall.scheduling.allocations import (
+    MAX_TRANSACTION_BYTES,
+    Allocation,
+    JobState,
+    PendingWrite,
+)
+from ploverhall.scheduling.store_writer import StoreWriter
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import SHARD, grants_key
+from ploverhall.storage.store_cache import SHARD_PREFIX, grants_key
 
-GRANT_EVERY_S = 0.5
-MOST_GRANTS = 48  # of one team in one value
+GRANT_INTERVAL_S = 0.5
+MAX_GRANTS_PER_TEAM = 48  # of one team in one value
 GRANT_BYTES = 40
 
 
-class Grants(Writes):
+class EvictionGrants(StoreWriter):
     """What owners have asked for, and what was granted."""
 
     def __init__(
@@ -34,173 +44,204 @@
         txn_ops: int,
     ) -> None:
         super().__init__(shard, epoch, teams, zones, value_bytes, txn_ops)
-        self.rules = Rules()
-        self.most_grants = min(MOST_GRANTS, int(value_bytes * 0.9) // GRANT_BYTES)
-        self.asks: dict[Key, float] = {}  # since when
-        self.refusals: dict[Key, str] = {}  # why it is not granted yet, for people
-        self.granted: dict[str, dict[Key, bool]] = {
-            t.name: {} for t in teams
+        self.budgets = DisruptionBudgets()
+        self.max_grants = min(MAX_GRANTS_PER_TEAM, int(value_bytes * 0.9) // GRANT_BYTES)
+        self.requested_since: dict[AttemptId, float] = {}  # since when
+        self.denial_reasons: dict[AttemptId, str] = {}  # why it is not granted yet, for people
+        self.grants_by_team: dict[str, dict[AttemptId, bool]] = {
+            team.name: {} for team in teams
         }  # by team; True: it is written
-        self.grant_versions: dict[str, int] = {t.name: 0 for t in teams}
-        self.dirty_grants: set[str] = set()
-        self.spent: dict[str, Spent] = {t.name: Spent() for t in teams}
-        self.next_grant = 0.0
+        self.grant_versions: dict[str, int] = {team.name: 0 for team in teams}
+        self.teams_with_unwritten_grants: set[str] = set()
+        self.recent_disruptions: dict[str, RecentDisruptions] = {
+            team.name: RecentDisruptions() for team in teams
+        }
+        self.next_grant_at = 0.0
 
     # -- asking ------------------------------------------------------------------------------
 
-    def ask(self, e: Entry, wanted: bool, now: float) -> None:
+    def request_eviction(self, allocation: Allocation, requested: bool, now: float) -> None:
         """An owner wants a start gone from its machine, or not any more."""
-        key = (e.job, e.task, e.attempt)
-        if wanted:
-            self.asks.setdefault(key, now)
-        elif self.asks.pop(key, None) is not None:
-            self.refusals.pop(key, None)
-            team = self.jobs[e.job].team
-            if self.granted[team].get(key) is False:
-                del self.granted[team][key]  # not written yet: the order was taken back in time
+        key = (allocation.job_id, allocation.task, allocation.attempt)
+        if requested:
+            self.requested_since.setdefault(key, now)
+        elif self.requested_since.pop(key, None) is not None:
+            self.denial_reasons.pop(key, None)
+            team = self.jobs[allocation.job_id].team
+            if self.grants_by_team[team].get(key) is False:
+                del self.grants_by_team[team][
+                    key
+                ]  # not written yet: the order was taken back in time
 
     # -- granting ----------------------------------------------------------------------------
 
-    def grant(self, now: float, wall: float) -> None:
+    def grant_evictions(self, now: float, wall_time: float) -> None:
         """Hold what is asked for against the budgets, replicas that have waited for longest first."""
-        if not self.asks or now < self.next_grant:
+        if not self.requested_since or now < self.next_grant_at:
             return
-        self.next_grant = now + GRANT_EVERY_S
+        self.next_grant_at = now + GRANT_INTERVAL_S
         downs: dict[str, int] = {}
-        for key in sorted(self.asks, key=lambda k: (self.asks[k], k)):
-            js = self.jobs.get(key[0])
-            e = js.entries.get(key[1]) if js is not None else None
+        for key in sorted(
+            self.requested_since,
+            key=lambda attempt_id: (self.requested_since[attempt_id], attempt_id),
+        ):
+            job_state = self.jobs.get(key[0])
+            allocation = job_state.allocations.get(key[1]) if job_state is not None else None
             if (
-                js is None
-                or e is None
-                or js.job is None
-                or e.over
-                or e.attempt != key[2]
-                or e.stop is not None
+                job_state is None
+                or allocation is None
+                or job_state.job is None
+                or allocation.finished
+                or allocation.attempt != key[2]
+                or allocation.stop_grace_s is not None
             ):
-                del self.asks[key]  # it is over, or stops already
-                self.refusals.pop(key, None)
+                del self.requested_since[key]  # it is over, or stops already
+                self.denial_reasons.pop(key, None)
                 continue
-            granted = self.granted[js.team]
+            granted = self.grants_by_team[job_state.team]
             if key in granted:
                 continue
-            if js.team not in downs:
-                downs[js.team] = sum(
-                    self._down(j) for j in self.jobs.values() if j.team == js.team and j.ran
+            if job_state.team not in downs:
+                downs[job_state.team] = sum(
+                    self._unavailable_replicas(other_state)
+                    for other_state in self.jobs.values()
+                    if other_state.team == job_state.team and other_state.fully_ran
                 )
-            rule = self.rules.of(js.team, js.job.klass, js.id)
-            facts = self._facts(js, e, downs[js.team], now)
+            rule = self.budgets.for_job(job_state.team, job_state.job.job_class, job_state.id)
+            facts = self._eviction_request(job_state, allocation, downs[job_state.team], now)
             members = (
-                [o for o in js.entries.values() if not o.over] if js.job.kind == "gang" else [e]
+                [other for other in job_state.allocations.values() if not other.finished]
+                if job_state.job.kind == "gang"
+                else [allocation]
             )
-            why = why_not(rule, facts, self.spent[js.team].lately(now), wall)
-            if not why and len(granted) + len(members) > self.most_grants:
+            why = denial_reason(
+                rule, facts, self.recent_disruptions[job_state.team].last_minute(now), wall_time
+            )
+            if not why and len(granted) + len(members) > self.max_grants:
                 why = "so many of its team are being stopped"
             if why:
-                self.refusals[key] = why
+                self.denial_reasons[key] = why
                 continue
-            self.refusals.pop(key, None)
-            for o in members:
-                granted[o.job, o.task, o.attempt] = False
-            self.spent[js.team].add(int(js.job.kind == "gang"), facts.lost_s, now)
-            if js.job.kind == "service":
-                downs[js.team] += 1
-            self.dirty_grants.add(js.team)
-
-    def _down(self, js: JobState) -> int:
+            self.denial_reasons.pop(key, None)
+            for other in members:
+                granted[other.job_id, other.task, other.attempt] = False
+            self.recent_disruptions[job_state.team].record(
+                int(job_state.job.kind == "gang"), facts.lost_work_s, now
+            )
+            if job_state.job.kind == "service":
+                downs[job_state.team] += 1
+            self.teams_with_unwritten_grants.add(job_state.team)
+
+    def _unavailable_replicas(self, job_state: JobState) -> int:
         """Replicas of a service that do not serve, or will not in a moment."""
-        return js.n - self._up(js) if js.job is not None and js.job.kind == "service" else 0
+        return (
+            job_state.task_count - self._available_replicas(job_state)
+            if job_state.job is not None and job_state.job.kind == "service"
+            else 0
+        )
 
-    def _up(self, js: JobState) -> int:
-        granted = self.granted[js.team]
+    def _available_replicas(self, job_state: JobState) -> int:
+        granted = self.grants_by_team[job_state.team]
         return sum(
             1
-            for e in js.entries.values()
-            if e.running and e.stop is None and (e.job, e.task, e.attempt) not in granted
+            for allocation in job_state.allocations.values()
+            if allocation.running
+            and allocation.stop_grace_s is None
+            and (allocation.job_id, allocation.task, allocation.attempt) not in granted
         )
 
-    def _facts(self, js: JobState, e: Entry, team_down: int, now: float) -> Facts:
-        job = js.job
+    def _eviction_request(
+        self, job_state: JobState, allocation: Allocation, team_down: int, now: float
+    ) -> EvictionRequest:
+        job = job_state.job
         assert job is not None
-        ran = now - e.ran_at if e.ran_at is not None else 0.0
-        size = js.n if job.kind == "gang" else 1
+        ran = now - allocation.running_since if allocation.running_since is not None else 0.0
+        size = job_state.task_count if job.kind == "gang" else 1
         lost = 0.0 if job.checkpoint_s > 0 or job.kind == "service" else ran * size
         left = max(0.0, job.estimate_s - ran) if job.kind != "service" else float("inf")
-        return Facts(
+        return EvictionRequest(
             job.kind,
-            js.n,
-            self._up(js),
+            job_state.task_count,
+            self._available_replicas(job_state),
             team_down,
             lost,
             left,
-            now - self.asks[e.job, e.task, e.attempt],
+            now - self.requested_since[allocation.job_id, allocation.task, allocation.attempt],
         )
 
-    def _carry_out(self, js: JobState, e: Entry) -> None:
+    def _stop_granted(self, job_state: JobState, allocation: Allocation) -> None:
         """A grant is written: stop it, saving where it can; a gang's tasks all with the same time to save."""
-        job = js.job
-        if not e.over and e.stop is None and e.landed:
-            self._stop(e, job.save_s + 1.0 if job is not None and job.checkpoint_s > 0 else 0.0)
+        job = job_state.job
+        if not allocation.finished and allocation.stop_grace_s is None and allocation.committed:
+            self._request_stop(
+                allocation, job.save_s + 1.0 if job is not None and job.checkpoint_s > 0 else 0.0
+            )
 
     # -- writing -----------------------------------------------------------------------------
 
-    def plan(self, most: int | None = None) -> Txn | None:
+    def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
         """The next write, with the grants that wait for one."""
-        txn = super().plan(most)
-        if not self.dirty_grants or self.fences:
+        txn = super().next_write(max_operations)
+        if not self.teams_with_unwritten_grants or self.chunks_to_fence:
             return txn
         if txn is None:
-            txn = Txn({f"{SHARD}{self.shard}": self.epoch}, {}, [])
-        for team in sorted(self.dirty_grants):
-            granted, key = self.granted[team], grants_key(team)
+            txn = PendingWrite({f"{SHARD_PREFIX}{self.shard}": self.epoch}, {}, [])
+        for team in sorted(self.teams_with_unwritten_grants):
+            granted, key = self.grants_by_team[team], grants_key(team)
             size = GRANT_BYTES * len(granted) + 100
             if (
-                txn.ops + 1 > self.most_ops
-                or len(txn.guards) + 1 > self._max_guards
-                or txn.size + size > TXN_BYTES
+                txn.operation_count + 1 > self.write_operation_limit
+                or len(txn.compare) + 1 > self._max_comparisons
+                or txn.size_bytes + size > MAX_TRANSACTION_BYTES
             ):
                 break
-            for k in [k for k in granted if not self._alive(k)]:
-                del granted[k]
+            for attempt_id in [
+                attempt_id for attempt_id in granted if not self._is_outstanding(attempt_id)
+            ]:
+                del granted[attempt_id]
             if not granted and not self.grant_versions[team]:
-                self.dirty_grants.discard(team)  # nothing is written, and nothing has to be
+                self.teams_with_unwritten_grants.discard(
+                    team
+                )  # nothing is written, and nothing has to be
                 continue
-            txn.guards[key] = self.grant_versions[team]
+            txn.compare[key] = self.grant_versions[team]
             if granted:
-                txn.puts[key] = [list(k) for k in sorted(granted)]
+                txn.puts[key] = [list(attempt_id) for attempt_id in sorted(granted)]
             elif self.grant_versions[team]:
                 txn.deletes.append(key)
-            txn.grants[team] = sorted(granted)
-            txn.size += size
-        return txn if txn.ops else None
+            txn.eviction_grants[team] = sorted(granted)
+            txn.size_bytes += size
+        return txn if txn.operation_count else None
 
-    def _alive(self, key: Key) -> bool:
-        js = self.jobs.get(key[0])
-        e = js.entries.get(key[1]) if js is not None else None
-        return e is not None and e.attempt == key[2] and not e.over
+    def _is_outstanding(self, key: AttemptId) -> bool:
+        job_state = self.jobs.get(key[0])
+        allocation = job_state.allocations.get(key[1]) if job_state is not None else None
+        return allocation is not None and allocation.attempt == key[2] and not allocation.finished
 
-    def landed(self, txn: Txn, revision: int, now: float) -> None:
+    def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
         """The write is in: what was granted may be stopped."""
-        super().landed(txn, revision, now)
-        for team, keys in txn.grants.items():
+        super().on_committed(txn, revision, now)
+        for team, keys in txn.eviction_grants.items():
             self.grant_versions[team] = revision if grants_key(team) in txn.puts else 0
-            if sorted(self.granted[team]) == keys:
-                self.dirty_grants.discard(team)
-            self._take(team, keys)
+            if sorted(self.grants_by_team[team]) == keys:
+                self.teams_with_unwritten_grants.discard(team)
+            self._apply_grants(team, keys)
 
-    def _take(self, team: str, keys: list[Key]) -> None:
+    def _apply_grants(self, team: str, keys: list[AttemptId]) -> None:
         for key in keys:
-            js = self.jobs.get(key[0])
-            e = js.entries.get(key[1]) if js is not None else None
-            if js is not None and e is not None and e.attempt == key[2]:
-                self.granted[team][key] = True
-                self._carry_out(js, e)
+            job_state = self.jobs.get(key[0])
+            allocation = job_state.allocations.get(key[1]) if job_state is not None else None
+            if job_state is not None and allocation is not None and allocation.attempt == key[2]:
+                self.grants_by_team[team][key] = True
+                self._stop_granted(job_state, allocation)
 
     def install_grants(self, team: str, value: Any, version: int) -> None:
         """What is written of a team's grants, as read: at the start, and after a write of unknown outcome. Its cell must be known."""
         self.grant_versions[team] = version
-        for key in [k for k, written in self.granted[team].items() if written]:
-            del self.granted[team][key]
-        self._take(team, [(str(j), int(t), int(a)) for j, t, a in value or []])
-        if self.granted[team] or value:
-            self.dirty_grants.add(team)
+        for key in [
+            attempt_id for attempt_id, written in self.grants_by_team[team].items() if written
+        ]:
+            del self.grants_by_team[team][key]
+        self._apply_grants(team, [(str(j), int(t), int(a)) for j, t, a in value or []])
+        if self.grants_by_team[team] or value:
+            self.teams_with_unwritten_grants.add(team)
--- a/ploverhall/scheduling/objectives.py
+++ b/ploverhall/scheduling/objectives.py
@@ -15,23 +15,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Aim:
+class Objective:
     """By when the jobs of a class should start, and be done; None: not said."""
 
     start_s: float | None = None
     finish_s: float | None = None
 
 
-NONE = Aim()
+NO_OBJECTIVE = Objective()
 
 
-class Aims:
+class Objectives:
     """The aims of all classes; of several for one class the strictest counts."""
 
     def __init__(self, objectives: Iterable[Mapping[str, Any]] = ()) -> None:
-        self.by_class: dict[str, Aim] = {}
-        for o in objectives:
-            kind, klass, within = o.get("kind"), o.get("class"), o.get("within_s")
+        self.by_class: dict[str, Objective] = {}
+        for objective in objectives:
+            kind, klass, within = (
+                objective.get("kind"),
+                objective.get("class"),
+                objective.get("within_s"),
+            )
             if (
                 not isinstance(klass, str)
                 or isinstance(within, bool)
@@ -39,12 +43,20 @@
                 or not within > 0
             ):
                 continue
-            old = self.by_class.get(klass, NONE)
+            known = self.by_class.get(klass, NO_OBJECTIVE)
             if kind == "wait":
-                self.by_class[klass] = Aim(min(within, old.start_s or within), old.finish_s)
+                self.by_class[klass] = Objective(
+                    min(within, known.start_s or within), known.finish_s
+                )
             elif kind == "finished":
-                self.by_class[klass] = Aim(old.start_s, min(within, old.finish_s or within))
+                self.by_class[klass] = Objective(
+                    known.start_s, min(within, known.finish_s or within)
+                )
 
-    def of(self, job: Job) -> Aim:
+    def of(self, job: Job) -> Objective:
         """What is expected of a job that has no deadline of its own."""
-        return self.by_class.get(job.klass, NONE) if job.deadline_s is None else NONE
+        return (
+            self.by_class.get(job.job_class, NO_OBJECTIVE)
+            if job.deadline_s is None
+            else NO_OBJECTIVE
+        )
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -14,157 +14,206 @@
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import (
-    NOTICE_EMPTY,
-    Candidate,
-    DemandNews,
-    JobNews,
-    OfferNews,
-    StartNews,
+    NOTICE_EVICTION_REQUESTED,
+    CandidateUpdate,
+    DemandUpdate,
+    JobUpdate,
+    OfferUpdate,
+    AttemptUpdate,
 )
 from ploverhall.scheduling.allocations import (
-    BEGIN_S,
-    WORKED_S,
-    Chunk,
-    Death,
-    Entry,
+    OVERDUE_START_S,
+    HEALTHY_RUN_S,
+    RecordChunk,
+    FailedAttempt,
+    Allocation,
     JobState,
     Offer,
-    entry_bytes,
+    allocation_bytes,
     header_bytes,
 )
-from ploverhall.scheduling.eviction_grants import Grants
-from ploverhall.scheduling.inventory import EPS, MANY, NOTHING, add, fits, times
+from ploverhall.scheduling.eviction_grants import EvictionGrants
+from ploverhall.scheduling.inventory import (
+    EPSILON,
+    UNBOUNDED,
+    NO_RESOURCES,
+    add_scaled,
+    fits,
+    max_count,
+)
 
 ATTEMPT_BITS = 28
-PATIENCE_S = (
+OFFER_WAIT_S = (
     0.06  # how long a worse answer waits for a better one: a few round trips between controllers
 )
-TEAM_EVERY_S = 0.2  # how often a team's waiting jobs are held against its limit anew
-AVOID_S = 120.0  # how long a machine is avoided by a job that failed there
-TRY_S, TRY_MOST_S = (
+TEAM_CHECK_INTERVAL_S = 0.2  # how often a team's waiting jobs are held against its limit anew
+AVOID_MACHINE_S = 120.0  # how long a machine is avoided by a job that failed there
+INITIAL_JOB_BACKOFF_S, MAX_JOB_BACKOFF_S = (
     5.0,
     90.0,
 )  # first and longest pause between two tries of a job that fails everywhere
-REST_S, REST_MOST_S = 1.0, 60.0  # the same for one task that fails while its job works
-WAY_EVERY_S = 0.5  # how often replicas that wait for their team's limit are held against its arrays
-REVISIT_S = 1.0  # how often every job with offers is decided anew, whatever has been seen to change
+INITIAL_TASK_BACKOFF_S, MAX_TASK_BACKOFF_S = (
+    1.0,
+    60.0,
+)  # the same for one task that fails while its job works
+SERVICE_CHECK_INTERVAL_S = (
+    0.5  # how often replicas that wait for their team's limit are held against its arrays
+)
+REVISIT_INTERVAL_S = (
+    1.0  # how often every job with offers is decided anew, whatever has been seen to change
+)
 
 
-class Source(Grants):
+class JobSource(EvictionGrants):
     """Decides for the jobs of one shard's teams."""
 
     # -- what owners tell --------------------------------------------------------------------
 
-    def on_owner(
-        self, part: int, epoch: int, full: bool, changes: dict[str, Any], now: float
+    def on_owner_update(
+        self, shard: int, epoch: int, full: bool, changes: dict[str, Any], now: float
     ) -> None:
         """An owner's board: offers, and what became of permits."""
         if full:
             for k in [
-                k for k in self.offer_job if k[0] == part and peer_messages.offer_key(k[1]) not in changes
+                k
+                for k in self.job_by_offer
+                if k[0] == shard and peer_messages.offer_key(k[1]) not in changes
             ]:
                 self._drop_offer(k)
         for key, value in changes.items():
             if key[0] == peer_messages.OFFER:
-                self._offer(
-                    part, epoch, int(key[1:]), OfferNews(*value) if value is not None else None
+                self._update_offer(
+                    shard, epoch, int(key[1:]), OfferUpdate(*value) if value is not None else None
                 )
-            elif key[0] == peer_messages.START and value is not None:
-                job, task, attempt = peer_messages.split_key(key)
-                js = self.jobs.get(job)
-                e = js.entries.get(task) if js is not None else None
+            elif key[0] == peer_messages.ATTEMPT and value is not None:
+                job, task, attempt = peer_messages.attempt_id_of_key(key)
+                job_state = self.jobs.get(job)
+                allocation = job_state.allocations.get(task) if job_state is not None else None
                 if (
-                    js is not None
-                    and e is not None
-                    and e.attempt == attempt
-                    and e.part == part
-                    and e.landed
-                    and epoch >= e.epoch
+                    job_state is not None
+                    and allocation is not None
+                    and allocation.attempt == attempt
+                    and allocation.shard == shard
+                    and allocation.committed
+                    and epoch >= allocation.epoch
                 ):
-                    self._status(js, e, StartNews(*value), now)
+                    self._update_attempt(job_state, allocation, AttemptUpdate(*value), now)
 
-    def _offer(self, part: int, epoch: int, ticket: int, news: OfferNews | None) -> None:
-        self._drop_offer((part, ticket))
-        js = self.jobs.get(news.job) if news is not None else None
+    def _update_offer(
+        self, shard: int, epoch: int, reservation_id: int, update: OfferUpdate | None
+    ) -> None:
+        self._drop_offer((shard, reservation_id))
+        job_state = self.jobs.get(update.job) if update is not None else None
         if (
-            news is not None
-            and js is not None
-            and js.job is not None
-            and (part, epoch, ticket) not in js.tickets
+            update is not None
+            and job_state is not None
+            and job_state.job is not None
+            and (shard, epoch, reservation_id) not in job_state.used_reservations
         ):
-            js.offers[part, ticket] = Offer(
-                part, epoch, ticket, news.machine, news.zone, news.cost, news.victims
+            job_state.offers[shard, reservation_id] = Offer(
+                shard,
+                epoch,
+                reservation_id,
+                update.machine,
+                update.zone,
+                update.cost,
+                update.victim_count,
             )
-            self.offer_job[part, ticket] = js.id
-            self.hot.add(js.id)
+            self.job_by_offer[shard, reservation_id] = job_state.id
+            self.jobs_to_decide.add(job_state.id)
 
-    def _status(self, js: JobState, e: Entry, news: StartNews, now: float) -> None:
-        state, why = news.state, news.why
-        if e.over or (state == e.state and why == e.why and news.notice == e.notice):
+    def _update_attempt(
+        self, job_state: JobState, allocation: Allocation, update: AttemptUpdate, now: float
+    ) -> None:
+        state, reason = update.state, update.reason
+        if allocation.finished or (
+            state == allocation.state
+            and reason == allocation.reason
+            and update.notice == allocation.notice
+        ):
             return
-        self.note(
+        self.log_debug(
             "task",
-            job=e.job,
-            task=e.task,
-            attempt=e.attempt,
-            machine=e.machine,
+            job=allocation.job_id,
+            task=allocation.task,
+            attempt=allocation.attempt,
+            machine=allocation.machine,
             state=state,
-            why=why or "-",
+            why=reason or "-",
         )
-        js.running -= e.running
-        if NOTICE_EMPTY in (news.notice, e.notice):
-            self.ask(e, news.notice == NOTICE_EMPTY, now)
-        e.state, e.why, e.notice = state, why, news.notice
-        e.over = state in ("exited", "gone")
-        js.running += e.running
-        if state == "running" and e.ran_at is None:
-            e.ran_at = now
-            if not js.began and (js.job is None or js.job.kind != "gang" or js.running == js.n):
-                js.began = True
-                self.changed.add(js.id)
-            if js.job is not None and js.running == js.n and js.job.kind != "array" and not js.ran:
-                js.ran = True
-                known = self.usual.get(js.job.klass)
-                waited = now - js.came
-                self.usual[js.job.klass] = waited if known is None else 0.8 * known + 0.2 * waited
-            if js.broken:
-                heapq.heappush(self.retries, (now + WORKED_S + 0.1, js.id))
-        self.counted.add(js.id)
-        if not e.over:
-            if news.notice in (1, 2) and js.job is not None:
-                self._leave(js, e, news.notice)
+        job_state.running_count -= allocation.running
+        if NOTICE_EVICTION_REQUESTED in (update.notice, allocation.notice):
+            self.request_eviction(allocation, update.notice == NOTICE_EVICTION_REQUESTED, now)
+        allocation.state, allocation.reason, allocation.notice = state, reason, update.notice
+        allocation.finished = state in ("exited", "gone")
+        job_state.running_count += allocation.running
+        if state == "running" and allocation.running_since is None:
+            allocation.running_since = now
+            if not job_state.started and (
+                job_state.job is None
+                or job_state.job.kind != "gang"
+                or job_state.running_count == job_state.task_count
+            ):
+                job_state.started = True
+                self.changed_jobs.add(job_state.id)
+            if (
+                job_state.job is not None
+                and job_state.running_count == job_state.task_count
+                and job_state.job.kind != "array"
+                and not job_state.fully_ran
+            ):
+                job_state.fully_ran = True
+                known = self.typical_wait_s.get(job_state.job.job_class)
+                waited = now - job_state.arrived_at
+                self.typical_wait_s[job_state.job.job_class] = (
+                    waited if known is None else 0.8 * known + 0.2 * waited
+                )
+            if job_state.failing_everywhere:
+                heapq.heappush(self.timers, (now + HEALTHY_RUN_S + 0.1, job_state.id))
+        self.changed_counts.add(job_state.id)
+        if not allocation.finished:
+            if update.notice in (1, 2) and job_state.job is not None:
+                self._evict(job_state, allocation, update.notice)
             return
-        js.since = now
-        self.dirty_chunks.setdefault(e.chunk, False)
-        if js.job is None:
+        job_state.waiting_since = now
+        self.dirty_chunks.setdefault(allocation.chunk, False)
+        if job_state.job is None:
             return
-        if why != "done":
-            self.deaths.append(Death(now, e.job, e.task, e.machine, why or state))
-        if state == "exited" and why == "done" and js.job.kind != "service":
-            if js.job.kind == "gang":
-                self._complete(js)  # a gang completes together
+        if reason != "done":
+            self.failed_attempts.append(
+                FailedAttempt(
+                    now, allocation.job_id, allocation.task, allocation.machine, reason or state
+                )
+            )
+        if state == "exited" and reason == "done" and job_state.job.kind != "service":
+            if job_state.job.kind == "gang":
+                self._mark_complete(job_state)  # a gang completes together
             else:
-                js.mark(e.task)
-                if e.ran_at is not None:
-                    ran = now - e.ran_at
-                    js.took_s = ran if js.took_s is None else 0.9 * js.took_s + 0.1 * ran
-                if js.broken:
-                    self._blame(js, False, now)
-                if js.done_count == js.n:
-                    self._complete(js)
-            self.reorder.add(js.team)
+                job_state.mark_done(allocation.task)
+                if allocation.running_since is not None:
+                    ran = now - allocation.running_since
+                    job_state.task_duration_s = (
+                        ran
+                        if job_state.task_duration_s is None
+                        else 0.9 * job_state.task_duration_s + 0.1 * ran
+                    )
+                if job_state.failing_everywhere:
+                    self._set_failing_everywhere(job_state, False, now)
+                if job_state.done_count == job_state.task_count:
+                    self._mark_complete(job_state)
+            self.teams_to_reorder.add(job_state.team)
             return
-        if state == "exited" and why in ("error", "unknown", "no_room", "in_use"):
-            self._failed(js, e, why, bool(news.suspect), now)
-        if js.job.kind == "gang":
+        if state == "exited" and reason in ("error", "unknown", "no_room", "in_use"):
+            self._record_failure(job_state, allocation, reason, bool(update.machine_suspect), now)
+        if job_state.job.kind == "gang":
             # the attempt is broken: the rest leaves, saving where that still helps, and it begins anew
-            for other in js.entries.values():
-                if not other.over and other.stop is None:
-                    self._stop(other, 0.0)
+            for other in job_state.allocations.values():
+                if not other.finished and other.stop_grace_s is None:
+                    self._request_stop(other, 0.0)
 
-    def _leave(self, js: JobState, e: Entry, notice: int) -> None:
+    def _evict(self, job_state: JobState, allocation: Allocation, notice: int) -> None:
         """Its machine goes away or its room is needed: save what can be saved, a gang's tasks all together."""
-        job = js.job
+        job = job_state.job
         assert job is not None
         grace = (
             job.save_s + 1.0
@@ -172,463 +221,604 @@
             else 0.0
         )
         if job.kind == "gang":
-            for other in js.entries.values():
-                if not other.over and other.stop is None:
-                    self._stop(other, grace)
-        elif e.stop is None and (notice == 2 or grace > 0 or job.kind == "service"):
-            self._stop(e, grace)
-
-    def _failed(self, js: JobState, e: Entry, why: str, suspect: bool, now: float) -> None:
+            for other in job_state.allocations.values():
+                if not other.finished and other.stop_grace_s is None:
+                    self._request_stop(other, grace)
+        elif allocation.stop_grace_s is None and (
+            notice == 2 or grace > 0 or job.kind == "service"
+        ):
+            self._request_stop(allocation, grace)
+
+    def _record_failure(
+        self,
+        job_state: JobState,
+        allocation: Allocation,
+        reason: str,
+        machine_suspect: bool,
+        now: float,
+    ) -> None:
         """A start failed: by the machine's fault, or by the job's own if it fails on machines that nothing else speaks against.
 
         One failing task rests while the others go on; only a job that works nowhere is held back as a whole.
         """
-        js.failures += 1
-        js.last_failure = f"{why} on {e.machine}"
-        self.note("failed", job=e.job, task=e.task, machine=e.machine, why=why, times=js.failures)
-        rest = 1.0 if why == "unknown" else 0.3
-        if why == "error":
-            js.failed_on = {m: t for m, t in js.failed_on.items() if now - t < AVOID_S}
-            known = e.machine in js.failed_on
-            if not suspect:
-                js.failed_on[e.machine] = now
-            times = js.task_failures[e.task] = js.task_failures.get(e.task, 0) + 1
-            rest = 0.0 if times < 2 else min(REST_MOST_S, REST_S * 2.0 ** min(times - 2, 10))
-            if js.broken:
-                self._hold_back(js, now)
-            elif len(js.failed_on) >= 2 and not known and not js.works(now):
-                self._blame(js, True, now)
-        if rest > 0 and js.job is not None and js.job.kind == "gang":
-            js.not_before = max(js.not_before, now + rest)
+        job_state.failure_count += 1
+        job_state.last_failure = f"{reason} on {allocation.machine}"
+        self.log_debug(
+            "failed",
+            job=allocation.job_id,
+            task=allocation.task,
+            machine=allocation.machine,
+            why=reason,
+            times=job_state.failure_count,
+        )
+        rest = 1.0 if reason == "unknown" else 0.3
+        if reason == "error":
+            job_state.failed_on = {
+                m: at for m, at in job_state.failed_on.items() if now - at < AVOID_MACHINE_S
+            }
+            known = allocation.machine in job_state.failed_on
+            if not machine_suspect:
+                job_state.failed_on[allocation.machine] = now
+            times = job_state.task_failures[allocation.task] = (
+                job_state.task_failures.get(allocation.task, 0) + 1
+            )
+            rest = (
+                0.0
+                if times < 2
+                else min(MAX_TASK_BACKOFF_S, INITIAL_TASK_BACKOFF_S * 2.0 ** min(times - 2, 10))
+            )
+            if job_state.failing_everywhere:
+                self._back_off(job_state, now)
+            elif len(job_state.failed_on) >= 2 and not known and not job_state.is_healthy(now):
+                self._set_failing_everywhere(job_state, True, now)
+        if rest > 0 and job_state.job is not None and job_state.job.kind == "gang":
+            job_state.retry_at = max(job_state.retry_at, now + rest)
         elif rest > 0:
-            js.resting[e.task] = now + rest
-        if rest > 0 or js.not_before > now:
-            heapq.heappush(self.retries, (max(now + rest, js.not_before), js.id))
-        self.changed.add(js.id)
+            job_state.task_retry_at[allocation.task] = now + rest
+        if rest > 0 or job_state.retry_at > now:
+            heapq.heappush(self.timers, (max(now + rest, job_state.retry_at), job_state.id))
+        self.changed_jobs.add(job_state.id)
 
-    def _blame(self, js: JobState, broken: bool, now: float) -> None:
+    def _set_failing_everywhere(self, job_state: JobState, failing: bool, now: float) -> None:
         """The job itself is taken for broken, or has shown that it works."""
-        if js.broken == broken or js.job is None:
+        if job_state.failing_everywhere == failing or job_state.job is None:
             return
-        js.broken = broken
-        self.report(
-            "job fails everywhere" if broken else "job works again",
-            job=js.id,
-            team=js.team,
-            machines=",".join(sorted(js.failed_on)),
-            failures=js.failures,
+        job_state.failing_everywhere = failing
+        self.log_info(
+            "job fails everywhere" if failing else "job works again",
+            job=job_state.id,
+            team=job_state.team,
+            machines=",".join(sorted(job_state.failed_on)),
+            failures=job_state.failure_count,
         )
-        self.changed.add(js.id)
-        self.hot.add(js.id)
-        self.reorder.add(js.team)
-        if broken:
-            js.tries = 0
-            self._hold_back(js, now)
-            for other in js.entries.values():
+        self.changed_jobs.add(job_state.id)
+        self.jobs_to_decide.add(job_state.id)
+        self.teams_to_reorder.add(job_state.team)
+        if failing:
+            job_state.failing_attempts = 0
+            self._back_off(job_state, now)
+            for other in job_state.allocations.values():
                 if (
-                    not other.over
-                    and other.stop is None
+                    not other.finished
+                    and other.stop_grace_s is None
                     and other.state in ("permitted", "fetching")
                 ):
-                    self._stop(other, 0.0)
+                    self._request_stop(other, 0.0)
         else:
-            js.not_before = 0.0
-            js.failed_on.clear()
-            js.task_failures.clear()
-            for task in js.resting:
-                js.resting[task] = now
-            js.rested(now)
-
-    def _hold_back(self, js: JobState, now: float) -> None:
+            job_state.retry_at = 0.0
+            job_state.failed_on.clear()
+            job_state.task_failures.clear()
+            for task in job_state.task_retry_at:
+                job_state.task_retry_at[task] = now
+            job_state.release_backoff(now)
+
+    def _back_off(self, job_state: JobState, now: float) -> None:
         """It is tried now and then, ever more seldom: one task, or one whole gang."""
-        if now >= js.not_before:
-            js.not_before = now + min(TRY_MOST_S, TRY_S * 2.0 ** min(js.tries, 10))
-            js.tries += 1
-            heapq.heappush(self.retries, (js.not_before, js.id))
+        if now >= job_state.retry_at:
+            job_state.retry_at = now + min(
+                MAX_JOB_BACKOFF_S,
+                INITIAL_JOB_BACKOFF_S * 2.0 ** min(job_state.failing_attempts, 10),
+            )
+            job_state.failing_attempts += 1
+            heapq.heappush(self.timers, (job_state.retry_at, job_state.id))
 
     # -- deciding ----------------------------------------------------------------------------
 
-    def headroom(self, js: JobState) -> int:
+    def quota_headroom(self, job_state: JobState) -> int:
         """How many more tasks of this job the team's limit allows."""
-        team, used = self.teams[js.team], self.used[js.team]
-        if js.job is not None and js.job.kind != "service":
-            used = add(used, self.reserved.get(js.team, NOTHING))
-        n = MANY
+        team, used = self.teams[job_state.team], self.used[job_state.team]
+        if job_state.job is not None and job_state.job.kind != "service":
+            used = add_scaled(used, self.reserved_for_services.get(job_state.team, NO_RESOURCES))
+        count = UNBOUNDED
         for most, have, need in (
-            (team.cpus_max, used[0], js.vec[0]),
-            (team.gpus_max, used[1], js.vec[1]),
+            (team.max_cpus, used[0], job_state.resources[0]),
+            (team.max_gpus, used[1], job_state.resources[1]),
         ):
             if most > 0:
-                n = min(n, times(need, most - have + EPS))
-        return n
+                count = min(count, max_count(need, most - have + EPSILON))
+        return count
 
-    def zone_room(self, js: JobState) -> dict[str, int] | None:
+    def zone_limits(self, job_state: JobState) -> dict[str, int] | None:
         """How many more tasks each zone may take; None: no bound."""
-        job = js.job
-        if job is None or not (job.spread or job.one_zone or job.zone):
+        job = job_state.job
+        if job is None or not (job.spread_zones or job.single_zone or job.zone):
             return None
         out = {}
-        for z in self.zones:
-            n = job.zone_cap - js.zones.get(z, 0) if job.spread else job.n
-            if (job.one_zone and js.zones and z not in js.zones) or (job.zone and z != job.zone):
-                n = 0
-            out[z] = max(0, n)
+        for zone in self.zones:
+            count = (
+                job.max_tasks_per_zone - job_state.allocations_per_zone.get(zone, 0)
+                if job.spread_zones
+                else job.task_count
+            )
+            if (
+                job.single_zone
+                and job_state.allocations_per_zone
+                and zone not in job_state.allocations_per_zone
+            ) or (job.zone and zone != job.zone):
+                count = 0
+            out[zone] = max(0, count)
         return out
 
-    def _order(self) -> None:
+    def _update_guarantees(self) -> None:
         """Which jobs fit the team's guarantee together with the earlier unfinished ones."""
-        for name in sorted(self.reorder):
+        for name in sorted(self.teams_to_reorder):
             team = self.teams[name]
             total = (0.0, 0.0, 0.0)
             now_within: set[str] = set()
-            for _, jid in self.by_age[name] if team.cpus > 0 or team.gpus > 0 else ():
-                js = self.jobs[jid]
-                self.visits += 1
-                if js.broken:
+            for _, job_id in (
+                self.jobs_by_age[name]
+                if team.guaranteed_cpus > 0 or team.guaranteed_gpus > 0
+                else ()
+            ):
+                job_state = self.jobs[job_id]
+                self.visit_count += 1
+                if job_state.failing_everywhere:
                     continue  # it keeps nobody's guarantee
-                total = add(total, js.vec, js.n - js.done_count)
-                if (team.cpus > 0 and total[0] > team.cpus + EPS) or (
-                    team.gpus > 0 and total[1] > team.gpus + EPS
+                total = add_scaled(
+                    total, job_state.resources, job_state.task_count - job_state.done_count
+                )
+                if (team.guaranteed_cpus > 0 and total[0] > team.guaranteed_cpus + EPSILON) or (
+                    team.guaranteed_gpus > 0 and total[1] > team.guaranteed_gpus + EPSILON
                 ):
                     break  # and so are all later ones
-                now_within.add(jid)
-            for jid in sorted(now_within ^ self.within[name]):
-                if (known := self.jobs.get(jid)) is not None:
-                    known.within = jid in now_within
-                    self.changed.add(jid)
-            self.within[name] = now_within
-        self.reorder.clear()
-
-    def wanted(self, js: JobState, now: float) -> int:
+                now_within.add(job_id)
+            for job_id in sorted(now_within ^ self.jobs_within_guarantee[name]):
+                if (known := self.jobs.get(job_id)) is not None:
+                    known.within_guarantee = job_id in now_within
+                    self.changed_jobs.add(job_id)
+            self.jobs_within_guarantee[name] = now_within
+        self.teams_to_reorder.clear()
+
+    def candidate_count(self, job_state: JobState, now: float) -> int:
         """How many candidates to keep in every part."""
-        if js.job is None or js.blocked or js.complete or now < js.not_before:
+        if (
+            job_state.job is None
+            or job_state.blocked
+            or job_state.complete
+            or now < job_state.retry_at
+        ):
             return 0
-        n = min(js.waiting() - sum(1 for t in js.resting if t not in js.entries), self.headroom(js))
-        if js.overdue and not js.began and js.job.kind == "array":
-            n = min(n, 1)  # the first one, before others; the rest in its turn
-        if js.broken and js.job.kind != "gang":
-            n = min(n, 0 if js.entries else 1)
-        if js.job.kind == "gang" and (js.entries or n < js.n):
+        count = min(
+            job_state.waiting_count()
+            - sum(1 for t in job_state.task_retry_at if t not in job_state.allocations),
+            self.quota_headroom(job_state),
+        )
+        if job_state.overdue and not job_state.started and job_state.job.kind == "array":
+            count = min(count, 1)  # the first one, before others; the rest in its turn
+        if job_state.failing_everywhere and job_state.job.kind != "gang":
+            count = min(count, 0 if job_state.allocations else 1)
+        if job_state.job.kind == "gang" and (job_state.allocations or count < job_state.task_count):
             return 0  # all or nothing, and not while an old attempt's task is somewhere
-        return max(0, n)
+        return max(0, count)
 
-    def _make_way(self, now: float) -> None:
+    def _make_room_for_services(self, now: float) -> None:
         """Within a team's limit its replicas come before its arrays: these are stopped for them, the least lost work first.
 
         A replica waited for 124 s because an array of its own team, which had come a moment earlier, held what was left
         of the limit (ardgael-loans-ops, inc-4b3c). What is made free is kept for it.
         """
         for name, team in self.teams.items():
-            before = self.reserved.pop(name, NOTHING)
-            if team.cpus_max <= 0 and team.gpus_max <= 0:
+            before = self.reserved_for_services.pop(name, NO_RESOURCES)
+            if team.max_cpus <= 0 and team.max_gpus <= 0:
                 continue
-            need = NOTHING
-            for js in self.waits[name].values():
+            need = NO_RESOURCES
+            for job_state in self.waiting_jobs[name].values():
                 if (
-                    js.job is not None
-                    and js.job.kind == "service"
-                    and not js.broken
-                    and not js.blocked
-                    and js.not_before <= now
+                    job_state.job is not None
+                    and job_state.job.kind == "service"
+                    and not job_state.failing_everywhere
+                    and not job_state.blocked
+                    and job_state.retry_at <= now
                 ):
-                    need = add(need, js.vec, js.waiting())
-            if need == NOTHING:
-                if before != NOTHING:
-                    self.moved.add(name)
+                    need = add_scaled(need, job_state.resources, job_state.waiting_count())
+            if need == NO_RESOURCES:
+                if before != NO_RESOURCES:
+                    self.teams_with_changed_usage.add(name)
                 continue
             used, limit = (
-                add(self.used[name], need),
-                (team.cpus_max or 1e18, team.gpus_max or 1e18, 1e18),
+                add_scaled(self.used[name], need),
+                (team.max_cpus or 1e18, team.max_gpus or 1e18, 1e18),
             )
-            if all(u <= most + EPS for u, most in zip(used, limit, strict=True)):
+            if all(
+                used_amount <= most + EPSILON for used_amount, most in zip(used, limit, strict=True)
+            ):
                 continue
-            self.reserved[name] = need
-            going = NOTHING
+            self.reserved_for_services[name] = need
+            going = NO_RESOURCES
             arrays = [
-                js
-                for js in self.jobs.values()
-                if js.team == name and js.entries and js.job is not None and js.job.kind == "array"
+                job_state
+                for job_state in self.jobs.values()
+                if job_state.team == name
+                and job_state.allocations
+                and job_state.job is not None
+                and job_state.job.kind == "array"
             ]
-            ways: list[tuple[float, int, Entry, JobState]] = []
-            for js in arrays:
-                assert js.job is not None
-                for e in js.entries.values():
-                    self.visits += 1
-                    if e.over or not e.landed:
+            ways: list[tuple[float, int, Allocation, JobState]] = []
+            for job_state in arrays:
+                assert job_state.job is not None
+                for allocation in job_state.allocations.values():
+                    self.visit_count += 1
+                    if allocation.finished or not allocation.committed:
                         continue
-                    if e.stop is not None:
-                        going = add(going, js.vec)
-                    elif js.job.rank > 0:
+                    if allocation.stop_grace_s is not None:
+                        going = add_scaled(going, job_state.resources)
+                    elif job_state.job.priority > 0:
                         ways.append(
-                            (now - e.ran_at if e.ran_at is not None else 0.0, e.task, e, js)
+                            (
+                                now - allocation.running_since
+                                if allocation.running_since is not None
+                                else 0.0,
+                                allocation.task,
+                                allocation,
+                                job_state,
+                            )
                         )
-            for _, _, e, js in sorted(ways, key=lambda w: w[:2]):
-                short = add(used, going, -1)
-                if all(u <= most + EPS for u, most in zip(short, limit, strict=True)):
+            for _, _, allocation, job_state in sorted(ways, key=lambda w: w[:2]):
+                short = add_scaled(used, going, -1)
+                if all(
+                    used_amount <= most + EPSILON
+                    for used_amount, most in zip(short, limit, strict=True)
+                ):
                     break
-                assert js.job is not None
-                saves = js.job.checkpoint_s > 2.0 * js.job.save_s + 15.0
-                self._stop(e, js.job.save_s + 1.0 if saves else 0.0)
-                going = add(going, js.vec)
+                assert job_state.job is not None
+                saves = job_state.job.checkpoint_s > 2.0 * job_state.job.save_s + 15.0
+                self._request_stop(allocation, job_state.job.save_s + 1.0 if saves else 0.0)
+                going = add_scaled(going, job_state.resources)
 
-    def _revisit(self, now: float) -> None:
+    def _run_timers(self, now: float) -> None:
         """What time brings: jobs that may be tried again, and teams whose use has moved."""
-        while self.retries and self.retries[0][0] <= now:
-            _, jid = heapq.heappop(self.retries)
-            if (js := self.jobs.get(jid)) is None:
+        while self.timers and self.timers[0][0] <= now:
+            _, job_id = heapq.heappop(self.timers)
+            if (job_state := self.jobs.get(job_id)) is None:
                 continue
-            self.changed.add(jid)
-            self.hot.add(jid)
-            js.rested(now)
-            if not js.began and js.job is not None and now >= js.begin_by:
-                self._late_to_begin(js, now)
-            if js.broken and js.works(now):
-                self._blame(js, False, now)
-        if now >= self.next_way:
-            self.next_way = now + WAY_EVERY_S
-            self._make_way(now)
-        if self.moved and now >= self.next_team:
-            self.next_team = now + TEAM_EVERY_S
-            for team in self.moved:
-                self.changed.update(self.waits[team])
-                self.hot.update(jid for jid, js in self.waits[team].items() if js.offers)
-            self.moved.clear()
-        if now >= self.next_revisit:
-            self.next_revisit = now + REVISIT_S
-            self.hot.update(self.offer_job.values())
-
-    def _late_to_begin(self, js: JobState, now: float) -> None:
+            self.changed_jobs.add(job_id)
+            self.jobs_to_decide.add(job_id)
+            job_state.release_backoff(now)
+            if (
+                not job_state.started
+                and job_state.job is not None
+                and now >= job_state.overdue_check_at
+            ):
+                self._toggle_overdue(job_state, now)
+            if job_state.failing_everywhere and job_state.is_healthy(now):
+                self._set_failing_everywhere(job_state, False, now)
+        if now >= self.next_service_check_at:
+            self.next_service_check_at = now + SERVICE_CHECK_INTERVAL_S
+            self._make_room_for_services(now)
+        if self.teams_with_changed_usage and now >= self.next_team_check_at:
+            self.next_team_check_at = now + TEAM_CHECK_INTERVAL_S
+            for team in self.teams_with_changed_usage:
+                self.changed_jobs.update(self.waiting_jobs[team])
+                self.jobs_to_decide.update(
+                    job_id
+                    for job_id, job_state in self.waiting_jobs[team].items()
+                    if job_state.offers
+                )
+            self.teams_with_changed_usage.clear()
+        if now >= self.next_revisit_at:
+            self.next_revisit_at = now + REVISIT_INTERVAL_S
+            self.jobs_to_decide.update(self.job_by_offer.values())
+
+    def _toggle_overdue(self, job_state: JobState, now: float) -> None:
         """Nothing of a job has run for long: by turns it comes before others for a while, and then not.
 
         By turns, since one that never finds room would keep what it holds from everybody else for ever.
         """
-        js.begin_by = now + BEGIN_S
-        js.overdue = not js.overdue and not js.entries and not js.done_count and not js.broken
-        heapq.heappush(self.retries, (js.begin_by, js.id))
-        if js.overdue and js.job is not None:
-            self.report(
+        job_state.overdue_check_at = now + OVERDUE_START_S
+        job_state.overdue = (
+            not job_state.overdue
+            and not job_state.allocations
+            and not job_state.done_count
+            and not job_state.failing_everywhere
+        )
+        heapq.heappush(self.timers, (job_state.overdue_check_at, job_state.id))
+        if job_state.overdue and job_state.job is not None:
+            self.log_info(
                 "has not begun for long",
-                job=js.id,
-                team=js.team,
-                kind=js.job.kind,
-                tasks=js.n,
-                waits=round(now - js.came),
+                job=job_state.id,
+                team=job_state.team,
+                kind=job_state.job.kind,
+                tasks=job_state.task_count,
+                waits=round(now - job_state.arrived_at),
             )
 
     def decide(self, now: float) -> None:
         """Permit ready candidates, in memory; they go out when the write has landed."""
-        self._revisit(now)
-        if self.reorder:
-            self._order()
-        self.impatient = False
-        if not self.hot:
+        self._run_timers(now)
+        if self.teams_to_reorder:
+            self._update_guarantees()
+        self.holding_back_offers = False
+        if not self.jobs_to_decide:
             return
-        hot, self.hot = self.hot, set()
+        hot, self.jobs_to_decide = self.jobs_to_decide, set()
         ready = [
-            js
-            for jid in sorted(hot)
-            if (js := self.jobs.get(jid)) is not None and js.offers and js.job is not None
+            job_state
+            for job_id in sorted(hot)
+            if (job_state := self.jobs.get(job_id)) is not None
+            and job_state.offers
+            and job_state.job is not None
         ]
-        for js in sorted(ready, key=self.order):
-            self._decide(js, now)
+        for job_state in sorted(ready, key=self.queue_order):
+            self._decide_job(job_state, now)
 
-    def _decide(self, js: JobState, now: float) -> None:
-        job = js.job
+    def _decide_job(self, job_state: JobState, now: float) -> None:
+        job = job_state.job
         assert job is not None
-        self.visits += 1
-        n = self.wanted(js, now)
-        if n <= 0:
+        self.visit_count += 1
+        count = self.candidate_count(job_state, now)
+        if count <= 0:
             return
-        zones = self.zone_room(js)
+        zones = self.zone_limits(job_state)
         # an owner's cost counts what is lost by stopping others; work that could be anywhere takes plain room first all the same
         offers = sorted(
-            (o for o in js.offers.values() if o.machine not in js.failed_on),
-            key=lambda o: (o.victims if job.spot else 0, o.cost, o.victims, o.ticket),
+            (
+                offer
+                for offer in job_state.offers.values()
+                if offer.machine not in job_state.failed_on
+            ),
+            key=lambda offer: (
+                offer.victim_count if job.spot else 0,
+                offer.cost,
+                offer.victim_count,
+                offer.reservation_id,
+            ),
         )
-        if now - js.since < PATIENCE_S:
+        if now - job_state.waiting_since < OFFER_WAIT_S:
             # room by preemption, or without the image, is a worse answer: let the other owners speak first,
             # or the owner next door wins every race (the paper's optional scoring, cut to a blink)
-            waited = [o for o in offers if not o.victims and o.cost <= 1.0]
+            waited = [offer for offer in offers if not offer.victim_count and offer.cost <= 1.0]
             if len(waited) < len(offers):
-                self.impatient = True
-                self.hot.add(js.id)
+                self.holding_back_offers = True
+                self.jobs_to_decide.add(job_state.id)
             offers = waited
         if job.kind == "gang":
-            offers = self._gang(
-                job, [o for o in offers if zones is None or zones.get(o.zone, 0) > 0]
+            offers = self._pick_gang_offers(
+                job, [offer for offer in offers if zones is None or zones.get(offer.zone, 0) > 0]
             )
         chosen: list[Offer] = []
-        for o in offers:
-            if len(chosen) >= n:
+        for offer in offers:
+            if len(chosen) >= count:
                 break
             if zones is not None:
-                if zones.get(o.zone, 0) <= 0:
+                if zones.get(offer.zone, 0) <= 0:
                     continue
-                zones[o.zone] -= 1
-                if job.one_zone:
-                    zones = {z: (v if z == o.zone else 0) for z, v in zones.items()}
-            chosen.append(o)
-        if not chosen or (job.kind == "gang" and len(chosen) < js.n):
+                zones[offer.zone] -= 1
+                if job.single_zone:
+                    zones = {
+                        zone: (value if zone == offer.zone else 0) for zone, value in zones.items()
+                    }
+            chosen.append(offer)
+        if not chosen or (job.kind == "gang" and len(chosen) < job_state.task_count):
             return  # never a part of a gang
-        self._permit(js, chosen)
-
-    def _permit(self, js: JobState, chosen: list[Offer]) -> None:
-        attempt = self._attempt()
-        new: list[Entry] = []
-        nowhere = Chunk(js.team, -1)
-        for o in chosen:
-            task = js.take()
+        self._permit_offers(job_state, chosen)
+
+    def _permit_offers(self, job_state: JobState, chosen: list[Offer]) -> None:
+        attempt = self._next_attempt()
+        new: list[Allocation] = []
+        nowhere = RecordChunk(job_state.team, -1)
+        for offer in chosen:
+            task = job_state.next_task()
             if task is None:
                 break
             new.append(
-                Entry(js.id, task, attempt, o.machine, o.part, o.zone, o.epoch, o.ticket, nowhere)
+                Allocation(
+                    job_state.id,
+                    task,
+                    attempt,
+                    offer.machine,
+                    offer.shard,
+                    offer.zone,
+                    offer.epoch,
+                    offer.reservation_id,
+                    nowhere,
+                )
             )
-            self._drop_offer((o.part, o.ticket))
-        sizes = [entry_bytes(e) for e in new]
-        header = header_bytes(js.id, js.vec)
+            self._drop_offer((offer.shard, offer.reservation_id))
+        sizes = [allocation_bytes(allocation) for allocation in new]
+        header = header_bytes(job_state.id, job_state.resources)
         total = header + sum(sizes)
         # a gang's permits stand in one chunk where one can hold them, so that they land together
         whole = (
-            self._chunk_for(js.team, total)
-            if js.job is not None and js.job.kind == "gang" and total + 2 <= self.chunk_bytes
+            self._chunk_for(job_state.team, total)
+            if job_state.job is not None
+            and job_state.job.kind == "gang"
+            and total + 2 <= self.max_chunk_bytes
             else None
         )
-        for e, size in zip(new, sizes, strict=True):
-            e.chunk = whole or self._chunk_for(js.team, header + size)
-            self._insert(js, e)
-            self.dirty_chunks[e.chunk] = True
+        for allocation, size in zip(new, sizes, strict=True):
+            allocation.chunk = whole or self._chunk_for(job_state.team, header + size)
+            self._insert(job_state, allocation)
+            self.dirty_chunks[allocation.chunk] = True
 
-    def _attempt(self) -> int:
-        self.attempts += 1
-        return (self.epoch << ATTEMPT_BITS) + self.attempts
+    def _next_attempt(self) -> int:
+        self.attempt_count += 1
+        return (self.epoch << ATTEMPT_BITS) + self.attempt_count
 
-    def _gang(self, job: Job, offers: list[Offer]) -> list[Offer]:
+    def _pick_gang_offers(self, job: Job, offers: list[Offer]) -> list[Offer]:
         """A whole gang or nothing: from one part if one has it all, else from pieces of several."""
         best: list[Offer] = []
         groups: dict[Any, list[Offer]] = {}
-        for o in offers:
-            groups.setdefault((o.part, o.zone), []).append(o)
-        for o in offers:
-            groups.setdefault(o.zone, []).append(o)
-        if not job.one_zone:
+        for offer in offers:
+            groups.setdefault((offer.shard, offer.zone), []).append(offer)
+        for offer in offers:
+            groups.setdefault(offer.zone, []).append(offer)
+        if not job.single_zone:
             groups["all"] = offers
         for group in groups.values():
             picked: list[Offer] = []
             count: dict[str, int] = {}
-            for o in group:
-                if count.get(o.zone, 0) < job.zone_cap and len(picked) < job.n:
-                    picked.append(o)
-                    count[o.zone] = count.get(o.zone, 0) + 1
-            if len(picked) == job.n and (
-                not best or max(o.cost for o in picked) < max(o.cost for o in best)
+            for offer in group:
+                if (
+                    count.get(offer.zone, 0) < job.max_tasks_per_zone
+                    and len(picked) < job.task_count
+                ):
+                    picked.append(offer)
+                    count[offer.zone] = count.get(offer.zone, 0) + 1
+            if len(picked) == job.task_count and (
+                not best or max(offer.cost for offer in picked) < max(offer.cost for offer in best)
             ):
                 best = picked
         return best
 
     # -- what owners and the renter are told ---------------------------------------------------
 
-    def take_news(self, parts: int, now: float) -> dict[tuple[int, str], Any]:
+    def take_owner_updates(self, shard_count: int, now: float) -> dict[tuple[int, str], Any]:
         """What has changed for the owners since the last time: (part, key) -> value."""
-        out: dict[tuple[int, str], Any] = dict(self.permit_news)
-        self.permit_news.clear()
-        for jid in sorted(self.changed):
-            self.visits += 1
-            js = self.jobs.get(jid)
-            if js is None:
-                for part in range(parts):
-                    out[part, peer_messages.job_key(jid)] = out[part, peer_messages.candidate_key(jid)] = None
-                for waits in self.waits.values():
-                    waits.pop(jid, None)
+        out: dict[tuple[int, str], Any] = dict(self.permit_updates)
+        self.permit_updates.clear()
+        for job_id in sorted(self.changed_jobs):
+            self.visit_count += 1
+            job_state = self.jobs.get(job_id)
+            if job_state is None:
+                for part in range(shard_count):
+                    out[part, peer_messages.job_key(job_id)] = out[
+                        part, peer_messages.candidate_key(job_id)
+                    ] = None
+                for waits in self.waiting_jobs.values():
+                    waits.pop(job_id, None)
                 continue
-            if js.waiting() > 0:
-                self.waits[js.team][jid] = js
+            if job_state.waiting_count() > 0:
+                self.waiting_jobs[job_state.team][job_id] = job_state
             else:
-                self.waits[js.team].pop(jid, None)
-            news = JobNews(
-                js.job.record() if js.job is not None else None,
-                list(js.vec),
-                int(js.within),
-                int(js.broken),
+                self.waiting_jobs[job_state.team].pop(job_id, None)
+            news = JobUpdate(
+                job_state.job.record() if job_state.job is not None else None,
+                list(job_state.resources),
+                int(job_state.within_guarantee),
+                int(job_state.failing_everywhere),
             )
-            n = self.wanted(js, now)
-            zones = self.zone_room(js) if n or js.unlanded else None
-            for part in range(parts):
+            count = self.candidate_count(job_state, now)
+            zones = (
+                self.zone_limits(job_state) if count or job_state.uncommitted_per_shard else None
+            )
+            for part in range(shard_count):
                 # a permit that is being written still needs the room that is held for it: wanting less at once
                 # made owners cancel that room, and refuse the permit a moment later (kazi-bodi steady)
-                want = n + js.unlanded.get(part, 0)
-                out[part, peer_messages.job_key(jid)] = news
-                out[part, peer_messages.candidate_key(jid)] = (
-                    Candidate(want, list(self.order(js)), zones, sorted(js.failed_on))
-                    if want and js.job is not None
+                want = count + job_state.uncommitted_per_shard.get(part, 0)
+                out[part, peer_messages.job_key(job_id)] = news
+                out[part, peer_messages.candidate_key(job_id)] = (
+                    CandidateUpdate(
+                        want, list(self.queue_order(job_state)), zones, sorted(job_state.failed_on)
+                    )
+                    if want and job_state.job is not None
                     else None
                 )
-        self.changed.clear()
+        self.changed_jobs.clear()
         return out
 
-    def take_counts(self) -> dict[str, list[int] | None]:
+    def take_task_counts(self) -> dict[str, list[int] | None]:
         """What users are shown of jobs, as far as it has changed."""
-        counted, self.counted = self.counted, set()
+        counted, self.changed_counts = self.changed_counts, set()
         return {
-            jid: [js.done_count, js.running]
-            if (js := self.jobs.get(jid)) is not None and js.job
+            job_id: [job_state.done_count, job_state.running_count]
+            if (job_state := self.jobs.get(job_id)) is not None and job_state.job
             else None
-            for jid in sorted(counted)
+            for job_id in sorted(counted)
         }
 
-    def _at_once(self, js: JobState, n: int, wall: float) -> int:
+    def _concurrent_tasks_needed(self, job_state: JobState, waiting: int, wall_time: float) -> int:
         """How many more tasks of an array have to find room now for it to be done when its class expects it.
 
         A slot serves one task after the other. Renting for every task at once gave each machine one task of 25 s to run and 60 s to
         be paid for; renting for none until the job was late had 9 in 10 of them late (shannon-loanworks, untouched).
         """
-        job = js.job
+        job = job_state.job
         assert job is not None
-        if job.kind != "array" or (within := self.aims.of(job).finish_s) is None:
-            return n
-        kinds = [t for t in self.types.values() if fits(job.vec, t.vec)]
+        if job.kind != "array" or (within := self.objectives.of(job).finish_s) is None:
+            return waiting
+        kinds = [
+            machine_type
+            for machine_type in self.machine_types.values()
+            if fits(job.resources, machine_type.resources)
+        ]
         ready = min(
-            (1.5 * t.boot_s + 2.0 * job.image_gb / max(t.fetch_gb_s, 0.01) for t in kinds),
+            (
+                1.5 * machine_type.boot_s + 2.0 * job.image_gb / max(machine_type.fetch_gb_s, 0.01)
+                for machine_type in kinds
+            ),
             default=60.0,
         )
-        takes = 1.2 * max(1.0, job.estimate_s if js.took_s is None else js.took_s)
-        turns = int((job.at + within - wall - ready) / takes)
-        busy = sum(1 for e in js.entries.values() if not e.over)
-        return n if turns <= 1 else max(0, min(n, -(-(n + busy) // turns) - busy))
+        takes = 1.2 * max(
+            1.0, job.estimate_s if job_state.task_duration_s is None else job_state.task_duration_s
+        )
+        turns = int((job.submitted_at + within - wall_time - ready) / takes)
+        busy = sum(1 for allocation in job_state.allocations.values() if not allocation.finished)
+        return waiting if turns <= 1 else max(0, min(waiting, -(-(waiting + busy) // turns) - busy))
 
-    def demand(self, now: float, wall: float) -> dict[str, DemandNews]:
+    def demand(self, now: float, wall_time: float) -> dict[str, DemandUpdate]:
         """Waiting tasks, each once, for the renter; 0 where enough room is at work already."""
-        out: dict[str, DemandNews] = {}
+        out: dict[str, DemandUpdate] = {}
         left = {
-            t: (
-                team.cpus_max - self.used[t][0] if team.cpus_max > 0 else 1e18,
-                team.gpus_max - self.used[t][1] if team.gpus_max > 0 else 1e18,
+            team_name: (
+                team.max_cpus - self.used[team_name][0] if team.max_cpus > 0 else 1e18,
+                team.max_gpus - self.used[team_name][1] if team.max_gpus > 0 else 1e18,
             )
-            for t, team in self.teams.items()
+            for team_name, team in self.teams.items()
         }
-        for js in sorted(
-            (j for w in self.waits.values() for j in w.values() if j.job is not None),
-            key=self.order,
+        for job_state in sorted(
+            (
+                other_state
+                for w in self.waiting_jobs.values()
+                for other_state in w.values()
+                if other_state.job is not None
+            ),
+            key=self.queue_order,
         ):
-            n = 0 if js.broken or js.not_before > now + 5 else js.waiting()
-            cpus, gpus = left[js.team]
-            n = min(
-                n,
-                times(js.vec[0], max(0.0, cpus) + EPS * js.vec[0]),
-                times(js.vec[1], max(0.0, gpus) + EPS * js.vec[1]),
+            count = (
+                0
+                if job_state.failing_everywhere or job_state.retry_at > now + 5
+                else job_state.waiting_count()
+            )
+            cpus, gpus = left[job_state.team]
+            count = min(
+                count,
+                max_count(
+                    job_state.resources[0], max(0.0, cpus) + EPSILON * job_state.resources[0]
+                ),
+                max_count(
+                    job_state.resources[1], max(0.0, gpus) + EPSILON * job_state.resources[1]
+                ),
             )
-            if js.job is not None and js.job.kind == "gang" and n < js.n:
-                n = 0
-            if n > 0 and js.job is not None:
-                left[js.team] = (cpus - n * js.vec[0], gpus - n * js.vec[1])
-                out[js.id] = DemandNews(
-                    js.job.record(),
-                    self._at_once(js, n, wall),
-                    self.zone_room(js),
-                    list(self.order(js)),
+            if (
+                job_state.job is not None
+                and job_state.job.kind == "gang"
+                and count < job_state.task_count
+            ):
+                count = 0
+            if count > 0 and job_state.job is not None:
+                left[job_state.team] = (
+                    cpus - count * job_state.resources[0],
+                    gpus - count * job_state.resources[1],
+                )
+                out[job_state.id] = DemandUpdate(
+                    job_state.job.record(),
+                    self._concurrent_tasks_needed(job_state, count, wall_time),
+                    self.zone_limits(job_state),
+                    list(self.queue_order(job_state)),
                 )
         return out
 
-    def progress(self, jid: str) -> tuple[int, int]:
+    def task_counts(self, job_id: str) -> tuple[int, int]:
         """(done, running) for display."""
-        js = self.jobs.get(jid)
-        return (js.done_count, js.running) if js is not None else (0, 0)
+        job_state = self.jobs.get(job_id)
+        return (job_state.done_count, job_state.running_count) if job_state is not None else (0, 0)
