--- a/ploverhall/scheduling/placement.py
+++ b/ploverhall/scheduling/placement.py
@@ -13,259 +13,291 @@
 from random import Random
 
 from ploverhall.protocol import peer_messages
-from ploverhall.protocol.agents import Key
-from ploverhall.protocol.jobs import RANKS, Job
-from ploverhall.protocol.peer_messages import Candidate
+from ploverhall.protocol.agents import AttemptId
+from ploverhall.protocol.jobs import PRIORITIES, Job
+from ploverhall.protocol.peer_messages import CandidateUpdate
 from ploverhall.scheduling.inventory import (
-    EPS,
-    Class,
-    Fleet,
-    Info,
+    EPSILON,
+    PreemptionClass,
+    Inventory,
+    JobTraits,
     Machine,
     Permit,
-    Place,
-    Ticket,
-    Vec,
-    add,
+    MachinePool,
+    Reservation,
+    ResourceVector,
+    add_scaled,
     fits,
     occupies,
-    times,
+    max_count,
 )
 
-PREEMPT_EVERY_S = (
+PREEMPTION_INTERVAL_S = (
     0.25  # how often a waiting candidate is matched anew against work that may be stopped
 )
-PREEMPT_AT_ONCE = 24  # candidates matched in one go
-LEAST_RANK = max(RANKS.values())
-APART_S = 3.0  # seconds of fetching that keeping a replica apart from its like is worth: at 30, replicas fetched beside idle copies
-CACHE_S = 0.15  # seconds that each image a machine holds is worth to others
-STOP_S = 1.0  # what stopping others takes, until their room is free
-LOSS_WORTH = 0.2  # seconds of waiting that a second of lost work is worth
-STOP_SAMPLE, STOP_EACH = (
+MAX_PREEMPTION_SEARCHES = 24  # candidates matched in one go
+LOWEST_PRIORITY = max(PRIORITIES.values())
+REPLICA_SPREAD_COST_S = 3.0  # seconds of fetching that keeping a replica apart from its like is worth: at 30, replicas fetched beside idle copies
+CACHED_IMAGE_COST_S = 0.15  # seconds that each image a machine holds is worth to others
+PREEMPTION_DELAY_S = 1.0  # what stopping others takes, until their room is free
+LOST_WORK_WEIGHT = 0.2  # seconds of waiting that a second of lost work is worth
+PREEMPTION_SAMPLE, PREEMPTION_SAMPLE_PER_TASK = (
     64,
     4,
 )  # machines asked what could be stopped on them: at least so many, and so many a task
-WARM_S = 2.0  # a start that is slower than this is worth the question whether a machine that holds the image is better
-WARM_TRIES = 24  # machines asked that question
-REVISIT_S = (
+WARM_SEARCH_THRESHOLD_S = 2.0  # a start that is slower than this is worth the question whether a machine that holds the image is better
+WARM_SAMPLE = 24  # machines asked that question
+REVISIT_INTERVAL_S = (
     2.0  # how often every waiting candidate is looked at anew, whatever has been seen to change
 )
-Failed = list[tuple[Vec, tuple[str, ...] | None, str | None, bool]]
+FailedShapes = list[tuple[ResourceVector, tuple[str, ...] | None, str | None, bool]]
 
 
 @dataclass(slots=True, eq=False)
-class Want:
+class CandidateRequest:
     """What a source wants placed: a candidate for each waiting task of a job."""
 
-    src: int
+    source_shard: int
     job: Job
-    n: int
-    zones: dict[str, int] | None
-    order: tuple[float, ...]
-    avoid: frozenset[str]
-    within: bool
+    count: int
+    zone_limits: dict[str, int] | None
+    queue_order: tuple[float, ...]
+    avoided_machines: frozenset[str]
+    within_guarantee: bool
 
     @property
-    def late(self) -> bool:
+    def overdue(self) -> bool:
         """Whether its source puts it before its rank, since it has waited for so long."""
-        return len(self.order) > 2 and self.order[2] < self.job.rank
+        return len(self.queue_order) > 2 and self.queue_order[2] < self.job.priority
 
 
 class Placement:
     """Holds room for candidates and tells the sources."""
 
-    def __init__(self, fleet: Fleet, hold_s: float, sample: int, rng: Random) -> None:
-        self.fleet, self.hold_s, self.sample, self.rng = fleet, hold_s, sample, rng
-        self.wants: dict[str, Want] = {}
-        self.tickets: dict[str, dict[int, Ticket]] = {}
-        self.waiting: list[
+    def __init__(self, inventory: Inventory, hold_s: float, sample: int, random: Random) -> None:
+        self.inventory, self.hold_s, self.sample, self.random = inventory, hold_s, sample, random
+        self.requests: dict[str, CandidateRequest] = {}
+        self.reservations: dict[str, dict[int, Reservation]] = {}
+        self.queue: list[
             tuple[tuple[float, ...], str]
         ] = []  # candidates without room, most important first
-        self.new: set[str] = set()  # those not yet looked at
-        self.expiry: deque[Ticket] = deque()  # in the order in which the hold time ends
-        self.preempting: dict[int, Ticket] = {}
-        self.victims: set[Key] = (
+        self.new_requests: set[str] = set()  # those not yet looked at
+        self.expiry_queue: deque[Reservation] = deque()  # in the order in which the hold time ends
+        self.preempting: dict[int, Reservation] = {}
+        self.victims: set[AttemptId] = (
             set()
         )  # what permits being carried out stop already; the owner keeps it
-        self.asked: dict[
+        self.exhausted_searches: dict[
             str, tuple[int, int, str | None]
         ] = {}  # who found too few ways: the fleet's counter, how many, in which zone
-        self.dry: dict[
+        self.exhausted_gang_searches: dict[
             tuple[object, ...], tuple[int, int]
         ] = {}  # alike gangs: the counter, and the ways there were in all
-        self.ways = (
+        self.preemption_checks = (
             0  # machines asked what could be stopped on them: what the tests of growth count
         )
-        self.kept: dict[
+        self.kept_for_job: dict[
             str, str
         ] = {}  # machines that are left to empty for a gang that has not begun for long
-        self.partial: str | None = (
+        self.partial_gang: str | None = (
             None  # the one gang that may hold room for less than all of its tasks
         )
-        self.next_ticket = 1
-        self.next_preempt = 0.0
-        self.next_revisit = 0.0
-        self.news: dict[tuple[int, str], list[object] | peer_messages.OfferNews | None] = {}
+        self.next_reservation_id = 1
+        self.next_preemption_at = 0.0
+        self.next_revisit_at = 0.0
+        self.source_updates: dict[
+            tuple[int, str], list[object] | peer_messages.OfferUpdate | None
+        ] = {}
 
     # -- what is wanted ----------------------------------------------------------------------
 
-    def want(self, src: int, job: Job, c: Candidate, within: bool) -> None:
+    def request(
+        self, source_shard: int, job: Job, update: CandidateUpdate, within_guarantee: bool
+    ) -> None:
         """A source's candidates for a job are these from now on."""
-        old = self.wants.get(job.id)
-        w = Want(src, job, c.n, c.zones, tuple(c.order), frozenset(c.avoid), within)
-        if old is not None and old.order != w.order:
-            self._leave_queue(job.id, old.order)
-        self.wants[job.id] = w
-        self.asked.pop(job.id, None)
-        self._trim(job.id)
-        if old is None or (w.n, w.zones, w.order, w.avoid) != (
-            old.n,
-            old.zones,
-            old.order,
-            old.avoid,
+        old = self.requests.get(job.id)
+        request = CandidateRequest(
+            source_shard,
+            job,
+            update.waiting_tasks,
+            update.zone_limits,
+            tuple(update.queue_order),
+            frozenset(update.avoided_machines),
+            within_guarantee,
+        )
+        if old is not None and old.queue_order != request.queue_order:
+            self._remove_from_queue(job.id, old.queue_order)
+        self.requests[job.id] = request
+        self.exhausted_searches.pop(job.id, None)
+        self._release_surplus(job.id)
+        if old is None or (
+            request.count,
+            request.zone_limits,
+            request.queue_order,
+            request.avoided_machines,
+        ) != (
+            old.count,
+            old.zone_limits,
+            old.queue_order,
+            old.avoided_machines,
         ):
-            self._queue(job.id)
+            self._enqueue_if_missing(job.id)
 
-    def cancel(self, jid: str) -> None:
+    def cancel(self, job_id: str) -> None:
         """No candidates of this job any more."""
-        w = self.wants.pop(jid, None)
-        self.asked.pop(jid, None)
-        if w is not None:
-            self._leave_queue(jid, w.order)
-        self._trim(jid)
+        request = self.requests.pop(job_id, None)
+        self.exhausted_searches.pop(job_id, None)
+        if request is not None:
+            self._remove_from_queue(job_id, request.queue_order)
+        self._release_surplus(job_id)
 
-    def _queue(self, jid: str) -> None:
+    def _enqueue_if_missing(self, job_id: str) -> None:
         """Look for room for what a job still misses."""
-        w = self.wants.get(jid)
-        if w is not None and len(self.tickets.get(jid, ())) < w.n:
-            self.new.add(jid)
-            self._wait(jid, w)
-
-    def _wait(self, jid: str, w: Want) -> None:
-        at = (w.order, jid)
-        i = bisect_left(self.waiting, at)
-        if i >= len(self.waiting) or self.waiting[i] != at:
-            insort(self.waiting, at)
-
-    def _leave_queue(self, jid: str, order: tuple[float, ...]) -> None:
-        self.new.discard(jid)
-        i = bisect_left(self.waiting, (order, jid))
-        if i < len(self.waiting) and self.waiting[i] == (order, jid):
-            del self.waiting[i]
+        request = self.requests.get(job_id)
+        if request is not None and len(self.reservations.get(job_id, ())) < request.count:
+            self.new_requests.add(job_id)
+            self._insert_into_queue(job_id, request)
+
+    def _insert_into_queue(self, job_id: str, request: CandidateRequest) -> None:
+        at = (request.queue_order, job_id)
+        i = bisect_left(self.queue, at)
+        if i >= len(self.queue) or self.queue[i] != at:
+            insort(self.queue, at)
+
+    def _remove_from_queue(self, job_id: str, order: tuple[float, ...]) -> None:
+        self.new_requests.discard(job_id)
+        i = bisect_left(self.queue, (order, job_id))
+        if i < len(self.queue) and self.queue[i] == (order, job_id):
+            del self.queue[i]
 
     # -- held room ---------------------------------------------------------------------------
 
-    def hold(
-        self, w: Want, m: Machine, cost: float, now: float, victims: tuple[Key, ...] = ()
-    ) -> Ticket:
+    def reserve(
+        self,
+        request: CandidateRequest,
+        machine: Machine,
+        cost: float,
+        now: float,
+        victims: tuple[AttemptId, ...] = (),
+    ) -> Reservation:
         """Keep room for one candidate until the hold time is over, and say so."""
-        t = Ticket(
-            self.next_ticket,
-            w.src,
-            w.job.id,
-            m.name,
-            m.zone,
+        reservation = Reservation(
+            self.next_reservation_id,
+            request.source_shard,
+            request.job.id,
+            machine.name,
+            machine.zone,
             now + self.hold_s,
-            w.job.vec,
-            w.job.image,
+            request.job.resources,
+            request.job.image,
             cost,
             victims,
-            w.late,
+            request.overdue,
         )
-        self.next_ticket += 1
-        m.tickets[t.id] = t
-        self.tickets.setdefault(t.job, {})[t.id] = t
-        self.expiry.append(t)
+        self.next_reservation_id += 1
+        machine.reservations[reservation.id] = reservation
+        self.reservations.setdefault(reservation.job_id, {})[reservation.id] = reservation
+        self.expiry_queue.append(reservation)
         if victims:
-            self.preempting[t.id] = t
-        self.news[t.src, peer_messages.offer_key(t.id)] = peer_messages.OfferNews(
-            t.job, t.machine, t.zone, round(t.cost, 2), len(victims)
+            self.preempting[reservation.id] = reservation
+        self.source_updates[reservation.source_shard, peer_messages.offer_key(reservation.id)] = (
+            peer_messages.OfferUpdate(
+                reservation.job_id,
+                reservation.machine,
+                reservation.zone,
+                round(reservation.cost, 2),
+                len(victims),
+            )
         )
-        self.fleet.look(m, now)
-        self.fleet.touch(m)  # for the renter
-        return t
+        self.inventory.refresh(machine, now)
+        self.inventory.mark_changed(machine)  # for the renter
+        return reservation
 
-    def free(self, t: Ticket, again: bool = True) -> None:
+    def release(self, reservation: Reservation, requeue: bool = True) -> None:
         """Give held room back; what is still wanted is looked for anew."""
-        held = self.tickets.get(t.job)
-        if held is None or held.pop(t.id, None) is None:
+        held = self.reservations.get(reservation.job_id)
+        if held is None or held.pop(reservation.id, None) is None:
             return
         if not held:
-            del self.tickets[t.job]
-        self.preempting.pop(t.id, None)
-        self.news[t.src, peer_messages.offer_key(t.id)] = None
-        m = self.fleet.machines.get(t.machine)
-        if m is not None:
-            m.tickets.pop(t.id, None)
-            self.fleet.touch(m)
-        if again:
-            self._queue(t.job)
-
-    def _trim(self, jid: str) -> None:
+            del self.reservations[reservation.job_id]
+        self.preempting.pop(reservation.id, None)
+        self.source_updates[reservation.source_shard, peer_messages.offer_key(reservation.id)] = (
+            None
+        )
+        machine = self.inventory.machines.get(reservation.machine)
+        if machine is not None:
+            machine.reservations.pop(reservation.id, None)
+            self.inventory.mark_changed(machine)
+        if requeue:
+            self._enqueue_if_missing(reservation.job_id)
+
+    def _release_surplus(self, job_id: str) -> None:
         """Cancelled candidates give their room back."""
-        held = self.tickets.get(jid)
+        held = self.reservations.get(job_id)
         if not held:
             return
-        want = self.wants.get(jid)
-        n = want.n if want else 0
-        if len(held) > n:
-            for t in sorted(held.values(), key=lambda t: (-t.cost, -t.id))[: len(held) - n]:
-                self.free(t, again=False)
+        want = self.requests.get(job_id)
+        count = want.count if want else 0
+        if len(held) > count:
+            for reservation in sorted(
+                held.values(), key=lambda reservation: (-reservation.cost, -reservation.id)
+            )[: len(held) - count]:
+                self.release(reservation, requeue=False)
 
     def expire(self, now: float) -> None:
         """The hold time of unpermitted room is over."""
-        while self.expiry and (
-            self.expiry[0].until <= now
-            or self.expiry[0].id not in self.tickets.get(self.expiry[0].job, ())
+        while self.expiry_queue and (
+            self.expiry_queue[0].expires_at <= now
+            or self.expiry_queue[0].id not in self.reservations.get(self.expiry_queue[0].job_id, ())
         ):
-            self.free(self.expiry.popleft())
+            self.release(self.expiry_queue.popleft())
 
-    def release(self, m: Machine) -> None:
+    def release_machine(self, machine: Machine) -> None:
         """A machine that can't be used holds nothing."""
-        for t in list(m.tickets.values()):
-            self.free(t)
+        for reservation in list(machine.reservations.values()):
+            self.release(reservation)
 
     # -- placing -----------------------------------------------------------------------------
 
-    def place(self, now: float) -> None:
+    def place_waiting(self, now: float) -> None:
         """One pass: new candidates anywhere, waiting ones on machines that have gained room."""
-        fleet = self.fleet
-        preempt = now >= self.next_preempt
-        if not (self.new or fleet.gained or preempt) or not self.waiting:
-            fleet.gained.clear()
+        fleet = self.inventory
+        preempt = now >= self.next_preemption_at
+        if not (self.new_requests or fleet.machines_with_gains or preempt) or not self.queue:
+            fleet.machines_with_gains.clear()
             return
         if preempt:
-            self.next_preempt = now + PREEMPT_EVERY_S
-        if now >= self.next_revisit:
-            self.next_revisit = now + REVISIT_S
-            self.asked.clear()
-            self.dry.clear()
-            for jid in self.wants:
-                self._queue(jid)
-            self._keep(now)
-        gained, fleet.gained = fleet.gained, {}
-        failed: Failed = []
-        tries = PREEMPT_AT_ONCE
+            self.next_preemption_at = now + PREEMPTION_INTERVAL_S
+        if now >= self.next_revisit_at:
+            self.next_revisit_at = now + REVISIT_INTERVAL_S
+            self.exhausted_searches.clear()
+            self.exhausted_gang_searches.clear()
+            for job_id in self.requests:
+                self._enqueue_if_missing(job_id)
+            self._keep_machines_for_gang(now)
+        gained, fleet.machines_with_gains = fleet.machines_with_gains, {}
+        failed: FailedShapes = []
+        tries = MAX_PREEMPTION_SEARCHES
         partial_seen = False
         still: list[tuple[tuple[float, ...], str]] = []
-        for i, (order, jid) in enumerate(self.waiting):
-            if not self.new and not gained and not (preempt and tries):
-                still += self.waiting[i:]
+        for i, (order, job_id) in enumerate(self.queue):
+            if not self.new_requests and not gained and not (preempt and tries):
+                still += self.queue[i:]
                 partial_seen = (
                     True  # not all were seen: whoever holds pieces may still be among the rest
                 )
                 break
-            w = self.wants.get(jid)
-            if w is None:
+            request = self.requests.get(job_id)
+            if request is None:
                 continue
-            new = jid in self.new
-            missing = w.n - len(self.tickets.get(jid, ()))
-            if missing > 0 and w.job.kind == "gang":
+            new = job_id in self.new_requests
+            missing = request.count - len(self.reservations.get(job_id, ()))
+            if missing > 0 and request.job.kind == "gang":
                 if new or gained or (preempt and tries):
                     before = missing
                     missing = self._place_gang(
-                        jid,
-                        w,
+                        job_id,
+                        request,
                         missing,
                         not partial_seen,
                         failed,
@@ -274,240 +306,295 @@
                     )
                     tries -= bool((new or preempt) and before)
                 partial_seen = partial_seen or missing > 0
-                if missing <= 0 and self.partial == jid:
-                    self.partial = None
+                if missing <= 0 and self.partial_gang == job_id:
+                    self.partial_gang = None
             elif missing > 0:
                 if new:
-                    missing = self._place(jid, w, missing, None, failed, now)
+                    missing = self._place_tasks(job_id, request, missing, None, failed, now)
                 elif gained:
-                    missing = self._place(jid, w, missing, gained, failed, now)
-                if missing > 0 and tries and (new or preempt) and self._could_stop(w):
+                    missing = self._place_tasks(job_id, request, missing, gained, failed, now)
+                if missing > 0 and tries and (new or preempt) and self._could_preempt(request):
                     tries -= 1
-                    missing -= self._preempt(jid, w, missing, now)
-            self.new.discard(jid)
+                    missing -= self._preempt(job_id, request, missing, now)
+            self.new_requests.discard(job_id)
             if missing > 0:
-                still.append((order, jid))
-        self.waiting = still
+                still.append((order, job_id))
+        self.queue = still
         if not partial_seen:
-            self.partial = None
+            self.partial_gang = None
 
-    def _keep(self, now: float) -> None:
+    def _keep_machines_for_gang(self, now: float) -> None:
         """Whole machines for the first gang whose source puts it before its rank: nothing else goes there until it has begun.
 
         Room is free one task at a time, and the next small task has it at once; a gang of whole machines never found one empty
         (tests/test_largest.py). For one gang at a time, and no longer than its turn.
         """
-        first: Want | None = None
-        for _, jid in self.waiting:
-            w = self.wants.get(jid)
+        first: CandidateRequest | None = None
+        for _, job_id in self.queue:
+            request = self.requests.get(job_id)
             if (
-                w is not None
-                and w.job.kind == "gang"
-                and w.late
-                and len(self.tickets.get(jid, ())) < w.n
+                request is not None
+                and request.job.kind == "gang"
+                and request.overdue
+                and len(self.reservations.get(job_id, ())) < request.count
             ):
-                first = w
+                first = request
                 break
-        kept = self._kept_for(first, now) if first is not None else {}
-        for name in self.kept.keys() - kept.keys():
-            if (m := self.fleet.machines.get(name)) is not None:
-                self.fleet.gained[name] = m  # others may have it again
-        self.kept = kept
-
-    def _kept_for(self, w: Want, now: float) -> dict[str, str]:
-        job, fleet, zones = w.job, self.fleet, self._by_zone(w.job.id, w)
-        places = {p for p in fleet.places(job) if zones is None or zones.get(p[1], 0) > 0}
+        kept = self._machines_to_keep(first, now) if first is not None else {}
+        for name in self.kept_for_job.keys() - kept.keys():
+            if (machine := self.inventory.machines.get(name)) is not None:
+                self.inventory.machines_with_gains[name] = machine  # others may have it again
+        self.kept_for_job = kept
+
+    def _machines_to_keep(self, request: CandidateRequest, now: float) -> dict[str, str]:
+        job, fleet, zones = (
+            request.job,
+            self.inventory,
+            self._remaining_zone_limits(request.job.id, request),
+        )
+        places = {
+            pool for pool in fleet.allowed_pools(job) if zones is None or zones.get(pool[1], 0) > 0
+        }
         mine = [
-            m
-            for m in fleet.machines.values()
-            if m.place in places and not fleet.unusable(m, now) and m.name not in w.avoid
+            machine
+            for machine in fleet.machines.values()
+            if machine.pool in places
+            and not fleet.unusable(machine, now)
+            and machine.name not in request.avoided_machines
         ]
-        if job.one_zone and mine:
-            count = Counter(m.zone for m in mine)
-            zone = max(count, key=lambda z: (count[z], z))
-            mine = [m for m in mine if m.zone == zone]
+        if job.single_zone and mine:
+            count = Counter(machine.zone for machine in mine)
+            zone = max(count, key=lambda zone_name: (count[zone_name], zone_name))
+            mine = [machine for machine in mine if machine.zone == zone]
         out: dict[str, str] = {}
-        left = w.n - len(self.tickets.get(job.id, ()))
-        for m in sorted(
-            mine, key=lambda m: (m.name not in self.kept, [-x for x in m.free], m.name)
+        left = request.count - len(self.reservations.get(job.id, ()))
+        for machine in sorted(
+            mine,
+            key=lambda machine: (
+                machine.name not in self.kept_for_job,
+                [-x for x in machine.free],
+                machine.name,
+            ),
         ):
             if left <= 0:
                 break
             each = min(
                 (
-                    times(x, c + EPS * x)
-                    for x, c in zip(job.vec, fleet.types[m.type].vec, strict=True)
+                    max_count(x, c + EPSILON * x)
+                    for x, c in zip(
+                        job.resources, fleet.machine_types[machine.type].resources, strict=True
+                    )
                     if x > 0
                 ),
                 default=0,
             )
             if each > 0:
-                out[m.name] = job.id
+                out[machine.name] = job.id
                 left -= each
         return out
 
-    def _avoided(self, w: Want) -> frozenset[str]:
+    def _avoided_machines(self, request: CandidateRequest) -> frozenset[str]:
         """Machines that it failed on, and those that are kept for somebody else."""
         return (
-            w.avoid.union(m for m, j in self.kept.items() if j != w.job.id)
-            if self.kept
-            else w.avoid
+            request.avoided_machines.union(
+                m for m, job_id in self.kept_for_job.items() if job_id != request.job.id
+            )
+            if self.kept_for_job
+            else request.avoided_machines
         )
 
-    def _by_zone(self, jid: str, w: Want) -> dict[str, int] | None:
+    def _remaining_zone_limits(
+        self, job_id: str, request: CandidateRequest
+    ) -> dict[str, int] | None:
         """How many more candidates each zone may take."""
-        if w.zones is None:
+        if request.zone_limits is None:
             return None
-        left = dict(w.zones)
-        for t in self.tickets.get(jid, {}).values():
-            left[t.zone] = left.get(t.zone, 0) - 1
+        left = dict(request.zone_limits)
+        for reservation in self.reservations.get(job_id, {}).values():
+            left[reservation.zone] = left.get(reservation.zone, 0) - 1
         return left
 
-    def _place(
+    def _place_tasks(
         self,
-        jid: str,
-        w: Want,
+        job_id: str,
+        request: CandidateRequest,
         missing: int,
         only: dict[str, Machine] | None,
-        failed: Failed,
+        failed: FailedShapes,
         now: float,
         zone: str | None = None,
     ) -> int:
         """Hold room for up to `missing` candidates; what is left over."""
-        job = w.job
-        shape = (job.vec, job.types, job.zone, job.spot)
+        job = request.job
+        shape = (job.resources, job.machine_types, job.zone, job.spot)
         if (
             only is None
             and zone is None
-            and w.zones is None
-            and not w.avoid
+            and request.zone_limits is None
+            and not request.avoided_machines
             and any(s[1:] == shape[1:] and fits(s[0], shape[0]) for s in failed)
         ):
             return missing  # something no larger has just found no room
-        zones, avoid = self._by_zone(jid, w), self._avoided(w)
-        all_places = [p for p in self.fleet.places(job) if zone is None or p[1] == zone]
+        zones, avoid = self._remaining_zone_limits(job_id, request), self._avoided_machines(request)
+        all_places = [
+            pool for pool in self.inventory.allowed_pools(job) if zone is None or pool[1] == zone
+        ]
         while missing > 0:
-            places = [p for p in all_places if zones is None or zones.get(p[1], 0) > 0]
+            places = [pool for pool in all_places if zones is None or zones.get(pool[1], 0) > 0]
             if only is not None:
-                for name in [n for n, m in only.items() if m.bucket is None]:
+                for name in [
+                    controller_name
+                    for controller_name, machine in only.items()
+                    if machine.index_bucket is None
+                ]:
                     del only[name]
                 found = [
-                    m
-                    for m in only.values()
-                    if m.place in places and fits(job.vec, m.free) and m.name not in avoid
+                    machine
+                    for machine in only.values()
+                    if machine.pool in places
+                    and fits(job.resources, machine.free)
+                    and machine.name not in avoid
                 ]
                 found = (
                     found
                     if len(found) <= 2 * self.sample
-                    else self.rng.sample(found, 2 * self.sample)
+                    else self.random.sample(found, 2 * self.sample)
                 )
             else:
-                found = self.fleet.find(job, places, avoid, self.sample, self.rng)
-            found = [m for m in found if not self.fleet.unusable(m, now)]
+                found = self.inventory.find_machines(job, places, avoid, self.sample, self.random)
+            found = [machine for machine in found if not self.inventory.unusable(machine, now)]
             if not found:
                 if only is None and zone is None and zones is None and not avoid:
                     failed.append(shape)
                 break
-            cost, _, _, m = min((*self.score(job, m), m.name, m) for m in found)
-            victims: tuple[Key, ...] = ()
+            cost, _, _, machine = min(
+                (*self.score(job, machine), machine.name, machine) for machine in found
+            )
+            victims: tuple[AttemptId, ...] = ()
             if (
-                job.image not in m.images
-                and cost > WARM_S
+                job.image not in machine.images
+                and cost > WARM_SEARCH_THRESHOLD_S
                 and only is None
-                and (job.kind != "gang" or w.n == 1)
+                and (job.kind != "gang" or request.count == 1)
             ):
-                way = self._warm_way(w, places, now)
+                way = self._find_warm_preemption(request, places, now)
                 if way is not None and way[0] < cost:
-                    cost, m, victims = way
-            self.hold(w, m, cost, now, victims)
-            if only is not None and self.fleet.units(m.free, self.fleet.types[m.type]) == 0:
-                only.pop(m.name, None)
+                    cost, machine, victims = way
+            self.reserve(request, machine, cost, now, victims)
+            if (
+                only is not None
+                and self.inventory.whole_units(
+                    machine.free, self.inventory.machine_types[machine.type]
+                )
+                == 0
+            ):
+                only.pop(machine.name, None)
             if zones is not None:
-                zones[m.zone] -= 1
+                zones[machine.zone] -= 1
             missing -= 1
         return missing
 
     def _place_gang(
         self,
-        jid: str,
-        w: Want,
+        job_id: str,
+        request: CandidateRequest,
         missing: int,
         first: bool,
-        failed: Failed,
+        failed: FailedShapes,
         now: float,
-        may_stop: bool,
+        may_preempt: bool,
     ) -> int:
         """All or nothing, but for the most important gang that waits: that one may hold pieces.
 
         Gangs that held pieces of one another's room never ran (the grown ardgael-loans: sixteen whole machines in one zone);
         the first in the queue keeps what it finds, so that it does not starve, and the others take what it leaves.
         """
-        fleet = self.fleet
-        if first and self.partial != jid:
-            pieces = self.tickets.get(self.partial or "", {})
-            last = self.wants.get(self.partial or "")
-            if last is not None and len(pieces) < last.n:
+        fleet = self.inventory
+        if first and self.partial_gang != job_id:
+            pieces = self.reservations.get(self.partial_gang or "", {})
+            last = self.requests.get(self.partial_gang or "")
+            if last is not None and len(pieces) < last.count:
                 # else they are being permitted together with another part's, and nobody else's to take
                 # (they were given away, the permits refused, and the queue changed under the walk: KeyError)
-                for t in list(pieces.values()):
-                    self.free(t, again=False)  # it waits already
-            self.partial = jid
-        places = fleet.places(w.job)
-        zones = self._by_zone(jid, w)
+                for reservation in list(pieces.values()):
+                    self.release(reservation, requeue=False)  # it waits already
+            self.partial_gang = job_id
+        places = fleet.allowed_pools(request.job)
+        zones = self._remaining_zone_limits(job_id, request)
         if zones is not None:
-            places = [p for p in places if zones.get(p[1], 0) > 0]
+            places = [pool for pool in places if zones.get(pool[1], 0) > 0]
         if not places:
             return missing
         zone: str | None = None
-        held = self.tickets.get(jid, {})
-        stoppable = may_stop and self._could_stop(w)
-        if w.job.one_zone:
+        held = self.reservations.get(job_id, {})
+        stoppable = may_preempt and self._could_preempt(request)
+        if request.job.single_zone:
             if held:
                 zone = next(iter(held.values())).zone
             else:
                 bounds = {
-                    z: fleet.at_most(w.job.vec, [p for p in places if p[1] == z])
-                    for z in {p[1] for p in places}
+                    zone_name: fleet.max_tasks(
+                        request.job.resources, [pool for pool in places if pool[1] == zone_name]
+                    )
+                    for zone_name in {pool[1] for pool in places}
                 }
                 ways: Counter[str] = Counter()
                 if stoppable and max(bounds.values()) < missing:
                     # where work could be stopped for it counts, too: with no room free anywhere the last zone by name was asked each time,
                     # and nowhere else was anything stopped (shannon-loanworks rough, seed 53: gangs waited for up to 33 s)
-                    ways = Counter(m.zone for m in fleet.stop_order.values() if m.place in places)
+                    ways = Counter(
+                        machine.zone
+                        for machine in fleet.preemption_candidates.values()
+                        if machine.pool in places
+                    )
                 zone = max(
                     bounds,
-                    key=lambda z: (
-                        min(bounds[z] + ways[z], missing),
-                        min(bounds[z], missing),
-                        ways[z],
-                        z,
+                    key=lambda zone_name: (
+                        min(bounds[zone_name] + ways[zone_name], missing),
+                        min(bounds[zone_name], missing),
+                        ways[zone_name],
+                        zone_name,
                     ),
                 )
-        bound = fleet.at_most(w.job.vec, [p for p in places if zone is None or p[1] == zone])
+        bound = fleet.max_tasks(
+            request.job.resources, [pool for pool in places if zone is None or pool[1] == zone]
+        )
         if bound < missing and not first and not stoppable:
             return missing
         mine = set(held)
         if bound > 0:
-            missing = self._place(jid, w, missing, None, failed, now, zone)
+            missing = self._place_tasks(job_id, request, missing, None, failed, now, zone)
         if missing > 0 and stoppable:
-            missing -= self._preempt(jid, w, missing, now, zone)
+            missing -= self._preempt(job_id, request, missing, now, zone)
         if missing > 0 and not first:
-            for t in [t for t in self.tickets.get(jid, {}).values() if t.id not in mine]:
-                self.free(t, again=False)
-                if (m := fleet.machines.get(t.machine)) is not None:
-                    fleet.look(m, now)
-                    fleet.gained.pop(
-                        t.machine, None
+            for reservation in [
+                reservation
+                for reservation in self.reservations.get(job_id, {}).values()
+                if reservation.id not in mine
+            ]:
+                self.release(reservation, requeue=False)
+                if (machine := fleet.machines.get(reservation.machine)) is not None:
+                    fleet.refresh(machine, now)
+                    fleet.machines_with_gains.pop(
+                        reservation.machine, None
                     )  # nothing was gained: trying again at once would find the same
         return missing
 
-    def score(self, job: Job, m: Machine) -> tuple[float, float]:
+    def score(self, job: Job, machine: Machine) -> tuple[float, float]:
         """Best fit: seconds until it could run, then the room left over; replicas of one job keep apart."""
-        kind = self.fleet.types[m.type]
+        kind = self.inventory.machine_types[machine.type]
         fetch = 0.0
-        if job.image not in m.images:
-            coming = {p.image for p in m.permits.values() if not p.gone and p.image not in m.images}
-            held = {t.image for t in m.tickets.values() if t.image not in m.images}
+        if job.image not in machine.images:
+            coming = {
+                permit.image
+                for permit in machine.permits.values()
+                if not permit.gone and permit.image not in machine.images
+            }
+            held = {
+                reservation.image
+                for reservation in machine.reservations.values()
+                if reservation.image not in machine.images
+            }
             fetch = job.image_gb / max(kind.fetch_gb_s, 0.01)
             if job.image in coming:
                 fetch *= 0.5
@@ -517,189 +604,237 @@
                 fetch *= 1 + len(
                     coming | held
                 )  # images fetched at the same time share the machine's rate
-                fetch += CACHE_S * len(
-                    m.images
+                fetch += CACHED_IMAGE_COST_S * len(
+                    machine.images
                 )  # what has to be fetched anyway goes where it spoils no well-stocked machine
-        room = m.free
+        room = machine.free
         same = 0
         if job.kind == "service":
             # services stay long: pack them by what other services leave, so that whole machines fall empty
-            room = m.firm
-            same = sum(1 for k, p in m.permits.items() if k[0] == job.id and not p.gone)
-            same += sum(1 for t in m.tickets.values() if t.job == job.id)
-        left = add(room, job.vec, -1)
-        share = sum(x / c for x, c in zip(left, kind.vec, strict=True) if c > 0)
-        if job.spot and not m.spot:
+            room = machine.free_for_services
+            same = sum(
+                1
+                for attempt_id, permit in machine.permits.items()
+                if attempt_id[0] == job.id and not permit.gone
+            )
+            same += sum(
+                1 for reservation in machine.reservations.values() if reservation.job_id == job.id
+            )
+        left = add_scaled(room, job.resources, -1)
+        share = sum(x / c for x, c in zip(left, kind.resources, strict=True) if c > 0)
+        if job.spot and not machine.spot:
             fetch += 20.0  # leave ordinary machines to work that needs them
         if job.kind == "service":
-            return fetch + APART_S * same + 4.0 * share, share
+            return fetch + REPLICA_SPREAD_COST_S * same + 4.0 * share, share
         return fetch, share
 
     # -- preemption --------------------------------------------------------------------------
 
-    def _could_stop(self, w: Want) -> bool:
+    def _could_preempt(self, request: CandidateRequest) -> bool:
         """Whether there is any work here that this candidate may stop."""
-        mine = self.fleet.info.get(w.job.id)
-        if (w.job.rank >= LEAST_RANK and not w.within) or (mine is not None and mine.broken):
+        mine = self.inventory.job_traits.get(request.job.id)
+        if (request.job.priority >= LOWEST_PRIORITY and not request.within_guarantee) or (
+            mine is not None and mine.failing_everywhere
+        ):
             return False
-        return any(self.may_stop(w, c) for c in self.fleet.stoppable)
+        return any(
+            self.may_preempt(request, preemption_class)
+            for preemption_class in self.inventory.preemptible_classes
+        )
 
-    def may_stop(self, w: Want, c: Class) -> bool:
+    def may_preempt(self, request: CandidateRequest, preemption_class: PreemptionClass) -> bool:
         """The published rules of preemption, without their circle: what has called in its team's guarantee keeps the room.
 
         By rank an urgent array beyond its team's guarantee may stop another team's lower work within its own, which may stop it in turn
         for the guarantee: where there was more work than room, both were started and stopped every 0.25 s, up to 90 times a task.
         What is of the highest rank is never stopped itself, and so stands in no circle.
         """
-        rank, within, team, kind, called = c
-        if rank > w.job.rank:
-            return not called or w.within or w.job.rank == 0
+        rank, within, team, kind, called = preemption_class
+        if rank > request.job.priority:
+            return not called or request.within_guarantee or request.job.priority == 0
         # to give a team its guarantee: only where little is lost, not a whole gang
-        return w.within and not within and team != w.job.team and kind == "array"
+        return (
+            request.within_guarantee and not within and team != request.job.team and kind == "array"
+        )
 
-    def _loss(self, p: Permit, info: Info, now: float) -> float:
+    def _lost_work(self, permit: Permit, info: JobTraits, now: float) -> float:
         """Seconds of work lost if it is stopped."""
-        ran = now - p.ran_at if p.ran_at is not None else 0.0
-        return min(ran, info.grace or 0.5 * info.checkpoint_s) if info.checkpoint_s > 0 else ran
+        ran = now - permit.running_since if permit.running_since is not None else 0.0
+        return (
+            min(ran, info.preemption_grace_s or 0.5 * info.checkpoint_s)
+            if info.checkpoint_s > 0
+            else ran
+        )
 
-    def _preempt(self, jid: str, w: Want, missing: int, now: float, zone: str | None = None) -> int:
+    def _preempt(
+        self,
+        job_id: str,
+        request: CandidateRequest,
+        missing: int,
+        now: float,
+        zone: str | None = None,
+    ) -> int:
         """Room ready only by stopping less important work: the least lost work first, and only where it is enough.
 
         A sample of the machines with such work, and all of them only while it is not enough. Who found none is asked again
         only for machines that have gained something since: these walks took a fifth of a calm day's processor time, and
         grew with the square of the fleet.
         """
-        fleet = self.fleet
-        classes = {c for c in fleet.stoppable if self.may_stop(w, c)}
-        gang = w.job.kind == "gang"
-        since, last, there = self.asked.get(jid, (0, 0, None))
+        fleet = self.inventory
+        classes = {
+            preemption_class
+            for preemption_class in fleet.preemptible_classes
+            if self.may_preempt(request, preemption_class)
+        }
+        gang = request.job.kind == "gang"
+        since, last, there = self.exhausted_searches.get(job_id, (0, 0, None))
         if not classes or (
-            since >= fleet.stop_count and (not gang or (last < missing and there == zone))
+            since >= fleet.preemption_generation
+            and (not gang or (last < missing and there == zone))
         ):
             return 0
-        job = w.job
+        job = request.job
         alike = (
-            (job.vec, job.types, job.zone, job.spot, zone, frozenset(classes))
-            if gang and w.zones is None and not w.avoid
+            (job.resources, job.machine_types, job.zone, job.spot, zone, frozenset(classes))
+            if gang and request.zone_limits is None and not request.avoided_machines
             else None
         )
         if (
             alike is not None
-            and (dry := self.dry.get(alike)) is not None
-            and dry[0] == fleet.stop_count
+            and (dry := self.exhausted_gang_searches.get(alike)) is not None
+            and dry[0] == fleet.preemption_generation
             and dry[1] < missing
         ):
             return 0  # a gang like it has just found fewer ways than this one needs
-        zones = self._by_zone(jid, w)
-        places: set[Place] = set(p for p in fleet.places(job) if zone is None or p[1] == zone)
+        zones = self._remaining_zone_limits(job_id, request)
+        places: set[MachinePool] = set(
+            other_pool
+            for other_pool in fleet.allowed_pools(job)
+            if zone is None or other_pool[1] == zone
+        )
         pool: list[Machine] = []
-        for m in reversed(fleet.stop_order.values()):
-            if not gang and m.stop_at <= since:
+        for machine in reversed(fleet.preemption_candidates.values()):
+            if not gang and machine.preemptible_since <= since:
                 break
-            if m.place in places and not m.stop_classes.isdisjoint(classes):
-                pool.append(m)
-        taken, avoid = self._stopped(), self._avoided(w)
-        ways: list[tuple[float, str, Machine, tuple[Key, ...]]] = []
-        start = self.rng.randrange(len(pool)) if pool else 0
+            if machine.pool in places and not machine.preemptible_classes.isdisjoint(classes):
+                pool.append(machine)
+        taken, avoid = self._victims_in_progress(), self._avoided_machines(request)
+        ways: list[tuple[float, str, Machine, tuple[AttemptId, ...]]] = []
+        start = self.random.randrange(len(pool)) if pool else 0
         pool = pool[start:] + pool[:start]
         # those that hold the image first, however many they are: a sample of all missed them, and 3 in 100 replicas came late for it
         # (ardgael-loans-fleet restart, four seeds side by side)
-        warm = self.fleet.holders.get(job.image, {})
-        near = [m for m in pool if m.name in warm]
-        enough = len(near) + max(STOP_SAMPLE, STOP_EACH * missing)
-        for i, m in enumerate([*near, *(m for m in pool if m.name not in warm)] if near else pool):
-            if m.name in avoid or fleet.unusable(m, now):
+        warm = self.inventory.image_holders.get(job.image, {})
+        near = [machine for machine in pool if machine.name in warm]
+        enough = len(near) + max(PREEMPTION_SAMPLE, PREEMPTION_SAMPLE_PER_TASK * missing)
+        for i, machine in enumerate(
+            [*near, *(machine for machine in pool if machine.name not in warm)] if near else pool
+        ):
+            if machine.name in avoid or fleet.unusable(machine, now):
                 continue
-            if (way := self._way(m, w, taken, now)) is not None:
-                ways.append((way[0], m.name, m, way[1]))
+            if (way := self._plan_preemption(machine, request, taken, now)) is not None:
+                ways.append((way[0], machine.name, machine, way[1]))
                 if i >= enough and len(ways) >= 2 * missing:
                     break
         heapq.heapify(ways)
         found = 0
         while ways and found < missing:
-            loss, _, m, victims = heapq.heappop(ways)
+            loss, _, machine, victims = heapq.heappop(ways)
             if zones is not None:
-                if zones.get(m.zone, 0) <= 0:
+                if zones.get(machine.zone, 0) <= 0:
                     continue
-                zones[m.zone] -= 1
+                zones[machine.zone] -= 1
             taken.update(victims)
-            self.hold(w, m, loss, now, victims)
+            self.reserve(request, machine, loss, now, victims)
             found += 1
-            if (way := self._way(m, w, taken, now)) is not None:
-                heapq.heappush(ways, (way[0], m.name, m, way[1]))
+            if (way := self._plan_preemption(machine, request, taken, now)) is not None:
+                heapq.heappush(ways, (way[0], machine.name, machine, way[1]))
         if found < missing:
-            self.asked[jid] = (fleet.stop_count, found, zone)
+            self.exhausted_searches[job_id] = (fleet.preemption_generation, found, zone)
             if alike is not None:
-                self.dry[alike] = (fleet.stop_count, found)
+                self.exhausted_gang_searches[alike] = (fleet.preemption_generation, found)
         return found
 
-    def _stopped(self) -> set[Key]:
+    def _victims_in_progress(self) -> set[AttemptId]:
         """What leaves for others already."""
-        return {v for t in self.preempting.values() for v in t.victims} | self.victims
-
-    def _warm_way(
-        self, w: Want, places: list[Place], now: float
-    ) -> tuple[float, Machine, tuple[Key, ...]] | None:
+        return {
+            attempt_id
+            for reservation in self.preempting.values()
+            for attempt_id in reservation.victims
+        } | self.victims
+
+    def _find_warm_preemption(
+        self, request: CandidateRequest, places: list[MachinePool], now: float
+    ) -> tuple[float, Machine, tuple[AttemptId, ...]] | None:
         """Room on a machine that holds the image, by stopping work that has hardly begun.
 
         Free room is mostly on machines that have just come and hold nothing; where there was room at all, nine of
         ten starts fetched for longer than their users wait (both grown deployments, steady).
         """
-        holders = self.fleet.holders.get(w.job.image)
-        if not holders or not self._could_stop(w):
+        holders = self.inventory.image_holders.get(request.job.image)
+        if not holders or not self._could_preempt(request):
             return None
         some = list(holders.values())
-        if len(some) > WARM_TRIES:
-            some = self.rng.sample(some, WARM_TRIES)
-        taken, avoid = self._stopped(), self._avoided(w)
+        if len(some) > WARM_SAMPLE:
+            some = self.random.sample(some, WARM_SAMPLE)
+        taken, avoid = self._victims_in_progress(), self._avoided_machines(request)
         ways = [
-            (way[0], m.name, m, way[1])
-            for m in some
-            if m.permits
-            and m.place in places
-            and m.name not in avoid
-            and not self.fleet.unusable(m, now)
-            and (way := self._way(m, w, taken, now)) is not None
+            (way[0], machine.name, machine, way[1])
+            for machine in some
+            if machine.permits
+            and machine.pool in places
+            and machine.name not in avoid
+            and not self.inventory.unusable(machine, now)
+            and (way := self._plan_preemption(machine, request, taken, now)) is not None
         ]
         if not ways:
             return None
-        cost, _, m, victims = min(ways, key=lambda x: x[:2])
-        return cost, m, victims
+        cost, _, machine, victims = min(ways, key=lambda x: x[:2])
+        return cost, machine, victims
 
-    def _way(
-        self, m: Machine, w: Want, taken: set[Key], now: float
-    ) -> tuple[float, tuple[Key, ...]] | None:
+    def _plan_preemption(
+        self, machine: Machine, request: CandidateRequest, taken: set[AttemptId], now: float
+    ) -> tuple[float, tuple[AttemptId, ...]] | None:
         """The cheapest way to make room on one machine: what it costs, and what it stops."""
         options = []
-        self.ways += 1
-        room = m.free
-        for key, p in m.permits.items():
-            info = self.fleet.info.get(key[0])
+        self.preemption_checks += 1
+        room = machine.free
+        for key, permit in machine.permits.items():
+            info = self.inventory.job_traits.get(key[0])
             if key in taken:
-                if occupies(p, m.tasks.get(key)):
-                    room = add(room, p.vec)  # it goes for a start whose room is counted already
+                if occupies(permit, machine.tasks.get(key)):
+                    room = add_scaled(
+                        room, permit.resources
+                    )  # it goes for a start whose room is counted already
                 continue
             if (
                 info is None
-                or p.gone
-                or p.refused
-                or p.stop is not None
-                or p.evict
-                or (c := m.stops.get(key)) is None
+                or permit.gone
+                or permit.refused
+                or permit.stop_grace_s is not None
+                or permit.evict_requested
+                or (preemption_class := machine.preemptible.get(key)) is None
             ):
                 continue
-            if self.may_stop(w, c):
+            if self.may_preempt(request, preemption_class):
                 options.append(
-                    (self._loss(p, info, now) + (1000.0 if info.kind == "gang" else 0.0), key, p)
+                    (
+                        self._lost_work(permit, info, now)
+                        + (1000.0 if info.kind == "gang" else 0.0),
+                        key,
+                        permit,
+                    )
                 )
-        chosen: list[Key] = []
+        chosen: list[AttemptId] = []
         loss = 0.0
-        for cost, key, p in sorted(options, key=lambda x: x[:2]):
-            if fits(w.job.vec, room):
+        for cost, key, permit in sorted(options, key=lambda x: x[:2]):
+            if fits(request.job.resources, room):
                 break
-            room = add(room, p.vec)
+            room = add_scaled(room, permit.resources)
             chosen.append(key)
             loss += cost
-        if not chosen or not fits(w.job.vec, room):
+        if not chosen or not fits(request.job.resources, room):
             return None
-        return STOP_S + LOSS_WORTH * loss + self.score(w.job, m)[0], tuple(chosen)
+        return PREEMPTION_DELAY_S + LOST_WORK_WEIGHT * loss + self.score(request.job, machine)[
+            0
+        ], tuple(chosen)
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -12,844 +12,1009 @@
 
 from ploverhall.coordination import fencing_tokens
 from ploverhall.protocol import agents, peer_messages
-from ploverhall.protocol.agents import EXITED, Key, Report
+from ploverhall.protocol.agents import EXITED, AttemptId, Heartbeat
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job, from_record
 from ploverhall.protocol.peer_messages import (
-    NOTICE_EMPTY,
-    Candidate,
-    JobNews,
-    MachineNews,
-    PermitNews,
-    StartNews,
+    NOTICE_EVICTION_REQUESTED,
+    CandidateUpdate,
+    JobUpdate,
+    MachineUpdate,
+    PermitUpdate,
+    AttemptUpdate,
+)
+from ploverhall.scheduling.inventory import (
+    Inventory,
+    JobTraits,
+    Machine,
+    Permit,
+    ResourceVector,
+    fits,
 )
-from ploverhall.scheduling.inventory import Fleet, Info, Machine, Permit, Vec, fits
 from ploverhall.scheduling.placement import Placement
 
 TOKEN_BITS = fencing_tokens.TOKEN_BITS
-FAULTS_S = 300.0  # how long a failure on a machine counts against it
-FAULTY_S = 600.0  # how long a machine on which two jobs have failed is not trusted
-DOUBT_S = 20.0  # before it is given back: a job that fails everywhere is found out sooner
-SILENT_S, LONG_SILENT_S = (
+FAILURE_WINDOW_S = 300.0  # how long a failure on a machine counts against it
+QUARANTINE_S = 600.0  # how long a machine on which two jobs have failed is not trusted
+REPLACEMENT_DELAY_S = (
+    20.0  # before it is given back: a job that fails everywhere is found out sooner
+)
+COMMAND_RETRY_S, LONG_COMMAND_RETRY_S = (
     5.0,
     60.0,
 )  # a worker that has not answered a command is sent none for so long: each costs a token
-UNANSWERED = 8  # after so many it is long: its reports bring it what it has to do
-FLAPS_S = 60.0  # a machine that stops hearing again so soon rests, twice as long each time
-REST_S, MOST_REST_S = 5.0, 120.0
-SWEEP_S = 0.25  # how often time itself is looked at for every machine
+UNANSWERED_BEFORE_LONG_RETRY = 8  # after so many it is long: its reports bring it what it has to do
+FLAP_WINDOW_S = 60.0  # a machine that stops hearing again so soon rests, twice as long each time
+INITIAL_FLAP_BACKOFF_S, MAX_FLAP_BACKOFF_S = 5.0, 120.0
+SWEEP_INTERVAL_S = 0.25  # how often time itself is looked at for every machine
 
 
-class Owner:
+class ShardOwner:
     """Decides for the machines of one part."""
 
     def __init__(
         self,
-        part: int,
+        shard: int,
         epoch: int,
-        sources: int,
+        source_count: int,
         lease_s: float,
-        report_s: float,
+        heartbeat_interval_s: float,
         hold_s: float,
         sample: int,
         rng: Random,
         now: float,
         holder: int | None = None,
     ) -> None:
-        self.part, self.epoch, self.sources = part, epoch, sources
+        self.shard, self.epoch, self.source_count = shard, epoch, source_count
         self.lease_s = lease_s
-        self.first = fencing_tokens.first(epoch, holder)  # what every worker is given to begin with
-        self.right = (
+        self.initial_token = fencing_tokens.initial_token(
+            epoch, holder
+        )  # what every worker is given to begin with
+        self.renewal_grant = (
             0  # what tokens that leave now say of who may answer later (coordination.afterlife)
         )
-        self.spent = False  # a token could not be raised any more: a new epoch is wanted
+        self.token_space_exhausted = (
+            False  # a token could not be raised any more: a new epoch is wanted
+        )
         self.started = now
-        self.fleet = Fleet(report_s)
-        self.machines = self.fleet.machines
-        self.placement = Placement(self.fleet, hold_s, sample, rng)
+        self.inventory = Inventory(heartbeat_interval_s)
+        self.machines = self.inventory.machines
+        self.placement = Placement(self.inventory, hold_s, sample, rng)
         self.jobs: dict[str, Job] = {}
-        self.vecs: dict[str, Vec] = {}
-        self.permits: dict[Key, Permit] = {}
-        self.by_job: dict[str, dict[Key, Permit]] = {}
-        self.known: dict[int, set[str]] = {}  # by source: the keys on its board
-        self.preempting: dict[Key, Permit] = {}  # permits that wait for others to leave
-        self.synced: set[int] = set()
-        self.drain: set[str] = set()
-        self.empty: set[str] = set()  # machines that an order wants empty
-        self.changed: set[Key] = set()  # starts whose sources must hear of them
-        self.news: dict[tuple[int, str], Any] = self.placement.news
-        self.work: dict[str, Machine] = {}  # machines that may need a command
-        self.heard: dict[
+        self.resources_by_job: dict[str, ResourceVector] = {}
+        self.permits: dict[AttemptId, Permit] = {}
+        self.permits_by_job: dict[str, dict[AttemptId, Permit]] = {}
+        self.known_keys: dict[int, set[str]] = {}  # by source: the keys on its board
+        self.waiting_for_victims: dict[
+            AttemptId, Permit
+        ] = {}  # permits that wait for others to leave
+        self.synced_sources: set[int] = set()
+        self.draining_machines: set[str] = set()
+        self.cordoned_machines: set[str] = set()  # machines that an order wants empty
+        self.changed_attempts: set[AttemptId] = set()  # starts whose sources must hear of them
+        self.source_updates: dict[tuple[int, str], Any] = self.placement.source_updates
+        self.machines_needing_commands: dict[str, Machine] = {}  # machines that may need a command
+        self.machines_by_heartbeat: dict[
             str, Machine
         ] = {}  # all machines, the one that has been silent for longest first
-        self.doubted: dict[str, Machine] = {}  # machines on which two jobs have failed
-        self.unheard: dict[str, Machine] = {}  # machines that may not hear what they are told
-        self.seen: dict[str, Machine | None] = {}  # machines the renter must hear of
-        self.dirty = True
-        self.deposed_by = 0
-        self.next_sweep = 0.0
-        self.reported = 0.0  # when any worker last reported
-        self.proved = (
+        self.suspected_machines: dict[str, Machine] = {}  # machines on which two jobs have failed
+        self.unconfirmed_machines: dict[
+            str, Machine
+        ] = {}  # machines that may not hear what they are told
+        self.changed_for_autoscaler: dict[
+            str, Machine | None
+        ] = {}  # machines the renter must hear of
+        self.needs_step = True
+        self.superseded_by = 0
+        self.next_sweep_at = 0.0
+        self.last_heartbeat_at = 0.0  # when any worker last reported
+        self.epoch_confirmed_at = (
             now  # begin of the newest read of the store that showed this owner's epoch in force
         )
-        self.unproved = (
+        self.confirmation_needed = (
             False  # a lease has run out by this clock, and a read must show who holds the part
         )
-        self.job_over: Callable[[str], bool] = lambda jid: (
+        self.job_ended_in_store: Callable[[str], bool] = lambda job_id: (
             False
         )  # by this node's own copy of the store
 
     @property
-    def types(self) -> dict[str, MachineType]:
+    def machine_types(self) -> dict[str, MachineType]:
         """What the cloud sells."""
-        return self.fleet.types
+        return self.inventory.machine_types
 
-    @types.setter
-    def types(self, types: dict[str, MachineType]) -> None:
-        self.fleet.types = types
-        for m in self.machines.values():
-            self.fleet.touch(m)
-        self.dirty = True
+    @machine_types.setter
+    def machine_types(self, types: dict[str, MachineType]) -> None:
+        self.inventory.machine_types = types
+        for machine in self.machines.values():
+            self.inventory.mark_changed(machine)
+        self.needs_step = True
 
-    def _touch(self, m: Machine | None) -> None:
-        if m is not None:
-            self.fleet.touch(m)
-            self.dirty = True
+    def _mark_changed(self, machine: Machine | None) -> None:
+        if machine is not None:
+            self.inventory.mark_changed(machine)
+            self.needs_step = True
 
     # -- what sources want -------------------------------------------------------------------
 
-    def on_source(self, src: int, full: bool, changes: dict[str, Any], now: float) -> None:
+    def on_source_update(
+        self, source_shard: int, full: bool, changes: dict[str, Any], now: float
+    ) -> None:
         """A source's board: jobs, candidates, and the permits here with how they should stop."""
-        known = self.known.setdefault(src, set())
+        known = self.known_keys.setdefault(source_shard, set())
         if full:
-            self.synced.add(src)
+            self.synced_sources.add(source_shard)
             changes = {**dict.fromkeys(sorted(known - changes.keys())), **changes}
-        known.update(k for k, v in changes.items() if v is not None)
-        known.difference_update(k for k, v in changes.items() if v is None)
+        known.update(entry_key for entry_key, item in changes.items() if item is not None)
+        known.difference_update(entry_key for entry_key, item in changes.items() if item is None)
         by_kind: dict[str, list[tuple[str, Any]]] = {}
         for key, value in changes.items():
             by_kind.setdefault(key[0], []).append((key, value))
         for key, value in by_kind.get(peer_messages.JOB, ()):
             if value is not None:
-                self._job(key[1:], JobNews(*value))
+                self._update_job(key[1:], JobUpdate(*value))
         # a permit takes the room held for it before fewer candidates wanted give that room away
         for key, value in by_kind.get(peer_messages.PERMIT, ()):
-            self._permit(
-                peer_messages.split_key(key), src, PermitNews(*value) if value is not None else None, now
+            self._update_permit(
+                peer_messages.attempt_id_of_key(key),
+                source_shard,
+                PermitUpdate(*value) if value is not None else None,
+                now,
             )
         for key, value in by_kind.get(peer_messages.CANDIDATE, ()):
             job = self.jobs.get(key[1:])
             if value is None or job is None:
                 self.placement.cancel(key[1:])
             else:
-                self.placement.want(src, job, Candidate(*value), self.fleet.info[key[1:]].within)
+                self.placement.request(
+                    source_shard,
+                    job,
+                    CandidateUpdate(*value),
+                    self.inventory.job_traits[key[1:]].within_guarantee,
+                )
         for key, value in by_kind.get(peer_messages.JOB, ()):
             if value is None:
-                self._forget(key[1:])
-        self.dirty = True
-
-    def _job(self, jid: str, news: JobNews) -> None:
-        vec = news.vec
-        self.vecs[jid] = (vec[0], vec[1], vec[2])
-        if news.record is None:
-            self.jobs.pop(jid, None)
-            self.job_ended(jid)
+                self._forget_job(key[1:])
+        self.needs_step = True
+
+    def _update_job(self, job_id: str, update: JobUpdate) -> None:
+        resources = update.resources
+        self.resources_by_job[job_id] = (resources[0], resources[1], resources[2])
+        if update.record is None:
+            self.jobs.pop(job_id, None)
+            self.job_ended(job_id)
             return
-        if jid not in self.jobs:
-            self.jobs[jid] = from_record(news.record)
-        job = self.jobs[jid]
-        before = self.fleet.info.get(jid)
-        self.fleet.info[jid] = Info(
-            job.rank,
-            bool(news.within),
+        if job_id not in self.jobs:
+            self.jobs[job_id] = from_record(update.record)
+        job = self.jobs[job_id]
+        before = self.inventory.job_traits.get(job_id)
+        self.inventory.job_traits[job_id] = JobTraits(
+            job.priority,
+            bool(update.within_guarantee),
             job.team,
             job.kind,
             job.checkpoint_s,
             job.save_s,
             job.spot,
-            bool(news.broken),
-            before is not None and before.called,
+            bool(update.failing_everywhere),
+            before is not None and before.claimed_guarantee,
         )
-        if before is None or before.stop_class != self.fleet.info[jid].stop_class:
-            for p in self.by_job.get(jid, {}).values():
-                self._touch(self.machines.get(p.machine))  # who may stop its tasks has changed
-        if news.broken and not (before is not None and before.broken):
-            self._acquit(jid)
-
-    def _forget(self, jid: str) -> None:
-        self.jobs.pop(jid, None)
-        self.vecs.pop(jid, None)
-        self.fleet.info.pop(jid, None)
-        self.placement.cancel(jid)
-
-    def _permit(self, key: Key, src: int, news: PermitNews | None, now: float) -> None:
-        p = self.permits.get(key)
-        if news is None:
-            if p is not None:
-                self._drop(p)
+        if (
+            before is None
+            or before.preemption_class != self.inventory.job_traits[job_id].preemption_class
+        ):
+            for permit in self.permits_by_job.get(job_id, {}).values():
+                self._mark_changed(
+                    self.machines.get(permit.machine)
+                )  # who may stop its tasks has changed
+        if update.failing_everywhere and not (before is not None and before.failing_everywhere):
+            self._clear_machines(job_id)
+
+    def _forget_job(self, job_id: str) -> None:
+        self.jobs.pop(job_id, None)
+        self.resources_by_job.pop(job_id, None)
+        self.inventory.job_traits.pop(job_id, None)
+        self.placement.cancel(job_id)
+
+    def _update_permit(
+        self, attempt_id: AttemptId, source_shard: int, update: PermitUpdate | None, now: float
+    ) -> None:
+        permit = self.permits.get(attempt_id)
+        if update is None:
+            if permit is not None:
+                self._drop_permit(permit)
             return
-        if p is None:
-            job = self.jobs.get(key[0])
-            p = Permit(
-                key,
-                src,
-                news.machine,
-                news.epoch,
-                news.ticket,
-                self.vecs.get(key[0], (0.0, 0.0, 0.0)),
+        if permit is None:
+            job = self.jobs.get(attempt_id[0])
+            permit = Permit(
+                attempt_id,
+                source_shard,
+                update.machine,
+                update.epoch,
+                update.reservation_id,
+                self.resources_by_job.get(attempt_id[0], (0.0, 0.0, 0.0)),
                 job.image if job else "",
                 job.image_gb if job else 0.0,
             )
-            self._admit(p, news.stop, now)
-            if self.job_over(key[0]) or job is None:
-                p.stop = 0.0  # it was over before this owner heard of the permit
-        if news.stop is not None:
-            p.stop = news.stop if p.stop is None else min(news.stop, p.stop)
-        self._check(p)
-        self._act(self.machines.get(p.machine))
-
-    def _act(self, m: Machine | None) -> None:
+            self._admit_permit(permit, update.stop_grace_s, now)
+            if self.job_ended_in_store(attempt_id[0]) or job is None:
+                permit.stop_grace_s = 0.0  # it was over before this owner heard of the permit
+        if update.stop_grace_s is not None:
+            permit.stop_grace_s = (
+                update.stop_grace_s
+                if permit.stop_grace_s is None
+                else min(update.stop_grace_s, permit.stop_grace_s)
+            )
+        self._check_gone(permit)
+        self._schedule_commands(self.machines.get(permit.machine))
+
+    def _schedule_commands(self, machine: Machine | None) -> None:
         """A machine's room or commands may have changed."""
-        if m is not None:
-            self._touch(m)
-            self.work[m.name] = m
+        if machine is not None:
+            self._mark_changed(machine)
+            self.machines_needing_commands[machine.name] = machine
 
-    def _drop(self, p: Permit) -> None:
+    def _drop_permit(self, permit: Permit) -> None:
         """The entry has left the source's cell: the start is over or was proven gone."""
-        del self.permits[p.key]
-        self.preempting.pop(p.key, None)
-        mine = self.by_job[p.key[0]]
-        del mine[p.key]
+        del self.permits[permit.attempt_id]
+        self.waiting_for_victims.pop(permit.attempt_id, None)
+        mine = self.permits_by_job[permit.attempt_id[0]]
+        del mine[permit.attempt_id]
         if not mine:
-            del self.by_job[p.key[0]]
-        there = self.fleet.permits[p.machine]
-        there.pop(p.key, None)
-        if not there and p.machine not in self.machines:
-            del self.fleet.permits[p.machine]
-        self.changed.discard(p.key)
-        self.news[p.src, peer_messages.start_key(p.key)] = None
-        self._act(self.machines.get(p.machine))
-
-    def _admit(self, p: Permit, stop: float | None, now: float) -> None:
+            del self.permits_by_job[permit.attempt_id[0]]
+        there = self.inventory.permits_by_machine[permit.machine]
+        there.pop(permit.attempt_id, None)
+        if not there and permit.machine not in self.machines:
+            del self.inventory.permits_by_machine[permit.machine]
+        self.changed_attempts.discard(permit.attempt_id)
+        self.source_updates[permit.source_shard, peer_messages.attempt_key(permit.attempt_id)] = (
+            None
+        )
+        self._schedule_commands(self.machines.get(permit.machine))
+
+    def _admit_permit(self, permit: Permit, stop_grace_s: float | None, now: float) -> None:
         """Take a permit that is new here. Held room becomes its room; without room it is refused (un-reserve)."""
-        self.permits[p.key] = p
-        self.by_job.setdefault(p.key[0], {})[p.key] = p
-        self.changed.add(p.key)
-        m = self.machines.get(p.machine)
-        held = self.placement.tickets.get(p.key[0], {}) if p.epoch == self.epoch else {}
+        self.permits[permit.attempt_id] = permit
+        self.permits_by_job.setdefault(permit.attempt_id[0], {})[permit.attempt_id] = permit
+        self.changed_attempts.add(permit.attempt_id)
+        machine = self.machines.get(permit.machine)
+        held = (
+            self.placement.reservations.get(permit.attempt_id[0], {})
+            if permit.epoch == self.epoch
+            else {}
+        )
         # the hold time may have ended while the permit was written; the room may be held again, for the same candidate
-        ticket = held.get(p.ticket) or next(
-            (t for t in held.values() if t.machine == p.machine), None
+        ticket = held.get(permit.reservation_id) or next(
+            (reservation for reservation in held.values() if reservation.machine == permit.machine),
+            None,
         )
         if ticket is not None:
-            p.late = ticket.late
-            self.placement.free(ticket, again=False)
-        if p.epoch == self.epoch and (
-            m is None
-            or m.expired
-            or self.fleet.unusable(m, now)
-            or stop is not None
-            or not (ticket is not None or fits(p.vec, self.fleet.room(m)))
+            permit.overdue = ticket.overdue
+            self.placement.release(ticket, requeue=False)
+        if permit.epoch == self.epoch and (
+            machine is None
+            or machine.lease_expired
+            or self.inventory.unusable(machine, now)
+            or stop_grace_s is not None
+            or not (
+                ticket is not None or fits(permit.resources, self.inventory.free_capacity(machine))
+            )
         ):
-            p.refused = True
-        self.fleet.permits.setdefault(p.machine, {})[p.key] = p
-        if m is not None:
-            m.permits = self.fleet.permits[p.machine]
-            if ticket is not None and not p.refused:
-                self._evict(p, ticket.victims, m)
-
-    def _evict(self, p: Permit, victims: tuple[Key, ...], m: Machine) -> None:
+            permit.refused = True
+        self.inventory.permits_by_machine.setdefault(permit.machine, {})[permit.attempt_id] = permit
+        if machine is not None:
+            machine.permits = self.inventory.permits_by_machine[permit.machine]
+            if ticket is not None and not permit.refused:
+                self._stop_victims(permit, ticket.victims, machine)
+
+    def _stop_victims(
+        self, permit: Permit, victims: tuple[AttemptId, ...], machine: Machine
+    ) -> None:
         """Room was ready only by preemption: stop what is in the way, now that the start is permitted."""
-        p.victims = victims
+        permit.victims = victims
         if victims:
-            self.preempting[p.key] = p
+            self.waiting_for_victims[permit.attempt_id] = permit
         for key in victims:
-            v = m.permits.get(key)
-            info = self.fleet.info.get(key[0])
-            if v is None or v.gone or info is None:
+            other_permit = machine.permits.get(key)
+            info = self.inventory.job_traits.get(key[0])
+            if other_permit is None or other_permit.gone or info is None:
                 continue
             if info.kind == "gang":
-                v.evict = True
-            elif v.stop is None:
-                v.stop = info.grace
-            self.changed.add(key)
-            mine = self.fleet.info.get(p.key[0])
-            by_guarantee = not info.within and mine is not None and info.rank <= mine.rank
+                other_permit.evict_requested = True
+            elif other_permit.stop_grace_s is None:
+                other_permit.stop_grace_s = info.preemption_grace_s
+            self.changed_attempts.add(key)
+            mine = self.inventory.job_traits.get(permit.attempt_id[0])
+            by_guarantee = (
+                not info.within_guarantee and mine is not None and info.priority <= mine.priority
+            )
             if (
                 mine is not None
-                and mine.within
-                and not mine.called
-                and (by_guarantee or info.stop_class[-1])
+                and mine.within_guarantee
+                and not mine.claimed_guarantee
+                and (by_guarantee or info.preemption_class[-1])
             ):
-                mine.called = True  # as what it takes the room of had it: else whom that one stopped would stop this one
-                for q in self.by_job[p.key[0]].values():
-                    self._touch(self.machines.get(q.machine))
+                mine.claimed_guarantee = True  # as what it takes the room of had it: else whom that one stopped would stop this one
+                for q in self.permits_by_job[permit.attempt_id[0]].values():
+                    self._mark_changed(self.machines.get(q.machine))
 
-    def job_ended(self, jid: str) -> None:
+    def job_ended(self, job_id: str) -> None:
         """The state service says the job is over: stop what is here even if the source can't be heard."""
-        for p in self.by_job.get(jid, {}).values():
-            if p.stop != 0.0:
-                p.stop = 0.0
-                self._check(p)
-                self._act(self.machines.get(p.machine))
-                self.changed.add(p.key)
-        self.placement.cancel(jid)
+        for permit in self.permits_by_job.get(job_id, {}).values():
+            if permit.stop_grace_s != 0.0:
+                permit.stop_grace_s = 0.0
+                self._check_gone(permit)
+                self._schedule_commands(self.machines.get(permit.machine))
+                self.changed_attempts.add(permit.attempt_id)
+        self.placement.cancel(job_id)
 
     # -- what workers report -----------------------------------------------------------------
 
-    def on_report(
-        self, r: Report, now: float, direct: bool = False, carried: bool = False
+    def on_heartbeat(
+        self, heartbeat: Heartbeat, now: float, direct: bool = False, relayed: bool = False
     ) -> Machine | None:
         """Take in a report. None: its token is above this owner's, so this owner has been deposed.
 
         Only a message newer than all before it says anything. Any other is marked (`Machine.copy`): it doesn't even show that the
         machine lives, and its answer renews no lease, for the worker has sent another report since and waits for that one's.
         """
-        if fencing_tokens.epoch_of(r.token) > self.epoch:
-            self.deposed_by = max(self.deposed_by, fencing_tokens.epoch_of(r.token))
+        if fencing_tokens.epoch_of(heartbeat.token) > self.epoch:
+            self.superseded_by = max(self.superseded_by, fencing_tokens.epoch_of(heartbeat.token))
             return None
-        m = self.machines.get(r.machine)
-        if m is None:
-            m = Machine(
-                r.machine,
-                r.addr,
-                r.type,
-                r.zone,
-                r.spot,
-                self.first,
-                doubt=self.first,
-                doubted_at=now,
+        machine = self.machines.get(heartbeat.machine)
+        if machine is None:
+            machine = Machine(
+                heartbeat.machine,
+                heartbeat.address,
+                heartbeat.type,
+                heartbeat.zone,
+                heartbeat.spot,
+                self.initial_token,
+                awaited_token=self.initial_token,
+                awaited_since=now,
+            )
+            if heartbeat.machine in self.inventory.proven_gone:
+                machine.stale_heartbeat = True  # sent before it went; it is not remembered
+                return machine
+            machine.draining, machine.cordoned = (
+                heartbeat.machine in self.draining_machines,
+                heartbeat.machine in self.cordoned_machines,
             )
-            if r.machine in self.fleet.proven_gone:
-                m.copy = True  # sent before it went; it is not remembered
-                return m
-            m.draining, m.cordoned = r.machine in self.drain, r.machine in self.empty
-            m.permits = self.fleet.permits.setdefault(r.machine, {})
-            self.fleet.stock(m, self.fleet.remembered.pop(r.machine, {}))
-            self.machines[r.machine] = self.unheard[r.machine] = m
-            self._act(m)
-        m.token = max(m.token, r.token)
+            machine.permits = self.inventory.permits_by_machine.setdefault(heartbeat.machine, {})
+            self.inventory.set_images(
+                machine, self.inventory.remembered_images.pop(heartbeat.machine, {})
+            )
+            self.machines[heartbeat.machine] = self.unconfirmed_machines[heartbeat.machine] = (
+                machine
+            )
+            self._schedule_commands(machine)
+        machine.token = max(machine.token, heartbeat.token)
         # after a lease without news even a lower number counts (a worker that began anew), but nothing goes there before it shows
         # that it hears
-        if m.expired and (r.session, r.seq) <= max(m.reported, (m.session, m.seq)):
-            m.reported, m.session, m.seq = (0, 0), 0, 0
-            self._doubt(m, now)
-        m.copy = (r.session, r.seq) <= (m.reported if not direct else (m.session, m.seq))
-        if m.copy:
-            return m
-        left = carried and m.reported == (
-            r.session,
-            r.seq - 1,
+        if machine.lease_expired and (heartbeat.incarnation, heartbeat.sequence) <= max(
+            machine.newest_heartbeat, (machine.incarnation, machine.sequence)
+        ):
+            machine.newest_heartbeat, machine.incarnation, machine.sequence = (0, 0), 0, 0
+            self._await_token(machine, now)
+        machine.stale_heartbeat = (heartbeat.incarnation, heartbeat.sequence) <= (
+            machine.newest_heartbeat if not direct else (machine.incarnation, machine.sequence)
+        )
+        if machine.stale_heartbeat:
+            return machine
+        answer_lost = relayed and machine.newest_heartbeat == (
+            heartbeat.incarnation,
+            heartbeat.sequence - 1,
         )  # this one's answer to the last report has not come: it went on
         if not direct:
-            m.reported = (r.session, r.seq)
-            self.reported = now
-            stale = now - m.last_report > 2.0 * self.fleet.report_s
-            m.last_report = now
-            self.heard.pop(m.name, None)
-            self.heard[m.name] = m
-            if stale:
-                self._touch(m)
-        if (r.session, r.seq) <= (m.session, m.seq):
-            return m  # an old message: its list is older than what is known
-        took = m.took or fencing_tokens.epoch_of(r.token) == self.epoch
-        if m.doubt and r.token >= m.doubt:
-            self._hears(m, now)
-        elif left or 0 < m.session < r.session:
-            self._doubt(m, now)  # or its lease ran out, though it was heard
-        same = r.listed == m.listed
-        news = (
-            not same
-            or r.session != m.session
-            or r.token != m.seen_token
-            or (r.notice_s is None) != (m.notice_s is None)
-            or m.expired
-            or not m.took
+            machine.newest_heartbeat = (heartbeat.incarnation, heartbeat.sequence)
+            self.last_heartbeat_at = now
+            was_unresponsive = (
+                now - machine.last_heartbeat_at > 2.0 * self.inventory.heartbeat_interval_s
+            )
+            machine.last_heartbeat_at = now
+            self.machines_by_heartbeat.pop(machine.name, None)
+            self.machines_by_heartbeat[machine.name] = machine
+            if was_unresponsive:
+                self._mark_changed(machine)
+        if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
+            return machine  # an old message: its list is older than what is known
+        accepted_token = (
+            machine.accepted_token or fencing_tokens.epoch_of(heartbeat.token) == self.epoch
+        )
+        if machine.awaited_token and heartbeat.token >= machine.awaited_token:
+            self._token_confirmed(machine, now)
+        elif answer_lost or 0 < machine.incarnation < heartbeat.incarnation:
+            self._await_token(machine, now)  # or its lease ran out, though it was heard
+        same_tasks = heartbeat.listed_tasks == machine.listed_tasks
+        informative = (
+            not same_tasks
+            or heartbeat.incarnation != machine.incarnation
+            or heartbeat.token != machine.seen_token
+            or (heartbeat.termination_notice_s is None) != (machine.termination_notice_s is None)
+            or machine.lease_expired
+            or not machine.accepted_token
         )
         if not direct:
-            m.expired = False
-        m.addr = r.addr
-        m.session, m.seq, m.seen_token, m.notice_s, m.took = (
-            r.session,
-            r.seq,
-            r.token,
-            r.notice_s,
-            took,
+            machine.lease_expired = False
+        machine.address = heartbeat.address
+        (
+            machine.incarnation,
+            machine.sequence,
+            machine.seen_token,
+            machine.termination_notice_s,
+            machine.accepted_token,
+        ) = (
+            heartbeat.incarnation,
+            heartbeat.sequence,
+            heartbeat.token,
+            heartbeat.termination_notice_s,
+            accepted_token,
         )
-        if not same:
-            self._tasks(m, r, now)
-        elif r.notice_s is not None:
-            self.changed.update(k for k in m.tasks if k in m.permits)
-        if not direct and m.sent:
+        if not same_tasks:
+            self._update_tasks(machine, heartbeat, now)
+        elif heartbeat.termination_notice_s is not None:
+            self.changed_attempts.update(
+                attempt_id for attempt_id in machine.tasks if attempt_id in machine.permits
+            )
+        if not direct and machine.runs_in_answer:
             # it waits for one answer at a time: this report was sent when it had that one, or had given it up
-            if any(k not in m.tasks and k in m.permits and not m.permits[k].gone for k in m.sent):
-                self._doubt(m, now)
-            m.sent.clear()
+            if any(
+                attempt_id not in machine.tasks
+                and attempt_id in machine.permits
+                and not machine.permits[attempt_id].gone
+                for attempt_id in machine.runs_in_answer
+            ):
+                self._await_token(machine, now)
+            machine.runs_in_answer.clear()
         if (
-            news
+            informative
         ):  # most reports say nothing new: no proof can follow from them that did not follow before
-            self._act(m)
-            for p in m.permits.values():
-                self._check(p)
-        return m
+            self._schedule_commands(machine)
+            for permit in machine.permits.values():
+                self._check_gone(permit)
+        return machine
 
-    def _doubt(self, m: Machine, now: float) -> None:
+    def _await_token(self, machine: Machine, now: float) -> None:
         """What a machine was told has not reached it: nothing new goes there until it shows a token that was raised after that.
 
         Its reports may arrive all the time. It looked alive and empty, and each lease that ran out there was followed by new starts
         (played world: 9 in a minute on one machine).
         """
-        if not m.doubt and self._raise(m):
-            m.doubt, m.doubted_at = m.token, now
-            self.unheard[m.name] = m
-            self._touch(m)
+        if not machine.awaited_token and self._raise_token(machine):
+            machine.awaited_token, machine.awaited_since = machine.token, now
+            self.unconfirmed_machines[machine.name] = machine
+            self._mark_changed(machine)
 
-    def _hears(self, m: Machine, now: float) -> None:
+    def _token_confirmed(self, machine: Machine, now: float) -> None:
         """It has taken a token that was raised since the doubt began."""
-        m.doubt = 0  # it leaves `unheard` with the next sweep that finds its rest over
-        if m.deaf:
-            m.deaf = False
-            m.rest_s = (
-                min(MOST_REST_S, max(REST_S, 2.0 * m.rest_s))
-                if now - m.heard_again < m.rest_s + FLAPS_S
+        machine.awaited_token = (
+            0  # it leaves `unheard` with the next sweep that finds its rest over
+        )
+        if machine.not_receiving:
+            machine.not_receiving = False
+            machine.flap_backoff_s = (
+                min(MAX_FLAP_BACKOFF_S, max(INITIAL_FLAP_BACKOFF_S, 2.0 * machine.flap_backoff_s))
+                if now - machine.receiving_again_at < machine.flap_backoff_s + FLAP_WINDOW_S
                 else 0.0
             )
-            m.heard_again = now
-        self._touch(m)
-
-    def _tasks(self, m: Machine, r: Report, now: float) -> None:
-        tasks = r.tasks()
-        for key, t in tasks.items():
-            old = m.tasks.get(key)
-            if old is None or old != t or r.notice_s is not None:
-                self.changed.add(key)
-                if t.state == "running" and key in m.permits and m.permits[key].ran_at is None:
-                    m.permits[key].ran_at = now
-                if t.state == EXITED and t.why == "error" and (old is None or old.state != EXITED):
-                    self._fault(m, key[0], now)
-        self.changed.update(key for key in m.tasks if key not in tasks)
-        m.tasks, m.listed = tasks, r.listed
-        for key, t in tasks.items():
+            machine.receiving_again_at = now
+        self._mark_changed(machine)
+
+    def _update_tasks(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
+        tasks = heartbeat.tasks()
+        for key, task in tasks.items():
+            old = machine.tasks.get(key)
+            if old is None or old != task or heartbeat.termination_notice_s is not None:
+                self.changed_attempts.add(key)
+                if (
+                    task.state == "running"
+                    and key in machine.permits
+                    and machine.permits[key].running_since is None
+                ):
+                    machine.permits[key].running_since = now
+                if (
+                    task.state == EXITED
+                    and task.reason == "error"
+                    and (old is None or old.state != EXITED)
+                ):
+                    self._record_failure(machine, key[0], now)
+        self.changed_attempts.update(key for key in machine.tasks if key not in tasks)
+        machine.tasks, machine.listed_tasks = tasks, heartbeat.listed_tasks
+        for key, task in tasks.items():
             if (
-                t.state not in (EXITED, "fetching")
-                and (held := m.permits.get(key)) is not None
+                task.state not in (EXITED, "fetching")
+                and (held := machine.permits.get(key)) is not None
                 and held.image
             ):
-                self.fleet.has_image(m, held.image, held.image_gb)
+                self.inventory.record_image(machine, held.image, held.image_gb)
 
-    def _fault(self, m: Machine, jid: str, now: float) -> None:
+    def _record_failure(self, machine: Machine, job_id: str, now: float) -> None:
         """A job that fails here may be at fault itself; two different jobs failing point at the machine.
 
         A job that its source knows to fail everywhere speaks against no machine: two such jobs took good machines away
         one by one. Until that is settled the machine takes nothing new, but it is not given back.
         """
-        info = self.fleet.info.get(jid)
-        m.faults = {j: t for j, t in m.faults.items() if now - t < FAULTS_S}
-        if info is not None and not info.broken:
-            m.faults[jid] = now
-        if len(m.faults) >= 2 and not m.faulty_until:
-            m.faulty_since = now
-        if len(m.faults) >= 2:
-            m.faulty_until = now + FAULTY_S
-            self.doubted[m.name] = m
-
-    def _acquit(self, jid: str) -> None:
+        info = self.inventory.job_traits.get(job_id)
+        machine.failures_by_job = {
+            other_id: at
+            for other_id, at in machine.failures_by_job.items()
+            if now - at < FAILURE_WINDOW_S
+        }
+        if info is not None and not info.failing_everywhere:
+            machine.failures_by_job[job_id] = now
+        if len(machine.failures_by_job) >= 2 and not machine.quarantined_until:
+            machine.quarantined_since = now
+        if len(machine.failures_by_job) >= 2:
+            machine.quarantined_until = now + QUARANTINE_S
+            self.suspected_machines[machine.name] = machine
+
+    def _clear_machines(self, job_id: str) -> None:
         """A job fails everywhere: the machines that it failed on are not to blame for it."""
-        for m in self.machines.values():
+        for machine in self.machines.values():
             if (
-                m.faults.pop(jid, None) is not None
-                and len(m.faults) < 2
-                and m.faulty_until
-                and not m.condemned
+                machine.failures_by_job.pop(job_id, None) is not None
+                and len(machine.failures_by_job) < 2
+                and machine.quarantined_until
+                and not machine.replacement_due
             ):
-                m.faulty_until = m.faulty_since = 0.0
-                self._touch(m)
+                machine.quarantined_until = machine.quarantined_since = 0.0
+                self._mark_changed(machine)
 
-    def _check(self, p: Permit) -> None:
+    def _check_gone(self, permit: Permit) -> None:
         """The proofs that a start is not on its machine and can't get there any more."""
-        if p.gone:
+        if permit.gone:
             return
-        m = self.machines.get(p.machine)
-        if p.machine in self.fleet.proven_gone:
-            p.gone, p.why = True, "its machine is gone"
-        elif p.refused and p.run_token == 0 and p.epoch == self.epoch:
-            p.gone, p.why = (
+        machine = self.machines.get(permit.machine)
+        if permit.machine in self.inventory.proven_gone:
+            permit.gone, permit.gone_reason = True, "its machine is gone"
+        elif permit.refused and permit.run_token == 0 and permit.epoch == self.epoch:
+            permit.gone, permit.gone_reason = (
                 True,
                 "its room was taken",
             )  # this owner offered the room and has never sent the run
-        elif m is not None and p.key not in m.tasks and m.took:
-            if p.run_token:
+        elif (
+            machine is not None
+            and permit.attempt_id not in machine.tasks
+            and machine.accepted_token
+        ):
+            if permit.run_token:
                 # the newest list omits it under a token raised since the last run left, or the session rose
-                p.gone = m.seen_token > p.run_token or m.session > p.run_session
-                p.why = (
+                permit.gone = (
+                    machine.seen_token > permit.run_token
+                    or machine.incarnation > permit.run_incarnation
+                )
+                permit.gone_reason = (
                     "its worker's lease ran out"
-                    if m.session > p.run_session
+                    if machine.incarnation > permit.run_incarnation
                     else "its worker no longer has it"
                 )
-            elif p.epoch < self.epoch:
-                p.gone, p.why = (
+            elif permit.epoch < self.epoch:
+                permit.gone, permit.gone_reason = (
                     True,
                     "its worker no longer has it",
                 )  # earlier runs bear tokens below the one the worker has taken
-            elif p.stop is not None and p.epoch == self.epoch:
-                p.gone = True  # never sent
-        if p.gone:
-            self.changed.add(p.key)
-            self._act(m)
+            elif permit.stop_grace_s is not None and permit.epoch == self.epoch:
+                permit.gone = True  # never sent
+        if permit.gone:
+            self.changed_attempts.add(permit.attempt_id)
+            self._schedule_commands(machine)
 
-    def stood_still(self, s: float, now: float) -> None:
+    def on_event_loop_stall(self, seconds: float, now: float) -> None:
         """This process has stood still: what came meanwhile is still to be read, so nobody was silent for that time."""
-        for m in self.machines.values():
-            m.last_report = min(now, m.last_report + s)
+        for machine in self.machines.values():
+            machine.last_heartbeat_at = min(now, machine.last_heartbeat_at + seconds)
             # a new life of this controller may have been started meanwhile, and may answer it with this one's tokens: its silence
             # proves nothing until it has reported here again (coordination.afterlife)
-            m.took = False
-        self.reported = min(now, self.reported + s) if self.reported else 0.0
-        self.next_sweep = now + SWEEP_S
+            machine.accepted_token = False
+        self.last_heartbeat_at = (
+            min(now, self.last_heartbeat_at + seconds) if self.last_heartbeat_at else 0.0
+        )
+        self.next_sweep_at = now + SWEEP_INTERVAL_S
 
-    def tick(self, now: float) -> None:
+    def advance_time(self, now: float) -> None:
         """Time passes: held room is freed, silent machines lose their lease."""
         self.placement.expire(now)
-        if now >= self.next_sweep:
-            self.next_sweep = now + SWEEP_S
+        if now >= self.next_sweep_at:
+            self.next_sweep_at = now + SWEEP_INTERVAL_S
             self._sweep(now)
 
     def _sweep(self, now: float) -> None:
         """Silent machines and doubtful ones; all others cost nothing here, however many they are."""
         forgotten = []
-        for m in self.heard.values():
-            if now - m.last_report <= self.fleet.silent_s:
+        for machine in self.machines_by_heartbeat.values():
+            if now - machine.last_heartbeat_at <= self.inventory.unresponsive_after_s:
                 break  # and all that follow have reported later
-            ends = max(m.last_answer, m.last_report) + self.lease_s * 1.002 + 1.0
-            if m.took and not m.expired and now > ends:
+            ends = (
+                max(machine.last_answer_at, machine.last_heartbeat_at) + self.lease_s * 1.002 + 1.0
+            )
+            if machine.accepted_token and not machine.lease_expired and now > ends:
                 # it took this owner's token, and its lease has not been renewed since: it has killed everything.
                 # But only if nobody else could renew it: a controller that stood still wakes with old beliefs, and a
                 # source that doesn't follow the store just then would believe it. A read begun later shows who holds the part.
-                if self.proved <= ends:
-                    self.unproved = True
+                if self.epoch_confirmed_at <= ends:
+                    self.confirmation_needed = True
                     continue
-                m.expired = True
-                m.busy = False
-                self._act(m)
-                for p in m.permits.values():
-                    if p.run_token or p.epoch < self.epoch or p.key in m.tasks:
-                        p.gone, p.why = (
+                machine.lease_expired = True
+                machine.command_pending = False
+                self._schedule_commands(machine)
+                for permit in machine.permits.values():
+                    if (
+                        permit.run_token
+                        or permit.epoch < self.epoch
+                        or permit.attempt_id in machine.tasks
+                    ):
+                        permit.gone, permit.gone_reason = (
                             True,
-                            p.why or "its worker was silent until its lease ran out",
+                            permit.gone_reason or "its worker was silent until its lease ran out",
                         )
                     else:
-                        p.refused = True
-                        self._check(p)
-                    self.changed.add(p.key)
-                m.tasks, m.listed = {}, None
-            elif (m.expired or not m.took) and now - m.last_report > 900 and not m.permits:
-                forgotten.append(m)
-            if (m.tickets or m.bucket is not None) and self.fleet.unusable(m, now):
-                self.placement.release(m)
-                self._touch(m)
-        for m in list(self.unheard.values()):
-            if not m.doubt:
-                if now >= m.heard_again + m.rest_s:
-                    del self.unheard[m.name]
-                    self._touch(m)
+                        permit.refused = True
+                        self._check_gone(permit)
+                    self.changed_attempts.add(permit.attempt_id)
+                machine.tasks, machine.listed_tasks = {}, None
+            elif (
+                (machine.lease_expired or not machine.accepted_token)
+                and now - machine.last_heartbeat_at > 900
+                and not machine.permits
+            ):
+                forgotten.append(machine)
+            if (
+                machine.reservations or machine.index_bucket is not None
+            ) and self.inventory.unusable(machine, now):
+                self.placement.release_machine(machine)
+                self._mark_changed(machine)
+        for machine in list(self.unconfirmed_machines.values()):
+            if not machine.awaited_token:
+                if now >= machine.receiving_again_at + machine.flap_backoff_s:
+                    del self.unconfirmed_machines[machine.name]
+                    self._mark_changed(machine)
                 continue
             if (
-                not m.deaf
-                and now - m.doubted_at > 2.5 * self.fleet.report_s + 2.0
-                and m.last_report > m.doubted_at
+                not machine.not_receiving
+                and now - machine.awaited_since > 2.5 * self.inventory.heartbeat_interval_s + 2.0
+                and machine.last_heartbeat_at > machine.awaited_since
             ):
-                m.deaf = True
-                self._touch(m)
-                for p in m.permits.values():
-                    info = self.fleet.info.get(p.key[0])
+                machine.not_receiving = True
+                self._mark_changed(machine)
+                for permit in machine.permits.values():
+                    info = self.inventory.job_traits.get(permit.attempt_id[0])
                     if (
                         info is not None
                         and info.kind == "gang"
-                        and p.key not in m.tasks
-                        and not p.gone
-                        and p.stop is None
+                        and permit.attempt_id not in machine.tasks
+                        and not permit.gone
+                        and permit.stop_grace_s is None
                     ):
-                        p.evict = True  # the others wait for it in vain
-                        self.changed.add(p.key)
-        for m in list(self.doubted.values()):
-            if not m.faulty_until or m.faulty_until <= now:
-                m.faulty_until = m.faulty_since = 0.0
-                m.condemned = False
-                del self.doubted[m.name]
-                self._touch(m)
-            elif not m.condemned and now - m.faulty_since > DOUBT_S:
-                m.condemned = True
-                self.seen[m.name] = m
-        for m in forgotten:
-            self._lose(m)
-            self.fleet.permits.pop(m.name, None)
-            self.seen[m.name] = None
-
-    def _lose(self, m: Machine) -> None:
+                        permit.evict_requested = True  # the others wait for it in vain
+                        self.changed_attempts.add(permit.attempt_id)
+        for machine in list(self.suspected_machines.values()):
+            if not machine.quarantined_until or machine.quarantined_until <= now:
+                machine.quarantined_until = machine.quarantined_since = 0.0
+                machine.replacement_due = False
+                del self.suspected_machines[machine.name]
+                self._mark_changed(machine)
+            elif (
+                not machine.replacement_due
+                and now - machine.quarantined_since > REPLACEMENT_DELAY_S
+            ):
+                machine.replacement_due = True
+                self.changed_for_autoscaler[machine.name] = machine
+        for machine in forgotten:
+            self._forget_machine(machine)
+            self.inventory.permits_by_machine.pop(machine.name, None)
+            self.changed_for_autoscaler[machine.name] = None
+
+    def _forget_machine(self, machine: Machine) -> None:
         """The machine is not known any more."""
-        self.fleet.remove(m)
-        self.heard.pop(m.name, None)
-        self.doubted.pop(m.name, None)
-        self.unheard.pop(m.name, None)
+        self.inventory.remove(machine)
+        self.machines_by_heartbeat.pop(machine.name, None)
+        self.suspected_machines.pop(machine.name, None)
+        self.unconfirmed_machines.pop(machine.name, None)
 
-    def machine_gone(self, names: list[str]) -> None:
+    def on_machines_deleted(self, names: list[str]) -> None:
         """The cloud confirmed that these machines are gone."""
         for name in names:
-            if name in self.fleet.proven_gone:
+            if name in self.inventory.proven_gone:
                 continue
-            self.fleet.proven_gone.add(name)
-            m = self.machines.get(name)
-            if m is not None:
-                self.placement.release(m)
-                self._lose(m)
-            self.work.pop(name, None)
-            self.seen[name] = None
-            for p in self.fleet.permits.get(name, {}).values():
-                self._check(p)
-            self.dirty = True
+            self.inventory.proven_gone.add(name)
+            machine = self.machines.get(name)
+            if machine is not None:
+                self.placement.release_machine(machine)
+                self._forget_machine(machine)
+            self.machines_needing_commands.pop(name, None)
+            self.changed_for_autoscaler[name] = None
+            for permit in self.inventory.permits_by_machine.get(name, {}).values():
+                self._check_gone(permit)
+            self.needs_step = True
 
     # -- placing -----------------------------------------------------------------------------
 
-    def place(self, now: float) -> None:
+    def place_candidates(self, now: float) -> None:
         """Hold room for every candidate that fits; the others wait here until room appears or they are cancelled."""
-        for m in self.fleet.settle(now):
-            self.seen[m.name] = m
-            if m.tickets and self.fleet.unusable(m, now):
-                self.placement.release(m)
-        self.fleet.settle(now)
-        if self.preempting:
-            for p in [
-                p
-                for p in self.preempting.values()
-                if p.gone or not self._blocked(p, self.machines.get(p.machine))
+        for machine in self.inventory.refresh_changed(now):
+            self.changed_for_autoscaler[machine.name] = machine
+            if machine.reservations and self.inventory.unusable(machine, now):
+                self.placement.release_machine(machine)
+        self.inventory.refresh_changed(now)
+        if self.waiting_for_victims:
+            for permit in [
+                permit
+                for permit in self.waiting_for_victims.values()
+                if permit.gone
+                or not self._waits_for_victims(permit, self.machines.get(permit.machine))
             ]:
-                del self.preempting[p.key]
-        self.placement.victims = {v for p in self.preempting.values() for v in p.victims}
-        self.placement.place(now)
-        for m in self.fleet.touched.values():
-            self.seen[m.name] = m
+                del self.waiting_for_victims[permit.attempt_id]
+        self.placement.victims = {
+            attempt_id
+            for permit in self.waiting_for_victims.values()
+            for attempt_id in permit.victims
+        }
+        self.placement.place_waiting(now)
+        for machine in self.inventory.changed_machines.values():
+            self.changed_for_autoscaler[machine.name] = machine
 
     # -- commands ----------------------------------------------------------------------------
 
-    def _blocked(self, p: Permit, m: Machine | None) -> bool:
+    def _waits_for_victims(self, permit: Permit, machine: Machine | None) -> bool:
         """Whether work that leaves for it is still there."""
-        return m is not None and any(
-            v in m.permits
-            and not m.permits[v].gone
-            and not ((t := m.tasks.get(v)) is not None and t.state == EXITED)
-            for v in p.victims
+        return machine is not None and any(
+            attempt_id in machine.permits
+            and not machine.permits[attempt_id].gone
+            and not ((task := machine.tasks.get(attempt_id)) is not None and task.state == EXITED)
+            for attempt_id in permit.victims
         )
 
-    def _raise(self, m: Machine) -> bool:
+    def _raise_token(self, machine: Machine) -> bool:
         """Fence what was sent to a machine so far; False when this epoch has no token left for it."""
-        token = fencing_tokens.raised(m.token)
+        token = fencing_tokens.next_token(machine.token)
         if token is None:
-            self.spent = True
+            self.token_space_exhausted = True
             return False
-        m.token = token
+        machine.token = token
         return True
 
-    def _runnable(self, p: Permit, m: Machine) -> bool:
+    def _may_run(self, permit: Permit, machine: Machine) -> bool:
         return (
-            not p.gone
-            and not p.refused
-            and p.stop is None
-            and p.epoch == self.epoch
-            and p.key not in m.tasks
-            and m.took
-            and not self._blocked(p, m)
+            not permit.gone
+            and not permit.refused
+            and permit.stop_grace_s is None
+            and permit.epoch == self.epoch
+            and permit.attempt_id not in machine.tasks
+            and machine.accepted_token
+            and not self._waits_for_victims(permit, machine)
         )
 
-    def commands(self, m: Machine, now: float, direct: bool = False) -> list[dict[str, Any]]:
+    def commands_for(
+        self, machine: Machine, now: float, direct: bool = False
+    ) -> list[dict[str, Any]]:
         """What the worker has to do for the wanted state; marks runs as sent under the machine's token."""
         out: list[dict[str, Any]] = []
         runs: list[Permit] = []
-        if (token := fencing_tokens.marked(m.token, self.right)) is not None:
-            m.token = token
+        if (
+            token := fencing_tokens.with_renewal_grant(machine.token, self.renewal_grant)
+        ) is not None:
+            machine.token = token
         else:
-            self.spent = True  # the worker keeps an earlier right, which ends sooner
-        for p in m.permits.values():
-            t = m.tasks.get(p.key)
-            if t is not None:
+            self.token_space_exhausted = (
+                True  # the worker keeps an earlier right, which ends sooner
+            )
+        for permit in machine.permits.values():
+            task = machine.tasks.get(permit.attempt_id)
+            if task is not None:
                 if (
-                    p.stop is not None
-                    and t.state != EXITED
-                    and (t.state != "saving" or p.stop == 0.0)
+                    permit.stop_grace_s is not None
+                    and task.state != EXITED
+                    and (task.state != "saving" or permit.stop_grace_s == 0.0)
                 ):
-                    if not direct or p.killed != p.stop:
-                        out.append(agents.kill(p.key, p.stop))
-                        p.killed = p.stop
-            elif self._runnable(p, m):
-                if p.run_token and m.session > p.run_session:
+                    if not direct or permit.kill_sent_grace_s != permit.stop_grace_s:
+                        out.append(agents.kill_command(permit.attempt_id, permit.stop_grace_s))
+                        permit.kill_sent_grace_s = permit.stop_grace_s
+            elif self._may_run(permit, machine):
+                if permit.run_token and machine.incarnation > permit.run_incarnation:
                     continue  # it ran in a session that is over; the source decides what follows
-                if not direct or not p.direct:
-                    runs.append(p)
+                if not direct or not permit.run_sent_directly:
+                    runs.append(permit)
             elif (
-                p.run_token
-                and not p.gone
-                and p.key not in m.tasks
-                and p.stop is not None
-                and m.token <= p.run_token
+                permit.run_token
+                and not permit.gone
+                and permit.attempt_id not in machine.tasks
+                and permit.stop_grace_s is not None
+                and machine.token <= permit.run_token
             ):
                 # a run may be on its way: only a list under a higher token proves that it is not there
-                self._raise(m)
+                self._raise_token(machine)
         if not direct:
-            for key, t in m.tasks.items():
-                if key in m.permits:
+            for key, task in machine.tasks.items():
+                if key in machine.permits:
                     continue
-                if len(self.synced) < self.sources:
+                if len(self.synced_sources) < self.source_count:
                     # its source has not been heard yet; but a job that is over needs no source to be stopped:
                     # seen when an owner that had just taken over was cut from the source of a cancelled job
-                    if t.state != EXITED and self.job_over(key[0]):
-                        out.append(agents.kill(key, 0.0))
+                    if task.state != EXITED and self.job_ended_in_store(key[0]):
+                        out.append(agents.kill_command(key, 0.0))
                     continue
-                if t.state != EXITED:
-                    out.append(agents.kill(key, 0.0))  # nobody has permitted it
+                if task.state != EXITED:
+                    out.append(agents.kill_command(key, 0.0))  # nobody has permitted it
                 else:
-                    if key in m.inflight:
-                        if not self._raise(
-                            m
+                    if key in machine.inflight_runs:
+                        if not self._raise_token(
+                            machine
                         ):  # a run of it may still arrive; after reap it would start again
                             continue
-                        m.inflight.clear()
-                    out.append(agents.reap(key))
-        for p in runs:
-            out.append(agents.run(p.key))
-            p.run_token, p.run_session = m.token, m.session
+                        machine.inflight_runs.clear()
+                    out.append(agents.reap_command(key))
+        for permit in runs:
+            out.append(agents.run_command(permit.attempt_id))
+            permit.run_token, permit.run_incarnation = machine.token, machine.incarnation
             if direct:
-                p.direct = True
-                m.inflight.add(p.key)
+                permit.run_sent_directly = True
+                machine.inflight_runs.add(permit.attempt_id)
             else:
-                m.sent.add(p.key)
+                machine.runs_in_answer.add(permit.attempt_id)
         return out
 
-    def direct_work(self, now: float) -> list[tuple[Machine, dict[str, Any]]]:
+    def direct_commands(self, now: float) -> list[tuple[Machine, dict[str, Any]]]:
         """Commands worth sending straight to a worker, one unanswered request a machine."""
         out = []
-        for m in list(self.work.values()):
-            if m.busy or now < m.direct_after:
+        for machine in list(self.machines_needing_commands.values()):
+            if machine.command_pending or now < machine.next_command_at:
                 continue  # looked at again when that is over
-            del self.work[m.name]
-            if m.expired or not m.took or not m.permits:
+            del self.machines_needing_commands[machine.name]
+            if machine.lease_expired or not machine.accepted_token or not machine.permits:
                 continue
-            calls = self.commands(m, now, direct=True)
+            calls = self.commands_for(machine, now, direct=True)
             if calls:
-                m.busy = True
-                out.append((m, agents.direct(m.token, m.session, calls)))
+                machine.command_pending = True
+                out.append(
+                    (machine, agents.direct_request(machine.token, machine.incarnation, calls))
+                )
         return out
 
-    def direct_done(self, m: Machine, r: Report | None, now: float) -> None:
+    def on_direct_answer(self, machine: Machine, heartbeat: Heartbeat | None, now: float) -> None:
         """The answer to a /do, or None: it may still be executed, so the token is raised to fence it."""
-        m.busy = False
-        m.inflight.clear()
-        if r is None:
-            if m.doubt:
-                self._raise(m)  # fenced each time
+        machine.command_pending = False
+        machine.inflight_runs.clear()
+        if heartbeat is None:
+            if machine.awaited_token:
+                self._raise_token(machine)  # fenced each time
             else:
-                self._doubt(m, now)
-            for p in m.permits.values():
-                p.killed = None  # nor need a stop have arrived: where its reports don't come either, nothing else would bring it
-            m.unanswered += 1
-            m.direct_after = now + (SILENT_S if m.unanswered < UNANSWERED else LONG_SILENT_S)
-            self.dirty = True
+                self._await_token(machine, now)
+            for permit in machine.permits.values():
+                permit.kill_sent_grace_s = None  # nor need a stop have arrived: where its reports don't come either, nothing else would bring it
+            machine.unanswered_commands += 1
+            machine.next_command_at = now + (
+                COMMAND_RETRY_S
+                if machine.unanswered_commands < UNANSWERED_BEFORE_LONG_RETRY
+                else LONG_COMMAND_RETRY_S
+            )
+            self.needs_step = True
         elif (
-            self.machines.get(m.name) is m
+            self.machines.get(machine.name) is machine
         ):  # a late answer brings no machine back that is gone: the sweep would never see it
-            m.unanswered = 0
-            self.on_report(r, now, direct=True)
-        if self.machines.get(m.name) is m:
-            self._act(m)  # its room is empty for the renter only now
+            machine.unanswered_commands = 0
+            self.on_heartbeat(heartbeat, now, direct=True)
+        if self.machines.get(machine.name) is machine:
+            self._schedule_commands(machine)  # its room is empty for the renter only now
 
     # -- what sources and the renter are told ------------------------------------------------
 
-    def start_news(self, p: Permit) -> StartNews:
+    def attempt_update(self, permit: Permit) -> AttemptUpdate:
         """What became of a permit."""
-        m = self.machines.get(p.machine)
-        task = m.tasks.get(p.key) if m is not None else None
-        if task is not None and not p.gone:
-            asked = NOTICE_EMPTY if m is not None and m.cordoned else 0
-            notice = 1 if m is not None and m.notice_s is not None else 2 if p.evict else asked
-            suspect = m is not None and task.why == "error" and any(j != p.key[0] for j in m.faults)
-            return StartNews(task.state, task.why, int(task.saved), notice, int(suspect))
+        machine = self.machines.get(permit.machine)
+        task = machine.tasks.get(permit.attempt_id) if machine is not None else None
+        if task is not None and not permit.gone:
+            asked = NOTICE_EVICTION_REQUESTED if machine is not None and machine.cordoned else 0
+            notice = (
+                1
+                if machine is not None and machine.termination_notice_s is not None
+                else 2
+                if permit.evict_requested
+                else asked
+            )
+            suspect = (
+                machine is not None
+                and task.reason == "error"
+                and any(job_id != permit.attempt_id[0] for job_id in machine.failures_by_job)
+            )
+            return AttemptUpdate(
+                task.state, task.reason, int(task.checkpoint_saved), notice, int(suspect)
+            )
         return (
-            StartNews("gone", p.why, 0, 0)
-            if p.gone
-            else StartNews("permitted", "", 0, 2 if p.evict else 0)
+            AttemptUpdate("gone", permit.gone_reason, 0, 0)
+            if permit.gone
+            else AttemptUpdate("permitted", "", 0, 2 if permit.evict_requested else 0)
         )
 
-    def take_news(self) -> dict[tuple[int, str], Any]:
+    def take_source_updates(self) -> dict[tuple[int, str], Any]:
         """What has changed for the sources since the last time: (source, key) -> value."""
-        for key in sorted(self.changed):
-            if (p := self.permits.get(key)) is not None:
-                self.news[p.src, peer_messages.start_key(key)] = self.start_news(p)
-        self.changed.clear()
-        out = dict(self.news)
-        self.news.clear()
+        for key in sorted(self.changed_attempts):
+            if (permit := self.permits.get(key)) is not None:
+                self.source_updates[permit.source_shard, peer_messages.attempt_key(key)] = (
+                    self.attempt_update(permit)
+                )
+        self.changed_attempts.clear()
+        out = dict(self.source_updates)
+        self.source_updates.clear()
         return out
 
-    def suspects(self, now: float) -> list[str]:
+    def unprovable_machines(self, now: float) -> list[str]:
         """Machines that permits name and that this owner can't prove anything about: the cloud may."""
         if now - self.started < self.lease_s:
             return []
         out = []
-        for name, permits in self.fleet.permits.items():
+        for name, permits in self.inventory.permits_by_machine.items():
             if permits:
-                m = self.machines.get(name)
-                if (m is None or (not m.took and now - m.last_report > self.lease_s)) and any(
-                    not p.gone for p in permits.values()
-                ):
+                machine = self.machines.get(name)
+                if (
+                    machine is None
+                    or (
+                        not machine.accepted_token
+                        and now - machine.last_heartbeat_at > self.lease_s
+                    )
+                ) and any(not permit.gone for permit in permits.values()):
                     out.append(name)
         return sorted(out)
 
-    def machine_news(self, m: Machine, now: float) -> MachineNews | None:
+    def machine_update(self, machine: Machine, now: float) -> MachineUpdate | None:
         """What the renter needs to know of a machine."""
-        if m.expired or self.machines.get(m.name) is not m:
+        if machine.lease_expired or self.machines.get(machine.name) is not machine:
             return None
         empty = (
-            not m.tasks and not m.tickets and all(p.gone for p in m.permits.values()) and not m.busy
+            not machine.tasks
+            and not machine.reservations
+            and all(permit.gone for permit in machine.permits.values())
+            and not machine.command_pending
         )
         firm = any(
-            i is not None and not i.spot for i in (self.fleet.info.get(k[0]) for k in m.permits)
+            i is not None and not i.spot_allowed
+            for i in (
+                self.inventory.job_traits.get(attempt_id[0]) for attempt_id in machine.permits
+            )
         )
-        room = self.fleet.room(m)
-        return MachineNews(
-            m.type,
-            m.zone,
-            int(m.spot),
+        room = self.inventory.free_capacity(machine)
+        return MachineUpdate(
+            machine.type,
+            machine.zone,
+            int(machine.spot),
             [round(x, 3) for x in room],
             int(empty),
-            1 if m.draining else 2 if m.cordoned else 0,
-            int(m.notice_s is not None or m.deaf or not m.took),
-            int(m.condemned),
+            1 if machine.draining else 2 if machine.cordoned else 0,
+            int(
+                machine.termination_notice_s is not None
+                or machine.not_receiving
+                or not machine.accepted_token
+            ),
+            int(machine.replacement_due),
             int(firm),
-            [round(x, 3) for x in self.fleet.firm_room(m, room)],
+            [round(x, 3) for x in self.inventory.capacity_for_services(machine, room)],
         )
 
-    def take_machine_news(self, now: float) -> dict[str, MachineNews | None]:
+    def take_machine_updates(self, now: float) -> dict[str, MachineUpdate | None]:
         """The machines something happened to since the last time."""
-        seen, self.seen = self.seen, {}
+        seen, self.changed_for_autoscaler = self.changed_for_autoscaler, {}
         return {
-            name: self.machine_news(m, now) if m is not None else None for name, m in seen.items()
+            name: self.machine_update(machine, now) if machine is not None else None
+            for name, machine in seen.items()
         }
 
-    def set_empty(self, names: list[str]) -> None:
+    def set_cordoned(self, names: list[str]) -> None:
         """An order wants these machines empty: nothing new goes there, and the sources are asked to let go of what is there."""
         new = set(names)
-        for name in sorted(new ^ self.empty):
-            m = self.machines.get(name)
-            if m is not None:
-                m.cordoned = name in new
-                self.changed.update(m.permits)
-                self._touch(m)
-        self.empty = new
-
-    def set_drain(self, names: list[str]) -> None:
+        for name in sorted(new ^ self.cordoned_machines):
+            machine = self.machines.get(name)
+            if machine is not None:
+                machine.cordoned = name in new
+                self.changed_attempts.update(machine.permits)
+                self._mark_changed(machine)
+        self.cordoned_machines = new
+
+    def set_draining(self, names: list[str]) -> None:
         """The renter wants these machines empty."""
         new = set(names)
-        for name in sorted(new - self.drain):
-            m = self.machines.get(name)
+        for name in sorted(new - self.draining_machines):
+            machine = self.machines.get(name)
             # a return whose outcome is unknown may still be executed: draining is never taken back
-            if m is not None and not m.draining:
-                m.draining = True
-                self._touch(m)
-        self.drain = new
+            if machine is not None and not machine.draining:
+                machine.draining = True
+                self._mark_changed(machine)
+        self.draining_machines = new
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -11,220 +11,262 @@
 
 from ploverhall.protocol.jobs import DONE
 from ploverhall.scheduling.allocations import (
-    PROGRESS_TASKS,
-    TXN_BYTES,
-    Chunk,
+    TASKS_PER_PROGRESS_VALUE,
+    MAX_TRANSACTION_BYTES,
+    RecordChunk,
     ChunkWrite,
-    Entry,
+    Allocation,
     JobState,
-    Ledger,
-    Txn,
-    put_entry,
+    AllocationStore,
+    PendingWrite,
+    append_allocation,
+)
+from ploverhall.storage.store_cache import (
+    JOB_PREFIX,
+    SHARD_PREFIX,
+    allocation_prefix,
+    end_record,
+    progress_prefix,
 )
-from ploverhall.storage.store_cache import JOB, SHARD, cell_prefix, end_record, progress_prefix
 
 
-class Writes(Ledger):
+class StoreWriter(AllocationStore):
     """Plans the writes of one shard's teams."""
 
-    def plan(self, most: int | None = None) -> Txn | None:
+    def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
         """The next write: permits first, then ends, then exits; as many as one transaction takes, or `most` changes.
 
         Where more waits than that, the most important jobs' changes go first: permits of replicas stood behind those of
         a guest's many tiny tasks. Every fourth such write takes what has waited longest, so that the rest goes on, too.
         """
-        txn = Txn({f"{SHARD}{self.shard}": self.epoch}, {}, [])
-        if self.fences:
-            return self._fence(txn)
-        self.most_ops = self.txn_ops if most is None else max(2, min(self.txn_ops, most))
-        work: list[Chunk | JobState] = [c for c, permits in self.dirty_chunks.items() if permits]
-        work += self.ending.values()
-        work += [c for c, permits in self.dirty_chunks.items() if not permits]
-        if len(work) > self.most_ops:
-            self.crowded += 1
-            if self.crowded % 4:
+        txn = PendingWrite({f"{SHARD_PREFIX}{self.shard}": self.epoch}, {}, [])
+        if self.chunks_to_fence:
+            return self._fencing_write(txn)
+        self.write_operation_limit = (
+            self.max_transaction_ops
+            if max_operations is None
+            else max(2, min(self.max_transaction_ops, max_operations))
+        )
+        work: list[RecordChunk | JobState] = [
+            chunk for chunk, permits in self.dirty_chunks.items() if permits
+        ]
+        work += self.jobs_to_end.values()
+        work += [chunk for chunk, permits in self.dirty_chunks.items() if not permits]
+        if len(work) > self.write_operation_limit:
+            self.crowded_writes += 1
+            if self.crowded_writes % 4:
                 work.sort(key=self._urgency)
         for item in work:
             if not (
-                self._plan_chunk(txn, item)
-                if isinstance(item, Chunk)
-                else self._plan_end(txn, item)
+                self._add_chunk(txn, item)
+                if isinstance(item, RecordChunk)
+                else self._add_job_end(txn, item)
             ):
                 break
-        while self.garbage and txn.ops < self.most_ops and txn.ops > 0 and txn.size < TXN_BYTES:
-            key = self.garbage.pop()
+        while (
+            self.obsolete_keys
+            and txn.operation_count < self.write_operation_limit
+            and txn.operation_count > 0
+            and txn.size_bytes < MAX_TRANSACTION_BYTES
+        ):
+            key = self.obsolete_keys.pop()
             if key not in txn.puts:
                 txn.deletes.append(
                     key
                 )  # of no use to anybody: if this write fails, the next source finds it
-                txn.size += len(key) + 40
-        return txn if txn.ops else None
+                txn.size_bytes += len(key) + 40
+        return txn if txn.operation_count else None
 
-    def _urgency(self, item: Chunk | JobState) -> tuple[float, ...]:
+    def _urgency(self, item: RecordChunk | JobState) -> tuple[float, ...]:
         """Whose change is the more important one; of one job first its permits, then its end, then its exits."""
         if isinstance(item, JobState):
-            return (*self.order(item)[:3], 1.0) if item.job is not None else (9.0,)
+            return (*self.queue_order(item)[:3], 1.0) if item.job is not None else (9.0,)
         permits = self.dirty_chunks[item]
         jobs = [
-            js
-            for jid in item.jobs
-            if (js := self.jobs[jid]).job is not None and (not permits or js.unlanded)
+            job_state
+            for job_id in item.allocations_per_job
+            if (job_state := self.jobs[job_id]).job is not None
+            and (not permits or job_state.uncommitted_per_shard)
         ]
-        return (*min((self.order(js)[:3] for js in jobs), default=(9.0,)), 0.0 if permits else 2.0)
+        return (
+            *min((self.queue_order(job_state)[:3] for job_state in jobs), default=(9.0,)),
+            0.0 if permits else 2.0,
+        )
 
-    def _plan_end(self, txn: Txn, js: JobState) -> bool:
+    def _add_job_end(self, txn: PendingWrite, job_state: JobState) -> bool:
         """Add a job's end to a write; False when there was no room for it."""
-        if js.blocked or js.job is None or JOB + js.id in txn.guards:
+        if job_state.blocked or job_state.job is None or JOB_PREFIX + job_state.id in txn.compare:
             return True
         if (
-            txn.ops + 1 > self.most_ops
-            or len(txn.guards) + 1 > self._max_guards
-            or txn.size > TXN_BYTES
+            txn.operation_count + 1 > self.write_operation_limit
+            or len(txn.compare) + 1 > self._max_comparisons
+            or txn.size_bytes > MAX_TRANSACTION_BYTES
         ):
             return False
-        txn.guards[JOB + js.id] = js.version
-        txn.puts[JOB + js.id] = end_record(DONE, js.n)
-        txn.ends.append(js)
-        txn.size += 150
+        txn.compare[JOB_PREFIX + job_state.id] = job_state.version
+        txn.puts[JOB_PREFIX + job_state.id] = end_record(DONE, job_state.task_count)
+        txn.ended_jobs.append(job_state)
+        txn.size_bytes += 150
         return True
 
-    def unknown(self, txn: Txn) -> None:
+    def on_outcome_unknown(self, txn: PendingWrite) -> None:
         """A write's outcome is not known: it may land at any later time, until its chunks have been written anew.
 
         Reading the cell again is not enough. A permit that has not landed may be given anew in another chunk; if the
         late write lands after that, one task has two permits (kazi-bodi-grown rough, state service slow: ran_twice).
         """
-        self.fences.update((w.chunk.team, w.chunk.index) for w in txn.chunks)
+        self.chunks_to_fence.update((write.chunk.team, write.chunk.index) for write in txn.chunks)
 
-    def _fence(self, txn: Txn) -> Txn:
+    def _fencing_write(self, txn: PendingWrite) -> PendingWrite:
         """Write chunks again as they were read, alone and before all else: the late write fails their guards."""
-        for team, index in sorted(self.fences):
-            chunk = self.chunks[team].setdefault(index, Chunk(team, index))
-            if txn.ops >= self.txn_ops or (txn.ops and txn.size + chunk.size + 300 > TXN_BYTES):
+        for team, index in sorted(self.chunks_to_fence):
+            chunk = self.chunks[team].setdefault(index, RecordChunk(team, index))
+            if txn.operation_count >= self.max_transaction_ops or (
+                txn.operation_count
+                and txn.size_bytes + chunk.size_bytes + 300 > MAX_TRANSACTION_BYTES
+            ):
                 break
             value: dict[str, Any] = {}
-            for _, e in sorted(chunk.entries.items()):
-                if e.landed:
-                    put_entry(value, self.jobs[e.job], e)
-            txn.guards[chunk.key] = chunk.version
+            for _, allocation in sorted(chunk.allocations.items()):
+                if allocation.committed:
+                    append_allocation(value, self.jobs[allocation.job_id], allocation)
+            txn.compare[chunk.key] = chunk.version
             txn.puts[chunk.key] = value
             txn.chunks.append(ChunkWrite(chunk))
-            txn.size += chunk.size + 2 * len(chunk.key) + 100
+            txn.size_bytes += chunk.size_bytes + 2 * len(chunk.key) + 100
         return txn
 
     @property
-    def _max_guards(self) -> int:
-        return 4 * self.txn_ops
+    def _max_comparisons(self) -> int:
+        return 4 * self.max_transaction_ops
 
-    def _plan_chunk(self, txn: Txn, chunk: Chunk) -> bool:
+    def _add_chunk(self, txn: PendingWrite, chunk: RecordChunk) -> bool:
         """Add one chunk's value to a write, with what it depends on; False when there was no room for it."""
         if (
-            txn.ops + 1 > self.most_ops
-            or len(txn.guards) + 2 > self._max_guards
-            or txn.size + chunk.size + 300 > TXN_BYTES
+            txn.operation_count + 1 > self.write_operation_limit
+            or len(txn.compare) + 2 > self._max_comparisons
+            or txn.size_bytes + chunk.size_bytes + 300 > MAX_TRANSACTION_BYTES
         ):
             return False
         value: dict[str, Any] = {}
         write = ChunkWrite(chunk)
-        spare = self.most_ops - txn.ops - 1
-        for (jid, task), e in sorted(chunk.entries.items()):
-            self.visits += 1
-            js = self.jobs[jid]
-            if e.over and e.landed:
-                part = task // PROGRESS_TASKS
-                if js.job is not None and not js.complete and part in js.dirty_progress:
-                    key = f"{progress_prefix(chunk.team)}{jid}/{part}"
+        spare = self.write_operation_limit - txn.operation_count - 1
+        for (job_id, task), allocation in sorted(chunk.allocations.items()):
+            self.visit_count += 1
+            job_state = self.jobs[job_id]
+            if allocation.finished and allocation.committed:
+                part = task // TASKS_PER_PROGRESS_VALUE
+                if (
+                    job_state.job is not None
+                    and not job_state.complete
+                    and part in job_state.dirty_progress
+                ):
+                    key = f"{progress_prefix(chunk.team)}{job_id}/{part}"
                     if key not in txn.puts:
-                        if spare <= 0 or txn.size + chunk.size > TXN_BYTES:
-                            put_entry(value, js, e)
+                        if spare <= 0 or txn.size_bytes + chunk.size_bytes > MAX_TRANSACTION_BYTES:
+                            append_allocation(value, job_state, allocation)
                             continue
                         spare -= 1
-                        lo = part * PROGRESS_TASKS // 8
+                        first_byte = part * TASKS_PER_PROGRESS_VALUE // 8
                         txn.puts[key] = base64.b64encode(
-                            bytes(js.done[lo : lo + PROGRESS_TASKS // 8])
+                            bytes(
+                                job_state.done_bits[
+                                    first_byte : first_byte + TASKS_PER_PROGRESS_VALUE // 8
+                                ]
+                            )
                         ).decode()
-                        txn.progress.append((js, part))
-                        txn.size += len(txn.puts[key]) + len(key) + 40
-                write.removes.append(e)
+                        txn.progress_parts.append((job_state, part))
+                        txn.size_bytes += len(txn.puts[key]) + len(key) + 40
+                write.removed.append(allocation)
                 continue
-            if not e.landed:
-                key = JOB + jid
-                if js.job is None or js.blocked or key in txn.puts:
-                    write.removes.append(e)  # never written: it just goes
+            if not allocation.committed:
+                key = JOB_PREFIX + job_id
+                if job_state.job is None or job_state.blocked or key in txn.puts:
+                    write.removed.append(allocation)  # never written: it just goes
                     continue
-                if key not in txn.guards:
-                    if len(txn.guards) + 2 > self._max_guards:
+                if key not in txn.compare:
+                    if len(txn.compare) + 2 > self._max_comparisons:
                         continue
-                    txn.guards[key] = js.version
-                    txn.size += len(key) + 40
-                write.adds.append(e)
-            put_entry(value, js, e)
-        txn.guards[chunk.key] = chunk.version
+                    txn.compare[key] = job_state.version
+                    txn.size_bytes += len(key) + 40
+                write.added.append(allocation)
+            append_allocation(value, job_state, allocation)
+        txn.compare[chunk.key] = chunk.version
         if value or chunk.version:
             txn.puts[chunk.key] = value
         txn.chunks.append(write)
-        txn.size += chunk.size + 2 * len(chunk.key) + 100
+        txn.size_bytes += chunk.size_bytes + 2 * len(chunk.key) + 100
         return True
 
-    def landed(self, txn: Txn, revision: int, now: float) -> None:
+    def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
         """The write is in: permits go out, exits may be forgotten by the workers."""
-        for js, part in txn.progress:
-            js.dirty_progress.discard(part)
-            js.stored_progress.add(part)
+        for job_state, part in txn.progress_parts:
+            job_state.dirty_progress.discard(part)
+            job_state.stored_progress.add(part)
         for write in txn.chunks:
             chunk = write.chunk
-            self.fences.discard((chunk.team, chunk.index))
+            self.chunks_to_fence.discard((chunk.team, chunk.index))
             if chunk.key in txn.puts:
                 chunk.version = revision
-            for e in write.adds:
-                known = self.jobs.get(e.job)
+            for allocation in write.added:
+                known = self.jobs.get(allocation.job_id)
                 if known is not None:
-                    self._land(known, e)
-                self.note(
+                    self._mark_committed(known, allocation)
+                self.log_debug(
                     "permit",
-                    job=e.job,
-                    task=e.task,
-                    attempt=e.attempt,
-                    machine=e.machine,
-                    part=e.part,
+                    job=allocation.job_id,
+                    task=allocation.task,
+                    attempt=allocation.attempt,
+                    machine=allocation.machine,
+                    part=allocation.shard,
                 )
-            self._clear(write.removes)
-            self._redo(chunk)
-        for js in txn.ends:
-            self.note("done", job=js.id)
-            self.on_job(None, js.id, 0, now)
-
-    def _clear(self, entries: Iterable[Entry]) -> None:
-        for e in entries:
-            js = self.jobs.get(e.job)
-            if js is not None and js.entries.get(e.task) is e:
-                self._remove(js, e)
-                if not js.is_done(e.task):
-                    js.put_back(e.task)
-
-    def _redo(self, chunk: Chunk) -> None:
+            self._remove_allocations(write.removed)
+            self._mark_still_dirty(chunk)
+        for job_state in txn.ended_jobs:
+            self.log_debug("done", job=job_state.id)
+            self.on_job(None, job_state.id, 0, now)
+
+    def _remove_allocations(self, entries: Iterable[Allocation]) -> None:
+        for allocation in entries:
+            job_state = self.jobs.get(allocation.job_id)
+            if job_state is not None and job_state.allocations.get(allocation.task) is allocation:
+                self._remove(job_state, allocation)
+                if not job_state.is_done(allocation.task):
+                    job_state.requeue(allocation.task)
+
+    def _mark_still_dirty(self, chunk: RecordChunk) -> None:
         """What became over or was added while the write was on its way still has to be written."""
         self.dirty_chunks.pop(chunk, None)
-        for e in chunk.entries.values():
-            self.visits += 1
-            if e.over or not e.landed:
-                self.dirty_chunks[chunk] = self.dirty_chunks.get(chunk, False) or not e.landed
-        if not chunk.entries and not chunk.version:
+        for allocation in chunk.allocations.values():
+            self.visit_count += 1
+            if allocation.finished or not allocation.committed:
+                self.dirty_chunks[chunk] = (
+                    self.dirty_chunks.get(chunk, False) or not allocation.committed
+                )
+        if not chunk.allocations and not chunk.version:
             self.chunks[chunk.team].pop(chunk.index, None)
 
-    def refused(self, txn: Txn, failed: list[str]) -> list[str]:
+    def on_compare_failed(self, txn: PendingWrite, failed: list[str]) -> list[str]:
         """A guard did not hold. Returns the teams whose cells must be read again."""
         for key in failed:
-            if key.startswith(JOB):
-                js = self.jobs.get(key[len(JOB) :])
-                if js is not None:
-                    js.blocked = True
-                    self.changed.add(js.id)
-                    for e in [e for e in js.entries.values() if not e.landed]:
-                        self._remove(js, e)
-                        js.put_back(e.task)
-        return [t for t in self.teams if any(k.startswith(cell_prefix(t)) for k in failed)]
-
-    def teams_of(self, txn: Txn) -> list[str]:
+            if key.startswith(JOB_PREFIX):
+                job_state = self.jobs.get(key[len(JOB_PREFIX) :])
+                if job_state is not None:
+                    job_state.blocked = True
+                    self.changed_jobs.add(job_state.id)
+                    for allocation in [
+                        allocation
+                        for allocation in job_state.allocations.values()
+                        if not allocation.committed
+                    ]:
+                        self._remove(job_state, allocation)
+                        job_state.requeue(allocation.task)
+        return [
+            team
+            for team in self.teams
+            if any(entry_key.startswith(allocation_prefix(team)) for entry_key in failed)
+        ]
+
+    def teams_of(self, txn: PendingWrite) -> list[str]:
         """The teams whose cells a write touches."""
-        return sorted({w.chunk.team for w in txn.chunks})
+        return sorted({write.chunk.team for write in txn.chunks})
--- a/ploverhall/settings.py
+++ b/ploverhall/settings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-SKEW_S = 0.25  # how far the time of day may be off where the platform does not say
+DEFAULT_CLOCK_SKEW_S = 0.25  # how far the time of day may be off where the platform does not say
 
 
 class SettingsError(Exception):
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Peer:
+class PeerAddress:
     """Another controller."""
 
     name: str
@@ -29,10 +29,10 @@
     """What a team is guaranteed and what it may use at most (0: none set)."""
 
     name: str
-    cpus: float
-    cpus_max: float
-    gpus: float
-    gpus_max: float
+    guaranteed_cpus: float
+    max_cpus: float
+    guaranteed_gpus: float
+    max_gpus: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,33 +61,33 @@
     zone: str
     bind: tuple[str, int]
     peer_listen: tuple[str, int]
-    peers: tuple[Peer, ...]
+    peers: tuple[PeerAddress, ...]
     cloud: tuple[str, int]
-    state: tuple[str, int]
+    store: tuple[str, int]
     zones: tuple[str, ...]
     teams: tuple[Team, ...]
     objectives: tuple[dict[str, Any], ...]
-    report_s: float
+    heartbeat_interval_s: float
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
     cancel_s: float
-    skew_s: float
-    state_rps: float
-    state_write_rps: float
-    value_bytes: int
-    txn_ops: int
+    clock_skew_s: float
+    store_rps: float
+    store_write_rps: float
+    max_value_bytes: int
+    max_transaction_ops: int
     cloud_rps: float
     list_lag_s: float
     core_share: float
-    mem_mb: float
+    memory_mb: float
     max_sockets: int
     options: Options = field(default_factory=Options)
 
     @property
-    def nodes(self) -> list[tuple[str, str]]:
+    def controllers(self) -> list[tuple[str, str]]:
         """All controllers as (name, zone) in name order: a node's place is its dense index."""
-        return sorted([(self.name, self.zone)] + [(p.name, p.zone) for p in self.peers])
+        return sorted([(self.name, self.zone)] + [(peer.name, peer.zone) for peer in self.peers])
 
 
 class _Table:
@@ -103,20 +103,25 @@
         return f"{self.where}.{key}" if self.where else key
 
     def text(self, key: str) -> str:
-        v = self.data.get(key)
-        if not isinstance(v, str) or not v:
+        value = self.data.get(key)
+        if not isinstance(value, str) or not value:
             raise SettingsError(f"{self._name(key)}: must be a non-empty string")
-        return v
+        return value
 
     def number(self, key: str, least: float = 0.0, over: bool = False) -> float:
-        v = self.data.get(key)
-        if isinstance(v, bool) or not isinstance(v, (int, float)):
+        value = self.data.get(key)
+        if isinstance(value, bool) or not isinstance(value, (int, float)):
             raise SettingsError(f"{self._name(key)}: must be a number")
-        if v != v or v in (float("inf"), float("-inf")) or v < least or (over and v == least):
+        if (
+            value != value
+            or value in (float("inf"), float("-inf"))
+            or value < least
+            or (over and value == least)
+        ):
             raise SettingsError(f"{self._name(key)}: out of range")
-        return float(v)
+        return float(value)
 
-    def addr(self, key: str) -> tuple[str, int]:
+    def address(self, key: str) -> tuple[str, int]:
         host, _, port = self.text(key).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) < 65536:
             raise SettingsError(f"{self._name(key)}: must be HOST:PORT")
@@ -126,10 +131,10 @@
         return _Table(self.data.get(key), self._name(key))
 
     def tables(self, key: str) -> list[_Table]:
-        v = self.data.get(key, [])
-        if not isinstance(v, list):
+        value = self.data.get(key, [])
+        if not isinstance(value, list):
             raise SettingsError(f"{self._name(key)}: must be a list of tables")
-        return [_Table(t, f"{self._name(key)}[{i}]") for i, t in enumerate(v)]
+        return [_Table(t, f"{self._name(key)}[{i}]") for i, t in enumerate(value)]
 
 
 def parse(data: Any, options: Options | None = None) -> Settings:
@@ -142,57 +147,60 @@
     if not isinstance(zones, list) or not zones or not all(isinstance(z, str) for z in zones):
         raise SettingsError("deployment.zones: must be a list of names")
     peers = tuple(
-        Peer(t.text("host_name"), t.text("site"), *t.addr("addr")) for t in top.tables("siblings")
+        PeerAddress(table.text("host_name"), table.text("site"), *table.address("addr"))
+        for table in top.tables("siblings")
     )
     teams = tuple(
         sorted(
             (
                 Team(
-                    t.text("name"),
-                    t.number("cpus"),
-                    t.number("cpus_max"),
-                    t.number("gpus"),
-                    t.number("gpus_max"),
+                    table.text("name"),
+                    table.number("cpus"),
+                    table.number("cpus_max"),
+                    table.number("gpus"),
+                    table.number("gpus_max"),
                 )
-                for t in dep.tables("teams")
+                for table in dep.tables("teams")
             ),
-            key=lambda t: t.name,
+            key=lambda team: team.name,
         )
     )
-    if len({t.name for t in teams}) != len(teams):
+    if len({team.name for team in teams}) != len(teams):
         raise SettingsError("deployment.teams: a name appears twice")
-    s = Settings(
+    settings = Settings(
         name=top.text("host_name"),
         zone=top.text("site"),
-        bind=top.addr("bind"),
-        peer_listen=top.addr("peer_listen"),
+        bind=top.address("bind"),
+        peer_listen=top.address("peer_listen"),
         peers=peers,
-        cloud=ext.addr("cloud"),
-        state=ext.addr("state"),
+        cloud=ext.address("cloud"),
+        store=ext.address("state"),
         zones=tuple(sorted(set(zones))),
         teams=teams,
-        objectives=tuple(t.data for t in dep.tables("objectives")),
-        report_s=workers.number("report_s", over=True),
+        objectives=tuple(table.data for table in dep.tables("objectives")),
+        heartbeat_interval_s=workers.number("report_s", over=True),
         lease_s=workers.number("lease_s", over=True),
         gang_wait_s=workers.number("gang_wait_s"),
         gang_peer_s=workers.number("gang_peer_s"),
         cancel_s=workers.number("cancel_s", over=True),
-        skew_s=dep.number("skew_ms") / 1000 if "skew_ms" in dep.data else SKEW_S,
-        state_rps=state.number("rps", over=True),
-        state_write_rps=state.number("write_rps", over=True),
-        value_bytes=int(state.number("value_kb", over=True) * 1024),
-        txn_ops=int(state.number("txn_ops", 4)),
+        clock_skew_s=dep.number("skew_ms") / 1000
+        if "skew_ms" in dep.data
+        else DEFAULT_CLOCK_SKEW_S,
+        store_rps=state.number("rps", over=True),
+        store_write_rps=state.number("write_rps", over=True),
+        max_value_bytes=int(state.number("value_kb", over=True) * 1024),
+        max_transaction_ops=int(state.number("txn_ops", 4)),
         cloud_rps=cloud.number("rps", over=True),
         list_lag_s=cloud.number("list_lag_s"),
         core_share=limits.number("core_share", over=True),
-        mem_mb=limits.number("mem_mb", over=True),
+        memory_mb=limits.number("mem_mb", over=True),
         max_sockets=int(limits.number("max_sockets", 16)),
         options=options or Options(),
     )
-    names = [n for n, _ in s.nodes]
+    names = [name for name, _ in settings.controllers]
     if len(set(names)) != len(names):
         raise SettingsError("siblings: a host_name appears twice")
-    return s
+    return settings
 
 
 def load(path: str | Path, options: str | Path | None = None) -> Settings:
@@ -200,8 +208,8 @@
     try:
         with open(path, "rb") as f:
             data = tomllib.load(f)
-    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        raise SettingsError(f"{path}: {e}") from e
+    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise SettingsError(f"{path}: {error}") from error
     return parse(data, load_options(options) if options else None)
 
 
@@ -214,8 +222,8 @@
     try:
         data = orjson.loads(Path(path).read_bytes())
         fastjsonschema.compile(schema)(data)
-    except (OSError, orjson.JSONDecodeError) as e:
-        raise SettingsError(f"{path}: {e}") from e
-    except fastjsonschema.JsonSchemaException as e:
-        raise SettingsError(f"{path}: {e}") from e
+    except (OSError, orjson.JSONDecodeError) as error:
+        raise SettingsError(f"{path}: {error}") from error
+    except fastjsonschema.JsonSchemaException as error:
+        raise SettingsError(f"{path}: {error}") from error
     return Options(**data)
--- a/ploverhall/storage/image_index.py
+++ b/ploverhall/storage/image_index.py
@@ -12,40 +12,42 @@
 import orjson
 
 ENTRY_BYTES = 100  # what a change of one key takes besides its value
-Images = dict[str, dict[str, float]]  # machine -> image -> GB, least recent first
+ImagesByMachine = dict[str, dict[str, float]]  # machine -> image -> GB, least recent first
 
 
-def prefix(part: int) -> str:
+def image_prefix(shard: int) -> str:
     """Where a part's images are kept, in values that each stand alone."""
-    return f"i/{part}/"
+    return f"i/{shard}/"
 
 
-def pack(images: Images, limit: int) -> list[Any]:
+def pack(images: ImagesByMachine, max_bytes: int) -> list[Any]:
     """Values of at most `limit` bytes: names of images once a value, machines by places in that list."""
-    out: list[Any] = []
+    values: list[Any] = []
     names: dict[str, int] = {}
     value: list[Any] = [[], {}]
     size = 8
-    for machine, held in sorted(images.items()):
-        if not held:
+    for machine, machine_images in sorted(images.items()):
+        if not machine_images:
             continue
-        entry = len(orjson.dumps(machine)) + 4 + 4 * len(held)
-        table = sum(len(orjson.dumps([i, gb])) + 1 for i, gb in held.items() if i not in names)
-        if value[1] and size + entry + table > limit:
-            out.append(value)
+        entry = len(orjson.dumps(machine)) + 4 + 4 * len(machine_images)
+        table = sum(
+            len(orjson.dumps([i, gb])) + 1 for i, gb in machine_images.items() if i not in names
+        )
+        if value[1] and size + entry + table > max_bytes:
+            values.append(value)
             names, value, size = {}, [[], {}], 8
-            table = sum(len(orjson.dumps([i, gb])) + 1 for i, gb in held.items())
-        if size + entry + table > limit:
+            table = sum(len(orjson.dumps([i, gb])) + 1 for i, gb in machine_images.items())
+        if size + entry + table > max_bytes:
             continue
-        for image, gb in held.items():
+        for image, gb in machine_images.items():
             if image not in names:
                 names[image] = len(names)
                 value[0].append([image, gb])
-        value[1][machine] = [names[i] for i in held]
+        value[1][machine] = [names[i] for i in machine_images]
         size += entry + table
     if value[1]:
-        out.append(value)
-    return out
+        values.append(value)
+    return values
 
 
 def batches(values: dict[str, Any], most_ops: int, most_bytes: int) -> list[dict[str, Any]]:
@@ -62,10 +64,10 @@
     return out
 
 
-def unpack(values: list[Any]) -> Images:
+def unpack(values: list[Any]) -> ImagesByMachine:
     """The inverse of pack."""
-    out: Images = {}
+    images: ImagesByMachine = {}
     for table, machines in values:
         for machine, places in machines.items():
-            out[machine] = {table[i][0]: float(table[i][1]) for i in places}
-    return out
+            images[machine] = {table[i][0]: float(table[i][1]) for i in places}
+    return images
--- a/ploverhall/transport/http.py
+++ b/ploverhall/transport/http.py
@@ -13,8 +13,13 @@
 import orjson
 
 from ploverhall.transport.connection_limit import Connection, ConnectionLimiter
-from ploverhall.transport.http_parser import Bad, Request, RequestReader, ResponseReader
-from ploverhall.transport.network import TCP, Net
+from ploverhall.transport.http_parser import (
+    InvalidHttpError,
+    Request,
+    RequestReader,
+    ResponseReader,
+)
+from ploverhall.transport.network import TCP_NETWORK, Network
 
 READ = 65536
 SWEEP_S = 0.1  # how often connections are looked at whose time is over
@@ -76,7 +81,7 @@
         cap: int,
         idle_s: float = 120.0,
         slow_s: float = 10.0,
-        net: Net = TCP,
+        net: Network = TCP_NETWORK,
         clock: Callable[[], float] = time.monotonic,
         limiter: ConnectionLimiter | None = None,
     ) -> None:
@@ -92,8 +97,8 @@
 
     async def run(self, host: str, port: int) -> None:
         """Listen and serve until cancelled."""
-        async with anyio.create_task_group() as tg:
-            tg.start_soon(self._sweep)
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(self._sweep)
             await self.net.serve(host, port, self._serve)
 
     async def _sweep(self) -> None:
@@ -144,20 +149,20 @@
     async def _talk(self, stream: anyio.abc.ByteStream, c: Connection) -> None:
         reader = RequestReader()
         while True:
-            bad: Bad | None = None
-            begun = reader.begun
+            bad: InvalidHttpError | None = None
+            begun = reader.message_begun
             data = await stream.receive(READ)
             try:
                 reader.feed(data)
-            except Bad as e:
-                bad = e
+            except InvalidHttpError as error:
+                bad = error
             while reader.ready:
-                q = reader.ready.popleft()
+                request = reader.ready.popleft()
                 c.due = float("inf")  # the handler keeps its own time
-                reply = await self._answer(q, c)
-                reply.close = reply.close or q.close
+                reply = await self._answer(request, c)
+                reply.close = reply.close or request.close
                 c.due = self.clock() + self.slow_s
-                await stream.send(encode(reply, q.method == "HEAD"))
+                await stream.send(encode(reply, request.method == "HEAD"))
                 if reply.sent is not None:
                     reply.sent()
                 if reply.close:
@@ -170,7 +175,7 @@
                 c.due = self.clock() + self.slow_s
                 await stream.send(encode(Reply(bad.status, {"error": str(bad)}, None, True)))
                 return
-            if reader.begun and not begun:
+            if reader.message_begun and not begun:
                 c.due = (
                     self.clock() + self.slow_s
                 )  # a slow client gets this long for the rest of it
@@ -197,7 +202,7 @@
         host: str,
         port: int,
         keep: int = 8,
-        net: Net = TCP,
+        net: Network = TCP_NETWORK,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.net, self.clock = net, clock
@@ -218,21 +223,21 @@
                     stream, reader = await self._take()
                     try:
                         status, raw = await self._exchange(stream, reader, method, target, data)
-                    except BaseException as e:
+                    except BaseException as error:
                         with anyio.CancelScope(shield=True):
                             await anyio.aclose_forcefully(stream)
                         # an idle connection may have been closed meanwhile; only reads are asked again
-                        if method == "GET" and not fresh and isinstance(e, _BROKEN):
+                        if method == "GET" and not fresh and isinstance(error, _BROKEN):
                             continue
                         raise
                     await self._give(stream, reader)
                     break
-        except (TimeoutError, Bad, *_BROKEN) as e:
-            raise Unreachable(f"{method} {target}: {e!r}") from e
+        except (TimeoutError, InvalidHttpError, *_BROKEN) as error:
+            raise Unreachable(f"{method} {target}: {error!r}") from error
         try:
             return status, (orjson.loads(raw) if raw else None)
-        except orjson.JSONDecodeError as e:
-            raise Unreachable(f"{method} {target}: not JSON") from e
+        except orjson.JSONDecodeError as error:
+            raise Unreachable(f"{method} {target}: not JSON") from error
 
     async def aclose(self) -> None:
         """Close the kept connections. The client can still be used: it connects again."""
@@ -263,7 +268,7 @@
         data: bytes,
     ) -> tuple[int, bytes]:
         if not target.isascii() or not target.isprintable() or " " in target:
-            raise Bad(400, "not a target")  # part of it may come from a user
+            raise InvalidHttpError(400, "not a target")  # part of it may come from a user
         head = f"{method} {target} HTTP/1.1\r\nhost: {self.host}\r\ncontent-length: {len(data)}\r\n\r\n"
         await stream.send(head.encode("ascii") + data)
         while not reader.done:
--- a/ploverhall/transport/http_parser.py
+++ b/ploverhall/transport/http_parser.py
@@ -16,14 +16,14 @@
 
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
-MAX_WAITING = 16  # requests read ahead of their answers; the protocol has none
+MAX_PIPELINED_REQUESTS = 16  # requests read ahead of their answers; the protocol has none
 
 
-class Bad(Exception):
+class InvalidHttpError(Exception):
     """The bytes are no acceptable HTTP. `status` is what a client is told."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -41,18 +41,18 @@
 class _Reader:
     """What both directions share: the sizes of head and body."""
 
-    most_body: int
+    max_body_bytes: int
 
     def __init__(self) -> None:
         self.body = bytearray()
         self.head = 0  # bytes of the message's head in its whole lines
-        self.fed = 0  # bytes that came while the head was not complete
+        self.bytes_fed = 0  # bytes that came while the head was not complete
         self.in_head = True
-        self.begun = False  # a message has begun and is not complete
+        self.message_begun = False  # a message has begun and is not complete
 
     def on_message_begin(self) -> None:
         self.body.clear()
-        self.head, self.fed, self.in_head, self.begun = 0, 0, True, True
+        self.head, self.bytes_fed, self.in_head, self.message_begun = 0, 0, True, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._grow(len(name) + len(value) + 4)
@@ -61,39 +61,41 @@
         self.in_head = False
 
     def on_body(self, data: bytes) -> None:
-        if len(self.body) + len(data) > self.most_body:
-            raise Bad(413, "body too large")
+        if len(self.body) + len(data) > self.max_body_bytes:
+            raise InvalidHttpError(413, "body too large")
         self.body += data
 
-    def _grow(self, n: int) -> None:
-        self.head += n
+    def _grow(self, count: int) -> None:
+        self.head += count
         if self.head > MAX_HEAD:
-            raise Bad(431, "head too large")
+            raise InvalidHttpError(431, "head too large")
 
     def _feed(
         self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes
     ) -> None:
         try:
             parser.feed_data(data)
-        except httptools.HttpParserCallbackError as e:
-            cause = e.__context__
-            raise cause if isinstance(cause, Bad) else Bad(400, "bad http") from e
+        except httptools.HttpParserCallbackError as error:
+            cause = error.__context__
+            raise (
+                cause if isinstance(cause, InvalidHttpError) else InvalidHttpError(400, "bad http")
+            ) from error
         except httptools.HttpParserUpgrade:
             pass  # not taken up: the request is answered as it stands, and the connection closed
-        except httptools.HttpParserError as e:
-            raise Bad(400, "bad http") from e
-        if self.begun and self.in_head:
-            self.fed += len(data)  # the parser does not tell of a line until it is complete
+        except httptools.HttpParserError as error:
+            raise InvalidHttpError(400, "bad http") from error
+        if self.message_begun and self.in_head:
+            self.bytes_fed += len(data)  # the parser does not tell of a line until it is complete
             if (
-                self.fed > MAX_HEAD + MAX_BODY
+                self.bytes_fed > MAX_HEAD + MAX_BODY
             ):  # (what a body before it may have brought along is allowed for)
-                raise Bad(431, "head too large")
+                raise InvalidHttpError(431, "head too large")
 
 
 class RequestReader(_Reader):
     """Requests in the order they came. Raises Bad where the stream can't be trusted any more."""
 
-    most_body = MAX_BODY
+    max_body_bytes = MAX_BODY
 
     def __init__(self) -> None:
         super().__init__()
@@ -106,8 +108,8 @@
     def feed(self, data: bytes) -> None:
         """Take in bytes; whole requests stand in `ready`."""
         self._feed(self._parser, data)
-        if len(self.ready) > MAX_WAITING:
-            raise Bad(400, "too many requests at once")
+        if len(self.ready) > MAX_PIPELINED_REQUESTS:
+            raise InvalidHttpError(400, "too many requests at once")
 
     def on_message_begin(self) -> None:
         """Called by the parser."""
@@ -124,7 +126,7 @@
         super().on_header(name, value)
         if len(name) == 4 and name.lower() == b"host":
             if self._host:
-                raise Bad(400, "two hosts")
+                raise InvalidHttpError(400, "two hosts")
             self._host = True
         elif len(name) == 6 and name.lower() == b"expect":
             self.expects = value.lower() == b"100-continue"
@@ -133,7 +135,7 @@
         """Called by the parser."""
         super().on_headers_complete()
         if not self._host and self._parser.get_http_version() == "1.1":
-            raise Bad(400, "no host")
+            raise InvalidHttpError(400, "no host")
 
     def on_message_complete(self) -> None:
         """Called by the parser."""
@@ -147,13 +149,13 @@
                 self._parser.should_upgrade() or not self._parser.should_keep_alive(),
             )
         )
-        self.begun = self.expects = False
+        self.message_begun = self.expects = False
 
 
 class ResponseReader(_Reader):
     """One response after the other, each asked for by one request."""
 
-    most_body = (
+    max_body_bytes = (
         256 * 1024 * 1024
     )  # a watch's answer has no limit of its own; this one only bounds what a broken service can do
 
@@ -175,7 +177,7 @@
 
     def eof(self) -> bool:
         """The other side has closed: whether that completes the response."""
-        return self.begun and not self.in_head and not self._sized
+        return self.message_begun and not self.in_head and not self._sized
 
     def next(self) -> None:
         """Another request goes out on this connection."""
@@ -194,6 +196,6 @@
 
     def on_message_complete(self) -> None:
         """Called by the parser."""
-        self.begun = False
+        self.message_begun = False
         if self._parser.get_status_code() >= 200:
             self.done, self.keep = True, self._parser.should_keep_alive()
--- a/ploverhall/transport/network.py
+++ b/ploverhall/transport/network.py
@@ -16,7 +16,7 @@
 Handler = Callable[[Any], Awaitable[None]]
 
 
-class Net(Protocol):
+class Network(Protocol):
     """Connections to addresses, and listeners on them."""
 
     async def connect(self, host: str, port: int) -> ByteStream:
@@ -28,7 +28,7 @@
         ...
 
 
-class Tcp:
+class TcpNetwork:
     """The machine's own TCP."""
 
     async def connect(self, host: str, port: int) -> ByteStream:
@@ -43,4 +43,4 @@
         await listener.serve(handler)
 
 
-TCP = Tcp()
+TCP_NETWORK = TcpNetwork()
--- a/ploverhall/transport/peer_stream.py
+++ b/ploverhall/transport/peer_stream.py
@@ -16,15 +16,15 @@
 import anyio.abc
 import cbor2
 
-from ploverhall.transport.network import TCP, Net
-
-VERSION = 1
-MAX_FRAME = 16 * 1024 * 1024
-SPARSE = "some"  # in a greeting: not every frame has to be answered
-ANSWER_S = 0.4  # least time between two answers
-SILENT_S = 3.0  # no answer for so long: the connection is broken
-TOGETHER_S = 0.01
-_BROKEN = (
+from ploverhall.transport.network import TCP_NETWORK, Network
+
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 16 * 1024 * 1024
+FEATURE_SPARSE_ACKS = "some"  # in a greeting: not every frame has to be answered
+ACK_INTERVAL_S = 0.4  # least time between two answers
+PEER_TIMEOUT_S = 3.0  # no answer for so long: the connection is broken
+BATCH_DELAY_S = 0.01
+_CONNECTION_ERRORS = (
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -34,28 +34,28 @@
 )
 
 
-class Link:
+class PeerLink:
     """The sending side towards one peer. `generation` rises with every new connection."""
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         name: str,
         host: str,
         port: int,
         collect: Callable[[str, int], list[Any]],
-        net: Net = TCP,
+        network: Network = TCP_NETWORK,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.net, self.clock = net, clock
-        self.me, self.name, self.host, self.port = me, name, host, port
+        self.network, self.clock = network, clock
+        self.own_name, self.name, self.host, self.port = own_name, name, host, port
         self.collect = collect
         self.generation = 0
-        self.up = False
+        self.connected = False
         self.wake = anyio.Event()
-        self.heard = 0.0  # when the other side last answered
+        self.last_ack_at = 0.0  # when the other side last answered
 
-    def poke(self) -> None:
+    def notify(self) -> None:
         """There is something to send."""
         self.wake.set()
 
@@ -64,98 +64,101 @@
         while True:
             try:
                 with anyio.fail_after(2.0):
-                    stream = await self.net.connect(self.host, self.port)
-                async with stream, anyio.create_task_group() as tg:
+                    stream = await self.network.connect(self.host, self.port)
+                async with stream, anyio.create_task_group() as task_group:
                     self.generation += 1
-                    self.heard = self.clock()
-                    await self._send(stream, {"v": VERSION, "from": self.me, "acks": SPARSE})
-                    tg.start_soon(self._answers, stream)
-                    self.up = True
-                    await self._pump(stream)
-            except* _BROKEN:
+                    self.last_ack_at = self.clock()
+                    await self._send(
+                        stream,
+                        {"v": PROTOCOL_VERSION, "from": self.own_name, "acks": FEATURE_SPARSE_ACKS},
+                    )
+                    task_group.start_soon(self._receive_acks, stream)
+                    self.connected = True
+                    await self._send_batches(stream)
+            except* _CONNECTION_ERRORS:
                 pass
             finally:
-                self.up = False
+                self.connected = False
             await anyio.sleep(0.3)
 
-    async def _answers(self, stream: anyio.abc.ByteStream) -> None:
+    async def _receive_acks(self, stream: anyio.abc.ByteStream) -> None:
         while True:
             await stream.receive()
-            self.heard = self.clock()
+            self.last_ack_at = self.clock()
 
-    async def _pump(self, stream: anyio.abc.ByteStream) -> None:
-        beat = 0.0
+    async def _send_batches(self, stream: anyio.abc.ByteStream) -> None:
+        last_sent_at = 0.0
         while True:
             self.wake = anyio.Event()
             batch = self.collect(self.name, self.generation)
             now = self.clock()
-            if now - self.heard > SILENT_S:
+            if now - self.last_ack_at > PEER_TIMEOUT_S:
                 raise TimeoutError  # a cut without a word: frames go out every second, and the other side answers
-            if batch or now - beat > 1.0:
-                beat = now
+            if batch or now - last_sent_at > 1.0:
+                last_sent_at = now
                 await self._send(stream, batch)
             with anyio.move_on_after(0.5):
                 await self.wake.wait()
-                await anyio.sleep(TOGETHER_S)  # what is decided together travels together
+                await anyio.sleep(BATCH_DELAY_S)  # what is decided together travels together
 
     async def _send(self, stream: anyio.abc.ByteStream, value: Any) -> None:
         data = cbor2.dumps(value)
-        with anyio.fail_after(SILENT_S):
+        with anyio.fail_after(PEER_TIMEOUT_S):
             await stream.send(struct.pack(">I", len(data)) + data)
 
 
-class Listener:
+class PeerListener:
     """The receiving side: checks the greeting, hands every batch on, answers with a byte now and then."""
 
     def __init__(
         self,
         deliver: Callable[[str, list[Any]], None],
-        net: Net = TCP,
+        network: Network = TCP_NETWORK,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.deliver = deliver
-        self.net, self.clock = net, clock
+        self.network, self.clock = network, clock
 
     async def run(self, host: str, port: int) -> None:
         """Listen until cancelled."""
-        await self.net.serve(host, port, self._serve)
+        await self.network.serve(host, port, self._serve)
 
     async def _serve(self, stream: anyio.abc.ByteStream) -> None:
         try:
             async with stream:
-                buf = bytearray()
-                hello = await self._frame(stream, buf)
+                buffer = bytearray()
+                greeting = await self._read_frame(stream, buffer)
                 if (
-                    not isinstance(hello, dict)
-                    or hello.get("v") != VERSION
-                    or not isinstance(hello.get("from"), str)
+                    not isinstance(greeting, dict)
+                    or greeting.get("v") != PROTOCOL_VERSION
+                    or not isinstance(greeting.get("from"), str)
                 ):
                     return
                 await stream.send(b".")
-                sparse, answered = hello.get("acks") == SPARSE, 0.0
+                sparse_acks, last_ack_at = greeting.get("acks") == FEATURE_SPARSE_ACKS, 0.0
                 while True:
-                    batch = await self._frame(stream, buf)
+                    batch = await self._read_frame(stream, buffer)
                     if isinstance(batch, list) and batch:
-                        self.deliver(hello["from"], batch)
+                        self.deliver(greeting["from"], batch)
                     now = self.clock()
-                    if not sparse or now - answered > ANSWER_S:
+                    if not sparse_acks or now - last_ack_at > ACK_INTERVAL_S:
                         # an answer for every frame doubled the packets and the turns of both processes; a release that
                         # waits for each (it sends no "acks") still gets them
-                        answered = now
+                        last_ack_at = now
                         await stream.send(b".")
-        except (cbor2.CBORDecodeError, ValueError, *_BROKEN):
+        except (cbor2.CBORDecodeError, ValueError, *_CONNECTION_ERRORS):
             pass
 
-    async def _frame(self, stream: anyio.abc.ByteStream, buf: bytearray) -> Any:
+    async def _read_frame(self, stream: anyio.abc.ByteStream, buffer: bytearray) -> Any:
         size = -1
         while True:
-            if size < 0 and len(buf) >= 4:
-                (size,) = struct.unpack(">I", buf[:4])
-                if size > MAX_FRAME:
+            if size < 0 and len(buffer) >= 4:
+                (size,) = struct.unpack(">I", buffer[:4])
+                if size > MAX_FRAME_BYTES:
                     raise ValueError("frame too large")
-            if size >= 0 and len(buf) >= 4 + size:
-                value = cbor2.loads(bytes(buf[4 : 4 + size]))
-                del buf[: 4 + size]
+            if size >= 0 and len(buffer) >= 4 + size:
+                value = cbor2.loads(bytes(buffer[4 : 4 + size]))
+                del buffer[: 4 + size]
                 return value
             with anyio.fail_after(10.0):
-                buf += await stream.receive(65536)
+                buffer += await stream.receive(65536)
--- a/scripts/back.py
+++ b/scripts/back.py
@@ -80,7 +80,7 @@
         while True:
             self.jobs += 1
             spec = test_loopback.spec(f"j-{self.jobs:06d}", "array", 1, flightS=0.05, pullGb=0.01)
-            self.fleet.specs[spec["id"]] = jobs.parse(spec, 0.0)
+            self.fleet.specs[spec["id"]] = jobs.parse_submission(spec, 0.0)
             try:
                 await client.call("POST", "/api/jobs", spec, 1.0)
             except Unreachable:
@@ -126,7 +126,7 @@
         out: list[tuple[float, list[tuple[float, ...]]]] = []
         async with anyio.create_task_group() as tg:
             self.fleet.tasks = tg
-            tg.start_soon(Server(self.state.handle, 100).run, *self.settings.state)
+            tg.start_soon(Server(self.state.handle, 100).run, *self.settings.store)
             tg.start_soon(Server(self.fleet.handle, 100).run, *self.settings.cloud)
             self.start()
             try:
--- a/scripts/cost.py
+++ b/scripts/cost.py
@@ -42,7 +42,9 @@
 
     from ploverhall.transport import http
 
-    uv = find_spec("ploverhall.transport.http_parser") is not None  # the version that runs on uvloop
+    uv = (
+        find_spec("ploverhall.transport.http_parser") is not None
+    )  # the version that runs on uvloop
     body = json.dumps(body_of("n-1", 1, 1, 4)).encode()
     data = (
         b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
@@ -101,13 +103,13 @@
     """An owner with that many idle machines which have reported to it."""
     from ploverhall.protocol import agents
     from ploverhall.protocol.cloud import MachineType
-    from ploverhall.scheduling.shard_owner import TOKEN_BITS, Owner
+    from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 
-    o = Owner(0, 3, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
-    o.types = {"t": MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a",))}
+    o = ShardOwner(0, 3, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
+    o.machine_types = {"t": MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a",))}
     for i in range(size):
-        o.on_report(agents.parse(body_of(f"n-{i}", 1, 3 << TOKEN_BITS, 0)), 0.0)
-    o.place(0.0)
+        o.on_heartbeat(agents.heartbeat_from_json(body_of(f"n-{i}", 1, 3 << TOKEN_BITS, 0)), 0.0)
+    o.place_candidates(0.0)
     return o
 
 
@@ -124,11 +126,20 @@
         for t in range(4):
             key = (f"j-{i * 4 + t:06d}", t, 1)
             p = o.permits[key] = m.permits[key] = Permit(
-                key, 0, m.name, 3, 1, (4.0, 1.0, 8.0), "i", 1.0, run_token=m.token, run_session=1
+                key,
+                0,
+                m.name,
+                3,
+                1,
+                (4.0, 1.0, 8.0),
+                "i",
+                1.0,
+                run_token=m.token,
+                run_incarnation=1,
             )
             o.by_job.setdefault(key[0], {})[key] = p
     asked, token = min(size, 1000), 3 << TOKEN_BITS
-    decode = getattr(agents, "decode", None)
+    decode = getattr(agents, "decode_heartbeat", None)
     spent = 0.0
     for seq in range(2, 7):
         bodies = [
@@ -136,8 +147,10 @@
         ]
         begun = time.process_time()
         for b in bodies:
-            m = o.on_report(decode(b) if decode else agents.parse(orjson.loads(b)), float(seq))
-            orjson.dumps(agents.answer(m.token, o.commands(m, float(seq))))
+            m = o.on_report(
+                decode(b) if decode else agents.heartbeat_from_json(orjson.loads(b)), float(seq)
+            )
+            orjson.dumps(agents.heartbeat_answer(m.token, o.commands(m, float(seq))))
         if seq > 2:  # the first one brings the tasks
             spent += time.process_time() - begun
         o.place(float(seq))
@@ -148,13 +161,13 @@
     """Workers that do at once what they are told, for one source and one owner; no I/O, no time but what is passed in."""
 
     def __init__(self, size: int) -> None:
-        from ploverhall.scheduling.permitting import Source
+        from ploverhall.scheduling.permitting import JobSource
         from ploverhall.settings import Team
 
         self.now, self.spent, self.permits, self.jobs = 0.0, 0.0, 0, 0
         self.o = an_owner(size)
         teams = [Team(f"t{i}", 0.0, 0.0, float(size), 4.0 * size) for i in range(8)]
-        self.s = Source(0, 3, teams, ("a",), 4096, 48)
+        self.s = JobSource(0, 3, teams, ("a",), 4096, 48)
         self.tasks: dict[str, dict[Any, list[Any]]] = {
             m: {} for m in self.o.machines
         }  # machine -> task -> state, cause, until
@@ -202,7 +215,7 @@
             {"chick": f"{k[0]}/{k[1]}", "hatch": k[2], "stance": t[0], "cause": t[1]}
             for k, t in self.tasks[name].items()
         ]
-        return agents.parse(
+        return agents.heartbeat_from_json(
             {**body_of(name, self.seq[name], self.o.machines[name].token, 0), "chicks": chicks}
         )
 
@@ -239,11 +252,14 @@
         for _ in range(3):
             begun = time.process_time()
             self.s.decide(self.now)
-            while (txn := self.s.plan()) is not None:
-                self.permits += len(txn.adds)
-                self.s.landed(txn, 1000 + int(self.now * 10), self.now)
+            while (txn := self.s.next_write()) is not None:
+                self.permits += len(txn.added)
+                self.s.on_committed(txn, 1000 + int(self.now * 10), self.now)
             self.o.on_source(
-                0, False, {k: v for (_, k), v in self.s.take_news(1, self.now).items()}, self.now
+                0,
+                False,
+                {k: v for (_, k), v in self.s.take_owner_updates(1, self.now).items()},
+                self.now,
             )
             self.o.tick(self.now)
             self.o.place(self.now)
@@ -256,7 +272,7 @@
                 self.o.direct_done(m, r, self.now)
                 self.spent += time.process_time() - begun
             begun = time.process_time()
-            self.s.on_owner(
+            self.s.on_owner_update(
                 0, 3, False, {k: v for (_, k), v in self.o.take_news().items()}, self.now
             )
             self.spent += time.process_time() - begun
@@ -312,15 +328,15 @@
     import anyio.to_thread
 
     from ploverhall import settings
-    from ploverhall.controller.controller import Node
-    from ploverhall.runtime import Seams
+    from ploverhall.controller.controller import Controller
+    from ploverhall.runtime import Runtime
 
     with socket.socket() as a, socket.socket() as b, socket.socket() as c, socket.socket() as d:
         held = (a, b, c, d)
         for s in held:
             s.bind(("127.0.0.1", 0))
         ports = [s.getsockname()[1] for s in held]
-    node = Node(
+    node = Controller(
         settings.parse(
             {
                 "host_name": "c0",
@@ -345,7 +361,7 @@
                 },
             }
         ),
-        Seams(),
+        Runtime(),
     )
     out = 0.0
 
@@ -377,14 +393,14 @@
     """State service, cloud and one user, for `users_cost`; a line on standard output where a stretch begins or ends."""
     import anyio
 
-    from ploverhall.storage.store_cache import JOB, end_record
+    from ploverhall.storage.store_cache import JOB_PREFIX, end_record
     from ploverhall.transport.http import Client, Reply, Server, Unreachable
     from ploverhall.transport.http_parser import Request
     from tests.standins import Fleet, State
 
     state = State()
     state.store.kv = {
-        f"{JOB}j-{i:06d}": (end_record("withdrawn", 0), 1) for i in range(1, size + 1)
+        f"{JOB_PREFIX}j-{i:06d}": (end_record("withdrawn", 0), 1) for i in range(1, size + 1)
     }
 
     async def handle(q: Request) -> Reply:
--- a/scripts/mixed.py
+++ b/scripts/mixed.py
@@ -215,16 +215,16 @@
         if final is not None and told != final:
             self.wrong.append(f"went back: {job} was {final}, is {told} by {name}")
         submitted.accepted = True
-        if told in (jobs.DONE, jobs.WITHDRAWN):
+        if told in (jobs.DONE, jobs.CANCELLED):
             submitted.final = told
-        if told == jobs.WITHDRAWN:
+        if told == jobs.CANCELLED:
             self.cancelled.setdefault(job, self.now)
         return status
 
     async def submit(self, job: str, kind: str, run_s: float) -> None:
         """Submit a job of two tasks until accepted, at any controller; some are cancelled soon after."""
         body = test_loopback.spec(job, kind, 2, flightS=run_s)
-        self.fleet.specs[job] = jobs.parse(body, 0.0)
+        self.fleet.specs[job] = jobs.parse_submission(body, 0.0)
         self.submitted[job] = Submitted()
         while await self.ask_about(job, self.rng.choice(NAMES), "POST", "/api/jobs", body) not in (
             200,
@@ -367,7 +367,7 @@
         async with anyio.create_task_group() as tasks:
             self.fleet.tasks = tasks
             any_settings = self.controllers.settings["c0"]
-            tasks.start_soon(Server(self.state.handle, 100).run, *any_settings.state)
+            tasks.start_soon(Server(self.state.handle, 100).run, *any_settings.store)
             tasks.start_soon(Server(self.fleet.handle, 100).run, *any_settings.cloud)
             try:
                 with anyio.move_on_after(WHOLE_RUN_S) as whole:
@@ -426,7 +426,7 @@
         print(f"wrong: {line}")
     told = [submitted.final for submitted in cluster.submitted.values()]
     print(
-        f"{len(told)} jobs: {told.count(jobs.DONE)} done, {told.count(jobs.WITHDRAWN)} cancelled; {cluster.fleet.starts} tasks started, "
+        f"{len(told)} jobs: {told.count(jobs.DONE)} done, {told.count(jobs.CANCELLED)} cancelled; {cluster.fleet.starts} tasks started, "
         f"{cluster.fleet.killed_by_lease} killed by a lease; {cluster.restarts} restarts; {len(wrong)} wrong"
     )
     return 1 if wrong else 0
