--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -24,24 +24,28 @@
 import ploverhall
 from ploverhall import settings
 from ploverhall.cli import main
-from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.coordination import fencing_tokens
-from ploverhall.coordination.shard_map import Layout
-from ploverhall.coordination.state_channel import Inbox, Outbox
+from ploverhall.coordination.shard_map import ShardMap
+from ploverhall.coordination.state_channel import InboundChannels, OutboundChannels
 from ploverhall.maintenance import orders
-from ploverhall.maintenance.disruption_budget import Rules
+from ploverhall.maintenance.disruption_budget import DisruptionBudgets
 from ploverhall.protocol import agents, cloud, jobs, peer_messages, relay_messages
-from ploverhall.protocol.key_value_store import Refused, Store, Unknown
+from ploverhall.protocol.key_value_store import (
+    RequestRefusedError,
+    KeyValueStore,
+    OutcomeUnknownError,
+)
 from ploverhall.storage import image_index, store_cache
 
 from . import inputs
 
 REFUSALS = (
-    relay_messages.Malformed,
-    peer_messages.Malformed,
-    agents.Malformed,
-    orders.Malformed,
-    jobs.Malformed,
+    relay_messages.InvalidRelayMessageError,
+    peer_messages.InvalidPeerMessageError,
+    agents.InvalidHeartbeatError,
+    orders.InvalidOrderError,
+    jobs.InvalidJobError,
     settings.SettingsError,
 )
 
@@ -61,18 +65,18 @@
     """Reports as they are understood: the whole record, with its tasks."""
 
     def decode(body: bytes) -> Any:
-        report = agents.decode(body)
+        report = agents.decode_heartbeat(body)
         listed = [[list(key), list(astuple(task))] for key, task in report.tasks().items()]
         return [
             report.machine,
-            report.addr,
+            report.address,
             report.type,
             report.zone,
             report.spot,
-            report.session,
-            report.seq,
+            report.incarnation,
+            report.sequence,
             report.token,
-            report.notice_s,
+            report.termination_notice_s,
             listed,
         ]
 
@@ -105,12 +109,12 @@
 def commands() -> list[Any]:
     """Commands to machines."""
     key = ("j-000412", 3, 2)
-    calls = [agents.run(key), agents.kill(key, 1.5), agents.reap(key)]
+    calls = [agents.run_command(key), agents.kill_command(key, 1.5), agents.reap_command(key)]
     return [
-        agents.answer(5, calls),
-        agents.direct(5, 1, calls),
-        agents.homing("c1"),
-        agents.homing(None),
+        agents.heartbeat_answer(5, calls),
+        agents.direct_request(5, 1, calls),
+        agents.redirect("c1"),
+        agents.redirect(None),
     ]
 
 
@@ -135,11 +139,11 @@
             "hasNext": True,
         },
     ]
-    listed = [cloud.listed(page) for page in pages]
+    listed = [cloud.decode_machine_page(page) for page in pages]
     return [
-        [cloud.types({"breeds": [one]})["t"].record() for one in (least, whole)],
+        [cloud.decode_machine_types({"breeds": [one]})["t"].record() for one in (least, whole)],
         [[[list(astuple(m)) for m in machines], more] for machines, more in listed],
-        cloud.rent("r-1", "t", "a", True, 3),
+        cloud.rental_request("r-1", "t", "a", True, 3),
     ]
 
 
@@ -170,13 +174,13 @@
         ),
         "odd": (200, []),
     }
-    calls: dict[str, Callable[[Store], Any]] = {
+    calls: dict[str, Callable[[KeyValueStore], Any]] = {
         "get": lambda s: s.get("a b/ü"),
-        "read": lambda s: s.read("c/"),
+        "read": lambda s: s.list_prefix("c/"),
         "watch": lambda s: s.watch("p/", 5, 1000),
-        "txn": lambda s: s.txn({"a": 1}, {"b": 2, "c": 3}, ["d"], 7, frozenset("c")),
-        "grant": lambda s: s.grant(4.0),
-        "renew": lambda s: s.renew(7),
+        "txn": lambda s: s.compare_and_swap({"a": 1}, {"b": 2, "c": 3}, ["d"], 7, frozenset("c")),
+        "grant": lambda s: s.grant_lease(4.0),
+        "renew": lambda s: s.renew_lease(7),
     }
     return {
         name: {a: _asked(call, answer) for a, answer in answers.items()}
@@ -184,7 +188,7 @@
     }
 
 
-def _asked(call: Callable[[Store], Any], answer: tuple[int, Any]) -> Any:
+def _asked(call: Callable[[KeyValueStore], Any], answer: tuple[int, Any]) -> Any:
     sent: list[Any] = []
 
     class Service:
@@ -201,10 +205,10 @@
 
     async def ask() -> Any:
         try:
-            return await call(Store(Service(), 1000.0, 1000.0))
-        except Refused:
+            return await call(KeyValueStore(Service(), 1000.0, 1000.0))
+        except RequestRefusedError:
             return "surely not executed"
-        except Unknown:
+        except OutcomeUnknownError:
             return "outcome unknown"
 
     return {"sent": sent, "read": plain(anyio.run(ask))}
@@ -246,12 +250,17 @@
         {**whole, "echo": [1, 2]},
     ]
     return [
-        {"value": v, "read": outcome(lambda v: peer_messages.pack_word(peer_messages.word(v)), v)}
+        {
+            "value": v,
+            "read": outcome(
+                lambda v: peer_messages.encode_gossip(peer_messages.decode_gossip(v)), v
+            ),
+        }
         for v in (whole, *odd)
     ]
 
 
-def relay_messages() -> list[Any]:
+def relay_cases() -> list[Any]:
     """Relayed requests and answers, byte for byte and read back."""
     ask = {
         "life": "x",
@@ -268,14 +277,16 @@
     told = {"life": "x", "number": 3, "status": 200, "refused": False, "body": b"[1]"}
     out: list[Any] = []
     for kind, read, good in (
-        (relay_messages.QUESTION, relay_messages.question, ask),
-        (relay_messages.ANSWER, relay_messages.answer, told),
+        (relay_messages.REQUEST, relay_messages.decode_request, ask),
+        (relay_messages.RESPONSE, relay_messages.decode_response, told),
     ):
         wrong = [{k: v for k, v in good.items() if k != key} for key in good]
         for value in (good, {**good, "new": 1}, *wrong, []):
             out.append(
                 outcome(
-                    lambda v, read=read, kind=kind: cbor2.dumps(relay_messages.pack(kind, 1, read(v))).hex(),
+                    lambda v, read=read, kind=kind: cbor2.dumps(
+                        relay_messages.encode(kind, 1, read(v))
+                    ).hex(),
                     value,
                 )
             )
@@ -288,7 +299,11 @@
         ("nothing", ""),
     )
     out += [
-        [what, target, plain(outcome(relay_messages.question, {**ask, "what": what, "target": target}))]
+        [
+            what,
+            target,
+            plain(outcome(relay_messages.decode_request, {**ask, "what": what, "target": target})),
+        ]
         for what, target in targets
     ]
     return out
@@ -298,28 +313,28 @@
     """Keys and values of state channels; the older values lack their last places."""
     key = ("j-000412", 3, 2)
     values: list[Any] = [
-        peer_messages.JobNews(None, [1.0], 1),
-        peer_messages.JobNews([1], [1.0], 1, 1),
-        peer_messages.Candidate(1, [0.5], {"a": 1}, ["n-1"]),
-        peer_messages.PermitNews("n-1", 2, 3, None),
-        peer_messages.OfferNews("j-1", "n-1", "a", 0.5, 2),
-        peer_messages.StartNews("gone", "why", 1, 2),
-        peer_messages.StartNews("gone", "why", 1, 2, 3),
-        peer_messages.MachineNews("t", "a", 0, [1.0], 1, 0, 0, 0, 1, [1.0]),
-        peer_messages.DemandNews([1], 2, None, [0.5]),
-        peer_messages.NodeNews(0.5, {0: 5}, {0: 1.5}),
-        peer_messages.NodeNews(0.5, {0: 5}, {}, 2.0),
+        peer_messages.JobUpdate(None, [1.0], 1),
+        peer_messages.JobUpdate([1], [1.0], 1, 1),
+        peer_messages.CandidateUpdate(1, [0.5], {"a": 1}, ["n-1"]),
+        peer_messages.PermitUpdate("n-1", 2, 3, None),
+        peer_messages.OfferUpdate("j-1", "n-1", "a", 0.5, 2),
+        peer_messages.AttemptUpdate("gone", "why", 1, 2),
+        peer_messages.AttemptUpdate("gone", "why", 1, 2, 3),
+        peer_messages.MachineUpdate("t", "a", 0, [1.0], 1, 0, 0, 0, 1, [1.0]),
+        peer_messages.DemandUpdate([1], 2, None, [0.5]),
+        peer_messages.PeerStatus(0.5, {0: 5}, {0: 1.5}),
+        peer_messages.PeerStatus(0.5, {0: 5}, {}, 2.0),
     ]
     keys = [
         peer_messages.job_key("j-1"),
         peer_messages.candidate_key("j-1"),
         peer_messages.permit_key(key),
-        peer_messages.start_key(key),
+        peer_messages.attempt_key(key),
         peer_messages.offer_key(7),
     ]
     return {
         "keys": keys,
-        "split": plain(peer_messages.split_key(peer_messages.permit_key(key))),
+        "split": plain(peer_messages.attempt_id_of_key(peer_messages.permit_key(key))),
         "values": plain(values),
         "bytes": [cbor2.dumps(v).hex() for v in values],
     }
@@ -327,21 +342,21 @@
 
 def channel_messages() -> dict[str, Any]:
     """A state channel's messages as they are sent, and which of them a receiver takes."""
-    box = Outbox()
-    board = box.board("s", 0, 1, 5)
+    box = OutboundChannels()
+    board = box.channel("s", 0, 1, 5)
     sent = []
     for changes in ({"ja": [1]}, {"jb": [2], "ja": None}, {"jd": [4]}):
         board.update(changes)
         sent += box.collect("c1", 1, lambda role: "c1")
     sent += box.collect("c1", 2, lambda role: "c1")  # a new connection: all of it
-    box.board("s", 0, 1, 6).put("jc", [3])
+    box.channel("s", 0, 1, 6).put("jc", [3])
     sent += box.collect("c1", 2, lambda role: "c1")
-    inbox = Inbox()
+    inbox = InboundChannels()
     order = (1, 0, 0, 1, 3, 2, 4, 3)
     return {
         "sent": [cbor2.dumps(m).hex() for m in sent],
-        "taken": [inbox.take(sent[i]) for i in order],
-        "state": plain(list(inbox.boards.values())),
+        "taken": [inbox.accept(sent[i]) for i in order],
+        "state": plain(list(inbox.channels.values())),
     }
 
 
@@ -362,17 +377,17 @@
         *({k: v for k, v in whole.items() if k != key} for key in whole),
         dict.fromkeys(whole, 5),
     ):
-        ways = Ways(["c1", "c2"])
-        ways.heard("c1", word, 1.0)
+        ways = RelayRoutes(["c1", "c2"])
+        ways.update("c1", word, 1.0)
         out.append(
             [
-                ways.carries("c1", "state", 1.5),
-                ways.can("c1", "do"),
-                ways.cut_off("c1", 1),
-                ways.well("c1", 1.5),
-                ways.to_service("state", "state", 1.5),
-                ways.to_member("c2", "do", 1.5),
-                plain(ways.said["c1"]),
+                ways.can_relay_now("c1", "state", 1.5),
+                ways.supports_relay("c1", "do"),
+                ways.reports_unreachable_shard("c1", 1),
+                ways.all_services_reachable("c1", 1.5),
+                ways.route_to_service("state", "state", 1.5),
+                ways.route_to_peer("c2", "do", 1.5),
+                plain(ways.peers["c1"]),
             ]
         )
     return out
@@ -380,10 +395,13 @@
 
 def shard_map() -> dict[str, Any]:
     """Which shard a team and a machine belong to: all releases that run side by side agree."""
-    layout = Layout([("c0", "a"), ("c1", "b"), ("c2", "a")], ["t3", "t1", "t2", "t0"])
+    layout = ShardMap([("c0", "a"), ("c1", "b"), ("c2", "a")], ["t3", "t1", "t2", "t0"])
     return {
         "teams": layout.team_shard,
-        "machines": {f"n-{i:06d}": [layout.part(z, f"n-{i:06d}") for z in "abx"] for i in range(8)},
+        "machines": {
+            f"n-{i:06d}": [layout.shard_of_machine(z, f"n-{i:06d}") for z in "abx"]
+            for i in range(8)
+        },
     }
 
 
@@ -396,16 +414,22 @@
     held = {"n-1": {"i": 0.5, "k": 2.0}, "n-2": {"k": 2.0}, "n-3": {}}
     packed = [image_index.pack(held, limit) for limit in (4096, 40)]
     record = inputs.STORED["p/type/t"]
-    job = jobs.parse({**inputs.SUBMISSION, "breeds": ["t", "s"], "duskS": 5, "marsh": "a"}, 1.7e9)
+    job = jobs.parse_submission(
+        {**inputs.SUBMISSION, "breeds": ["t", "s"], "duskS": 5, "marsh": "a"}, 1.7e9
+    )
     ends = [inputs.STORED[f"p/job/j-{n:06d}"] for n in (5, 6, 7, 8)]
     listed = {k: (v, 1) for k, v in inputs.STORED.items()}
     return {
         "keys": [
             f(t)
-            for f in (store_cache.cell_prefix, store_cache.progress_prefix, store_cache.grants_key)
+            for f in (
+                store_cache.allocation_prefix,
+                store_cache.progress_prefix,
+                store_cache.grants_key,
+            )
             for t in ("t", "a b", team)
         ]
-        + [image_index.prefix(3)],
+        + [image_index.image_prefix(3)],
         "tokens": [
             _token(epoch, holder)
             for epoch, holder in ((5, 0), (5, 30), (5, 31), (5, None), (1 << 43, 2))
@@ -413,19 +437,28 @@
         "images": plain([packed, [image_index.unpack(p) for p in packed]]),
         "types": plain([cloud.type_from_record(record), cloud.type_from_record(record).record()]),
         "jobs": plain([job.record(), jobs.from_record([*job.record(), "later"]), job]),
-        "ends": plain([[list(store_cache.ended(e, 4)) for e in ends], store_cache.end_record("done", 3)]),
-        "orders": plain([[o, o.record()] for o in orders.all_of(listed)]),
+        "ends": plain(
+            [
+                [list(store_cache.ended_from_record(e, 4)) for e in ends],
+                store_cache.end_record("done", 3),
+            ]
+        ),
+        "orders": plain([[o, o.record()] for o in orders.orders_in(listed)]),
     }
 
 
 def _token(epoch: int, holder: int | None) -> list[Any]:
-    token = fencing_tokens.first(epoch, holder)
-    changed = [fencing_tokens.raised(token), fencing_tokens.marked(token, 7), fencing_tokens.marked(token + 9, 3)]
+    token = fencing_tokens.initial_token(epoch, holder)
+    changed = [
+        fencing_tokens.next_token(token),
+        fencing_tokens.with_renewal_grant(token, 7),
+        fencing_tokens.with_renewal_grant(token + 9, 3),
+    ]
     return [
         token,
         fencing_tokens.epoch_of(token),
         fencing_tokens.holder_of(token),
-        fencing_tokens.right_of(token + 9),
+        fencing_tokens.renewal_grant_of(token + 9),
         *changed,
     ]
 
@@ -439,7 +472,7 @@
 
     def read(data: Any) -> Any:
         parsed = settings.parse(data)
-        return plain([parsed, parsed.nodes])
+        return plain([parsed, parsed.controllers])
 
     wrong: dict[str, Any] = {}
     wrong_values: tuple[Any, ...] = (None, "x", [], -1)
@@ -479,7 +512,7 @@
 
 def operator_options() -> dict[str, Any]:
     """The schema, what is read of each option, and the budgets that follow from them."""
-    rules = Rules(inputs.OPTIONS["budget"])
+    rules = DisruptionBudgets(inputs.OPTIONS["budget"])
     named = (("x", "x", "x"), ("t", "x", "x"), ("t", "c", "x"), ("t", "c", "j-000001"))
     with tempfile.TemporaryDirectory() as home:
         file = Path(home) / "options.json"
@@ -499,7 +532,9 @@
         "defaults": plain(settings.Options()),
         "read": whole,
         "wrong": wrong,
-        "budgets": plain([Rules().default, *(rules.of(*names) for names in named)]),
+        "budgets": plain(
+            [DisruptionBudgets().default, *(rules.for_job(*names) for names in named)]
+        ),
     }
 
 
--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -43,7 +43,7 @@
         "messages": _everyday()[1].link().golden(),
         "greetings": _refusals()[1],
         "cancellation gossip": cases.cancellation_gossip(),
-        "relayed": cases.relay_messages(),
+        "relayed": cases.relay_cases(),
         "channel values": cases.channel_values(),
         "channel messages": cases.channel_messages(),
         "link reports": cases.link_reports(),
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -58,7 +58,9 @@
 
     def leader(self) -> str:
         """A controller, more likely one with much to lose: a holder of a part with tasks."""
-        held = [n for n in self.p.names if n not in self.p.down and self.p.nodes[n].shared.held]
+        held = [
+            n for n in self.p.names if n not in self.p.down and self.p.nodes[n].context.held_shards
+        ]
         return self.rng.choice(held or self.p.names)
 
     def seconds(self, *of: float) -> float:
@@ -168,7 +170,7 @@
             for jid, task, _ in ends:
                 others = all(
                     (jid, i) in self.p.fleet.results
-                    for i in range(self.p.specs[jid].n)
+                    for i in range(self.p.specs[jid].task_count)
                     if i != task
                 )
                 if (
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -29,7 +29,7 @@
 import cbor2
 
 from ploverhall import settings
-from ploverhall.protocol.peer_messages import START, StartNews
+from ploverhall.protocol.peer_messages import ATTEMPT, AttemptUpdate
 from ploverhall.transport.http import Unreachable
 
 from . import played, world
@@ -44,8 +44,8 @@
     "a",
 )  # what a controller sees, for `/status`: sent now and then, and as an answer
 OWNER_BOARD = "o"
-REASON_FIELD = StartNews._fields.index("why")
-STATE_FIELD = StartNews._fields.index("state")
+REASON_FIELD = AttemptUpdate._fields.index("reason")
+STATE_FIELD = AttemptUpdate._fields.index("state")
 GONE = (
     "gone"  # the state whose reason is a sentence; the other states' reasons are the agents' codes
 )
@@ -94,7 +94,7 @@
 
 
 def _without_reason(key: str, value: Any) -> Any:
-    if not key.startswith(START) or value is None or value[STATE_FIELD] != GONE:
+    if not key.startswith(ATTEMPT) or value is None or value[STATE_FIELD] != GONE:
         return value
     return [*value[:REASON_FIELD], "", *value[REASON_FIELD + 1 :]]
 
--- a/tests/played.py
+++ b/tests/played.py
@@ -23,10 +23,10 @@
 from anyio._backends import _asyncio as backend
 
 from ploverhall import settings
-from ploverhall.controller.controller import Node
+from ploverhall.controller.controller import Controller
 from ploverhall.protocol import jobs
-from ploverhall.runtime import Seams
-from ploverhall.storage.store_cache import SHARD
+from ploverhall.runtime import Runtime
+from ploverhall.storage.store_cache import SHARD_PREFIX
 from ploverhall.transport.http import Client, Reply, Server, Unreachable
 from ploverhall.transport.http_parser import Request
 
@@ -329,7 +329,7 @@
         )
         self.machines, self.asks = machines, asks
         self.options = options
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, Controller] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.down: set[str] = set()
         self.users = {n: Client(n, 80, 2, self.net.of("user"), self.loop.time) for n in self.names}
@@ -378,8 +378,8 @@
                             "name": t.name,
                             "cpus": 0,
                             "cpus_max": 0,
-                            "gpus": t.gpus,
-                            "gpus_max": t.gpus_max,
+                            "gpus": t.guaranteed_gpus,
+                            "gpus_max": t.max_gpus,
                         }
                         for t in self.teams.values()
                     ],
@@ -425,7 +425,11 @@
         if self.asks:
             tg.start_soon(self._asks)
         while (
-            sum(len(h.owner.machines) for n in self.nodes.values() for h in n.shared.held.values())
+            sum(
+                len(h.owner.machines)
+                for n in self.nodes.values()
+                for h in n.context.held_shards.values()
+            )
             < self.machines
         ):
             await anyio.sleep(0.1)
@@ -479,13 +483,13 @@
         self.tasks.start_soon(self._live, name)
 
     async def _live(self, name: str) -> None:
-        seams = Seams(
+        seams = Runtime(
             self.loop.time,
             lambda: 1.7e9 + self.loop.time(),
             Random(self.rng.random()),
             self.net.of(name),
         )
-        node = self.nodes[name] = Node(self.settings(name), seams)
+        node = self.nodes[name] = Controller(self.settings(name), seams)
         with anyio.CancelScope() as self.scopes[name]:
             await node.run()
 
@@ -501,11 +505,11 @@
 
     def workers_of(self, name: str) -> list[str]:
         """The machines of a controller's own part."""
-        layout = next(iter(self.nodes.values())).shared.layout
+        layout = next(iter(self.nodes.values())).context.shard_map
         return [
             w.name
             for w in self.fleet.workers.values()
-            if layout.part(w.zone, w.name) == layout.index[name]
+            if layout.shard_of_machine(w.zone, w.name) == layout.controller_indices[name]
         ]
 
     def cut_workers(self, name: str, mode: str, s: float, both: bool = True) -> None:
@@ -558,7 +562,9 @@
     def claims(self) -> int:
         """How often a shard was claimed since everything was up."""
         return sum(
-            1 for e in self.state.store.log if e.key.startswith(SHARD) and e.value is not None
+            1
+            for e in self.state.store.log
+            if e.key.startswith(SHARD_PREFIX) and e.value is not None
         ) - len(self.names)
 
     # -- the machines' side --------------------------------------------------------------------
@@ -603,7 +609,7 @@
             while self.fleet.sent is sent:
                 await anyio.sleep(0.01)
                 new, seen = self.state.store.log[seen:], len(self.state.store.log)
-                if any(e.key.startswith(SHARD) and e.value is not None for e in new):
+                if any(e.key.startswith(SHARD_PREFIX) and e.value is not None for e in new):
                     for after in (
                         0.0,
                         0.02,
@@ -647,7 +653,7 @@
             job = self.specs[jid]
             left = [
                 i
-                for i in range(job.n)
+                for i in range(job.task_count)
                 if (jid, i) not in self.fleet.results and i not in there.get(jid, ())
             ]
             if (
@@ -657,8 +663,8 @@
                 or (job.kind == "gang" and jid in there)
             ):
                 continue
-            need = job.n if job.kind == "gang" else 1
-            limit = self.teams[job.team].gpus_max
+            need = job.task_count if job.kind == "gang" else 1
+            limit = self.teams[job.team].max_gpus
             if limit and used.get(job.team, 0.0) + need * job.gpus > limit:
                 continue
             room: dict[str, int] = {}
@@ -668,8 +674,8 @@
                     and (job.spot or not w.spot)
                     and job.zone in (None, w.zone)
                 )
-                if fits and (not job.one_zone or zones.get(jid, {w.zone}) == {w.zone}):
-                    key = w.zone if job.one_zone else "any"
+                if fits and (not job.single_zone or zones.get(jid, {w.zone}) == {w.zone}):
+                    key = w.zone if job.single_zone else "any"
                     room[key] = room.get(key, 0) + int(
                         (world.TYPE.gpus - w.used()) / job.gpus + 1e-6
                     )
@@ -707,7 +713,7 @@
         """A user submits until it is accepted, at any controller that takes it."""
         asked = self.asked[spec["id"]] = Asked(self.now)
         self.bodies[spec["id"]] = spec
-        self.fleet.specs[spec["id"]] = jobs.parse(spec, 0.0)
+        self.fleet.specs[spec["id"]] = jobs.parse_submission(spec, 0.0)
         while asked.accepted is None and self.now - asked.at < 60.0:
             if await self.call(
                 to or self.rng.choice(self.names), "POST", "/api/jobs", spec["id"], spec
@@ -757,20 +763,20 @@
             return status
         stance = answer.get("stance") if isinstance(answer, dict) else None
         if (
-            stance not in (jobs.QUEUED, jobs.RUNNING, jobs.DONE, jobs.WITHDRAWN)
+            stance not in (jobs.QUEUED, jobs.RUNNING, jobs.DONE, jobs.CANCELLED)
             or answer["id"] != jid
         ):  # type: ignore[index, call-overload]
             self.broken.append(f"no answer: {where}")
             return 0
-        final, now = stance in (jobs.DONE, jobs.WITHDRAWN), self.told.get(jid)
+        final, now = stance in (jobs.DONE, jobs.CANCELLED), self.told.get(jid)
         if path.endswith("/withdraw") and not final:
             self.broken.append(f"no answer to a cancellation: {where}")
         if (before is not None and stance != before) or (final and now not in (None, stance)):
             self.broken.append(f"went_back: was {now}, {where}")
-        if stance == jobs.WITHDRAWN and jid not in self.withdrawing:
+        if stance == jobs.CANCELLED and jid not in self.withdrawing:
             self.broken.append(f"went_back: nobody cancelled {where}")
         if stance == jobs.DONE and any(
-            (jid, i) not in self.fleet.results for i in range(self.specs[jid].n)
+            (jid, i) not in self.fleet.results for i in range(self.specs[jid].task_count)
         ):
             self.broken.append(f"not_done: {where}")
         if not accepted and self.asked[jid].accepted is None:
@@ -780,7 +786,7 @@
                 self.tasks.start_soon(self.withdraw, jid)
         if final and now is None:
             self.told[jid] = stance
-            if stance == jobs.WITHDRAWN:
+            if stance == jobs.CANCELLED:
                 self.cancelled[jid] = self.now
             self.look_closely(jid)
         return status
@@ -805,7 +811,9 @@
             await anyio.sleep(0.01)
             ends = {j for j, _ in self.fleet.results} - seen
             for jid in sorted(
-                j for j in ends if all((j, i) in self.fleet.results for i in range(self.specs[j].n))
+                j
+                for j in ends
+                if all((j, i) in self.fleet.results for i in range(self.specs[j].task_count))
             ):
                 seen.add(jid)
                 self.look_closely(jid)
@@ -900,7 +908,7 @@
         """Whether a job is complete; of a service, whether all replicas were started."""
         spec = self.specs[jid]
         done = self.fleet.first_starts if spec.kind == "service" else self.fleet.results
-        return all((jid, i) in done for i in range(spec.n))
+        return all((jid, i) in done for i in range(spec.task_count))
 
     # -- judges of what is accepted, and of the largest ------------------------------------------
 
@@ -915,14 +923,15 @@
             return "unknown team"
         if (
             any(
-                body[k] > have for k, have in zip(("cores", "gpus", "ramGb"), kind.vec, strict=True)
+                body[k] > have
+                for k, have in zip(("cores", "gpus", "ramGb"), kind.resources, strict=True)
             )
             or not zones
         ):
             return "fits no machine"
         if body.get("breeds") is not None and kind.name not in body["breeds"]:
             return "fits no allowed type"
-        if body["gpus"] * (1 if body["gait"] == "array" else body["chicks"]) > team.gpus_max:
+        if body["gpus"] * (1 if body["gait"] == "array" else body["chicks"]) > team.max_gpus:
             return "more than the team's limit"
         apart = body["gait"] == "group" and body["scatter"] and body["chicks"] > 1
         return (
@@ -955,10 +964,10 @@
     def began(self, jid: str) -> float | None:
         """When a job first had a task on a machine, a gang all of them; None: it has not begun."""
         spec, at = self.specs[jid], self.fleet.first_at
-        times = [at[jid, i] for i in range(spec.n) if (jid, i) in at]
+        times = [at[jid, i] for i in range(spec.task_count) if (jid, i) in at]
         return (
             None
-            if len(times) < (spec.n if spec.kind == "gang" else 1)
+            if len(times) < (spec.task_count if spec.kind == "gang" else 1)
             else (max if spec.kind == "gang" else min)(times)
         )
 
@@ -970,9 +979,9 @@
         classes: dict[str, list[str]] = {}
         for jid, spec in self.specs.items():
             if jid not in self.cancelled and self.asked[jid].accepted is not None:
-                classes.setdefault(spec.klass, []).append(jid)
+                classes.setdefault(spec.job_class, []).append(jid)
         for name, found in classes.items():
-            ranked = sorted(found, key=lambda j: (-self.specs[j].n, self.asked[j].at))[
+            ranked = sorted(found, key=lambda j: (-self.specs[j].task_count, self.asked[j].at))[
                 : max(3, -(-len(found) // 10))
             ]
             asked = [j for j in ranked if self.now - self.asked[j].at > FINISHED_S]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -15,10 +15,10 @@
 import orjson
 
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.key_value_store import Store
+from ploverhall.protocol.key_value_store import KeyValueStore
 from ploverhall.transport.http import Client, Reply, Server, Unreachable
 from ploverhall.transport.http_parser import Request
-from ploverhall.transport.network import TCP, Net
+from ploverhall.transport.network import TCP_NETWORK, Network
 
 from . import world
 
@@ -130,7 +130,7 @@
         controllers: dict[str, tuple[str, int]],
         ports: int,
         clock: Callable[[], float] = time.monotonic,
-        net: Callable[[str], Net] = lambda host: TCP,
+        net: Callable[[str], Network] = lambda host: TCP_NETWORK,
         host: str | None = "127.0.0.1",
         every: float = 0.1,
         zones: tuple[str, ...] = ("a",),
@@ -415,11 +415,11 @@
 
 def unguarded(*prefixes: str) -> tuple[type, str, Any]:
     """For monkeypatch.setattr: controllers' writes without their guards on keys that begin so."""
-    real = Store.txn
+    real = KeyValueStore.compare_and_swap
 
-    async def txn(self: Store, guards: dict[str, int], *a: Any, **kw: Any) -> Any:
+    async def txn(self: KeyValueStore, guards: dict[str, int], *a: Any, **kw: Any) -> Any:
         return await real(
             self, {k: v for k, v in guards.items() if not k.startswith(prefixes)}, *a, **kw
         )
 
-    return Store, "txn", txn
+    return KeyValueStore, "compare_and_swap", txn
--- a/tests/test_afterlife.py
+++ b/tests/test_afterlife.py
@@ -17,8 +17,8 @@
 
 from ploverhall import settings
 from ploverhall.coordination import fencing_tokens, restart_recovery
-from ploverhall.coordination.cancellation_barrier import DRIFT
-from ploverhall.coordination.restart_recovery import NONE, SURE, Rights
+from ploverhall.coordination.cancellation_barrier import CLOCK_DRIFT
+from ploverhall.coordination.restart_recovery import NO_GRANT, GRANT_FROM_ANSWER, RenewalGrants
 
 from . import world
 from .played import HOLD, SILENT, Played, play
@@ -46,7 +46,7 @@
     after: float, answers: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not answers:
-        monkeypatch.setattr(Rights, "answer", lambda *a: None)
+        monkeypatch.setattr(RenewalGrants, "answer_heartbeat", lambda *a: None)
 
     async def scene(p: Played) -> None:
         await busy(p, 80.0)
@@ -106,9 +106,9 @@
 ) -> None:
     """The users are told outside; what runs on inside ends in time, however long the cut lasts."""
     if guard == "left":
-        monkeypatch.setattr(Rights, "left", lambda self, right, wall: 100.0)
+        monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
     if guard == "marked":  # what was sure stays sure: each report counts anew
-        monkeypatch.setattr(restart_recovery.tokens, "marked", lambda token, right: token)
+        monkeypatch.setattr(restart_recovery.fencing_tokens, "marked", lambda token, right: token)
 
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
@@ -132,7 +132,7 @@
 ) -> None:
     """A worker doesn't answer while its job is cancelled and the user told; then its controller ends in a cut, and knows nothing."""
     if not guarded:
-        monkeypatch.setattr(Rights, "known_s", property(lambda self: 60.0))
+        monkeypatch.setattr(RenewalGrants, "informed_renewal_s", property(lambda self: 60.0))
 
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
@@ -167,8 +167,8 @@
 ) -> None:
     """c0's workers reach only c1, which has just started and can read nothing; c0 counts their silence and is right."""
     if not guarded:
-        monkeypatch.setattr(restart_recovery.tokens, "holder_of", lambda token: 1)
-        monkeypatch.setattr(Rights, "left", lambda self, right, wall: 100.0)
+        monkeypatch.setattr(restart_recovery.fencing_tokens, "holder_of", lambda token: 1)
+        monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
 
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
@@ -221,18 +221,20 @@
 ) -> None:
     """A worker reports up to a lease after its last knowing answer; another life reads the right, and a third one after `on`."""
     cancel, lease = times
-    rights = Rights(cancel, lease, 0.1)
-    right, later = rights.given(age, fence, wall), min(later, lease * DRIFT)
-    end = wall + max(0.0, min(fence - age, rights.known_s))
-    left = rights.left(right, wall + later)
+    rights = RenewalGrants(cancel, lease, 0.1)
+    right, later = rights.encode(age, fence, wall), min(later, lease * CLOCK_DRIFT)
+    end = wall + max(0.0, min(fence - age, rights.informed_renewal_s))
+    left = rights.remaining_s(right, wall + later)
     assert left <= 0 or wall + later + left <= end + 1e-6
-    if left > 0 and right != NONE:
+    if left > 0 and right != NO_GRANT:
         handed = (
             right
-            if right != SURE
-            else 1 + int((wall + later + left) // restart_recovery.STEP_S) % restart_recovery.STEPS
+            if right != GRANT_FROM_ANSWER
+            else 1
+            + int((wall + later + left) // restart_recovery.GRANT_STEP_S)
+            % restart_recovery.GRANT_STEPS
         )
-        again = rights.left(handed, wall + later + on)
+        again = rights.remaining_s(handed, wall + later + on)
         assert again <= 0 or wall + later + on + again <= end + 1e-6
 
 
@@ -244,16 +246,22 @@
 def test_tokens_rise_and_say_whose_they_are(
     epoch: int, holder: int, changes: list[int | None]
 ) -> None:
-    token = fencing_tokens.first(epoch, holder)
+    token = fencing_tokens.initial_token(epoch, holder)
     assert token < 1 << 64
     for right in changes:
-        up = fencing_tokens.raised(token) if right is None else fencing_tokens.marked(token, right)
+        up = (
+            fencing_tokens.next_token(token)
+            if right is None
+            else fencing_tokens.with_renewal_grant(token, right)
+        )
         if up is None:
-            assert (token & ~fencing_tokens.RIGHT) >> fencing_tokens.RIGHT_BITS & 127 == 127
+            assert (
+                token & ~fencing_tokens.RENEWAL_GRANT_MASK
+            ) >> fencing_tokens.RENEWAL_GRANT_BITS & 127 == 127
             continue
         assert up > token if right is None else up >= token
         token = up
         assert fencing_tokens.epoch_of(token) == epoch and fencing_tokens.holder_of(token) == (
             holder if holder < 31 else None
         )
-        assert right is None or holder >= 31 or fencing_tokens.right_of(token) == right
+        assert right is None or holder >= 31 or fencing_tokens.renewal_grant_of(token) == right
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from ploverhall.autoscaling.autoscaler import Renter
+from ploverhall.autoscaling.autoscaler import Autoscaler
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peer_messages import DemandNews, StartNews
-from ploverhall.scheduling.objectives import Aim, Aims
+from ploverhall.protocol.peer_messages import DemandUpdate, AttemptUpdate
+from ploverhall.scheduling.objectives import Objective, Objectives
 
 from .test_source import a_job, offers, source
 
@@ -19,7 +19,7 @@
 
 
 def test_the_strictest_aim_counts_and_a_jobs_own_deadline_before_it() -> None:
-    aims = Aims(
+    aims = Objectives(
         [
             {"kind": "wait", "class": "c", "within_s": 18.0, "share": 0.98},
             {"kind": "wait", "class": "c", "within_s": 6.0, "share": 0.9},
@@ -30,8 +30,8 @@
             {"kind": "finished", "class": "d", "within_s": float("nan")},
         ]
     )
-    assert aims.of(a_job()) == Aim(6.0, 120.0)
-    assert aims.of(a_job(deadline_s=500.0)) == aims.of(a_job(klass="d")) == Aim()
+    assert aims.of(a_job()) == Objective(6.0, 120.0)
+    assert aims.of(a_job(deadline_s=500.0)) == aims.of(a_job(job_class="d")) == Objective()
 
 
 @pytest.mark.parametrize(
@@ -40,53 +40,53 @@
 def test_an_array_asks_for_room_for_turns(n: int, wall: float, room: int) -> None:
     """120 s, of them 32 for a boot and the fetch: two turns of 25 s and a fifth; later, or too late, all that waits at once."""
     s = source(limit=0.0)
-    s.aims, s.types = Aims([SWEEP]), {"t": TYPE}
-    job = a_job(n=n, gpus=0.0, estimate_s=25.0)
+    s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
+    job = a_job(task_count=n, gpus=0.0, estimate_s=25.0)
     s.on_job(job, job.id, 5, 0.0)
-    s.take_news(1, 0.0)
-    assert s.demand(0.0, wall)[job.id].n == room
-    s.aims = Aims()
-    assert s.demand(0.0, wall)[job.id].n == n, "without an aim, each task once"
+    s.take_owner_updates(1, 0.0)
+    assert s.demand(0.0, wall)[job.id].waiting_tasks == room
+    s.objectives = Objectives()
+    assert s.demand(0.0, wall)[job.id].waiting_tasks == n, "without an aim, each task once"
 
 
 def test_room_that_is_at_work_counts_and_run_times_are_learnt() -> None:
     """Asking only by what waits rented as much again for the second turn, while the first one's room was about to be free."""
     s = source(limit=0.0)
-    s.aims, s.types = Aims([SWEEP]), {"t": TYPE}
-    job = a_job(n=40, gpus=0.0, estimate_s=25.0)
+    s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
+    job = a_job(task_count=40, gpus=0.0, estimate_s=25.0)
     s.on_job(job, job.id, 5, 0.0)
-    s.on_owner(0, 3, True, offers(20), 1.0)
+    s.on_owner_update(0, 3, True, offers(20), 1.0)
     s.decide(1.0)
-    txn = s.plan()
-    assert txn is not None and len(txn.adds) == 20
-    s.landed(txn, 20, 1.1)
-    s.take_news(1, 1.2)
-    assert s.demand(1.2, 1.2)[job.id].n == 0, (
+    txn = s.next_write()
+    assert txn is not None and len(txn.added) == 20
+    s.on_committed(txn, 20, 1.1)
+    s.take_owner_updates(1, 1.2)
+    assert s.demand(1.2, 1.2)[job.id].waiting_tasks == 0, (
         "20 run, 20 wait, two turns: but the job still shows that it needs its room"
     )
-    for e in txn.adds[:10]:
-        key = peer_messages.start_key((e.job, e.task, e.attempt))
-        s.on_owner(0, 3, False, {key: StartNews("running", "", 0, 0)}, 2.0)
-        s.on_owner(0, 3, False, {key: StartNews("exited", "done", 0, 0)}, 52.0)
-    exits = s.plan()
+    for e in txn.added[:10]:
+        key = peer_messages.attempt_key((e.job_id, e.task, e.attempt))
+        s.on_owner_update(0, 3, False, {key: AttemptUpdate("running", "", 0, 0)}, 2.0)
+        s.on_owner_update(0, 3, False, {key: AttemptUpdate("exited", "done", 0, 0)}, 52.0)
+    exits = s.next_write()
     assert exits is not None
-    s.landed(exits, 21, 52.0)
-    s.take_news(1, 52.0)
-    assert s.demand(52.0, 1.2)[job.id].n == 20, "they take 50 s, not 25: one turn"
+    s.on_committed(exits, 21, 52.0)
+    s.take_owner_updates(1, 52.0)
+    assert s.demand(52.0, 1.2)[job.id].waiting_tasks == 20, "they take 50 s, not 25: one turn"
 
 
-def renting(job: Job, n: int, aims: Aims, cheap: int) -> dict[tuple[str, str, bool], int]:
+def renting(job: Job, n: int, aims: Objectives, cheap: int) -> dict[tuple[str, str, bool], int]:
     """What is rented in the first 30 s for a job, with so many cheap machines to be had."""
-    r = Renter(7, 45.0, 1.4, 3.0, 10.0, 0.0)
-    r.types, r.lists, r.aims = {"t": TYPE}, 1, aims
-    r.on_source(0, True, {job.id: DemandNews(job.record(), n, None, [0.0])})
+    r = Autoscaler(7, 45.0, 1.4, 3.0, 10.0, 0.0)
+    r.machine_types, r.list_count, r.objectives = {"t": TYPE}, 1, aims
+    r.on_source_update(0, True, {job.id: DemandUpdate(job.record(), n, None, [0.0])})
     got: dict[tuple[str, str, bool], int] = {}
     for step in range(30):
-        for x in r.plan(float(step), float(step)).rent:
-            count = x.count if not x.kind[2] else min(x.count, cheap - got.get(CHEAP, 0))
-            names = [f"n-{step}-{x.kind[2]}-{i}" for i in range(count)]
-            r.on_rented(names, x.kind, x.count, float(step))
-            got[x.kind] = got.get(x.kind, 0) + count
+        for x in r.plan(float(step), float(step)).scale_out:
+            count = x.count if not x.pool[2] else min(x.count, cheap - got.get(CHEAP, 0))
+            names = [f"n-{step}-{x.pool[2]}-{i}" for i in range(count)]
+            r.on_rented(names, x.pool, x.count, float(step))
+            got[x.pool] = got.get(x.pool, 0) + count
     return got
 
 
@@ -103,19 +103,22 @@
     aim: list[dict[str, object]], wanted: dict[tuple[str, str, bool], int]
 ) -> None:
     """It waited for 120 s for cheap machines that were all taken: 10 of 16 arrays late, and every second gang (shannon-loanworks)."""
-    job = a_job(n=80, cpus=2.0, gpus=0.0, spot=True)
-    assert renting(job, 80, Aims(aim), 3) == wanted
+    job = a_job(task_count=80, cpus=2.0, gpus=0.0, spot=True)
+    assert renting(job, 80, Objectives(aim), 3) == wanted
 
 
 def test_room_is_kept_for_gangs_that_should_start_sooner_than_a_machine_boots() -> None:
-    def kept(aims: Aims) -> int:
-        r = Renter(7, 45.0, 1.4, 3.0, 10.0, 0.0)
-        r.types, r.lists, r.aims = {"t": TYPE}, 1, aims
+    def kept(aims: Objectives) -> int:
+        r = Autoscaler(7, 45.0, 1.4, 3.0, 10.0, 0.0)
+        r.machine_types, r.list_count, r.objectives = {"t": TYPE}, 1, aims
         for i in range(60):
-            r.on_job(a_job(f"j-{i:06d}", kind="gang", n=2, cpus=7.0, gpus=0.0, spot=True), 5.0 * i)
-        return sum(x.count for x in r.plan(300.0, 300.0).rent)
-
-    assert kept(Aims()) == 0
-    assert kept(Aims([{"kind": "wait", "class": "c", "within_s": 6.0}])) == 11, (
+            r.on_job(
+                a_job(f"j-{i:06d}", kind="gang", task_count=2, cpus=7.0, gpus=0.0, spot=True),
+                5.0 * i,
+            )
+        return sum(x.count for x in r.plan(300.0, 300.0).scale_out)
+
+    assert kept(Objectives()) == 0
+    assert kept(Objectives([{"kind": "wait", "class": "c", "within_s": 6.0}])) == 11, (
         "0.4 tasks a second for 40 s and a margin, two a machine"
     )
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from ploverhall.coordination.isolation import Alone
+from ploverhall.coordination.isolation import IsolatedRedirects
 from ploverhall.transport.http import Unreachable
 
 from .played import HOLD, REFUSE, RESET, Played, play
@@ -61,7 +61,7 @@
         await anyio.sleep(50.0)
         assert p.fleet.killed_by_lease == 0
         assert await health(p, "c0") == 200 and sorted(
-            x for n in p.nodes.values() for x in n.shared.held
+            x for n in p.nodes.values() for x in n.context.held_shards
         ) == [0, 1, 2]
 
     play(scene)
@@ -79,7 +79,9 @@
             await p.crash("c1", back)
         await anyio.sleep(30.0)
         if not back:
-            assert p.nodes["c1"].membership.alone.again_s > 15.0, "scouts were sent, and came back"
+            assert p.nodes["c1"].shard_leases.isolated_redirects.round_interval_s > 15.0, (
+                "scouts were sent, and came back"
+            )
         await anyio.sleep(45.0)
         assert p.fleet.killed_by_lease <= (0 if not back else 60)
 
@@ -102,23 +104,28 @@
 
 
 def test_scouts() -> None:
-    a = Alone(["c2", "c1"], 2.0, 13.0)
-    a.look(False, 0.0)
-    assert a.sends_to("n-0", None, 0.0) is None
-    a.look(True, 1.0)
-    assert a.sends_to("n-1", 7.0, 1.0) is None, (
+    a = IsolatedRedirects(["c2", "c1"], 2.0, 13.0)
+    a.update(False, 0.0)
+    assert a.redirect_target("n-0", None, 0.0) is None
+    a.update(True, 1.0)
+    assert a.redirect_target("n-1", 7.0, 1.0) is None, (
         "it was not answered for long: its lease would run out on the way"
     )
-    assert a.sends_to("n-1", 2.5, 1.0) == a.sends_to("n-2", None, 1.5) == "c2"
-    assert a.sends_to("n-0", 2.5, 1.5) is None, "no second one that has something to lose"
-    assert a.sends_to("n-3", None, 6.0) is None, "one round at a time"
-    assert a.sends_to("n-1", 8.0, 7.0) is None and a.sends_to("n-4", None, 8.0) is None, (
-        "it found nobody"
+    assert a.redirect_target("n-1", 2.5, 1.0) == a.redirect_target("n-2", None, 1.5) == "c2"
+    assert a.redirect_target("n-0", 2.5, 1.5) is None, "no second one that has something to lose"
+    assert a.redirect_target("n-3", None, 6.0) is None, "one round at a time"
+    assert (
+        a.redirect_target("n-1", 8.0, 7.0) is None and a.redirect_target("n-4", None, 8.0) is None
+    ), "it found nobody"
+    assert a.redirect_target("n-0", 2.5, 30.0) is None, (
+        "c1 next: its lease is shorter than the way back"
     )
-    assert a.sends_to("n-0", 2.5, 30.0) is None, "c1 next: its lease is shorter than the way back"
-    assert a.sends_to("n-4", None, 30.0) == "c1"
-    assert a.sends_to("n-0", 2.5, 40.0) is None and a.sends_to("n-0", 2.5, 42.0) == "c1", (
-        "it has stayed away: all follow"
+    assert a.redirect_target("n-4", None, 30.0) == "c1"
+    assert (
+        a.redirect_target("n-0", 2.5, 40.0) is None and a.redirect_target("n-0", 2.5, 42.0) == "c1"
+    ), "it has stayed away: all follow"
+    a.update(False, 61.0)
+    assert (
+        a.redirect_target("n-0", None, 61.0) is None
+        and a.redirect_target("n-4", None, 61.0) is None
     )
-    a.look(False, 61.0)
-    assert a.sends_to("n-0", None, 61.0) is None and a.sends_to("n-4", None, 61.0) is None
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,11 +10,23 @@
 import anyio
 import pytest
 
-from ploverhall.controller.store_watch import Following
-from ploverhall.coordination.job_answers import Answers, Known, NeverAccepted, NotNow, Proof
+from ploverhall.controller.store_watch import StoreWatch
+from ploverhall.coordination.job_answers import (
+    JobAnswers,
+    JobStatus,
+    UnknownJob,
+    Unavailable,
+    FreshRead,
+)
 from ploverhall.protocol import jobs
-from ploverhall.protocol.key_value_store import Event
-from ploverhall.storage.store_cache import ARCHIVE, ARCHIVED, JOB, Replica, end_record
+from ploverhall.protocol.key_value_store import WatchEvent
+from ploverhall.storage.store_cache import (
+    ARCHIVE_PREFIX,
+    ARCHIVE_MARKER_KEY,
+    JOB_PREFIX,
+    StoreCache,
+    end_record,
+)
 
 from . import world
 from .meetings import CANCEL, KNOWN_S, LEASE
@@ -28,10 +40,12 @@
     monkeypatch.setattr(world, "CANCEL", CANCEL)
 
 
-def told_at_once(self: Answers, jid: str) -> Known | None:
+def told_at_once(self: JobAnswers, jid: str) -> JobStatus | None:
     """As a repeated submission was answered: what is over is told, whoever knows of it."""
-    end = self.replica.ended.get(jid)
-    return None if end is None else Known(jobs.view(jid, end.how, end.done), True)
+    end = self.store_cache.ended_jobs.get(jid)
+    return (
+        None if end is None else JobStatus(jobs.status_body(jid, end.outcome, end.tasks_done), True)
+    )
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -45,7 +59,7 @@
     milliseconds, and tasks in the zone ran on for 73 s (`ran_cancelled`).
     """
     if not guarded:
-        monkeypatch.setattr(Answers, "final", told_at_once)
+        monkeypatch.setattr(JobAnswers, "final", told_at_once)
 
     async def scene(p: Played) -> None:
         wanted = [p.spec(n, gait="daemon", chicks=3) for n in range(1, 7)]
@@ -103,12 +117,12 @@
     """Without the proof, or without the look into the archive, a job that was accepted is not known."""
     if without == "proof":
 
-        async def at_once(self: Following) -> Proof:
-            return Proof(self.shared.clock())
+        async def at_once(self: StoreWatch) -> FreshRead:
+            return FreshRead(self.context.clock())
 
-        monkeypatch.setattr(Following, "proof", at_once)
+        monkeypatch.setattr(StoreWatch, "fresh_read", at_once)
     else:
-        monkeypatch.setattr(Answers, "archived", lambda self, jid, value, version: NeverAccepted())
+        monkeypatch.setattr(JobAnswers, "archived", lambda self, jid, value, version: UnknownJob())
 
     async def scene(p: Played) -> None:
         for n in p.nodes.values():
@@ -132,10 +146,10 @@
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.store = world.Store()
-        self.copies = [Replica() for _ in range(3)]
+        self.copies = [StoreCache() for _ in range(3)]
         self.known = [0, 0, 0]  # the revision up to which each controller knows all cancellations
         self.answers = [
-            Answers(r, self.teller(i), lambda job: (0, 0)) for i, r in enumerate(self.copies)
+            JobAnswers(r, self.teller(i), lambda job: (0, 0)) for i, r in enumerate(self.copies)
         ]
         self.told: dict[str, int] = {}  # 1: accepted, 2: over
         self.how: dict[str, str] = {}
@@ -149,7 +163,7 @@
     def teller(self, i: int) -> Any:
         """A cancellation may be told by a controller that has read it, once all know of it."""
         return lambda end: (
-            end.how == jobs.DONE or self.copies[i].rev >= end.version <= min(self.known)
+            end.how == jobs.DONE or self.copies[i].revision >= end.version <= min(self.known)
         )
 
     def step(self) -> None:
@@ -159,41 +173,55 @@
         match rng.randrange(9):
             case 0:  # a submission
                 job = world.job(Random(1), jid, 0.0)
-                rev, failed = s.txn({JOB + jid: 0, ARCHIVE + jid: 0}, {JOB + jid: job.record()}, [])
+                rev, failed = s.txn(
+                    {JOB_PREFIX + jid: 0, ARCHIVE_PREFIX + jid: 0},
+                    {JOB_PREFIX + jid: job.record()},
+                    [],
+                )
                 if not failed and rng.random() < 0.7:  # else its answer is lost
-                    copy.put_own(JOB + jid, job.record(), rev)
+                    copy.apply_own_write(JOB_PREFIX + jid, job.record(), rev)
                     self.heard(jid, answers.accepted(jid), self.told.get(jid, 0))
             case 1 | 2:  # an end: done by whoever runs it, or a cancellation by this copy's word
                 version = (
-                    answers.live_at(jid)
+                    answers.live_version(jid)
                     if rng.random() < 0.5
-                    else s.kv.get(JOB + jid, (None, 0))[1]
+                    else s.kv.get(JOB_PREFIX + jid, (None, 0))[1]
                 )
-                if version and isinstance(s.kv.get(JOB + jid, (None, 0))[0], list):
-                    how = rng.choice([jobs.DONE, jobs.WITHDRAWN])
-                    rev, failed = s.txn({JOB + jid: version}, {JOB + jid: end_record(how, 1)}, [])
+                if version and isinstance(s.kv.get(JOB_PREFIX + jid, (None, 0))[0], list):
+                    how = rng.choice([jobs.DONE, jobs.CANCELLED])
+                    rev, failed = s.txn(
+                        {JOB_PREFIX + jid: version}, {JOB_PREFIX + jid: end_record(how, 1)}, []
+                    )
                     if not failed and rng.random() < 0.7:
-                        copy.put_own(JOB + jid, end_record(how, 1), rev)
+                        copy.apply_own_write(JOB_PREFIX + jid, end_record(how, 1), rev)
             case 3:  # the archive takes a job whose end everybody may forget
-                value, version = s.kv.get(JOB + jid, (None, 0))
+                value, version = s.kv.get(JOB_PREFIX + jid, (None, 0))
                 if isinstance(value, dict) and version <= min(self.known):
-                    s.txn({JOB + jid: version}, {ARCHIVE + jid: value, ARCHIVED: 1}, [JOB + jid])
+                    s.txn(
+                        {JOB_PREFIX + jid: version},
+                        {ARCHIVE_PREFIX + jid: value, ARCHIVE_MARKER_KEY: 1},
+                        [JOB_PREFIX + jid],
+                    )
             case 4:  # a watch's answer, perhaps of a while ago
-                since = copy.rev if rng.random() < 0.7 else rng.randrange(copy.rev + 1)
-                upto = rng.randint(max(since, copy.rev), max(s.rev, copy.rev))
+                since = copy.revision if rng.random() < 0.7 else rng.randrange(copy.revision + 1)
+                upto = rng.randint(max(since, copy.revision), max(s.rev, copy.revision))
                 copy.apply(
                     upto,
-                    [Event(e.key, e.value, e.version) for e in s.since(since) if e.version <= upto],
+                    [
+                        WatchEvent(e.key, e.value, e.version)
+                        for e in s.since(since)
+                        if e.version <= upto
+                    ],
                 )
             case 5:  # a page of a listing; with the last one the copy begins anew
                 self.page(i, 2)
             case 6:  # another controller learns of all cancellations up to some revision
-                self.known[i] = max(self.known[i], rng.randint(0, copy.rev))
+                self.known[i] = max(self.known[i], rng.randint(0, copy.revision))
             case 7:  # a question is put
                 if (
                     i not in self.listing
                 ):  # no read that proves anything begins while the copy is read anew
-                    self.open.append((i, jid, s.rev, copy.rev, self.told.get(jid, 0)))
+                    self.open.append((i, jid, s.rev, copy.revision, self.told.get(jid, 0)))
             case _:
                 if self.open:
                     self.answer(*self.open.pop(rng.randrange(len(self.open))))
@@ -219,27 +247,29 @@
             self.page(
                 i, 100
             )  # a listing that began after that read, and before what it has brought
-        answer = self.answers[i].proved(
-            jid, asked, Proof(begun) if self.rng.random() < 0.9 else None
+        answer = self.answers[i].verified(
+            jid, asked, FreshRead(begun) if self.rng.random() < 0.9 else None
         )
-        if not isinstance(answer, (Known, NotNow, NeverAccepted)):
-            answer = self.answers[i].archived(jid, *self.store.kv.get(ARCHIVE + jid, (None, 0)))
+        if not isinstance(answer, (JobStatus, Unavailable, UnknownJob)):
+            answer = self.answers[i].archived(
+                jid, *self.store.kv.get(ARCHIVE_PREFIX + jid, (None, 0))
+            )
         self.heard(jid, answer, told)
 
     def heard(self, jid: str, answer: Any, told: int) -> None:
         """A user hears it: it is no older than what had been told when he asked, and true."""
-        if isinstance(answer, NotNow):
+        if isinstance(answer, Unavailable):
             return
-        now = 0 if isinstance(answer, NeverAccepted) else 2 if answer.over else 1
+        now = 0 if isinstance(answer, UnknownJob) else 2 if answer.final else 1
         assert now >= told, f"{jid}: {answer} after {told}"
         self.told[jid] = max(self.told.get(jid, 0), now)
         if now == 2:
-            how = answer.view["stance"]
+            how = answer.body["stance"]
             assert self.how.setdefault(jid, how) == how, f"{jid} was {self.how[jid]} and is {how}"
             version = next(
                 e.version
                 for e in self.store.log
-                if e.key == JOB + jid and isinstance(e.value, dict)
+                if e.key == JOB_PREFIX + jid and isinstance(e.value, dict)
             )
             assert how == jobs.DONE or version <= min(self.known), f"{jid}: told before all know"
 
@@ -259,35 +289,36 @@
     assert run_copies(range(600)) > 1500
 
 
-def unproved(self: Answers, jid: str, asked: float, proof: Proof | None) -> Any:
-    return real_proved(self, jid, asked, Proof(asked))
+def unproved(self: JobAnswers, jid: str, asked: float, proof: FreshRead | None) -> Any:
+    return real_proved(self, jid, asked, FreshRead(asked))
 
 
-def straight_to_no(self: Answers, jid: str, asked: float, proof: Proof | None) -> Any:
+def straight_to_no(self: JobAnswers, jid: str, asked: float, proof: FreshRead | None) -> Any:
     answer = real_proved(self, jid, asked, proof)
-    return answer if isinstance(answer, (Known, NotNow)) else NeverAccepted()
+    return answer if isinstance(answer, (JobStatus, Unavailable)) else UnknownJob()
 
 
-real_proved = Answers.proved
+real_proved = JobAnswers.verified
 
 
 @pytest.mark.parametrize(
-    ("name", "without"), [("proved", unproved), ("final", told_at_once), ("proved", straight_to_no)]
+    ("name", "without"),
+    [("verified", unproved), ("final", told_at_once), ("verified", straight_to_no)],
 )
 def test_the_model_finds_what_a_guard_is_there_for(
     name: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The proof (that there is one, and that it is no older than the question), the right to tell, the archive."""
-    monkeypatch.setattr(Answers, name, without)
+    monkeypatch.setattr(JobAnswers, name, without)
     with pytest.raises(AssertionError):
         run_copies(range(600))
 
 
 def test_only_answers_say_how_a_job_stands() -> None:
     """Users' requests have no way past coordination.answers: they never look at what the copy holds, nor make a view themselves."""
-    for name in ("users", "requests"):
+    for name in ("job_requests", "requests"):
         tree = ast.parse(
-            (Path(__file__).parent.parent / "ploverhall/control" / f"{name}.py").read_text()
+            (Path(__file__).parent.parent / "ploverhall/controller" / f"{name}.py").read_text()
         )
         used = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)} | {
             n.id for n in ast.walk(tree) if isinstance(n, ast.Name)
@@ -305,9 +336,10 @@
         said = [
             n
             for n in ast.walk(tree)
-            if isinstance(n, ast.Call) and ast.unparse(n.func) in ("Reply", "jobs.view", "view")
+            if isinstance(n, ast.Call)
+            and ast.unparse(n.func) in ("Reply", "jobs.status_body", "view")
         ]
         for call in said:
             assert ast.unparse(call.func) == "Reply"
-            if ast.unparse(call.args[0]) in ("200", "201") and name == "users":
+            if ast.unparse(call.args[0]) in ("200", "201") and name == "job_requests":
                 assert ast.unparse(call.args[1]).endswith(".view"), ast.unparse(call)
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -15,8 +15,8 @@
 
 from ploverhall import settings
 from ploverhall.controller import job_requests
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.storage.store_cache import JOB, Replica
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.storage.store_cache import JOB_PREFIX, StoreCache
 
 from .played import HOLD, RESET, Played, play
 from .test_carry import busy
@@ -82,7 +82,7 @@
 
     play(scene)
     for cancel, lease in [(35.0, 10.0), (46.0, 26.0), (20.0, 19.0), (300.0, 10.0)]:
-        assert Cancellations(["x"], cancel, lease, 60.0, 0.0).patience + 4.0 < KNOWN_S
+        assert CancellationBarrier(["x"], cancel, lease, 60.0, 0.0).ack_delay_s + 4.0 < KNOWN_S
 
 
 def test_a_record_that_cant_be_read_keeps_no_other_job_unanswered() -> None:
@@ -90,7 +90,7 @@
 
     async def scene(p: Played) -> None:
         await busy(p, 30.0)
-        p.state.store.txn({}, {JOB + "j-000777": ["of a later release"]}, [])
+        p.state.store.txn({}, {JOB_PREFIX + "j-000777": ["of a later release"]}, [])
         await anyio.sleep(5.0)
         await p.crash("c0", 0.2)
         await anyio.sleep(5.0)
@@ -100,23 +100,25 @@
         assert await p.all_answered(10.0) == []
 
     play(scene)
-    r = Replica()
-    r.load({JOB + "j-000001": ("?", 3), JOB + "j-000002": ({"s": "done", "n": 1}, 4)}, 5)
-    assert r.unreadable == {"j-000001"} and "j-000002" in r.ended
-    r.load({JOB + "j-000002": ({"s": "done", "n": 1}, 4)}, 9)
-    assert not r.unreadable
+    r = StoreCache()
+    r.load(
+        {JOB_PREFIX + "j-000001": ("?", 3), JOB_PREFIX + "j-000002": ({"s": "done", "n": 1}, 4)}, 5
+    )
+    assert r.unreadable_jobs == {"j-000001"} and "j-000002" in r.ended_jobs
+    r.load({JOB_PREFIX + "j-000002": ({"s": "done", "n": 1}, 4)}, 9)
+    assert not r.unreadable_jobs
 
 
 def test_old_jobs_are_looked_up_however_short_requests_are(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(job_requests, "PUT_OFF_S", 5.0)
+    monkeypatch.setattr(job_requests, "MAX_LOOKUP_DELAY_S", 5.0)
 
     async def scene(p: Played) -> None:
         await busy(p, 20.0, services=0)
         await anyio.sleep(30.0)
         node = p.nodes["c0"]
         old = next(k[2:] for k in p.state.store.kv if k.startswith("e/j-"))
-        budget = node.shared.store.requests
-        real = type(budget).wait
+        budget = node.context.store.requests
+        real = type(budget).delay
         monkeypatch.setattr(type(budget), "wait", lambda self, n: 0.01 if n > 1 else real(self, n))
         asked: list[Any] = []
         with anyio.fail_after(10.0):
@@ -132,11 +134,11 @@
     async def scene(p: Played) -> None:
         await p.submit(p.spec(1, gait="array", chicks=1))
         await anyio.sleep(20.0)
-        shared = p.nodes["c0"].shared
-        shared.replica.ended.clear()  # as after it was archived
-        assert shared.types is not None
-        shared.types = {}
-        shared.replica.keys["p/archived"] = (1, 1)
+        shared = p.nodes["c0"].context
+        shared.store_cache.ended_jobs.clear()  # as after it was archived
+        assert shared.machine_types is not None
+        shared.machine_types = {}
+        shared.store_cache.entries["p/archived"] = (1, 1)
         p.state.store.txn({}, {"e/j-000001": {"s": "done", "n": 1}}, [])
         status, answer = await p.users["c0"].call(
             "POST", "/api/jobs", p.spec(1, gait="array", chicks=1), 5.0
@@ -157,13 +159,13 @@
         await anyio.sleep(20.0)
         assert await p.ask("j-000001", "c0") and p.told["j-000001"] == "done"
         node = p.nodes["c1"]
-        real = node.users.poll
+        real = node.job_requests.poll
 
         async def older(jid: str) -> Any:
             reply = await real(jid)
             return type(reply)(200, {**orjson.loads(orjson.dumps(reply.body)), "stance": "running"})
 
-        node.users.poll = older  # type: ignore[method-assign]
+        node.job_requests.poll = older  # type: ignore[method-assign]
         await p.ask("j-000001", "c1")
 
     with pytest.raises(AssertionError, match="went_back"):
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 
-from ploverhall.storage.store_cache import NODE, SHARD
+from ploverhall.storage.store_cache import CONTROLLER_PREFIX, SHARD_PREFIX
 
 from .played import Played, play
 from .standins import unguarded
@@ -43,9 +43,11 @@
             a.accepted is not None for a in p.asked.values()
         )
         assert soonest(p, "c0", at) < 2.6
-        assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2]
+        assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
         if after < 2.0:
-            assert p.state.store.kv[f"{SHARD}0"][0]["node"] == "c0" and p.claims() - claims == 1
+            assert (
+                p.state.store.kv[f"{SHARD_PREFIX}0"][0]["node"] == "c0" and p.claims() - claims == 1
+            )
 
     play(scene)
 
@@ -63,8 +65,8 @@
         assert p.fleet.killed_by_lease == 0 and all(
             a.accepted is not None for a in p.asked.values()
         )
-        assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2]
-        assert all(f"{NODE}{n}" in p.state.store.kv for n in p.names)
+        assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
+        assert all(f"{CONTROLLER_PREFIX}{n}" in p.state.store.kv for n in p.names)
 
     play(scene)
 
@@ -79,8 +81,10 @@
         for _ in range(3):
             await p.crash("c0", 4.0 + 0.6 * rng.random())
             await anyio.sleep(8.0)
-            holders = [n for n, node in p.nodes.items() if 0 in node.shared.held]
-            assert len(holders) == 1 and p.state.store.kv[f"{SHARD}0"][0]["node"] == holders[0]
+            holders = [n for n, node in p.nodes.items() if 0 in node.context.held_shards]
+            assert (
+                len(holders) == 1 and p.state.store.kv[f"{SHARD_PREFIX}0"][0]["node"] == holders[0]
+            )
         await anyio.sleep(20.0)
         assert p.fleet.killed_by_lease == 0 and all(
             a.accepted is not None for a in p.asked.values()
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -12,148 +12,172 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ploverhall.coordination.cancellation_barrier import MOST_NAMED, Cancellations
-from ploverhall.protocol.peer_messages import Cancelled, Malformed, Word, pack_word, word
+from ploverhall.coordination.cancellation_barrier import (
+    MAX_CANCELLATIONS_PER_MESSAGE,
+    CancellationBarrier,
+)
+from ploverhall.protocol.peer_messages import (
+    Cancellation,
+    InvalidPeerMessageError,
+    CancellationGossip,
+    encode_gossip,
+    decode_gossip,
+)
 
 CANCEL, LEASE, CUT_OFF = 46.0, 16.0, 60.0
 
 
-def cancellations(now: float = 0.0) -> Cancellations:
-    return Cancellations(["c1", "c2"], CANCEL, LEASE, CUT_OFF, now, "me")
+def cancellations(now: float = 0.0) -> CancellationBarrier:
+    return CancellationBarrier(["c1", "c2"], CANCEL, LEASE, CUT_OFF, now, "me")
 
 
-def known(name: str, upto: int) -> Word:
+def known(name: str, upto: int) -> CancellationGossip:
     """A member's word that says no more than how far it has read."""
-    return Word(upto, "its life", 0.0, 100.0, True, None, [])
+    return CancellationGossip(upto, "its life", 0.0, 100.0, True, None, [])
 
 
 def test_everybody_must_know_of_it_or_be_gone_for_long_enough() -> None:
     t = cancellations()
-    assert not t.may_tell(7, 1.0), "a controller that has just started knows nobody"
+    assert not t.may_acknowledge(7, 1.0), "a controller that has just started knows nobody"
     for name in ("c1", "c2"):
-        t.present(name, True, 0)
-    t.take("c1", known("c1", 9), 1.0)
-    assert t.waits_for(7, 1.0) == ["c2"] and not t.may_tell(7, 1.0)
+        t.peer_present(name, True, 0)
+    t.receive_gossip("c1", known("c1", 9), 1.0)
+    assert t.waiting_for(7, 1.0) == ["c2"] and not t.may_acknowledge(7, 1.0)
     for upto in (6, 8, 3):
-        t.take("c2", known("c2", upto), 1.0)
-    assert t.may_tell(7, 1.0) and t.may_tell(8, 1.0) and not t.may_tell(9, 1.0)
-    t.gone("c2", 10.0, 20)
-    t.gone("c2", 30.0, 20)
-    assert t.may_tell(8, 10.0), "what it knew before it went stays known"
-    assert not t.may_tell(9, 10.0 + t.patience - 0.1) and t.may_tell(9, 10.0 + t.patience)
-    t.present("c2", True, 0)
-    assert not t.may_tell(9, 60.0), "it is back, and has not said what it knows"
+        t.receive_gossip("c2", known("c2", upto), 1.0)
+    assert t.may_acknowledge(7, 1.0) and t.may_acknowledge(8, 1.0) and not t.may_acknowledge(9, 1.0)
+    t.peer_absent("c2", 10.0, 20)
+    t.peer_absent("c2", 30.0, 20)
+    assert t.may_acknowledge(8, 10.0), "what it knew before it went stays known"
+    assert not t.may_acknowledge(9, 10.0 + t.ack_delay_s - 0.1) and t.may_acknowledge(
+        9, 10.0 + t.ack_delay_s
+    )
+    t.peer_present("c2", True, 0)
+    assert not t.may_acknowledge(9, 60.0), "it is back, and has not said what it knows"
 
 
 def test_a_key_that_came_and_went_between_two_looks_is_gone_anew() -> None:
     """A controller that reads seldom sees it gone before and after; in between its member was there, and may have read nothing since."""
     t = cancellations()
-    t.take("c1", known("c1", 9), 0.0)
-    t.gone("c2", 0.0, 5)
-    assert t.may_tell(9, t.patience + 0.1)
-    t.gone("c2", 100.0, 8)
-    assert not t.may_tell(9, 100.1) and t.may_tell(9, 100.1 + t.patience)
+    t.receive_gossip("c1", known("c1", 9), 0.0)
+    t.peer_absent("c2", 0.0, 5)
+    assert t.may_acknowledge(9, t.ack_delay_s + 0.1)
+    t.peer_absent("c2", 100.0, 8)
+    assert not t.may_acknowledge(9, 100.1) and t.may_acknowledge(9, 100.1 + t.ack_delay_s)
 
 
 def test_who_has_been_answered_is_owed_and_who_knows_is_told_at_once() -> None:
     """In an outage: its key is gone and it goes on; a word with the cancellation ends the waiting, and nothing else does."""
     p, m = (
-        Cancellations(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
-        Cancellations(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
+        CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
+        CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
     )
     for one, other in ((p, "m"), (m, "p")):
-        one.present(other, True, 5)
-        one.contacted(1.0)
-    p.gone("m", 4.0, 6)
-    p.note("j-000001", 7)
+        one.peer_present(other, True, 5)
+        one.store_contacted(1.0)
+    p.peer_absent("m", 4.0, 6)
+    p.record_cancellation("j-000001", 7)
     for now in range(10, 200):
-        p.take("m", m.word("p", 5, float(now)), float(now))
-        said = p.word("m", 7, float(now))
-        assert not p.may_tell(7, float(now)), "it answers, so it is owed"
-        assert said.cancelled == [Cancelled(7, "j-000001")]
+        p.receive_gossip("m", m.gossip_for("p", 5, float(now)), float(now))
+        said = p.gossip_for("m", 7, float(now))
+        assert not p.may_acknowledge(7, float(now)), "it answers, so it is owed"
+        assert said.cancellations == [Cancellation(7, "j-000001")]
     assert m.isolated(200.0)
-    assert m.take("p", said, 200.0) == [Cancelled(7, "j-000001")]
+    assert m.receive_gossip("p", said, 200.0) == [Cancellation(7, "j-000001")]
     assert m.lapsed, (
         "for longer than a lease after its fence: the other may have forgotten what it should know"
     )
-    m.contacted(199.5)
+    m.store_contacted(199.5)
     assert not m.isolated(200.0)
-    p.take("m", m.word("p", 5, 200.0), 200.0)
-    assert p.may_tell(7, 200.0) and not p.own, (
+    p.receive_gossip("m", m.gossip_for("p", 5, 200.0), 200.0)
+    assert p.may_acknowledge(7, 200.0) and not p.unconfirmed, (
         "it knows, so the user is told at once, and nobody has to be named it any more"
     )
 
 
 def test_a_new_life_that_has_read_nothing_vouches_only_for_what_its_last_one_owed() -> None:
-    m = Cancellations(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m")
-    m.present("p", True, 0)
-    m.contacted(10.0)
+    m = CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m")
+    m.peer_present("p", True, 0)
+    m.store_contacted(10.0)
 
     def echo(now: float, up: float, read: bool) -> None:
-        m.take("p", Word(0, "p2", 1.0, up, read, ("m", now - 0.1), []), now)
+        m.receive_gossip("p", CancellationGossip(0, "p2", 1.0, up, read, ("m", now - 0.1), []), now)
 
     echo(35.0, 5.0, False)
-    assert m.contact(35.0) == 34.9, (
+    assert m.last_contact(35.0) == 34.9, (
         "it ended within patience: whatever it had confirmed is known here"
     )
     echo(75.0, 5.0, False)
-    assert m.contact(75.0) == 34.9, (
+    assert m.last_contact(75.0) == 34.9, (
         "its last life may have confirmed something after it owed nothing more"
     )
     echo(80.0, 10.0, True)
-    assert m.contact(80.0) == 79.9, "it has read, so all that was confirmed has been named"
-    m.take("p", Word(0, "p2", 1.0, 50.0, True, ("an earlier life of m", 89.0), []), 90.0)
-    m.take("p", Word(0, "p2", 1.0, 50.0, True, ("m", 95.0), []), 90.0)
-    assert m.contact(90.0) == 79.9, "neither an earlier life's word nor one that was never sent"
+    assert m.last_contact(80.0) == 79.9, "it has read, so all that was confirmed has been named"
+    m.receive_gossip(
+        "p", CancellationGossip(0, "p2", 1.0, 50.0, True, ("an earlier life of m", 89.0), []), 90.0
+    )
+    m.receive_gossip("p", CancellationGossip(0, "p2", 1.0, 50.0, True, ("m", 95.0), []), 90.0)
+    assert m.last_contact(90.0) == 79.9, (
+        "neither an earlier life's word nor one that was never sent"
+    )
 
 
 def test_many_cancellations_go_in_portions_and_only_the_last_one_answers() -> None:
     p, m = (
-        Cancellations(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
-        Cancellations(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
+        CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
+        CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
     )
-    n = 2 * MOST_NAMED + 5
+    n = 2 * MAX_CANCELLATIONS_PER_MESSAGE + 5
     for i in range(n, 0, -1):
-        p.note(f"j-{i:06d}", 10 + i)
-        p.note(f"j-{i:06d}", 10 + i)
-    named: list[Cancelled] = []
+        p.record_cancellation(f"j-{i:06d}", 10 + i)
+        p.record_cancellation(f"j-{i:06d}", 10 + i)
+    named: list[Cancellation] = []
     for now in (1.0, 2.0, 3.0):
-        p.take("m", m.word("p", 5, now), now)
-        said = p.word("m", 10 + n, now)
+        p.receive_gossip("m", m.gossip_for("p", 5, now), now)
+        said = p.gossip_for("m", 10 + n, now)
         assert (said.echo is None) == (now < 3.0)
-        named += m.take("p", said, now)
-    assert [c.version for c in named] == [11 + i for i in range(n)]
-    assert m.informed == 10 + n and m.members["p"].sure == 3.0
+        named += m.receive_gossip("p", said, now)
+    assert [c.revision for c in named] == [11 + i for i in range(n)]
+    assert m.informed_revision == 10 + n and m.peers["p"].confirmed_contact_at == 3.0
 
 
 def test_a_portion_claims_no_more_than_has_been_read() -> None:
     """Its own newest writes are named before it has read up to them: there may be others in between that it does not know."""
-    p = Cancellations(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p")
-    for i in range(MOST_NAMED + 1):
-        p.note(f"j-{i:06d}", 100 + i)
-    assert p.word("m", 50, 1.0).known == 50
-    assert p.word("m", 50 + 2 * MOST_NAMED, 1.0).known == 100 + MOST_NAMED - 1
+    p = CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p")
+    for i in range(MAX_CANCELLATIONS_PER_MESSAGE + 1):
+        p.record_cancellation(f"j-{i:06d}", 100 + i)
+    assert p.gossip_for("m", 50, 1.0).known_revision == 50
+    assert (
+        p.gossip_for("m", 50 + 2 * MAX_CANCELLATIONS_PER_MESSAGE, 1.0).known_revision
+        == 100 + MAX_CANCELLATIONS_PER_MESSAGE - 1
+    )
 
 
 def test_while_a_release_that_tells_at_once_is_about_the_old_time_holds() -> None:
     t = cancellations()
-    t.present("c1", True, 0)
-    assert t.fence == t.early == CANCEL - LEASE - 8.0, "c2 has never been seen"
-    t.present("c2", False, 0)
-    assert t.fence == t.early
-    t.take("c1", known("c1", 5), 1.0)
-    assert t.may_tell(5, 2.0), "and that one stops by the old time: nothing has to wait for it"
-    t.present("c2", True, 0)
-    assert t.fence == CUT_OFF and not t.may_tell(5, 2.0)
+    t.peer_present("c1", True, 0)
+    assert t.max_contact_age_s == t.legacy_answer_s == CANCEL - LEASE - 8.0, (
+        "c2 has never been seen"
+    )
+    t.peer_present("c2", False, 0)
+    assert t.max_contact_age_s == t.legacy_answer_s
+    t.receive_gossip("c1", known("c1", 5), 1.0)
+    assert t.may_acknowledge(5, 2.0), (
+        "and that one stops by the old time: nothing has to wait for it"
+    )
+    t.peer_present("c2", True, 0)
+    assert t.max_contact_age_s == CUT_OFF and not t.may_acknowledge(5, 2.0)
 
 
 def test_a_release_that_takes_hearing_for_contact_is_owed_for_as_long_as_it_is_heard() -> None:
     t = cancellations()
-    t.take("c1", known("c1", 9), 0.0)
-    t.gone("c2", 0.0, 5)
+    t.receive_gossip("c1", known("c1", 9), 0.0)
+    t.peer_absent("c2", 0.0, 5)
     for now in range(1, 100):
-        t.take("c2", word({"seen": 3}), float(now))
-    assert not t.may_tell(9, 99.0 + t.patience - 0.1) and t.may_tell(9, 99.1 + t.patience)
+        t.receive_gossip("c2", decode_gossip({"seen": 3}), float(now))
+    assert not t.may_acknowledge(9, 99.0 + t.ack_delay_s - 0.1) and t.may_acknowledge(
+        9, 99.1 + t.ack_delay_s
+    )
 
 
 @pytest.mark.parametrize(
@@ -187,8 +211,8 @@
     ],
 )
 def test_words_that_are_in_no_form_are_refused(value: Any) -> None:
-    with pytest.raises(Malformed):
-        word(value)
+    with pytest.raises(InvalidPeerMessageError):
+        decode_gossip(value)
 
 
 @given(
@@ -198,9 +222,9 @@
     st.booleans(),
 )
 def test_a_word_comes_as_it_was_sent(upto: int, jobs: list[int], read: bool, echoes: bool) -> None:
-    named = [Cancelled(upto, f"j-{j:06d}") for j in jobs] if upto else []
-    w = Word(upto, "life", 1.5, 2.5, read, ("other", 0.5) if echoes else None, named)
-    assert word(pack_word(w)) == w
+    named = [Cancellation(upto, f"j-{j:06d}") for j in jobs] if upto else []
+    w = CancellationGossip(upto, "life", 1.5, 2.5, read, ("other", 0.5) if echoes else None, named)
+    assert decode_gossip(encode_gossip(w)) == w
 
 
 # -- the plain model: three controllers, their clocks, the store and the links ------------------
@@ -215,7 +239,7 @@
     name: str
     drift: float
     offset: float
-    it: Cancellations
+    it: CancellationBarrier
     lives: int = 0
     rev: int = 0
     knows: set[int] = field(default_factory=set)
@@ -260,7 +284,9 @@
             name,
             drift,
             offset,
-            Cancellations(others, self.cancel, self.lease, self.cut_off, now, f"{name}{lives}"),
+            CancellationBarrier(
+                others, self.cancel, self.lease, self.cut_off, now, f"{name}{lives}"
+            ),
             lives,
         )
 
@@ -279,7 +305,7 @@
             self.put("cancel", w.name)
             self.written[self.rev] = self.t
             w.knows.add(self.rev)
-            w.it.note(f"j-{self.rev:06d}", self.rev)
+            w.it.record_cancellation(f"j-{self.rev:06d}", self.rev)
 
     def run(
         self,
@@ -325,8 +351,8 @@
         for part in parts:
             part(n, now)
         if int(self.t / STEP) % 2 == 0:
-            for other in n.it.members:
-                self.send(n, other, pack_word(n.it.word(other, n.rev, now)))
+            for other in n.it.peers:
+                self.send(n, other, encode_gossip(n.it.gossip_for(other, n.rev, now)))
 
     def send(self, n: Life, other: str, packed: Any) -> None:
         at = self.t + 0.05 + 0.2 * self.rng.random()
@@ -340,16 +366,16 @@
 
     def hear(self, n: Life, now: float) -> None:
         for src, packed in n.unread:
-            for one in n.it.take(src, word(packed), now):
-                n.knows.add(one.version)
-                n.it.note(one.job, one.version)
+            for one in n.it.receive_gossip(src, decode_gossip(packed), now):
+                n.knows.add(one.revision)
+                n.it.record_cancellation(one.job_id, one.revision)
         n.unread.clear()
 
     def serve(self, n: Life, now: float) -> None:
         if not n.rev:
             return  # it holds nothing before it has read
         if n.seen:
-            n.it.contacted(min(n.read_at, n.renewed))
+            n.it.store_contacted(min(n.read_at, n.renewed))
         if not n.it.isolated(now):
             for version in self.written:
                 if version not in n.knows:
@@ -376,16 +402,16 @@
         for version, what, _ in self.log:
             if version > n.rev and what == "cancel":
                 n.knows.add(version)
-                n.it.note(f"j-{version:06d}", version)
+                n.it.record_cancellation(f"j-{version:06d}", version)
         n.rev, n.read_at, n.seen = self.rev, now, n.name in self.keys
-        for name in n.it.members:
+        for name in n.it.peers:
             if name in self.keys:
-                n.it.present(name, True, 0)
+                n.it.peer_present(name, True, 0)
             else:
                 left = max(
                     (v for v, what, x in self.log if what == "left" and x == name), default=0
                 )
-                n.it.gone(name, now, self.rev if first else left)
+                n.it.peer_absent(name, now, self.rev if first else left)
 
     def tell(self, n: Life, now: float) -> None:
         for version in self.written:
@@ -393,7 +419,7 @@
                 version not in self.told
                 and version in n.knows
                 and n.rev >= version
-                and n.it.may_tell(version, now)
+                and n.it.may_acknowledge(version, now)
             ):
                 self.told[version] = self.t
 
@@ -498,42 +524,57 @@
 def test_the_plain_model_breaks_without_each_part_of_the_statement(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real_word, real_take, real_gone = Cancellations.word, Cancellations.take, Cancellations.gone
+    real_word, real_take, real_gone = (
+        CancellationBarrier.gossip_for,
+        CancellationBarrier.receive_gossip,
+        CancellationBarrier.peer_absent,
+    )
     if guard == "owed":  # answered, and not counted
-        monkeypatch.setattr(Cancellations, "_owed", lambda self, m: m.absent)
+        monkeypatch.setattr(CancellationBarrier, "_last_obligation", lambda self, m: m.absent_since)
     elif guard == "named":  # answered without the cancellations
-        monkeypatch.setattr(Cancellations, "word", lambda *a: real_word(*a)._replace(cancelled=[]))
+        monkeypatch.setattr(
+            CancellationBarrier, "gossip_for", lambda *a: real_word(*a)._replace(cancellations=[])
+        )
     elif guard == "echo":  # what came back counts from when it came
         monkeypatch.setattr(
-            Cancellations,
-            "take",
+            CancellationBarrier,
+            "receive_gossip",
             lambda s, n, w, now: real_take(s, n, w._replace(echo=w.echo and (w.echo[0], now)), now),
         )
     elif guard == "all heard":  # as it was: in an outage, who hears everybody goes on
 
-        def isolated(self: Cancellations, now: float) -> bool:
-            return now - self.read_at >= self.fence and any(
-                now - m.heard > 2.5 for m in self.members.values()
+        def isolated(self: CancellationBarrier, now: float) -> bool:
+            return now - self.store_contact_at >= self.max_contact_age_s and any(
+                now - m.last_gossip_at > 2.5 for m in self.peers.values()
             )
 
-        monkeypatch.setattr(Cancellations, "isolated", isolated)
-        monkeypatch.setattr(Cancellations, "_owed", lambda self, m: m.absent)
+        monkeypatch.setattr(CancellationBarrier, "isolated", isolated)
+        monkeypatch.setattr(CancellationBarrier, "_last_obligation", lambda self, m: m.absent_since)
         monkeypatch.setattr(
-            Cancellations, "word", lambda *a: real_word(*a)._replace(cancelled=[], echo=None)
+            CancellationBarrier,
+            "gossip_for",
+            lambda *a: real_word(*a)._replace(cancellations=[], echo=None),
         )
     elif guard == "lives":  # a new life's echo counts, whatever its last one may have told
         monkeypatch.setattr(
-            Cancellations, "take", lambda s, n, w, now: real_take(s, n, w._replace(up=1e9), now)
+            CancellationBarrier,
+            "receive_gossip",
+            lambda s, n, w, now: real_take(s, n, w._replace(up=1e9), now),
         )
     elif guard == "left":
         monkeypatch.setattr(
-            Cancellations, "gone", lambda s, n, now, left=0: real_gone(s, n, now, -1)
+            CancellationBarrier, "peer_absent", lambda s, n, now, left=0: real_gone(s, n, now, -1)
         )
     else:
-        monkeypatch.setattr(Cancellations, "may_forget", lambda *a: True)
-        monkeypatch.setattr(Cancellations, "_over", lambda s, m, now: m.absent is not None)
+        monkeypatch.setattr(CancellationBarrier, "may_forget", lambda *a: True)
+        monkeypatch.setattr(
+            CancellationBarrier, "_leases_expired", lambda s, m, now: m.absent_since is not None
+        )
         monkeypatch.setattr(
-            Cancellations, "lapsed", property(lambda s: False, lambda s, v: None), raising=False
+            CancellationBarrier,
+            "lapsed",
+            property(lambda s: False, lambda s, v: None),
+            raising=False,
         )
     for seed in range(1 if guard in SCENES else 8 * SEEDS):
         try:
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -16,12 +16,12 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.controller.agent_commands import Workers
-from ploverhall.controller.heartbeat_requests import Reports
-from ploverhall.controller.relay import Carrying, NotCarried
-from ploverhall.controller.store_watch import Following
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.coordination.job_answers import Proof
+from ploverhall.controller.agent_commands import AgentCommands
+from ploverhall.controller.heartbeat_requests import HeartbeatRequests
+from ploverhall.controller.relay import Relay, RelayRefusedError
+from ploverhall.controller.store_watch import StoreWatch
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.coordination.job_answers import FreshRead
 from ploverhall.protocol import relay_messages
 from ploverhall.transport.http import Reply, Unreachable
 
@@ -52,8 +52,11 @@
         await anyio.sleep(20.0)
         assert p.claims() == 0 and p.fleet.killed_by_lease == 0
         assert p.longest_pause(at, at + 30.0) < 2.5 and p.slowest_accepted() < 2.5
-        assert p.nodes["c0"].state.gauge.good, "the own link is trusted again"
-        assert p.nodes["c1"].carrying.calls.carried + p.nodes["c2"].carrying.calls.carried > 20
+        assert p.nodes["c0"].store_service.health.healthy, "the own link is trusted again"
+        assert (
+            p.nodes["c1"].relay.pending.relayed_count + p.nodes["c2"].relay.pending.relayed_count
+            > 20
+        )
 
     play(scene)
 
@@ -64,16 +67,16 @@
         at = await busy(p)
         p.cut_workers("c0", mode, 25.0)
         await anyio.sleep(20.0)
-        assert p.nodes["c0"].workers.homing.away, "nobody came the other way"
+        assert p.nodes["c0"].agent_commands.failback.relayed_agents, "nobody came the other way"
         await anyio.sleep(25.0)
         assert (
             p.claims() == 0
             and p.fleet.killed_by_lease == 0
             and p.longest_pause(at, at + 30.0) < 4.0
         )
-        assert not p.nodes["c0"].workers.homing.away and not p.nodes["c0"].workers.cut(p.now), (
-            "all are home again"
-        )
+        assert not p.nodes["c0"].agent_commands.failback.relayed_agents and not p.nodes[
+            "c0"
+        ].agent_commands.unreachable_shards(p.now), "all are home again"
 
     play(scene)
 
@@ -87,10 +90,10 @@
     """It can't tell by itself while it holds nothing: 769 tasks were killed. And if it gets the part all the same, it is carried."""
     if not tries:
 
-        async def believes(self: Workers, member: str, owner: Any) -> bool:
+        async def believes(self: AgentCommands, member: str, owner: Any) -> bool:
             return True
 
-        monkeypatch.setattr(Workers, "reached_by", believes)
+        monkeypatch.setattr(AgentCommands, "reachable_from", believes)
 
     async def scene(p: Played) -> None:
         await busy(p, 90.0)
@@ -161,15 +164,15 @@
 
 def test_what_is_carried_twice_happens_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every question is put twice: the second transaction fails its guards, the second answer is to no open question."""
-    real = Carrying.serve
+    real = Relay.serve
 
-    async def twice(self: Carrying, by: str, q: relay_messages.Question) -> None:
+    async def twice(self: Relay, by: str, q: relay_messages.RelayRequest) -> None:
         async with anyio.create_task_group() as tg:
             tg.start_soon(real, self, by, q)
-            if self.calls.begin(by):
+            if self.pending.begin_work(by):
                 tg.start_soon(real, self, by, q)
 
-    monkeypatch.setattr(Carrying, "serve", twice)
+    monkeypatch.setattr(Relay, "serve", twice)
 
     async def scene(p: Played) -> None:
         await busy(p, 40.0)
@@ -210,21 +213,21 @@
     owner had it; so silence is counted from the owner's receipt of any report, and a carried answer renews nothing for longer.
     """
     if not guarded:
-        real = Reports._answer
+        real = HeartbeatRequests._answer_held
 
-        def deaf(self: Reports, held: Any, r: Any, **kw: Any) -> tuple[Reply, Any]:
+        def deaf(self: HeartbeatRequests, held: Any, r: Any, **kw: Any) -> tuple[Reply, Any]:
             m = held.owner.machines.get(r.machine)
-            before = (m.last_report, m.last_answer) if m is not None else None
+            before = (m.last_heartbeat_at, m.last_answer_at) if m is not None else None
             reply, now = real(self, held, r, **kw)
             if (
                 before is not None
                 and now is not None
-                and self.workers.homing.away.get(r.machine) is not None
+                and self.agent_commands.failback.relayed_agents.get(r.machine) is not None
             ):
-                now.last_report, now.last_answer = before
+                now.last_heartbeat_at, now.last_answer_at = before
             return reply, now
 
-        monkeypatch.setattr(Reports, "_answer", deaf)
+        monkeypatch.setattr(HeartbeatRequests, "_answer_held", deaf)
 
     async def scene(p: Played) -> None:
         await busy(p, 40.0)
@@ -245,19 +248,19 @@
     """c1 takes a write of c0's and gives no answer; c0's part is taken, its new holder starts replicas, and then the write lands."""
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
-    late: list[relay_messages.Question] = []
+    late: list[relay_messages.RelayRequest] = []
 
     async def scene(p: Played) -> None:
         await busy(p, 6.0)
-        carried = p.nodes["c1"].state.carried
+        carried = p.nodes["c1"].store_service.serve_relayed
 
-        async def swallows(by: str, q: relay_messages.Question) -> tuple[int, bytes]:
+        async def swallows(by: str, q: relay_messages.RelayRequest) -> tuple[int, bytes]:
             if not late and q.target == "/multi" and b'"c/team-0/' in q.body:
                 late.append(q)
                 raise Unreachable("held back")
             return await carried(by, q)
 
-        p.nodes["c1"].carrying.handlers[relay_messages.STATE] = swallows
+        p.nodes["c1"].relay.handlers[relay_messages.STORE] = swallows
         p.net.cut("c0", "state", SILENT, 30.0)
         p.net.cut("c0", "c2", SILENT, 30.0)
         await anyio.sleep(2.0)
@@ -269,11 +272,11 @@
             await anyio.sleep(0.1)
         await p.submit(p.spec(906, gait="daemon", chicks=4), "c2")
         await anyio.sleep(5.0)
-        status, _ = await p.nodes["c1"].state.client.call(
+        status, _ = await p.nodes["c1"].store_service.client.call(
             "POST", "/multi", orjson.loads(late[0].body)
         )
         assert status == (409 if guarded else 200)
-        holder = next(n for n in p.names if 0 in p.nodes[n].shared.held and n != "c0")
+        holder = next(n for n in p.names if 0 in p.nodes[n].context.held_shards and n != "c0")
         await p.crash(holder, 8.0)  # whoever takes over reads what the late write has left
         await anyio.sleep(40.0)
 
@@ -296,7 +299,7 @@
             p.net.cut("c2", "state", HOLD, 3.0)
         await anyio.sleep(60.0)
         for shard in range(3):
-            assert sum(1 for n in p.nodes.values() if shard in n.shared.held) == 1
+            assert sum(1 for n in p.nodes.values() if shard in n.context.held_shards) == 1
 
     play(scene)
 
@@ -308,10 +311,10 @@
     """A job that was accepted elsewhere a moment ago is known at a controller that reads through another: no 404."""
     if not guarded:
 
-        async def at_once(self: Following) -> Proof:
-            return Proof(self.shared.clock())
+        async def at_once(self: StoreWatch) -> FreshRead:
+            return FreshRead(self.context.clock())
 
-        monkeypatch.setattr(Following, "proof", at_once)
+        monkeypatch.setattr(StoreWatch, "fresh_read", at_once)
     lost: list[int] = []
 
     async def scene(p: Played) -> None:
@@ -332,21 +335,21 @@
 
     async def scene(p: Played) -> None:
         await anyio.sleep(2.0)
-        c0 = p.nodes["c0"].carrying
-        number = c0.calls.ask("c1", p.now + 5.0)
+        c0 = p.nodes["c0"].relay
+        number = c0.pending.open_request("c1", p.now + 5.0)
         assert number is not None
-        c0.waiting[number] = (anyio.Event(), [])
-        mine = relay_messages.Answer(c0.calls.life, number, 200, False, b"{}")
+        c0.response_waiters[number] = (anyio.Event(), [])
+        mine = relay_messages.RelayResponse(c0.pending.incarnation, number, 200, False, b"{}")
         for wrong, by in (
-            (mine._replace(life="before"), "c1"),
+            (mine._replace(incarnation="before"), "c1"),
             (mine, "c2"),
             (mine._replace(number=number + 1), "c1"),
         ):
-            c0.deliver(by, relay_messages.pack(relay_messages.ANSWER, 1, wrong))
-        assert not c0.waiting[number][1]
-        c0.deliver("c1", relay_messages.pack(relay_messages.ANSWER, 1, mine))
-        c0.deliver("c1", relay_messages.pack(relay_messages.ANSWER, 1, mine))
-        assert c0.waiting[number][1] == [mine]
+            c0.deliver(by, relay_messages.encode(relay_messages.RESPONSE, 1, wrong))
+        assert not c0.response_waiters[number][1]
+        c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, mine))
+        c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, mine))
+        assert c0.response_waiters[number][1] == [mine]
 
     play(scene)
 
@@ -354,16 +357,18 @@
 def test_who_is_behind_with_its_own_work_carries_nothing() -> None:
     async def scene(p: Played) -> None:
         await anyio.sleep(2.0)
-        c0, c1 = p.nodes["c0"].carrying, p.nodes["c1"].carrying
+        c0, c1 = p.nodes["c0"].relay, p.nodes["c1"].relay
 
         async def read() -> int:
             return (
-                await c0.ask("c1", relay_messages.STATE, timeout=1.0, method="GET", target="/kv/p/renter")
+                await c0.send(
+                    "c1", relay_messages.STORE, timeout=1.0, method="GET", target="/kv/p/renter"
+                )
             )[0]
 
         assert await read() == 200
-        c1.late = lambda: 0.7
-        with pytest.raises(NotCarried):
+        c1.scheduling_lag = lambda: 0.7
+        with pytest.raises(RelayRefusedError):
             await read()
 
     play(scene)
@@ -377,15 +382,19 @@
         p.net.cut("c0", "state", RESET, 30.0)
         p.net.cut("c0", "c2", RESET, 30.0)
         await anyio.sleep(3.0)
-        c0 = p.nodes["c0"].carrying
+        c0 = p.nodes["c0"].relay
         got: list[int] = []
 
         async def read() -> None:
             with contextlib.suppress(Exception):
                 got.append(
                     (
-                        await c0.ask(
-                            "c1", relay_messages.STATE, timeout=1.0, method="GET", target="/kv/p/renter"
+                        await c0.send(
+                            "c1",
+                            relay_messages.STORE,
+                            timeout=1.0,
+                            method="GET",
+                            target="/kv/p/renter",
                         )
                     )[0]
                 )
@@ -393,10 +402,10 @@
         async with anyio.create_task_group() as tg:
             for _ in range(250):
                 tg.start_soon(read)
-        assert 0 < len(got) < 250 and p.nodes["c1"].carrying.calls.refused > 0
+        assert 0 < len(got) < 250 and p.nodes["c1"].relay.pending.refused_count > 0
         begun = p.now
         await p.submit(p.spec(800, gait="array"), "c1")
-        assert p.now - begun < 0.2 and p.nodes["c1"].shared.store.requests.free() > 0
+        assert p.now - begun < 0.2 and p.nodes["c1"].context.store.requests.available() > 0
 
     play(scene)
 
@@ -407,7 +416,7 @@
 ) -> None:
     """It reads through that peer, so it hears of it, and its user is told at once; nobody's word is taken for its reading."""
     if not guarded:  # no carrying, and no waiting for its word
-        monkeypatch.setattr(Cancellations, "may_tell", lambda self, version, now: True)
+        monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
     options = settings.Options(carry=guarded, cut_off_s=120.0)
 
     async def scene(p: Played) -> None:
@@ -470,17 +479,17 @@
     older: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It says nothing of it and is asked nothing; what can't be carried moves, as it did before."""
-    real = Carrying.collect
+    real = Relay.collect
 
-    def collect(self: Carrying, node: str, now: float) -> list[Any]:
-        return [] if self.shared.settings.name in older else real(self, node, now)
+    def collect(self: Relay, node: str, now: float) -> list[Any]:
+        return [] if self.context.settings.name in older else real(self, node, now)
 
-    monkeypatch.setattr(Carrying, "collect", collect)
+    monkeypatch.setattr(Relay, "collect", collect)
 
     async def scene(p: Played) -> None:
         for name in older:
-            p.nodes[name].carrying.deliver = lambda node, message: None  # type: ignore[method-assign]
-            node = p.nodes[name].shared
+            p.nodes[name].relay.deliver = lambda node, message: None  # type: ignore[method-assign]
+            node = p.nodes[name].context
             node.settings = replace(
                 node.settings, options=replace(node.settings.options, carry=False)
             )
@@ -514,6 +523,6 @@
         p.tasks.start_soon(p.withdraw, "j-000900")
         await anyio.sleep(75.0)
         assert "j-000900" in p.cancelled and all(a.accepted is not None for a in p.asked.values())
-        assert sum(len(n.shared.held) for n in p.nodes.values()) == 3
+        assert sum(len(n.context.held_shards) for n in p.nodes.values()) == 3
 
     play(scene, seed)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -9,8 +9,8 @@
 import pytest
 
 from ploverhall.protocol import agents, peer_messages
-from ploverhall.protocol.peer_messages import JobNews, PermitNews
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.protocol.peer_messages import JobUpdate, PermitUpdate
+from ploverhall.scheduling.shard_owner import ShardOwner
 
 from . import test_world, world
 from .played import Played, play
@@ -28,7 +28,7 @@
         await busy(p, 90.0)
         await anyio.sleep(30.0)
         assert p.claims() == 0 and p.fleet.killed_by_lease == 0
-        away = sum(len(n.workers.homing.away) for n in p.nodes.values())
+        away = sum(len(n.agent_commands.failback.relayed_agents) for n in p.nodes.values())
         assert away == 0, "nobody took them for workers that can't reach their controller"
         await p.crash("c0", 8.0)
         await anyio.sleep(60.0)
@@ -51,19 +51,22 @@
         p.fleet.machines.pop(dead)[2].cancel()  # it is taken without notice
         at = p.now
         await anyio.sleep(14.0)
-        owners = [h.owner for n in p.nodes.values() for h in n.shared.held.values()]
+        owners = [h.owner for n in p.nodes.values() for h in n.context.held_shards.values()]
         assert not [
-            pm for o in owners for pm in o.fleet.permits.get(dead, {}).values() if not pm.gone
+            pm
+            for o in owners
+            for pm in o.inventory.permits_by_machine.get(dead, {}).values()
+            if not pm.gone
         ], "silent for a lease: gone"
         await p.crash("c0", 6.0)  # whoever takes over has never heard of it
         while p.now - at < 60.0:
             await anyio.sleep(0.5)
             for n in p.nodes.values():
-                for h in n.shared.held.values():
+                for h in n.context.held_shards.values():
                     m = h.owner.machines.get(dead)
-                    assert m is None or h.owner.fleet.unusable(m, p.now)
-                if n.shared.renter is not None and dead in n.shared.renter.machines:
-                    v = n.shared.renter.machines[dead].view
+                    assert m is None or h.owner.inventory.unusable(m, p.now)
+                if n.context.autoscaler is not None and dead in n.context.autoscaler.machines:
+                    v = n.context.autoscaler.machines[dead].update
                     assert v is None or v.notice, "a copy brought it back as room"
 
     play(scene)
@@ -78,20 +81,20 @@
 
 def copies_are_news(monkeypatch: pytest.MonkeyPatch) -> None:
     """The guard taken out: whatever was newest before, each report counts as newer."""
-    real = Owner.on_report
+    real = ShardOwner.on_heartbeat
 
     def believing(
-        self: Owner, r: Any, now: float, direct: bool = False, carried: bool = False
+        self: ShardOwner, r: Any, now: float, direct: bool = False, carried: bool = False
     ) -> Any:
         if (
             (m := self.machines.get(r.machine)) is not None
             and not direct
-            and (r.session, r.seq) <= m.reported
+            and (r.session, r.seq) <= m.newest_heartbeat
         ):
-            m.reported, m.session, m.seq = (0, 0), 0, 0
+            m.newest_heartbeat, m.incarnation, m.sequence = (0, 0), 0, 0
         return real(self, r, now, direct, carried)
 
-    monkeypatch.setattr(Owner, "on_report", believing)
+    monkeypatch.setattr(ShardOwner, "on_heartbeat", believing)
 
 
 @pytest.mark.parametrize("guard", ["a copy counts as news", "a copy proves silence over"])
@@ -101,22 +104,22 @@
     if guard == "a copy counts as news":
         copies_are_news(monkeypatch)
     else:
-        real = Owner.on_report
+        real = ShardOwner.on_heartbeat
 
         def believing(
-            self: Owner, r: Any, now: float, direct: bool = False, carried: bool = False
+            self: ShardOwner, r: Any, now: float, direct: bool = False, carried: bool = False
         ) -> Any:
             m = self.machines.get(r.machine)
-            if m is not None and not direct and (r.session, r.seq) <= m.reported:
-                m.took, m.last_report, m.last_answer = (
+            if m is not None and not direct and (r.session, r.seq) <= m.newest_heartbeat:
+                m.accepted_token, m.last_heartbeat_at, m.last_answer_at = (
                     True,
                     now - 2 * world.LEASE,
                     0.0,
                 )  # as if what it is answered were its first
-                self.proved = now
+                self.epoch_confirmed_at = now
             return real(self, r, now, direct, carried)
 
-        monkeypatch.setattr(Owner, "on_report", believing)
+        monkeypatch.setattr(ShardOwner, "on_heartbeat", believing)
     assert test_world._seeds_until_broken(range(300, 325), kinds=(0, 2, 3, 4, 8), copies=0.5)
 
 
@@ -141,7 +144,9 @@
     def __init__(self) -> None:
         self.now, self.rng, self.nodes = 0.0, Random(1), [0]
         self.specs = {
-            f"j-{i:06d}": a_job(f"j-{i:06d}", n=1, gpus=1.0, types=("t",), estimate_s=1e9)
+            f"j-{i:06d}": a_job(
+                f"j-{i:06d}", task_count=1, gpus=1.0, machine_types=("t",), estimate_s=1e9
+            )
             for i in range(3)
         }
         self.results: set[Any] = set()
@@ -158,31 +163,34 @@
         self.attempt = 0
         self.claim()
 
-    def started(self, w: world.Worker, key: agents.Key) -> None:
+    def started(self, w: world.Worker, key: agents.AttemptId) -> None:
         for other in self.workers:
             if other is not w and any(k[:2] == key[:2] for k in other.on_machine()):
                 raise Broken(f"ran_twice: {key}")
 
     def claim(self) -> None:
         self.epoch += 1
-        self.owner = Owner(0, self.epoch, 1, world.LEASE, world.REPORT, 5.0, 5, self.rng, self.now)
-        self.owner.types = {"t": world.TYPE}
-        self.owner.proved = 1e9  # whoever asks the store is told that it holds the part
+        self.owner = ShardOwner(
+            0, self.epoch, 1, world.LEASE, world.REPORT, 5.0, 5, self.rng, self.now
+        )
+        self.owner.machine_types = {"t": world.TYPE}
+        self.owner.epoch_confirmed_at = 1e9  # whoever asks the store is told that it holds the part
         changes: dict[str, Any] = {
-            peer_messages.job_key(j): JobNews(s.record(), list(s.vec), 0) for j, s in self.specs.items()
+            peer_messages.job_key(j): JobUpdate(s.record(), list(s.resources), 0)
+            for j, s in self.specs.items()
         }
         for j, (attempt, m) in self.entries.items():
-            changes[peer_messages.permit_key((j, 0, attempt))] = PermitNews(
+            changes[peer_messages.permit_key((j, 0, attempt))] = PermitUpdate(
                 f"n-{m}", self.epoch - 1, 1, None
             )
-        self.owner.on_source(0, True, changes, self.now)
+        self.owner.on_source_update(0, True, changes, self.now)
 
     def receive(self, w: world.Worker, body: dict[str, Any], sent: float, answered: bool) -> None:
-        m = self.owner.on_report(agents.parse(body), self.now)
-        if m is None or m.copy:
+        m = self.owner.on_heartbeat(agents.heartbeat_from_json(body), self.now)
+        if m is None or m.stale_heartbeat:
             return
-        answer = agents.answer(m.token, self.owner.commands(m, self.now))
-        m.last_answer = self.now
+        answer = agents.heartbeat_answer(m.token, self.owner.commands_for(m, self.now))
+        m.last_answer_at = self.now
         if answered:
             w.on_answer(answer, sent, body["tide"])
 
@@ -199,14 +207,16 @@
             x, body, at = self.sent[n % len(self.sent)]
             self.receive(x, body, at, False)
         elif what == "do":
-            self.owner.work = dict(self.owner.machines)
-            for m, body in self.owner.direct_work(self.now):
+            self.owner.machines_needing_commands = dict(self.owner.machines)
+            for m, body in self.owner.direct_commands(self.now):
                 x = self.workers[int(m.name[2:])]
                 if n % 2:
-                    self.owner.direct_done(m, agents.parse(x.on_do(body)), self.now)
+                    self.owner.on_direct_answer(
+                        m, agents.heartbeat_from_json(x.on_do(body)), self.now
+                    )
                 else:
                     self.commands.append((x, body))
-                    self.owner.direct_done(m, None, self.now)
+                    self.owner.on_direct_answer(m, None, self.now)
         elif what == "do late" and self.commands:
             x, body = self.commands[n % len(self.commands)]
             x.on_do(body)
@@ -217,36 +227,40 @@
             if (
                 job not in self.entries
                 and m is not None
-                and not self.owner.fleet.unusable(m, self.now)
+                and not self.owner.inventory.unusable(m, self.now)
             ):
                 self.attempt += 1
                 self.entries[job] = (self.attempt, i)
                 key = peer_messages.permit_key((job, 0, self.attempt))
-                self.owner.on_source(
-                    0, False, {key: PermitNews(name, self.epoch, 1, None)}, self.now
+                self.owner.on_source_update(
+                    0, False, {key: PermitUpdate(name, self.epoch, 1, None)}, self.now
                 )
         elif what == "stop":
             job = f"j-{n % 3:06d}"
             if job in self.entries:
                 attempt, m_i = self.entries[job]
                 key = peer_messages.permit_key((job, 0, attempt))
-                self.owner.on_source(
-                    0, False, {key: PermitNews(f"n-{m_i}", self.epoch, 1, 0.0)}, self.now
+                self.owner.on_source_update(
+                    0, False, {key: PermitUpdate(f"n-{m_i}", self.epoch, 1, 0.0)}, self.now
                 )
         elif what == "claim" and n % 4 == 0:
             self.claim()
         elif what == "lease" and n % 2:
             self.now += world.LEASE + 2.0
         self.now += 0.1 + n / 40
-        self.owner.tick(self.now)
-        for (_, key), news in self.owner.take_news().items():
-            if key[0] == peer_messages.START and news is not None and news[0] in ("gone", "exited"):
-                job, _, attempt = peer_messages.split_key(key)
+        self.owner.advance_time(self.now)
+        for (_, key), news in self.owner.take_source_updates().items():
+            if (
+                key[0] == peer_messages.ATTEMPT
+                and news is not None
+                and news[0] in ("gone", "exited")
+            ):
+                job, _, attempt = peer_messages.attempt_id_of_key(key)
                 if self.entries.get(job, (0, 0))[0] == attempt:
                     del self.entries[
                         job
                     ]  # proven gone, or exited and recorded: it may start elsewhere
-                    self.owner.on_source(
+                    self.owner.on_source_update(
                         0, False, {peer_messages.permit_key((job, 0, attempt)): None}, self.now
                     )
 
@@ -270,15 +284,15 @@
     if guard == "copies are new":
         copies_are_news(monkeypatch)
     else:
-        monkeypatch.setattr(Owner, "_check", _check_without_tokens)
+        monkeypatch.setattr(ShardOwner, "_check_gone", _check_without_tokens)
     with pytest.raises(Broken, match="ran_twice"):
         for seed in range(400):
             _any_order(seed)
 
 
-def _check_without_tokens(self: Owner, p: Any) -> None:
+def _check_without_tokens(self: ShardOwner, p: Any) -> None:
     """What a list omits counts as gone, whatever may still be on its way."""
     m = self.machines.get(p.machine)
     if not p.gone and m is not None and p.key not in m.tasks and p.run_token:
         p.gone = True
-        self.changed.add(p.key)
+        self.changed_attempts.add(p.key)
--- a/tests/test_deaf.py
+++ b/tests/test_deaf.py
@@ -25,9 +25,9 @@
     return {
         key
         for n in p.nodes.values()
-        for h in n.shared.held.values()
+        for h in n.context.held_shards.values()
         for m in machines
-        for key, pm in h.owner.fleet.permits.get(m, {}).items()
+        for key, pm in h.owner.inventory.permits_by_machine.get(m, {}).items()
         if not pm.gone
     }
 
@@ -47,7 +47,7 @@
     return {
         m["name"]
         for n in p.nodes.values()
-        for m in n.view.of()["trouble_machines"]
+        for m in n.shard_status.report()["trouble_machines"]
         if m["state"] == "unreachable"
     }
 
@@ -67,7 +67,7 @@
             assert any(
                 "hears nothing" in t
                 for n in p.nodes.values()
-                for t in status.troubles(n.view.of()).values()
+                for t in status.conditions(n.shard_status.report()).values()
             )
             late = await watch(p, some, s - 15.0)
             assert not late, f"{len(late)} starts were given to machines that hear nothing"
@@ -95,7 +95,7 @@
         await anyio.sleep(15.0)
         assert p.claims() == 1
         await anyio.sleep(50.0)
-        assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2]
+        assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
 
     play(scene, machines=24)
 
@@ -155,8 +155,10 @@
             p.deafen([new], 100.0)
             p.fleet.pleas["late"] = [new]
             assert not await watch(p, [new], 40.0)
-            renter = next(n.shared.renter for n in p.nodes.values() if n.shared.renter is not None)
-            view = renter.machines[new].view
+            renter = next(
+                n.context.autoscaler for n in p.nodes.values() if n.context.autoscaler is not None
+            )
+            view = renter.machines[new].update
             assert view is None or view.notice, "its room is nobody's"
 
     play(scene)
@@ -170,10 +172,10 @@
         nonlocal now, seq
         for _ in range(int(s / 0.25)):
             now += 0.25
-            o.tick(now)
-            o.place(now)
+            o.advance_time(now)
+            o.place_candidates(now)
         seq += 1
-        o.on_report(report(seq, token, session=session), now)
+        o.on_heartbeat(report(seq, token, session=session), now)
 
     beat(EPOCH << TOKEN_BITS, 1)
     m = o.machines["n-1"]
@@ -181,12 +183,12 @@
     for session in (2, 3, 4, 5):
         for _ in range(8):  # its lease has run out, and it goes on without having heard
             beat(m.seen_token, session)
-        assert m.deaf and m.bucket is None and m.name in o.unheard
+        assert m.not_receiving and m.index_bucket is None and m.name in o.unconfirmed_machines
         beat(m.token, session)
         heard = now
-        while m.bucket is None:
+        while m.index_bucket is None:
             beat(m.token, session)
             assert now - heard < 60.0
         rests.append(now - heard)
-        assert not o.unheard and not o.fleet.unusable(m, now)
+        assert not o.unconfirmed_machines and not o.inventory.unusable(m, now)
     assert rests[0] <= 1.0 and rests == sorted(rests) and rests[-1] >= 20.0
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from ploverhall.storage.store_cache import SHARD
+from ploverhall.storage.store_cache import SHARD_PREFIX
 
 from .played import Played, play
 from .test_carry import busy
@@ -29,7 +29,11 @@
     async def __call__(self, q: Any) -> Any:
         if q.path == "/multi":
             put = next(
-                (o for o in orjson.loads(q.body).get("apply", ()) if o.get("put") == f"{SHARD}0"),
+                (
+                    o
+                    for o in orjson.loads(q.body).get("apply", ())
+                    if o.get("put") == f"{SHARD_PREFIX}0"
+                ),
                 None,
             )
             if put is not None:
@@ -62,12 +66,12 @@
         with anyio.fail_after(20.0):
             if step == "lease gone":
                 await anyio.sleep(0.3)
-                ttl, _ = p.state.leases[lease := p.state.tied[f"{SHARD}0"]]
+                ttl, _ = p.state.leases[lease := p.state.tied[f"{SHARD_PREFIX}0"]]
                 p.state.leases[lease] = (
                     ttl,
                     p.now - 1.0,
                 )  # workers that come elsewhere would have the part taken before that
-                while f"{SHARD}0" in p.state.store.kv:
+                while f"{SHARD_PREFIX}0" in p.state.store.kv:
                     await anyio.sleep(0.01)
                 hook.claimant = "c2"
             else:
@@ -82,14 +86,16 @@
         while p.now < at + 20.0:
             await anyio.sleep(0.05)
             holders = [
-                n for n, node in p.nodes.items() if n not in p.down and 0 in node.shared.held
+                n
+                for n, node in p.nodes.items()
+                if n not in p.down and 0 in node.context.held_shards
             ]
-            in_store = p.state.store.kv.get(f"{SHARD}0", ({"node": None}, 0))[0]["node"]
+            in_store = p.state.store.kv.get(f"{SHARD_PREFIX}0", ({"node": None}, 0))[0]["node"]
             since = p.now if in_store in holders else since
             longest = max(longest, p.now - since)
         assert longest < 8.0, f"nobody held the part for {longest:.1f} s"
         await anyio.sleep(25.0)
-        assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2]
+        assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
         assert p.fleet.killed_by_lease == 0 and await p.all_answered(10.0) == []
 
     play(scene)
@@ -108,7 +114,7 @@
             await anyio.sleep(14.0)
         await anyio.sleep(25.0)
         for n in p.nodes.values():
-            for h in n.shared.held.values():
+            for h in n.context.held_shards.values():
                 for key, pm in h.owner.permits.items():
                     assert pm.gone or pm.refused or key in p.fleet.workers[pm.machine].tasks, (
                         f"{key} is taken to run on {pm.machine}"
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.coordination.cancellation_barrier import Cancellations
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 
 from . import world
 from .meetings import meet
@@ -26,10 +26,10 @@
     monkeypatch.setattr(world, "CANCEL", CANCEL)
 
 
-def hears_all(self: Cancellations, now: float) -> bool:
+def hears_all(self: CancellationBarrier, now: float) -> bool:
     """As it was: in an outage, whoever hears all others goes on, and only the key counts for the telling."""
-    return now - self.read_at >= self.fence and any(
-        now - m.heard > 2.5 for m in self.members.values()
+    return now - self.store_contact_at >= self.max_contact_age_s and any(
+        now - m.last_gossip_at > 2.5 for m in self.peers.values()
     )
 
 
@@ -40,19 +40,25 @@
 ) -> None:
     """Its key has gone, nobody has its part yet, it has read none of the cancellations, and can hear the others again."""
     if not mended:
-        monkeypatch.setattr(Cancellations, "isolated", hears_all)
-        real, word = Cancellations.take, Cancellations.word
+        monkeypatch.setattr(CancellationBarrier, "isolated", hears_all)
+        real, word = CancellationBarrier.receive_gossip, CancellationBarrier.gossip_for
         monkeypatch.setattr(
-            Cancellations, "take", lambda s, n, w, now: real(s, n, w._replace(cancelled=[]), now)
+            CancellationBarrier,
+            "receive_gossip",
+            lambda s, n, w, now: real(s, n, w._replace(cancelled=[]), now),
         )
         monkeypatch.setattr(
-            Cancellations, "word", lambda s, n, read, now: word(s, n, read, now)._replace(echo=None)
+            CancellationBarrier,
+            "gossip_for",
+            lambda s, n, read, now: word(s, n, read, now)._replace(echo=None),
+        )
+        monkeypatch.setattr(
+            CancellationBarrier, "_last_obligation", lambda self, m: m.absent_since or 0.0
         )
-        monkeypatch.setattr(Cancellations, "_owed", lambda self, m: m.absent or 0.0)
 
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
-        layout = p.nodes["c0"].shared.layout
+        layout = p.nodes["c0"].context.shard_map
         mine = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][
             :3
         ]  # it is the source, too: nobody else stops them
@@ -68,7 +74,7 @@
         while "p/node/c0" in p.state.store.kv:
             await anyio.sleep(0.05)
         await anyio.sleep(0.1)
-        assert p.now - at < back and p.nodes["c0"].shared.held
+        assert p.now - at < back and p.nodes["c0"].context.held_shards
         p.tasks.start_soon(p.outage, 125.0)
         await anyio.sleep(100.0)
         if mended:
@@ -76,7 +82,7 @@
             assert told and told[-1] < 14.0, (
                 "it is named the cancellations when the link is back, and then the users are told"
             )
-            assert p.nodes["c0"].shared.held and p.fleet.killed_by_lease == 0, (
+            assert p.nodes["c0"].context.held_shards and p.fleet.killed_by_lease == 0, (
                 "and goes on with everything else"
             )
             assert any(w.tasks for w in p.workers.values())
@@ -98,7 +104,7 @@
         assert p.fleet.killed_by_lease == 0
         await anyio.sleep(20.0)
         assert p.fleet.killed_by_lease == 0 and all(
-            len(n.shared.held) == 1 for n in p.nodes.values()
+            len(n.context.held_shards) == 1 for n in p.nodes.values()
         )
 
     play(scene)
@@ -118,9 +124,9 @@
         for name in ("c0", "c2"):
             node = p.nodes[name]
             assert (
-                node.shared.held
-                and not node.membership.isolated(now)
-                and now - node.cancellations.contact(now) < 3.0
+                node.context.held_shards
+                and not node.shard_leases.isolated(now)
+                and now - node.cancellation_barrier.last_contact(now) < 3.0
             )
         await anyio.sleep(25.0)
 
--- a/tests/test_hands.py
+++ b/tests/test_hands.py
@@ -14,10 +14,10 @@
 import anyio
 import pytest
 
-from ploverhall.controller.shard_roles import Roles
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.coordination.restart_recovery import Rights
-from ploverhall.scheduling.allocations import Ledger
+from ploverhall.controller.shard_roles import ShardRoles
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.coordination.restart_recovery import RenewalGrants
+from ploverhall.scheduling.allocations import AllocationStore
 
 from . import world
 from .played import HOLD, RESET, SLOW, Played, play
@@ -63,14 +63,17 @@
     with anyio.move_on_after(within):
         while True:
             held = {
-                s: n for n, node in p.nodes.items() if n not in p.down for s in node.shared.held
+                s: n
+                for n, node in p.nodes.items()
+                if n not in p.down
+                for s in node.context.held_shards
             }
-            epochs = {s: p.nodes[n].shared.held[s].epoch for s, n in held.items()}
-            layout = p.nodes["c0"].shared.layout
+            epochs = {s: p.nodes[n].context.held_shards[s].epoch for s, n in held.items()}
+            layout = p.nodes["c0"].context.shard_map
             late = [
                 w.name
                 for w in p.workers.values()
-                if w.token >> 20 != epochs.get(layout.part(w.zone, w.name), -1)
+                if w.token >> 20 != epochs.get(layout.shard_of_machine(w.zone, w.name), -1)
             ]
             if sorted(held) == [0, 1, 2] and not late:
                 return
@@ -97,7 +100,7 @@
     for name in ("c0", "c1", "c0"):
         await p.crash(name, 6.0)
         with anyio.move_on_after(40.0):
-            while p.nodes[name].shared.me not in p.nodes[name].shared.held:
+            while p.nodes[name].context.controller_index not in p.nodes[name].context.held_shards:
                 await anyio.sleep(0.05)
 
 
@@ -155,12 +158,12 @@
 
 def reads_no_cells() -> Any:
     """Without: a new source does not know the starts that may be somewhere."""
-    return Ledger, "install_cell", lambda self, team, found, now: None
+    return AllocationStore, "install_allocations", lambda self, team, found, now: None
 
 
 def answers_nobody() -> Any:
     """Without: a new life does not answer the workers of its earlier one before it holds their part again."""
-    return Rights, "answer", lambda self, r, me, newest, over, wall: None
+    return RenewalGrants, "answer_heartbeat", lambda self, r, me, newest, over, wall: None
 
 
 @pytest.mark.parametrize(
@@ -250,14 +253,14 @@
 
 def owners_know_nothing() -> Any:
     """Without: an owner stops what is over only when its source says so."""
-    real = Roles.take
+    real = ShardRoles.acquire
 
-    def take(self: Roles, shard: int, epoch: int) -> None:
+    def take(self: ShardRoles, shard: int, epoch: int) -> None:
         real(self, shard, epoch)
-        owner = self.shared.held[shard].owner
-        owner.job_over, owner.job_ended = (lambda jid: False), (lambda jid: None)  # type: ignore[method-assign]
+        owner = self.context.held_shards[shard].owner
+        owner.job_ended_in_store, owner.job_ended = (lambda jid: False), (lambda jid: None)  # type: ignore[method-assign]
 
-    return Roles, "take", take
+    return ShardRoles, "acquire", take
 
 
 @pytest.mark.parametrize(
@@ -295,7 +298,9 @@
         with anyio.fail_after(40.0):
             if step == "source ready":
                 while not any(
-                    n != "c0" and 0 in node.shared.held and node.shared.held[0].source
+                    n != "c0"
+                    and 0 in node.context.held_shards
+                    and node.context.held_shards[0].source
                     for n, node in p.nodes.items()
                 ):
                     await anyio.sleep(0.002)
@@ -320,11 +325,11 @@
 
 def names_nothing() -> Any:
     """Without: members name no cancellations to one another, and answer none of one another's words."""
-    real = Cancellations.word
+    real = CancellationBarrier.gossip_for
     return (
-        Cancellations,
-        "word",
-        lambda s, n, read, now: real(s, n, read, now)._replace(cancelled=[], echo=None),
+        CancellationBarrier,
+        "gossip_for",
+        lambda s, n, read, now: real(s, n, read, now)._replace(cancellations=[], echo=None),
     )
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,32 +10,32 @@
 import anyio
 import pytest
 
-from ploverhall.scheduling.allocations import Ledger
+from ploverhall.scheduling.allocations import AllocationStore
 
 from .played import HOLD, SILENT, Played, play
 
 
 def over_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     """A job's end takes its starts out of the count, wherever they may still be."""
-    real = Ledger.on_job
+    real = AllocationStore.on_job
 
     def on_job(
-        self: Ledger, job: Any, jid: str, version: int, now: float, age: float = 0.0
+        self: AllocationStore, job: Any, jid: str, version: int, now: float, age: float = 0.0
     ) -> None:
         real(self, job, jid, version, now, age)
         if job is None and (js := self.jobs.get(jid)) is not None:
-            for e in js.entries.values():
-                e.over = True
+            for e in js.allocations.values():
+                e.finished = True
                 self.dirty_chunks.setdefault(e.chunk, False)
 
-    monkeypatch.setattr(Ledger, "on_job", on_job)
+    monkeypatch.setattr(AllocationStore, "on_job", on_job)
 
 
 def over_is_small(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new source does not know the size of what is over."""
-    real = Ledger.install_cell
+    real = AllocationStore.install_allocations
 
-    def install_cell(self: Ledger, team: str, found: dict[str, Any], now: float) -> None:
+    def install_cell(self: AllocationStore, team: str, found: dict[str, Any], now: float) -> None:
         small = {
             key: (
                 {
@@ -48,7 +48,7 @@
         }
         real(self, team, small, now)
 
-    monkeypatch.setattr(Ledger, "install_cell", install_cell)
+    monkeypatch.setattr(AllocationStore, "install_allocations", install_cell)
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,9 @@
             p.tasks.start_soon(p.withdraw, jid)
         await anyio.sleep(0.5)
         if change:
-            for name in {next(n for n in p.names if h in p.nodes[n].shared.held) for h in range(2)}:
+            for name in {
+                next(n for n in p.names if h in p.nodes[n].context.held_shards) for h in range(2)
+            }:
                 p.tasks.start_soon(p.crash, name, 0.2 if s > 10.0 else 20.0)
         await anyio.sleep(until - p.now)
         with anyio.move_on_after(40.0):
@@ -116,7 +118,7 @@
                 (j, i) in p.fleet.results
                 for j, sp in p.specs.items()
                 if int(j[2:]) >= 920
-                for i in range(sp.n)
+                for i in range(sp.task_count)
             ):
                 await anyio.sleep(0.1)
         used.append(p.now - until)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -13,9 +13,9 @@
 import anyio
 
 from ploverhall import settings
-from ploverhall.controller.controller import Node
+from ploverhall.controller.controller import Controller
 from ploverhall.protocol import jobs
-from ploverhall.status import text
+from ploverhall.status import format_text
 from ploverhall.transport.http import Client, Server
 
 from .standins import Fleet, State
@@ -112,7 +112,7 @@
                 await anyio.sleep(0.05)
 
     async def submit(self, w: dict[str, Any]) -> int:
-        self.fleet.specs[w["id"]] = jobs.parse(w, 0.0)
+        self.fleet.specs[w["id"]] = jobs.parse_submission(w, 0.0)
         return (await self.call("POST", "/api/jobs", w))[0]
 
 
@@ -123,9 +123,9 @@
     at = Place(s, State(), Fleet({"c0": s.bind}, max(ports) + 1), Client(*s.bind))
     async with anyio.create_task_group() as tg:
         at.fleet.tasks = tg
-        tg.start_soon(Server(at.state.handle, 100).run, *s.state)
+        tg.start_soon(Server(at.state.handle, 100).run, *s.store)
         tg.start_soon(Server(at.fleet.handle, 100).run, *s.cloud)
-        tg.start_soon(Node(s).run)
+        tg.start_soon(Controller(s).run)
         with anyio.fail_after(20):
             while True:
                 try:
@@ -178,7 +178,7 @@
             spec("j-000003", "daemon", 1),
         ]
         for w in work:
-            fleet.specs[w["id"]] = jobs.parse(w, 0.0)
+            fleet.specs[w["id"]] = jobs.parse_submission(w, 0.0)
             assert (await call("POST", "/api/jobs", w))[0] == 201
         assert (await call("POST", "/api/jobs", work[0]))[0] == 200, "a repeat is known"
         assert (await call("POST", "/api/jobs", {**work[0], "chicks": 0}))[0] == 400
@@ -203,18 +203,20 @@
                 await anyio.sleep(0.05)
         assert (await call("GET", "/api/jobs/j-000003"))[1]["stance"] == "withdrawn"
         status = (await call("GET", "/status"))[1]
-        one = "\n".join(text((await call("GET", "/status?job=j-000001"))[1], {"job": "j-000001"}))
+        one = "\n".join(
+            format_text((await call("GET", "/status?job=j-000001"))[1], {"job": "j-000001"})
+        )
         assert "users are told: j-000001 is done, 5 tasks done" in one and "j-000003" not in one
         (view,) = (c["view"] for c in status["controllers"].values())
         assert view["teams"]["team"]["gpus"] == 0 and view["machines"]
-        shown = "\n".join(text(status, {}))
+        shown = "\n".join(format_text(status, {}))
         assert (
             shown.startswith("wrong now: nothing")
             and "ended lately:" in shown
             and "team team:" in shown
         )
         huge = spec("j-000005", "array", 100_000, flightS=0.2)
-        fleet.specs["j-000005"] = jobs.parse(huge, 0.0)
+        fleet.specs["j-000005"] = jobs.parse_submission(huge, 0.0)
         assert (await call("POST", "/api/jobs", huge))[0] == 201
         with anyio.fail_after(20):
             while (answer := await call("GET", "/api/jobs/j-000005"))[1].get("done", 0) < 16:
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -20,9 +20,14 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.controller.autoscaling_loop import Renting
-from ploverhall.controller.shard_leases import Membership
-from ploverhall.protocol.key_value_store import Event, Refused, Store, Unknown
+from ploverhall.controller.autoscaling_loop import AutoscalingLoop
+from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.protocol.key_value_store import (
+    WatchEvent,
+    RequestRefusedError,
+    KeyValueStore,
+    OutcomeUnknownError,
+)
 from ploverhall.transport.http import Reply, Unreachable
 
 from .played import Played, play
@@ -170,7 +175,7 @@
     answers.on = True
     p.tasks.start_soon(looks, p)
     p.tasks.start_soon(partial(order, p, "u-1", machines=p.workers_of("c0")[:1]))
-    rents = next(n for n, node in p.nodes.items() if node.shared.renter is not None)
+    rents = next(n for n, node in p.nodes.items() if node.context.autoscaler is not None)
     for name in dict.fromkeys(("c1", rents)):
         p.tasks.start_soon(p.crash, name, 9.0)
     for n in range(910, 916):
@@ -198,7 +203,7 @@
 
 def whole(p: Played, kills: bool) -> None:
     """Nothing is lost by it. Only where claims are lost while two of three controllers are down may a part be without one for a lease."""
-    assert sorted(s for n in p.nodes.values() for s in n.shared.held) == [0, 1, 2], (
+    assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2], (
         "nobody holds a part, or two do"
     )
     assert all(f"p/node/{n}" in p.state.store.kv for n in p.names)
@@ -218,27 +223,27 @@
 
 def claims_once() -> Any:
     """Without: who finds itself as the holder, and does not hold it, leaves it at that."""
-    real = Membership.check
+    real = ShardLeases.reconcile_shard
 
-    async def check(self: Membership, shard: int, now: float) -> None:
+    async def check(self: ShardLeases, shard: int, now: float) -> None:
         if (
-            self.shared.replica.holder(shard)[0] != self.shared.settings.name
-            or shard in self.shared.held
+            self.context.store_cache.holder(shard)[0] != self.context.settings.name
+            or shard in self.context.held_shards
         ):
             await real(self, shard, now)
 
-    return Membership, "check", check
+    return ShardLeases, "reconcile_shard", check
 
 
 def types_once() -> Any:
     """As it was: what was not known to have landed was written again a minute later."""
-    real = Renting._store_types
+    real = AutoscalingLoop._store_machine_types
 
-    async def store(self: Renting, types: Any) -> bool:
+    async def store(self: AutoscalingLoop, types: Any) -> bool:
         await real(self, types)
         return True
 
-    return Renting, "_store_types", store
+    return AutoscalingLoop, "_store_machine_types", store
 
 
 @pytest.mark.parametrize(
@@ -304,13 +309,13 @@
         return self.answer
 
 
-CALLS: dict[str, Callable[[Store], Awaitable[Any]]] = {
+CALLS: dict[str, Callable[[KeyValueStore], Awaitable[Any]]] = {
     "get": lambda s: s.get("e/j-000001"),
-    "read": lambda s: s.read("c/"),
-    "txn": lambda s: s.txn({"a": 1}, {"a": 2}, []),
+    "read": lambda s: s.list_prefix("c/"),
+    "txn": lambda s: s.compare_and_swap({"a": 1}, {"a": 2}, []),
     "watch": lambda s: s.watch("p/", 3, 0),
-    "grant": lambda s: s.grant(4.0),
-    "renew": lambda s: s.renew(7),
+    "grant": lambda s: s.grant_lease(4.0),
+    "renew": lambda s: s.renew_lease(7),
 }
 MEANT: dict[str, dict[int, tuple[Any, Any]]] = {  # what the protocol lists, and what it says
     "get": {
@@ -331,7 +336,7 @@
     "watch": {
         200: (
             {"moult": 4, "news": [{"delete": "p/x", "feather": 4}]},
-            (4, [Event("p/x", None, 4)]),
+            (4, [WatchEvent("p/x", None, 4)]),
         ),
         410: ({}, None),
     },
@@ -343,8 +348,8 @@
 def says(call: str, status: int, body: Any) -> Any:
     """What a call makes of an answer: a value, or the name of what it raises."""
     try:
-        return anyio.run(CALLS[call], Store(Says(status, body), 100.0, 100.0))
-    except (Refused, Unknown) as e:
+        return anyio.run(CALLS[call], KeyValueStore(Says(status, body), 100.0, 100.0))
+    except (RequestRefusedError, OutcomeUnknownError) as e:
         return type(e).__name__
 
 
@@ -355,10 +360,10 @@
     for status, (body, meant) in listed.items():
         assert says(call, status, body) == meant
     for status in (429, 503):
-        assert says(call, status, {"error": "trouble"}) == "Refused"
+        assert says(call, status, {"error": "trouble"}) == "RequestRefusedError"
     for status in {201, 204, 301, 400, 403, 404, 408, 409, 410, 500, 502, 504} - listed.keys():
-        assert says(call, status, {"error": "bad gateway"}) == "Unknown", status
-    assert says(call, 400, {"error": "malformed"}) == "Unknown"
+        assert says(call, status, {"error": "bad gateway"}) == "OutcomeUnknownError", status
+    assert says(call, 400, {"error": "malformed"}) == "OutcomeUnknownError"
 
 
 @pytest.mark.parametrize(
@@ -394,28 +399,30 @@
 def test_a_200_in_no_published_form_is_an_unknown_outcome(call: str, bodies: list[Any]) -> None:
     """Before: a missing field raised KeyError inside the writer, and ended the process."""
     for body in [None, [], "ok", 7, [1], *bodies]:
-        assert says(call, 200, body) == "Unknown", body
+        assert says(call, 200, body) == "OutcomeUnknownError", body
     assert (
         says("txn", 409, {})
         == says("txn", 409, {"failed": [3]})
         == says("txn", 409, None)
-        == "Unknown"
+        == "OutcomeUnknownError"
     )
 
 
 def test_odd_answers_cost_one_line_now_and_then(capfd: pytest.CaptureFixture[str]) -> None:
     now = [100.0]
-    store = Store(Says(200, "x" * 100_000), 1e6, 1e6, lambda: now[0])
+    store = KeyValueStore(Says(200, "x" * 100_000), 1e6, 1e6, lambda: now[0])
 
     async def often() -> None:
         for _ in range(300):
             now[0] += 0.1
-            with pytest.raises(Unknown):
+            with pytest.raises(OutcomeUnknownError):
                 await store.get("k")
 
     anyio.run(often)
     lines = [line for line in capfd.readouterr().err.splitlines() if "odd answer" in line]
-    assert len(lines) == 3 and all(len(line) < 400 for line in lines) and store.last_ok == 0.0
+    assert (
+        len(lines) == 3 and all(len(line) < 400 for line in lines) and store.last_answer_at == 0.0
+    )
 
 
 # -- reads, renewals and watches with such answers ------------------------------------------------------------------------------------
@@ -424,23 +431,23 @@
 def no_lease_on_500() -> Any:
     """As it was."""
 
-    async def renew(self: Store, lease: int) -> bool:
+    async def renew(self: KeyValueStore, lease: int) -> bool:
         status, _ = await self._call(
             "POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True
         )
         return status == 200
 
-    return Store, "renew", renew
+    return KeyValueStore, "renew_lease", renew
 
 
 def no_key_on_500() -> Any:
     """As it was."""
 
-    async def get(self: Store, key: str) -> tuple[Any, int]:
+    async def get(self: KeyValueStore, key: str) -> tuple[Any, int]:
         status, out = await self._call("GET", f"/kv/{key}")
         return (out["v"], out["feather"]) if status == 200 else (None, 0)
 
-    return Store, "get", get
+    return KeyValueStore, "get", get
 
 
 @pytest.mark.parametrize(
@@ -601,7 +608,7 @@
                     (
                         n
                         for n, node in p.nodes.items()
-                        if n not in p.down and node.shared.renter is not None
+                        if n not in p.down and node.context.autoscaler is not None
                     ),
                     "c0",
                 )
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -11,17 +11,17 @@
 import anyio
 import pytest
 
-from ploverhall.autoscaling.autoscaler import Renter
-from ploverhall.controller.shard_leases import Membership
-from ploverhall.controller.shard_roles import Roles
-from ploverhall.controller.store_watch import Following
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.protocol.agents import Report
+from ploverhall.autoscaling.autoscaler import Autoscaler
+from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_roles import ShardRoles
+from ploverhall.controller.store_watch import StoreWatch
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.protocol.agents import Heartbeat
 from ploverhall.scheduling.allocations import JobState
 from ploverhall.scheduling.inventory import Permit
-from ploverhall.scheduling.permitting import ATTEMPT_BITS, Source
+from ploverhall.scheduling.permitting import ATTEMPT_BITS, JobSource
 from ploverhall.scheduling.placement import Placement
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.scheduling.shard_owner import ShardOwner
 
 from . import world
 from .meetings import MACHINES, meet
@@ -40,8 +40,8 @@
     return {
         m
         for n in p.nodes.values()
-        for h in n.shared.held.values()
-        for m in h.owner.fleet.proven_gone & alive
+        for h in n.context.held_shards.values()
+        for m in h.owner.inventory.proven_gone & alive
     }
 
 
@@ -49,9 +49,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Not what its team's limit holds back, nor what fits in a zone without room only, nor a gang that there is not room for."""
-    real = Source.wanted
+    real = JobSource.candidate_count
     monkeypatch.setattr(
-        Source, "wanted", lambda self, js, now: 0 if js.id == "j-000901" else real(self, js, now)
+        JobSource,
+        "candidate_count",
+        lambda self, js, now: 0 if js.id == "j-000901" else real(self, js, now),
     )
 
     async def scene(p: Played) -> None:
@@ -78,14 +80,14 @@
 
 def no_margin(monkeypatch: pytest.MonkeyPatch) -> None:
     """What a list doesn't have is gone, however old the list may be."""
-    real = Renter.on_list
+    real = Autoscaler.on_cloud_list
 
-    def on_list(self: Renter, items: Any, asked_at: float, now: float) -> None:
-        lag, self.lag_s = self.lag_s, -1e9
+    def on_list(self: Autoscaler, items: Any, asked_at: float, now: float) -> None:
+        lag, self.list_lag_s = self.list_lag_s, -1e9
         real(self, items, asked_at, now)
-        self.lag_s = lag
+        self.list_lag_s = lag
 
-    monkeypatch.setattr(Renter, "on_list", on_list)
+    monkeypatch.setattr(Autoscaler, "on_cloud_list", on_list)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -116,7 +118,7 @@
                 holder = max(
                     p.nodes,
                     key=lambda n: sum(
-                        len(h.owner.permits) for h in p.nodes[n].shared.held.values()
+                        len(h.owner.permits) for h in p.nodes[n].context.held_shards.values()
                     ),
                 )
                 p.tasks.start_soon(p.crash, holder, 5.0)
@@ -128,7 +130,9 @@
         gone.update(taken_for_gone(p))
         assert len(f.pleas) > 1, "nothing was rented"
         assert not await p.left_waiting()
-        renter = next(n.shared.renter for n in p.nodes.values() if n.shared.renter is not None)
+        renter = next(
+            n.context.autoscaler for n in p.nodes.values() if n.context.autoscaler is not None
+        )
         assert f.machines.keys() <= renter.machines.keys(), "each is used, or on its way back"
 
     if without is None:
@@ -140,9 +144,9 @@
         assert gone, "the scene must be able to fail"
 
 
-def told_by_name(self: Renter, part: int) -> list[str]:
+def told_by_name(self: Autoscaler, part: int) -> list[str]:
     """As it was: the last by name."""
-    return sorted(self.gone)[-300:]
+    return sorted(self.deleted)[-300:]
 
 
 @pytest.mark.parametrize("mended", [True, False])
@@ -151,17 +155,17 @@
 ) -> None:
     """Its tasks start again elsewhere. Where the last 300 by name were told, it counted for its team's limit for ever."""
     if not mended:
-        monkeypatch.setattr(Renter, "gone_for", told_by_name, raising=False)
+        monkeypatch.setattr(Autoscaler, "deleted_for", told_by_name, raising=False)
     back: list[bool] = []
 
     async def scene(p: Played) -> None:
         for n in range(900, 904):
             await p.submit(p.spec(n, gait="daemon", chicks=8))
         await anyio.sleep(5.0)
-        renting = next(name for name, n in p.nodes.items() if n.shared.renter is not None)
-        renter = p.nodes[renting].shared.renter
+        renting = next(name for name, n in p.nodes.items() if n.context.autoscaler is not None)
+        renter = p.nodes[renting].context.autoscaler
         assert renter is not None
-        renter.gone.update(
+        renter.deleted.update(
             {f"n-9{i:05d}": p.now for i in range(400)}
         )  # a long day's machines, newer by name
         leader = next(c for c in p.names if c != renting)
@@ -183,31 +187,31 @@
 
 def believes_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
     """What a list omits is gone though the machine has not taken this owner's token."""
-    real = Owner._check
+    real = ShardOwner._check_gone
 
-    def check(self: Owner, p: Permit) -> None:
+    def check(self: ShardOwner, p: Permit) -> None:
         m = self.machines.get(p.machine)
-        took = m.took if m is not None else False
+        took = m.accepted_token if m is not None else False
         if m is not None:
-            m.took = True
+            m.accepted_token = True
         real(self, p)
         if m is not None:
-            m.took = took
+            m.accepted_token = took
 
-    monkeypatch.setattr(Owner, "_check", check)
+    monkeypatch.setattr(ShardOwner, "_check_gone", check)
 
 
 def silence_of_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
     """A lease of silence counts though the machine has not taken this owner's token: another may be answering it."""
-    real = Owner.on_report
+    real = ShardOwner.on_heartbeat
 
-    def on_report(self: Owner, r: Report, *a: Any, **kw: Any) -> Any:
+    def on_report(self: ShardOwner, r: Heartbeat, *a: Any, **kw: Any) -> Any:
         m = real(self, r, *a, **kw)
         if m is not None:
-            m.took = True
+            m.accepted_token = True
         return m
 
-    monkeypatch.setattr(Owner, "on_report", on_report)
+    monkeypatch.setattr(ShardOwner, "on_heartbeat", on_report)
 
 
 @pytest.mark.parametrize(
@@ -284,14 +288,14 @@
 
 def an_answer_to_a_command_is_a_report(monkeypatch: pytest.MonkeyPatch) -> None:
     """What answers a command is taken for one whose lease has just been renewed."""
-    real = Owner.on_report
+    real = ShardOwner.on_heartbeat
 
     def on_report(
-        self: Owner, r: Report, now: float, direct: bool = False, carried: bool = False
+        self: ShardOwner, r: Heartbeat, now: float, direct: bool = False, carried: bool = False
     ) -> Any:
         return real(self, r, now, False, carried)
 
-    monkeypatch.setattr(Owner, "on_report", on_report)
+    monkeypatch.setattr(ShardOwner, "on_heartbeat", on_report)
 
 
 @pytest.mark.parametrize(
@@ -377,18 +381,18 @@
 
 def no_run_is_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the newest list omits is gone, though its run may still arrive: its token is not raised."""
-    monkeypatch.setattr(Owner, "_check", _check_without_tokens)
-    monkeypatch.setattr(Owner, "_raise", lambda self, m: True)
+    monkeypatch.setattr(ShardOwner, "_check_gone", _check_without_tokens)
+    monkeypatch.setattr(ShardOwner, "_raise_token", lambda self, m: True)
 
 
 def nothing_is_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
     """No stop is sent: what hung within its lease goes on, and the judge has to see it."""
-    real = Owner.commands
+    real = ShardOwner.commands_for
 
-    def commands(self: Owner, *a: Any, **kw: Any) -> Any:
+    def commands(self: ShardOwner, *a: Any, **kw: Any) -> Any:
         return [c for c in real(self, *a, **kw) if c["call"] != "kill"]
 
-    monkeypatch.setattr(Owner, "commands", commands)
+    monkeypatch.setattr(ShardOwner, "commands_for", commands)
 
 
 @pytest.mark.parametrize(
@@ -473,23 +477,23 @@
 
 def only_its_own_starts(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new source counts for a job's zones only what it has started itself."""
-    real = Source.zone_room
+    real = JobSource.zone_limits
 
-    def zone_room(self: Source, js: JobState) -> Any:
-        before = js.zones
-        mine = [e.zone for e in js.entries.values() if e.attempt >> ATTEMPT_BITS == self.epoch]
-        js.zones = {z: mine.count(z) for z in mine}
+    def zone_room(self: JobSource, js: JobState) -> Any:
+        before = js.allocations_per_zone
+        mine = [e.zone for e in js.allocations.values() if e.attempt >> ATTEMPT_BITS == self.epoch]
+        js.allocations_per_zone = {z: mine.count(z) for z in mine}
         found = real(self, js)
-        js.zones = before
+        js.allocations_per_zone = before
         return found
 
-    monkeypatch.setattr(Source, "zone_room", zone_room)
+    monkeypatch.setattr(JobSource, "zone_limits", zone_room)
 
 
 def by_the_letter(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who may stop whom is a circle: by rank what is within a guarantee, by guarantee what has the higher rank."""
-    real = Placement.may_stop
-    monkeypatch.setattr(Placement, "may_stop", lambda self, w, c: real(self, w, (*c[:4], False)))
+    real = Placement.may_preempt
+    monkeypatch.setattr(Placement, "may_preempt", lambda self, w, c: real(self, w, (*c[:4], False)))
 
 
 @pytest.mark.parametrize(
@@ -559,9 +563,9 @@
             for c in p.names:
                 p.net.cut(c, w, SILENT, 14.0)
         p.hang(busy[2:3], 7.0)
-        shard = p.nodes["c0"].shared.layout.team_shard["team-0"]
+        shard = p.nodes["c0"].context.shard_map.team_shard["team-0"]
         p.tasks.start_soon(
-            p.crash, next(n for n in p.names if shard in p.nodes[n].shared.held), 12.0
+            p.crash, next(n for n in p.names if shard in p.nodes[n].context.held_shards), 12.0
         )
         await anyio.sleep(25.0)
         with anyio.move_on_after(100.0):
@@ -604,9 +608,9 @@
                     else p.spec(n, gait="array")
                 )
         await anyio.sleep(4.0)
-        shard = p.nodes["c0"].shared.layout.team_shard["team-0"]
+        shard = p.nodes["c0"].context.shard_map.team_shard["team-0"]
         p.tasks.start_soon(
-            p.crash, next(n for n in p.names if shard in p.nodes[n].shared.held), 12.0
+            p.crash, next(n for n in p.names if shard in p.nodes[n].context.held_shards), 12.0
         )
         lost = min(mine)
         if how == "taken":
@@ -635,12 +639,12 @@
 
 def told_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Users are told of a cancellation as soon as it is written."""
-    monkeypatch.setattr(Cancellations, "may_tell", lambda self, version, now: True)
+    monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
 
 
 def answers_from_an_old_copy(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever can't read the state service takes his copy for current."""
-    monkeypatch.setattr(Following, "proof", always)
+    monkeypatch.setattr(StoreWatch, "fresh_read", always)
 
 
 @pytest.mark.parametrize(
@@ -733,20 +737,20 @@
     lost: float, late: float, without: Any, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All three controllers end one after another, with answers of the state service lost, or with writes carried out late."""
-    real, real_take = Membership.__init__, Roles.take
+    real, real_take = ShardLeases.__init__, ShardRoles.acquire
     taken: list[tuple[str, int, int]] = []
 
-    def init(self: Membership, *a: Any, **kw: Any) -> None:
+    def init(self: ShardLeases, *a: Any, **kw: Any) -> None:
         real(self, *a, **kw)
         if without is not None:
             self.epochs = without()
 
-    def take(self: Roles, shard: int, epoch: int) -> None:
-        taken.append((self.shared.settings.name, shard, epoch))
+    def take(self: ShardRoles, shard: int, epoch: int) -> None:
+        taken.append((self.context.settings.name, shard, epoch))
         real_take(self, shard, epoch)
 
-    monkeypatch.setattr(Membership, "__init__", init)
-    monkeypatch.setattr(Roles, "take", take)
+    monkeypatch.setattr(ShardLeases, "__init__", init)
+    monkeypatch.setattr(ShardRoles, "acquire", take)
     claims: list[int] = []
 
     async def scene(p: Played) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,14 +12,14 @@
 import anyio
 import pytest
 
-from ploverhall.controller.store_watch import Following
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.coordination.job_answers import Proof
-from ploverhall.coordination.restart_recovery import Rights
-from ploverhall.protocol.key_value_store import Store
+from ploverhall.controller.store_watch import StoreWatch
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.coordination.job_answers import FreshRead
+from ploverhall.coordination.restart_recovery import RenewalGrants
+from ploverhall.protocol.key_value_store import KeyValueStore
 from ploverhall.scheduling.allocations import JobState
 from ploverhall.scheduling.inventory import Machine
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.transport.http import Unreachable
 
 from .meetings import KNOWN_S, Begun, Day, Trouble, begin, draw, meet, rule, shrink
@@ -78,14 +78,14 @@
     Where an end is counted twice the judge must see it.
     """
     if not kept:
-        real = JobState.mark
+        real = JobState.mark_done
 
         def twice(self: JobState, task: int) -> None:  # the first end is counted once more
             before = self.done_count
             real(self, task)
-            self.done_count += before == 0 and self.n == 3
+            self.done_count += before == 0 and self.task_count == 3
 
-        monkeypatch.setattr(JobState, "mark", twice)
+        monkeypatch.setattr(JobState, "mark_done", twice)
 
     async def scene(p: Played) -> None:
         rng, jobs = Random(seed), [f"j-{700 + i:06d}" for i in range(8)]
@@ -192,15 +192,15 @@
     assert shrink((troubles, until), broken, rule("['ran_twice: j-1']")) == ([a, b], until)
 
 
-async def always(self: Following) -> Proof:
-    return Proof(self.shared.clock())
+async def always(self: StoreWatch) -> FreshRead:
+    return FreshRead(self.context.clock())
 
 
 def unguarded(*keys: str) -> Any:
     """Writes without their guards on what is known of these keys."""
-    real = Store.txn
+    real = KeyValueStore.compare_and_swap
 
-    async def txn(self: Store, guards: dict[str, int], *a: Any, **kw: Any) -> Any:
+    async def txn(self: KeyValueStore, guards: dict[str, int], *a: Any, **kw: Any) -> Any:
         return await real(
             self, {k: v for k, v in guards.items() if not (k.startswith(keys) and v)}, *a, **kw
         )
@@ -227,36 +227,43 @@
             501,
             ("held_up", "deaf", "crash", "pause"),
             "ran_twice",
-            Owner,
-            "_check",
+            ShardOwner,
+            "_check_gone",
             _check_without_tokens,
         ),
         (
             505,
             ("late_writes", "slow", "crash"),
             "ran_twice",
-            Store,
-            "txn",
+            KeyValueStore,
+            "compare_and_swap",
             unguarded("c/", "p/shard/"),
         ),
         (
             501,
             ("late_writes", "cancel_at_end", "slow"),
             "went_back",
-            Store,
-            "txn",
+            KeyValueStore,
+            "compare_and_swap",
             unguarded("p/job/"),
         ),
-        (501, ("alone", "gap", "pause", "slow"), "forgotten", Following, "proof", always),
-        (503, ("zone", "alone", "gap"), "ran_cancelled", Cancellations, "may_tell", _yes),
-        (503, ("zone", "alone", "gap"), "ran_cancelled", Cancellations, "isolated", _no),
-        (505, ("zone", "crash"), "ran_cancelled", Rights, "left", _long),
+        (501, ("alone", "gap", "pause", "slow"), "forgotten", StoreWatch, "fresh_read", always),
+        (
+            503,
+            ("zone", "alone", "gap"),
+            "ran_cancelled",
+            CancellationBarrier,
+            "may_acknowledge",
+            _yes,
+        ),
+        (503, ("zone", "alone", "gap"), "ran_cancelled", CancellationBarrier, "isolated", _no),
+        (505, ("zone", "crash"), "ran_cancelled", RenewalGrants, "remaining_s", _long),
         (
             502,
             ("alone", "late_reports", "no_workers"),
             "ran_twice",
             Machine,
-            "took",
+            "accepted_token",
             property(_yes, lambda *_: None),
         ),
     ],
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,23 +9,28 @@
 import pytest
 
 from ploverhall import settings
-from ploverhall.controller.context import Held
-from ploverhall.controller.controller import Node
+from ploverhall.controller.context import HeldShard
+from ploverhall.controller.controller import Controller
 from ploverhall.protocol import peer_messages
-from ploverhall.protocol.key_value_store import Budget
-from ploverhall.protocol.peer_messages import NodeNews
+from ploverhall.protocol.key_value_store import RateLimiter
+from ploverhall.protocol.peer_messages import PeerStatus
 from ploverhall.scheduling.inventory import Machine
-from ploverhall.scheduling.permitting import Source
-from ploverhall.scheduling.shard_owner import Owner
-from ploverhall.storage.store_cache import NODE, SHARD, Ended, cell_prefix
+from ploverhall.scheduling.permitting import JobSource
+from ploverhall.scheduling.shard_owner import ShardOwner
+from ploverhall.storage.store_cache import (
+    CONTROLLER_PREFIX,
+    SHARD_PREFIX,
+    EndedJob,
+    allocation_prefix,
+)
 
 from .test_loopback import config
 
 
-def a_node() -> Node:
+def a_node() -> Controller:
     data = config([1, 2, 3, 4])
     data["siblings"] = [{"host_name": "c1", "site": "a", "addr": "127.0.0.1:5"}]
-    return Node(settings.parse(data))
+    return Controller(settings.parse(data))
 
 
 def test_a_shard_is_kept_while_its_home_is_down_and_was_never_seen() -> None:
@@ -34,16 +39,18 @@
     async def play() -> None:
         node = a_node()
         s = node.settings
-        owner = Owner(1, 7, 2, s.lease_s, s.report_s, 5.0, 5, node.shared.rng, 0.0)
-        node.shared.held[1] = Held(1, 7, owner)
-        node.shared.replica.keys[f"{SHARD}1"] = ({"node": "c0"}, 7)
-        await node.membership.check(1, 10.0)
-        assert 1 in node.shared.held
-        node.shared.replica.keys[NODE + "c1"] = ({}, 9)
-        await node.membership.check(1, 11.0)
-        node.hearing.peer_news["c1"] = (12.0, NodeNews(0.0, {}, {}))
-        await node.membership.check(1, 12.0)
-        assert 1 in node.shared.held, "its home is back, but not steady yet"
+        owner = ShardOwner(
+            1, 7, 2, s.lease_s, s.heartbeat_interval_s, 5.0, 5, node.context.random, 0.0
+        )
+        node.context.held_shards[1] = HeldShard(1, 7, owner)
+        node.context.store_cache.entries[f"{SHARD_PREFIX}1"] = ({"node": "c0"}, 7)
+        await node.shard_leases.reconcile_shard(1, 10.0)
+        assert 1 in node.context.held_shards
+        node.context.store_cache.entries[CONTROLLER_PREFIX + "c1"] = ({}, 9)
+        await node.shard_leases.reconcile_shard(1, 11.0)
+        node.peer_liveness.peer_status["c1"] = (12.0, PeerStatus(0.0, {}, {}))
+        await node.shard_leases.reconcile_shard(1, 12.0)
+        assert 1 in node.context.held_shards, "its home is back, but not steady yet"
 
     anyio.run(play)
 
@@ -53,29 +60,29 @@
 
     async def play() -> None:
         node = a_node()
-        member, follow, st = node.membership, node.following, node.settings
-        follow.read_at = member.renewed = 100.0
+        member, follow, st = node.shard_leases, node.store_watch, node.settings
+        follow.read_at = member.renewed_at = 100.0
         assert member.isolated(100.0), "its key was not in what it read: others count it as gone"
-        node.shared.replica.keys[NODE + "c0"] = ({}, 1)
+        node.context.store_cache.entries[CONTROLLER_PREFIX + "c0"] = ({}, 1)
         assert not member.isolated(105.0)
         early = 100.0 + st.cancel_s - st.lease_s
         assert member.isolated(early), (
             "the other one may tell at once: a release before this one, or not heard of yet"
         )
-        member.cancellations.present("c1", True, 0)
+        member.cancellation_barrier.peer_present("c1", True, 0)
         assert not member.isolated(early) and member.isolated(100.0 + st.options.cut_off_s)
-        del node.shared.replica.keys[NODE + "c0"]
-        follow.read_at = member.renewed = 101.0
+        del node.context.store_cache.entries[CONTROLLER_PREFIX + "c0"]
+        follow.read_at = member.renewed_at = 101.0
         assert member.isolated(100.0 + st.options.cut_off_s), (
             "its key has gone: that it reads is no contact any more"
         )
-        node.hearing.peer_news["c1"] = (119.5, NodeNews(60.0, {}, {}))
+        node.peer_liveness.peer_status["c1"] = (119.5, PeerStatus(60.0, {}, {}))
         assert member.isolated(165.0), (
             "that it is heard proves nothing: what was cancelled before an outage may be told in it"
         )
-        life, node.shared.clock = member.cancellations.life, lambda: 119.5
+        life, node.context.clock = member.cancellation_barrier.incarnation, lambda: 119.5
         said = {"seen": 1, "life": "x", "at": 1.0, "up": 99.0, "read": True, "echo": [life, 119.0]}
-        node.links.deliver("c1", [["k", 1, 0, 0, True, said, 1]])
+        node.peer_links.deliver("c1", [["k", 1, 0, 0, True, said, 1]])
         assert member.isolated(119.0 + st.options.cut_off_s), (
             "it has answered, and owes until so long after what it has answered"
         )
@@ -88,13 +95,17 @@
     async def play() -> None:
         node = a_node()
         s = node.settings
-        node.shared.held[0] = Held(
-            0, 7, Owner(0, 7, 2, s.lease_s, s.report_s, 5.0, 5, node.shared.rng, 0.0)
+        node.context.held_shards[0] = HeldShard(
+            0,
+            7,
+            ShardOwner(
+                0, 7, 2, s.lease_s, s.heartbeat_interval_s, 5.0, 5, node.context.random, 0.0
+            ),
         )
-        node.links.deliver("c1", [["n", 1, 0, 0, True, [0.0, {0: 6}, {}], 0]])
-        assert 0 in node.shared.held
-        node.links.deliver("c1", [["n", 1, 0, 0, True, [0.0, {0: 8}, {}], 0]])
-        assert 0 not in node.shared.held
+        node.peer_links.deliver("c1", [["n", 1, 0, 0, True, [0.0, {0: 6}, {}], 0]])
+        assert 0 in node.context.held_shards
+        node.peer_links.deliver("c1", [["n", 1, 0, 0, True, [0.0, {0: 8}, {}], 0]])
+        assert 0 not in node.context.held_shards
 
     anyio.run(play)
 
@@ -106,16 +117,20 @@
     async def play() -> None:
         node = a_node()
         s = node.settings
-        held = node.shared.held[0] = Held(
-            0, 7, Owner(0, 7, 2, s.lease_s, s.report_s, 5.0, 5, node.shared.rng, 0.0)
+        held = node.context.held_shards[0] = HeldShard(
+            0,
+            7,
+            ShardOwner(
+                0, 7, 2, s.lease_s, s.heartbeat_interval_s, 5.0, 5, node.context.random, 0.0
+            ),
         )
-        team = node.shared.layout.teams(0)[0]
+        team = node.context.shard_map.teams_of(0)[0]
 
         async def read(prefix: str) -> dict[str, Any]:
             entry = [3, 11, "n-1", 1, "a", 5, 2]
             return (
                 {f"{prefix}0": ({"j-000001": [[1.0, 1.0, 1.0], [entry]]}, 4)}
-                if prefix == cell_prefix(team)
+                if prefix == allocation_prefix(team)
                 else {}
             )
 
@@ -125,14 +140,18 @@
         async def current() -> bool:
             return True
 
-        async def first_write(held: Held, source: Source) -> None:
+        async def first_write(held: HeldShard, source: JobSource) -> None:
             sent.extend(
-                node.shared.outbox.collect("c1", 1, lambda shard: "c1")
+                node.context.outbound.collect("c1", 1, lambda shard: "c1")
             )  # the link may be quicker than the engine
 
-        node.writing._read_one = read_one  # type: ignore[method-assign]
-        node.writing._read, node.writing.current, node.writing._writer = read, current, first_write  # type: ignore[method-assign]
-        await node.writing.source(held)
+        node.store_writing._read_one = read_one  # type: ignore[method-assign]
+        (
+            node.store_writing._list_prefix,
+            node.store_writing.is_current,
+            node.store_writing._write_loop,
+        ) = read, current, first_write  # type: ignore[method-assign]
+        await node.store_writing.run_source(held)
 
     anyio.run(play)
     (to_part_1,) = [m for m in sent if m[0] == "s" and m[3] == 1]
@@ -142,28 +161,28 @@
 def test_what_other_controllers_leave_of_the_changes_is_lent() -> None:
     """A swarm of one team waited for one controller's slice while the others' lay idle."""
     node = a_node()
-    own = node.settings.state_write_rps * 0.92 / 2
+    own = node.settings.store_write_rps * 0.92 / 2
     now = time.monotonic()
-    node.hearing.share(now)
-    assert node.shared.store.writes.rate == own, "a controller that can't be heard may be writing"
-    node.hearing.peer_news["c1"] = (now, NodeNews(0.0, {}, {}, 0.0))
-    node.hearing.share(now)
-    assert own < node.shared.store.writes.rate < 2 * own
-    node.hearing.peer_news["c1"] = (now, NodeNews(0.0, {}, {}, own + 5.0))
-    node.hearing.share(now)
-    assert node.shared.store.writes.rate == own
+    node.peer_liveness.update_write_share(now)
+    assert node.context.store.writes.rate == own, "a controller that can't be heard may be writing"
+    node.peer_liveness.peer_status["c1"] = (now, PeerStatus(0.0, {}, {}, 0.0))
+    node.peer_liveness.update_write_share(now)
+    assert own < node.context.store.writes.rate < 2 * own
+    node.peer_liveness.peer_status["c1"] = (now, PeerStatus(0.0, {}, {}, own + 5.0))
+    node.peer_liveness.update_write_share(now)
+    assert node.context.store.writes.rate == own
 
 
 def test_small_changes_do_not_keep_a_larger_one_waiting_and_who_is_patient_stands_aside() -> None:
     """Every submission took the next change that there was; the writer of permits, who needs two at least, never had them."""
 
     async def play() -> None:
-        budget = Budget(20.0)
-        budget.level = 0.0
+        budget = RateLimiter(20.0)
+        budget.tokens = 0.0
         order: list[str] = []
 
         async def take(name: str, n: float, reserve: float = 0.0, patience: float = 60.0) -> None:
-            await budget.take(n, reserve=reserve, patience=patience)
+            await budget.acquire(n, reserve=reserve, patience=patience)
             order.append(name)
 
         async with anyio.create_task_group() as tg:
@@ -185,11 +204,11 @@
 
     async def play() -> None:
         node = a_node()
-        member, written = node.membership, []
-        member.lease, node.shared.cancelled_rev = 7, 5
+        member, written = node.shard_leases, []
+        member.lease_id, node.context.cancelled_revision = 7, 5
 
         async def renew(lease: int) -> bool:
-            member.lease = None
+            member.lease_id = None
             return True
 
         async def txn(
@@ -202,7 +221,11 @@
             await anyio.sleep(60.0)
             return 8
 
-        node.shared.store.renew, node.shared.store.txn, node.shared.store.grant = renew, txn, grant  # type: ignore[method-assign]
+        (
+            node.context.store.renew_lease,
+            node.context.store.compare_and_swap,
+            node.context.store.grant_lease,
+        ) = renew, txn, grant  # type: ignore[method-assign]
         with anyio.move_on_after(0.05):
             await member.lease_loop()
         assert written == [(7, True)]
@@ -215,11 +238,11 @@
 
     async def play() -> None:
         node = a_node()
-        node.shared.replica.ended["j-000001"] = Ended("done", 3, 9)
-        node.shared.replica.ended["j-000002"] = Ended("withdrawn", 0, 9)
+        node.context.store_cache.ended_jobs["j-000001"] = EndedJob("done", 3, 9)
+        node.context.store_cache.ended_jobs["j-000002"] = EndedJob("withdrawn", 0, 9)
         with anyio.fail_after(0.5):
-            assert (await node.users.withdraw("j-000001")).status == 200
-        assert (await node.users.poll("j-000002")).status == 503, "nobody has read of it yet"
+            assert (await node.job_requests.cancel("j-000001")).status == 200
+        assert (await node.job_requests.poll("j-000002")).status == 503, "nobody has read of it yet"
 
     anyio.run(play)
 
@@ -233,12 +256,14 @@
     async def play() -> None:
         node = a_node()
         s = node.settings
-        owner = Owner(0, 7, 2, s.lease_s, s.report_s, 5.0, 5, node.shared.rng, 0.0)
+        owner = ShardOwner(
+            0, 7, 2, s.lease_s, s.heartbeat_interval_s, 5.0, 5, node.context.random, 0.0
+        )
         m = Machine("n-1", addr, "t", "a", False, 7 << 20)
-        owner.machines["n-1"], m.busy = m, True
+        owner.machines["n-1"], m.command_pending = m, True
         with anyio.fail_after(5.0):
-            await node.workers.send(owner, m, {})
-        assert not m.busy
+            await node.agent_commands.send(owner, m, {})
+        assert not m.command_pending
 
     anyio.run(play)
 
@@ -250,9 +275,9 @@
 
     async def play() -> None:
         node = a_node()
-        member, shown = node.membership, []
-        member.lease, member.granted, node.following.read_at = 7, 100.0, 101.0
-        node.shared.replica.ready = True
+        member, shown = node.shard_leases, []
+        member.lease_id, member.key_written_at, node.store_watch.read_at = 7, 100.0, 101.0
+        node.context.store_cache.ready = True
 
         async def renew(lease: int) -> bool:
             return True
@@ -261,11 +286,11 @@
             shown.append(lease)
             return True
 
-        node.shared.store.renew, member._show = renew, show  # type: ignore[method-assign]
+        node.context.store.renew_lease, member._publish_key = renew, show  # type: ignore[method-assign]
         with anyio.move_on_after(0.05):
             await member.lease_loop()
-        assert shown == [7] and member.granted > node.following.read_at
-        node.shared.replica.keys[NODE + "c0"] = ({}, 9)
+        assert shown == [7] and member.key_written_at > node.store_watch.read_at
+        node.context.store_cache.entries[CONTROLLER_PREFIX + "c0"] = ({}, 9)
         with anyio.move_on_after(0.05):
             await member.lease_loop()
         assert shown == [7]
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from ploverhall.protocol import agents, peer_messages
-from ploverhall.protocol.peer_messages import Candidate, JobNews, OfferNews, PermitNews
-from ploverhall.scheduling.shard_owner import TOKEN_BITS, Owner
+from ploverhall.protocol.peer_messages import CandidateUpdate, JobUpdate, OfferUpdate, PermitUpdate
+from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 
 from .world import TYPE
 
@@ -38,16 +38,16 @@
 ]
 
 
-def owner(epoch: int = EPOCH) -> Owner:
-    o = Owner(0, epoch, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
-    o.types = {"t": TYPE}
+def owner(epoch: int = EPOCH) -> ShardOwner:
+    o = ShardOwner(0, epoch, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
+    o.machine_types = {"t": TYPE}
     return o
 
 
 def report(
     seq: int, token: int, tasks: list[dict[str, Any]] | None = None, session: int = 1
-) -> agents.Report:
-    return agents.parse(
+) -> agents.Heartbeat:
+    return agents.heartbeat_from_json(
         {
             "perch": "n-1",
             "endpoint": "x:1",
@@ -67,29 +67,32 @@
     return [{"chick": "j-000001/0", "hatch": 5, "stance": state, "cause": why}]
 
 
-JOB_NEWS = {peer_messages.job_key(KEY[0]): JobNews(RECORD, [2.0, 1.0, 8.0], 1)}
+JOB_NEWS = {peer_messages.job_key(KEY[0]): JobUpdate(RECORD, [2.0, 1.0, 8.0], 1)}
 
 
 def permit(stop: float | None = None, epoch: int = EPOCH, ticket: int = 0) -> dict[str, Any]:
-    return {**JOB_NEWS, peer_messages.permit_key(KEY): PermitNews("n-1", epoch, ticket, stop)}
+    return {**JOB_NEWS, peer_messages.permit_key(KEY): PermitUpdate("n-1", epoch, ticket, stop)}
 
 
 def candidate(n: int = 1) -> dict[str, Any]:
-    return {**JOB_NEWS, peer_messages.candidate_key(KEY[0]): Candidate(n, [1.0, 0.0, 2.0, 0.0], None, [])}
+    return {
+        **JOB_NEWS,
+        peer_messages.candidate_key(KEY[0]): CandidateUpdate(n, [1.0, 0.0, 2.0, 0.0], None, []),
+    }
 
 
-def state(o: Owner) -> str:
-    return o.start_news(o.permits[KEY]).state
+def state(o: ShardOwner) -> str:
+    return o.attempt_update(o.permits[KEY]).state
 
 
-def started(direct: bool) -> tuple[Owner, Any]:
+def started(direct: bool) -> tuple[ShardOwner, Any]:
     """An owner that has sent a run and heard nothing of it."""
     o = owner()
     base = EPOCH << TOKEN_BITS
-    m = o.on_report(report(1, base), 0.0)
+    m = o.on_heartbeat(report(1, base), 0.0)
     assert m is not None
-    o.on_source(0, True, permit(), 0.0)
-    calls = o.commands(m, 0.0, direct=direct)
+    o.on_source_update(0, True, permit(), 0.0)
+    calls = o.commands_for(m, 0.0, direct=direct)
     assert [c["call"] for c in calls] == ["run"]
     return o, m
 
@@ -97,112 +100,112 @@
 def test_a_late_run_is_fenced_before_its_start_counts_as_gone() -> None:
     """A /do may be held back for minutes: an empty list under the same token proves nothing."""
     o, m = started(direct=True)
-    m.busy = True
+    m.command_pending = True
     base = EPOCH << TOKEN_BITS
-    o.on_source(0, False, permit(stop=0.0), 1.0)
-    o.on_report(report(2, base), 1.0)
+    o.on_source_update(0, False, permit(stop=0.0), 1.0)
+    o.on_heartbeat(report(2, base), 1.0)
     assert state(o) == "permitted", "the run may still be on its way under this token"
-    o.commands(m, 1.0)
+    o.commands_for(m, 1.0)
     assert m.token > base
-    o.on_report(report(3, m.token), 2.0)
+    o.on_heartbeat(report(3, m.token), 2.0)
     assert state(o) == "gone", "the worker has taken a higher token: the late run will be dropped"
 
 
 def test_an_unanswered_direct_command_raises_the_token() -> None:
     o, m = started(direct=True)
     before = m.token
-    o.direct_done(m, None, 1.5)
+    o.on_direct_answer(m, None, 1.5)
     assert m.token > before
 
 
 def test_an_old_report_does_not_speak_for_now() -> None:
     o, m = started(direct=False)
     base = EPOCH << TOKEN_BITS
-    o.on_report(report(5, base, listed("running")), 1.0)
-    o.on_report(report(4, base), 1.5)
+    o.on_heartbeat(report(5, base, listed("running")), 1.0)
+    o.on_heartbeat(report(4, base), 1.5)
     assert state(o) == "running"
 
 
 def test_a_new_session_proves_the_old_one_gone() -> None:
     o, m = started(direct=False)
-    o.on_report(report(9, EPOCH << TOKEN_BITS, session=2), 30.0)
+    o.on_heartbeat(report(9, EPOCH << TOKEN_BITS, session=2), 30.0)
     assert state(o) == "gone"
 
 
 def test_silence_is_no_proof_for_a_worker_that_never_took_the_token() -> None:
     """Another owner may be answering it: its lease may be fresh."""
     o = owner()
-    o.on_report(report(1, 3 << TOKEN_BITS, listed("running")), 0.0)
-    o.on_source(0, True, permit(epoch=3), 0.0)
-    o.tick(500.0)
+    o.on_heartbeat(report(1, 3 << TOKEN_BITS, listed("running")), 0.0)
+    o.on_source_update(0, True, permit(epoch=3), 0.0)
+    o.advance_time(500.0)
     assert state(o) == "running"
-    assert o.suspects(500.0) == ["n-1"], "the cloud is asked"
-    o.machine_gone(["n-1"])
+    assert o.unprovable_machines(500.0) == ["n-1"], "the cloud is asked"
+    o.on_machines_deleted(["n-1"])
     assert state(o) == "gone"
 
 
 def test_silence_is_proof_once_the_token_was_taken() -> None:
     o, m = started(direct=False)
-    o.on_report(report(2, m.token, listed("running")), 1.0)
-    m.last_answer = 1.0
-    o.tick(11.9)
+    o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
+    m.last_answer_at = 1.0
+    o.advance_time(11.9)
     assert state(o) == "running"
-    o.proved = 12.1
-    o.tick(12.2)
+    o.epoch_confirmed_at = 12.1
+    o.advance_time(12.2)
     assert state(o) == "gone"
 
 
 def test_a_controller_that_stood_still_proves_nothing_by_its_clock() -> None:
     """Another may have answered its workers meanwhile: only a read begun after their lease shows that nobody could."""
     o, m = started(direct=False)
-    o.on_report(report(2, m.token, listed("running")), 1.0)
-    m.last_answer = 1.0
-    o.tick(40.0)
-    assert state(o) == "running" and o.unproved
-    o.proved = 40.1
-    o.tick(41.0)
+    o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
+    m.last_answer_at = 1.0
+    o.advance_time(40.0)
+    assert state(o) == "running" and o.confirmation_needed
+    o.epoch_confirmed_at = 40.1
+    o.advance_time(41.0)
     assert state(o) == "gone"
 
 
 def test_reports_that_lie_unread_are_no_silence() -> None:
     """After standing still for 30 s the room on machines whose reports are still to be read stays in use."""
     o, m = started(direct=False)
-    o.proved = 40.0
-    o.stood_still(30.0, 32.0)
-    o.tick(33.0)
-    assert state(o) != "gone" and not m.expired
+    o.epoch_confirmed_at = 40.0
+    o.on_event_loop_stall(30.0, 32.0)
+    o.advance_time(33.0)
+    assert state(o) != "gone" and not m.lease_expired
 
 
 def test_a_permit_of_an_earlier_owner_is_not_started_again() -> None:
     o = owner()
-    m = o.on_report(report(1, EPOCH << TOKEN_BITS), 0.0)
+    m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
-    o.on_source(0, True, permit(epoch=EPOCH - 1), 0.0)
-    assert o.commands(m, 0.0) == []
-    o.on_report(report(2, EPOCH << TOKEN_BITS), 1.0)
+    o.on_source_update(0, True, permit(epoch=EPOCH - 1), 0.0)
+    assert o.commands_for(m, 0.0) == []
+    o.on_heartbeat(report(2, EPOCH << TOKEN_BITS), 1.0)
     assert state(o) == "gone"
 
 
 def test_a_higher_token_deposes() -> None:
-    assert owner().on_report(report(1, (EPOCH + 1) << TOKEN_BITS), 0.0) is None
+    assert owner().on_heartbeat(report(1, (EPOCH + 1) << TOKEN_BITS), 0.0) is None
 
 
 def test_an_exit_is_not_forgotten_before_it_is_recorded() -> None:
     """After reap the same run would start the task again."""
     o, m = started(direct=False)
-    o.on_report(report(2, m.token, listed("ended", "done")), 1.0)
-    assert o.commands(m, 1.0) == []
-    o.on_source(0, False, {peer_messages.permit_key(KEY): None}, 2.0)
-    assert [c["call"] for c in o.commands(m, 2.0)] == ["reap"]
+    o.on_heartbeat(report(2, m.token, listed("ended", "done")), 1.0)
+    assert o.commands_for(m, 1.0) == []
+    o.on_source_update(0, False, {peer_messages.permit_key(KEY): None}, 2.0)
+    assert [c["call"] for c in o.commands_for(m, 2.0)] == ["reap"]
 
 
 def test_reap_fences_a_run_that_is_still_under_way() -> None:
     o, m = started(direct=True)
-    m.busy = True
+    m.command_pending = True
     before = m.token
-    o.on_report(report(2, m.token, listed("ended", "done")), 1.0)
-    o.on_source(0, False, {peer_messages.permit_key(KEY): None}, 2.0)
-    assert [c["call"] for c in o.commands(m, 2.0)] == ["reap"]
+    o.on_heartbeat(report(2, m.token, listed("ended", "done")), 1.0)
+    o.on_source_update(0, False, {peer_messages.permit_key(KEY): None}, 2.0)
+    assert [c["call"] for c in o.commands_for(m, 2.0)] == ["reap"]
     assert m.token > before
 
 
@@ -210,79 +213,84 @@
     None
 ):
     o = owner()
-    m = o.on_report(report(1, EPOCH << TOKEN_BITS), 0.0)
+    m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
-    o.on_source(0, True, candidate(), 0.0)
-    o.place(0.0)
-    (ticket,) = m.tickets
-    assert o.take_news() == {(0, peer_messages.offer_key(ticket)): OfferNews(KEY[0], "n-1", "a", 1.0, 0)}
-    assert o.fleet.room(m)[1] == TYPE.gpus - 1
-    m.last_report = 5.0
-    o.tick(5.1)
-    assert o.fleet.room(m)[1] == TYPE.gpus
-    assert o.take_news() == {(0, peer_messages.offer_key(ticket)): None}
+    o.on_source_update(0, True, candidate(), 0.0)
+    o.place_candidates(0.0)
+    (ticket,) = m.reservations
+    assert o.take_source_updates() == {
+        (0, peer_messages.offer_key(ticket)): OfferUpdate(KEY[0], "n-1", "a", 1.0, 0)
+    }
+    assert o.inventory.free_capacity(m)[1] == TYPE.gpus - 1
+    m.last_heartbeat_at = 5.0
+    o.advance_time(5.1)
+    assert o.inventory.free_capacity(m)[1] == TYPE.gpus
+    assert o.take_source_updates() == {(0, peer_messages.offer_key(ticket)): None}
     m.draining = True
-    o.on_source(0, False, permit(ticket=ticket), 5.2)
+    o.on_source_update(0, False, permit(ticket=ticket), 5.2)
     assert state(o) == "gone"
 
 
 def test_a_permit_whose_ticket_was_held_anew_takes_that_room() -> None:
     """A write that took longer than the hold time was refused by room that was held for the very same candidate."""
     o = owner()
-    m = o.on_report(report(1, EPOCH << TOKEN_BITS), 0.0)
+    m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
-    o.on_source(0, True, candidate(4), 0.0)
-    o.place(0.0)
-    old = min(m.tickets)
-    m.last_report = 5.0
-    o.tick(5.1)
-    o.place(5.1)
-    assert len(m.tickets) == 4 and old not in m.tickets
-    o.on_source(
-        0, False, {**candidate(3), peer_messages.permit_key(KEY): PermitNews("n-1", EPOCH, old, None)}, 5.2
+    o.on_source_update(0, True, candidate(4), 0.0)
+    o.place_candidates(0.0)
+    old = min(m.reservations)
+    m.last_heartbeat_at = 5.0
+    o.advance_time(5.1)
+    o.place_candidates(5.1)
+    assert len(m.reservations) == 4 and old not in m.reservations
+    o.on_source_update(
+        0,
+        False,
+        {**candidate(3), peer_messages.permit_key(KEY): PermitUpdate("n-1", EPOCH, old, None)},
+        5.2,
     )
-    assert state(o) == "permitted" and len(m.tickets) == 3
+    assert state(o) == "permitted" and len(m.reservations) == 3
 
 
 def test_a_late_answer_brings_no_machine_back_that_is_gone() -> None:
     """It came back silent from the start, last in the order of reports, where the sweep ends before it."""
     o = owner()
-    m = o.on_report(report(1, EPOCH << TOKEN_BITS), 0.0)
+    m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
-    o.machine_gone(["n-1"])
-    o.direct_done(m, report(2, EPOCH << TOKEN_BITS), 1.0)
-    assert not o.machines and not o.heard
+    o.on_machines_deleted(["n-1"])
+    o.on_direct_answer(m, report(2, EPOCH << TOKEN_BITS), 1.0)
+    assert not o.machines and not o.machines_by_heartbeat
 
 
 def test_after_standing_still_a_silence_proves_nothing_until_the_worker_has_been_back() -> None:
     """A new life may have been started meanwhile, and answer the worker with this one's tokens (coordination.afterlife)."""
     for back in (False, True):
         o, m = started(direct=False)
-        o.on_report(report(2, m.token, listed("running")), 1.0)
-        o.stood_still(9.0, 10.0)
+        o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
+        o.on_event_loop_stall(9.0, 10.0)
         if back:
-            o.on_report(report(3, m.token, listed("running")), 10.5)
-        o.proved = 99.0
-        o.tick(50.0)
+            o.on_heartbeat(report(3, m.token, listed("running")), 10.5)
+        o.epoch_confirmed_at = 99.0
+        o.advance_time(50.0)
         assert (state(o) == "gone") == back
 
 
 def test_tokens_run_out_and_nothing_is_proved_by_one_that_was_not_raised() -> None:
     """A worker that takes reports' answers but no commands costs a token each; then a new epoch is asked for."""
-    o = Owner(0, EPOCH, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0, 2)
-    o.types = {"t": TYPE}
-    m = o.on_report(report(1, o.first), 0.0)
+    o = ShardOwner(0, EPOCH, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0, 2)
+    o.machine_types = {"t": TYPE}
+    m = o.on_heartbeat(report(1, o.initial_token), 0.0)
     assert m is not None
     now, last = 0.0, 0
-    while not o.spent:
+    while not o.token_space_exhausted:
         assert m.token >= last
         now, last = now + 60.0, m.token
-        o.direct_done(m, None, now)
+        o.on_direct_answer(m, None, now)
     assert now > 60 * 100 and m.token >> TOKEN_BITS == EPOCH
-    o.on_report(report(2, m.token), now)
-    o.on_source(0, True, permit(), now)
-    assert o.commands(m, now, direct=True)
-    o.on_source(0, False, permit(stop=0.0), now)
-    o.commands(m, now)
-    o.on_report(report(3, m.token), now)
+    o.on_heartbeat(report(2, m.token), now)
+    o.on_source_update(0, True, permit(), now)
+    assert o.commands_for(m, now, direct=True)
+    o.on_source_update(0, False, permit(stop=0.0), now)
+    o.commands_for(m, now)
+    o.on_heartbeat(report(3, m.token), now)
     assert state(o) == "permitted", "the run may still arrive under this very token"
