--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,44 +4,46 @@
 
 from random import Random
 
-from ploverhall.protocol.agents import Task
+from ploverhall.protocol.agents import TaskStatus
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peer_messages import Candidate
-from ploverhall.scheduling.inventory import Fleet, Info, Machine, Permit, add, fits
-from ploverhall.scheduling.placement import Placement, Want
+from ploverhall.protocol.peer_messages import CandidateUpdate
+from ploverhall.scheduling.inventory import Inventory, JobTraits, Machine, Permit, add_scaled, fits
+from ploverhall.scheduling.placement import Placement, CandidateRequest
 
 from .test_source import a_job
 from .world import TYPE
 
 
 def fleet(n: int, now: float = 0.0) -> Placement:
-    f = Fleet(1.0)
-    f.types = {"t": TYPE}
+    f = Inventory(1.0)
+    f.machine_types = {"t": TYPE}
     for i in range(n):
         add_machine(f, i, now)
     return Placement(f, 5.0, 5, Random(1))
 
 
-def add_machine(f: Fleet, i: int, now: float) -> None:
-    m = Machine(f"n-{i}", "x:1", "t", "a", False, 0, took=True, last_report=now)
+def add_machine(f: Inventory, i: int, now: float) -> None:
+    m = Machine(f"n-{i}", "x:1", "t", "a", False, 0, accepted_token=True, last_heartbeat_at=now)
     f.machines[m.name] = m
-    f.touch(m)
+    f.mark_changed(m)
 
 
 def gang(p: Placement, jid: str, n: int, rank: int, due: float) -> Job:
-    job = a_job(jid, kind="gang", n=n, cpus=14.0, gpus=4.0, one_zone=True, rank=rank)
-    p.fleet.info[jid] = Info(rank, True, "t", "gang", 0.0, 0.0, False)
-    p.want(0, job, Candidate(n, [1.0, 0.0, float(rank), due], {"a": n, "b": n}, []), True)
+    job = a_job(
+        jid, kind="gang", task_count=n, cpus=14.0, gpus=4.0, single_zone=True, priority=rank
+    )
+    p.inventory.job_traits[jid] = JobTraits(rank, True, "t", "gang", 0.0, 0.0, False)
+    p.request(0, job, CandidateUpdate(n, [1.0, 0.0, float(rank), due], {"a": n, "b": n}, []), True)
     return job
 
 
 def step(p: Placement, now: float) -> None:
-    p.fleet.settle(now)
-    p.place(now)
+    p.inventory.refresh_changed(now)
+    p.place_waiting(now)
 
 
 def held(p: Placement) -> dict[str, int]:
-    return {j: len(t) for j, t in p.tickets.items()}
+    return {j: len(t) for j, t in p.reservations.items()}
 
 
 def test_gangs_do_not_hold_pieces_of_one_anothers_room() -> None:
@@ -52,52 +54,52 @@
     assert held(p) == {"j-000001": 6}, "the first keeps what there is, or it would starve"
     gang(p, "j-000003", 7, 1, 300.0)  # more important: the pieces are its own from now on
     for k in range(1, 40):
-        for m in p.fleet.machines.values():
-            m.last_report = 0.1 * k
+        for m in p.inventory.machines.values():
+            m.last_heartbeat_at = 0.1 * k
         p.expire(0.1 * k)
         step(p, 0.1 * k)
     assert held(p) == {"j-000003": 6}
-    assert len(p.waiting) == len(set(p.waiting)) == 3, (
+    assert len(p.queue) == len(set(p.queue)) == 3, (
         "each waits once: a second entry outlived its job and stopped the engine"
     )
     for jid in ("j-000003", "j-000001"):
         p.cancel(jid)
     step(p, 4.1)
-    assert held(p) == {"j-000002": 4} and p.waiting == [] and p.partial is None
+    assert held(p) == {"j-000002": 4} and p.queue == [] and p.partial_gang is None
 
 
 def test_pieces_that_are_being_permitted_are_nobody_elses() -> None:
     p = fleet(6)
     job = gang(p, "j-000001", 8, 2, 100.0)
     step(p, 0.0)
-    p.want(
-        0, job, Candidate(6, [1.0, 0.0, 2.0, 100.0], {"a": 8, "b": 8}, []), True
+    p.request(
+        0, job, CandidateUpdate(6, [1.0, 0.0, 2.0, 100.0], {"a": 8, "b": 8}, []), True
     )  # six here and two elsewhere are being written
     gang(p, "j-000002", 8, 1, 50.0)
     step(p, 0.1)
     step(p, 0.4)
     assert held(p) == {"j-000001": 6}
-    assert [j for _, j in p.waiting] == ["j-000002"]
+    assert [j for _, j in p.queue] == ["j-000002"]
 
 
 def test_a_replica_takes_a_warm_machine_from_work_that_has_hardly_begun() -> None:
     """Free room is on machines that have just come; the image is where work runs."""
     for ran, there in ((1.0, "n-0"), (60.0, "n-1")):
         p = fleet(2)
-        warm = p.fleet.machines["n-0"]
-        p.fleet.has_image(warm, "i", 5.0)
-        p.fleet.info["j-000009"] = Info(2, False, "u", "array", 0.0, 0.0, True)
+        warm = p.inventory.machines["n-0"]
+        p.inventory.record_image(warm, "i", 5.0)
+        p.inventory.job_traits["j-000009"] = JobTraits(2, False, "u", "array", 0.0, 0.0, True)
         key = ("j-000009", 0, 1)
         warm.permits[key] = Permit(
-            key, 0, "n-0", 1, 1, (16.0, 4.0, 64.0), "k", 1.0, run_token=1, ran_at=100.0 - ran
+            key, 0, "n-0", 1, 1, (16.0, 4.0, 64.0), "k", 1.0, run_token=1, running_since=100.0 - ran
         )
-        warm.tasks[key] = Task("running", "", False)
-        for m in p.fleet.machines.values():
-            m.last_report = 100.0
-        job = a_job("j-000001", kind="service", n=1, rank=0, image_gb=8.0)
-        p.want(0, job, Candidate(1, [0.0], None, []), True)
+        warm.tasks[key] = TaskStatus("running", "", False)
+        for m in p.inventory.machines.values():
+            m.last_heartbeat_at = 100.0
+        job = a_job("j-000001", kind="service", task_count=1, priority=0, image_gb=8.0)
+        p.request(0, job, CandidateUpdate(1, [0.0], None, []), True)
         step(p, 100.0)
-        (t,) = p.tickets["j-000001"].values()
+        (t,) = p.reservations["j-000001"].values()
         assert t.machine == there and t.victims == ((key,) if there == "n-0" else ())
 
 
@@ -110,13 +112,13 @@
             gang(p, f"j-{i:06d}", 4, 2, float(i))
             step(p, 0.0)
         step(p, 0.0)
-        before = p.fleet.looks
+        before = p.inventory.refresh_count
         gang(p, "j-900000", 1, 2, 1e6)
-        add_machine(p.fleet, size, 0.0)
+        add_machine(p.inventory, size, 0.0)
         step(p, 0.0)
         step(p, 0.0)
         assert held(p)["j-900000"] == 1
-        looks.append(p.fleet.looks - before)
+        looks.append(p.inventory.refresh_count - before)
     assert looks[1] <= 2 * looks[0]
 
 
@@ -125,45 +127,48 @@
     tries = []
     for size in (40, 400):
         p = fleet(size)
-        for i, m in enumerate(p.fleet.machines.values()):
+        for i, m in enumerate(p.inventory.machines.values()):
             key = ("j-000009", i, 1)
             m.permits[key] = Permit(
                 key, 0, m.name, 1, 1, (16.0 if i else 12.0, 2.0, 8.0), "k", 1.0, run_token=1
             )
-        job = a_job("j-000001", n=30, cpus=0.25, gpus=0.0, mem=0.5, rank=3)
-        p.fleet.info[job.id] = Info(3, False, "guest", "array", 0.0, 0.0, True)
-        p.want(0, job, Candidate(30, [1.0], None, []), False)
+        job = a_job("j-000001", task_count=30, cpus=0.25, gpus=0.0, memory_gb=0.5, priority=3)
+        p.inventory.job_traits[job.id] = JobTraits(3, False, "guest", "array", 0.0, 0.0, True)
+        p.request(0, job, CandidateUpdate(30, [1.0], None, []), False)
         step(p, 0.0)
         assert held(p) == {"j-000001": 16}, "one machine has four cores left"
-        tries.append(p.fleet.tries)
+        tries.append(p.inventory.fit_checks)
     assert tries[1] == tries[0] < 40
 
 
 def work(p: Placement, m: Machine, job: str, attempt: int, vec: tuple[float, float, float]) -> None:
     """A running task on a machine."""
     key = (job, attempt, attempt)
-    m.permits[key] = Permit(key, 0, m.name, 1, 1, vec, "k", 1.0, run_token=1, ran_at=0.0)
-    m.tasks[key] = Task("running", "", False)
-    p.fleet.touch(m)
+    m.permits[key] = Permit(key, 0, m.name, 1, 1, vec, "k", 1.0, run_token=1, running_since=0.0)
+    m.tasks[key] = TaskStatus("running", "", False)
+    p.inventory.mark_changed(m)
 
 
-def plain_way(p: Placement, w: Want, m: Machine) -> bool:
+def plain_way(p: Placement, w: CandidateRequest, m: Machine) -> bool:
     """The slow model: whether stopping everything that may be stopped there makes room; held and leaving work counted once."""
-    room, any_one = p.fleet.room(m), False
+    room, any_one = p.inventory.free_capacity(m), False
     for key, permit in m.permits.items():
-        info = p.fleet.info[key[0]]
-        stoppable = info.rank > w.job.rank or (
-            w.within and not info.within and info.team != w.job.team and info.kind == "array"
+        info = p.inventory.job_traits[key[0]]
+        stoppable = info.priority > w.job.priority or (
+            w.within_guarantee
+            and not info.within_guarantee
+            and info.team != w.job.team
+            and info.kind == "array"
         )
         if (
             stoppable
-            and info.rank > 0
+            and info.priority > 0
             and info.kind != "service"
-            and permit.stop is None
+            and permit.stop_grace_s is None
             and m.tasks[key].state == "running"
         ):
-            room, any_one = add(room, permit.vec), True
-    return any_one and fits(w.job.vec, room) and m.place[1] == "a"
+            room, any_one = add_scaled(room, permit.resources), True
+    return any_one and fits(w.job.resources, room) and m.pool[1] == "a"
 
 
 def test_whoever_waits_has_no_way_that_a_plain_walk_finds() -> None:
@@ -180,15 +185,15 @@
             ("u", 0, True, "service"),
         ]
         for i, (team, rank, within, kind) in enumerate(kinds):
-            p.fleet.info[f"j-{i}"] = Info(rank, within, team, kind, 0.0, 0.0, False)
+            p.inventory.job_traits[f"j-{i}"] = JobTraits(rank, within, team, kind, 0.0, 0.0, False)
         n, now = 0, 0.0
         for _ in range(60):
             now += 0.3
-            m = rng.choice(list(p.fleet.machines.values()))
-            for other in p.fleet.machines.values():
-                other.last_report = now
+            m = rng.choice(list(p.inventory.machines.values()))
+            for other in p.inventory.machines.values():
+                other.last_heartbeat_at = now
             what = rng.randrange(4)
-            free = p.fleet.room(m)
+            free = p.inventory.free_capacity(m)
             vec = rng.choice([(4.0, 1.0, 8.0), (8.0, 2.0, 8.0), (16.0, 4.0, 8.0)])
             if what <= 1 and fits(vec, free):
                 n += 1
@@ -196,29 +201,33 @@
             elif what == 2 and m.permits:
                 key = rng.choice(list(m.permits))
                 del m.permits[key], m.tasks[key]
-                p.fleet.touch(m)
+                p.inventory.mark_changed(m)
             elif what == 3:
                 jid = f"j-{rng.randrange(2)}"
-                p.fleet.info[jid].within = not p.fleet.info[jid].within
-                for other in p.fleet.machines.values():
-                    p.fleet.touch(other)
+                p.inventory.job_traits[jid].within_guarantee = not p.inventory.job_traits[
+                    jid
+                ].within_guarantee
+                for other in p.inventory.machines.values():
+                    p.inventory.mark_changed(other)
             if rng.random() < 0.3:
                 n += 1
-                job = a_job(f"j-9{n:05d}", n=1, cpus=8.0, gpus=2.0, rank=2, mem=1.0)
-                p.fleet.info[job.id] = Info(2, True, "t", "array", 0.0, 0.0, False)
-                p.want(0, job, Candidate(1, [1.0, float(n)], None, []), True)
-            p.next_revisit = now + 99.0  # the slow rounds would hide what the index missed
-            p.next_preempt = now
+                job = a_job(
+                    f"j-9{n:05d}", task_count=1, cpus=8.0, gpus=2.0, priority=2, memory_gb=1.0
+                )
+                p.inventory.job_traits[job.id] = JobTraits(2, True, "t", "array", 0.0, 0.0, False)
+                p.request(0, job, CandidateUpdate(1, [1.0, float(n)], None, []), True)
+            p.next_revisit_at = now + 99.0  # the slow rounds would hide what the index missed
+            p.next_preemption_at = now
             p.expire(now)
             step(p, now)
-            taken = p._stopped()
-            for _, jid in p.waiting:
-                if not p.tickets.get(jid):
-                    w = p.wants[jid]
+            taken = p._victims_in_progress()
+            for _, jid in p.queue:
+                if not p.reservations.get(jid):
+                    w = p.requests[jid]
                     idle = [
                         m
-                        for m in p.fleet.machines.values()
-                        if not taken & m.permits.keys() and not m.tickets
+                        for m in p.inventory.machines.values()
+                        if not taken & m.permits.keys() and not m.reservations
                     ]
                     ways = [m.name for m in idle if plain_way(p, w, m)]
                     assert not ways, f"seed {seed}: {jid} could stop work on {ways}"
@@ -231,25 +240,27 @@
     ways = []
     for size in (40, 400):
         p = fleet(size)
-        p.fleet.info["j-1"] = Info(3, False, "u", "array", 0.0, 0.0, False)
-        p.fleet.info["j-2"] = Info(0, True, "u", "service", 0.0, 0.0, False)
-        for i, m in enumerate(p.fleet.machines.values()):
+        p.inventory.job_traits["j-1"] = JobTraits(3, False, "u", "array", 0.0, 0.0, False)
+        p.inventory.job_traits["j-2"] = JobTraits(0, True, "u", "service", 0.0, 0.0, False)
+        for i, m in enumerate(p.inventory.machines.values()):
             work(p, m, "j-1", i, (2.0, 1.0, 8.0))  # may be stopped, and is not enough
             work(p, m, "j-2", i, (14.0, 3.0, 8.0))
         for i in range(5):
-            job = a_job(f"j-{900000 + i}", n=3, cpus=14.0, gpus=4.0, rank=1, mem=1.0)
-            p.want(0, job, Candidate(3, [1.0, float(i)], None, []), True)
+            job = a_job(
+                f"j-{900000 + i}", task_count=3, cpus=14.0, gpus=4.0, priority=1, memory_gb=1.0
+            )
+            p.request(0, job, CandidateUpdate(3, [1.0, float(i)], None, []), True)
         step(p, 0.0)
-        p.next_revisit = 99.0
-        before = p.ways
+        p.next_revisit_at = 99.0
+        before = p.preemption_checks
         for k in range(1, 9):
             now = 0.3 * k
-            for m in p.fleet.machines.values():
-                m.last_report = now
-            work(p, p.fleet.machines["n-7"], "j-1", 1000 + k, (0.1, 0.0, 0.1))
+            for m in p.inventory.machines.values():
+                m.last_heartbeat_at = now
+            work(p, p.inventory.machines["n-7"], "j-1", 1000 + k, (0.1, 0.0, 0.1))
             step(p, now)
-        assert not p.tickets
-        ways.append(p.ways - before)
+        assert not p.reservations
+        ways.append(p.preemption_checks - before)
     assert ways[0] == ways[1] == 5 * 8
 
 
@@ -257,39 +268,41 @@
     """One in a hundred held it: a sample of sixty-four mostly missed it, and the replica fetched (ardgael-loans-fleet restart)."""
     for seed in range(6):
         p = fleet(300)
-        p.rng = Random(seed)
-        p.fleet.info["j-1"] = Info(3, False, "u", "array", 0.0, 0.0, False)
-        for i, m in enumerate(p.fleet.machines.values()):
+        p.random = Random(seed)
+        p.inventory.job_traits["j-1"] = JobTraits(3, False, "u", "array", 0.0, 0.0, False)
+        for i, m in enumerate(p.inventory.machines.values()):
             work(p, m, "j-1", i, (16.0, 4.0, 8.0))
         for name in ("n-17", "n-171", "n-299"):
-            p.fleet.has_image(p.fleet.machines[name], "img", 4.0)
+            p.inventory.record_image(p.inventory.machines[name], "img", 4.0)
         job = a_job(
             "j-900000",
             kind="service",
-            n=2,
+            task_count=2,
             cpus=5.0,
             gpus=1.0,
-            rank=0,
-            mem=1.0,
+            priority=0,
+            memory_gb=1.0,
             image="img",
             image_gb=4.0,
         )
-        p.want(0, job, Candidate(2, [0.0, 0.0], None, []), True)
+        p.request(0, job, CandidateUpdate(2, [0.0, 0.0], None, []), True)
         step(p, 0.0)
         step(p, 0.3)
-        machines = {t.machine for t in p.tickets["j-900000"].values()}
+        machines = {t.machine for t in p.reservations["j-900000"].values()}
         assert len(machines) == 2 and machines < {"n-17", "n-171", "n-299"}, machines
 
 
 def test_a_gang_in_one_zone_stops_work_where_most_could_be_stopped() -> None:
     """Zone b, the last by name, has one machine; four are in a, all full of arrays that it may stop."""
     p = fleet(5)
-    p.fleet.machines["n-4"].zone = "b"
+    p.inventory.machines["n-4"].zone = "b"
     vec = (16.0, 4.0, 128.0)
-    for i, m in enumerate(p.fleet.machines.values()):
-        p.fleet.info[f"j-1{i:05d}"] = Info(3, False, "t", "array", 0.0, 0.0, True)
+    for i, m in enumerate(p.inventory.machines.values()):
+        p.inventory.job_traits[f"j-1{i:05d}"] = JobTraits(3, False, "t", "array", 0.0, 0.0, True)
         work(p, m, f"j-1{i:05d}", 1, vec)
     gang(p, "j-000001", 3, 1, 100.0)
     step(p, 0.0)
     assert held(p) == {"j-000001": 3}
-    assert {p.fleet.machines[t.machine].zone for t in p.tickets["j-000001"].values()} == {"a"}
+    assert {p.inventory.machines[t.machine].zone for t in p.reservations["j-000001"].values()} == {
+        "a"
+    }
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -6,73 +6,77 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ploverhall.connectivity.failback_backoff import Moves
-from ploverhall.connectivity.heartbeat_failback import AGAIN_S, PROBES, Homing
-from ploverhall.connectivity.link_health import BAD_S, GOOD_S, Gauge
+from ploverhall.connectivity.failback_backoff import FailbackBackoff
+from ploverhall.connectivity.heartbeat_failback import (
+    FAILED_FAILBACK_S,
+    MAX_CONCURRENT_PROBES,
+    HeartbeatFailback,
+)
+from ploverhall.connectivity.link_health import MIN_FAILURE_S, INITIAL_RECOVERY_S, LinkHealth
 from ploverhall.connectivity.pending_relays import (
-    MOST_BYTES,
-    MOST_OPEN,
-    MOST_WAITING,
-    Calls,
-    too_late,
+    MAX_QUEUED_BYTES,
+    MAX_OPEN_REQUESTS,
+    MAX_QUEUED_MESSAGES,
+    PendingRelays,
+    deadline_passed,
 )
-from ploverhall.connectivity.relay_routes import Ways
+from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.protocol import relay_messages
 
 
 def test_a_link_goes_bad_after_silence_and_is_trusted_after_answers_for_a_while() -> None:
-    g = Gauge()
-    g.answered(0.01, 10.0)
-    g.waits(10.1, 10.4)
-    assert g.good, "an answer may take a few hundred milliseconds"
-    g.waits(10.1, 10.1 + BAD_S + 0.1)
-    assert not g.good
-    g.answered(0.01, 12.0)
-    g.failed(12.5, 13.0)
-    g.answered(0.01, 13.5)
-    g.answered(0.01, 13.5 + GOOD_S - 0.1)
-    assert not g.good, "one failure among the answers begins it anew"
-    g.answered(0.01, 13.5 + GOOD_S)
-    assert g.good
+    g = LinkHealth()
+    g.record_answer(0.01, 10.0)
+    g.record_overdue(10.1, 10.4)
+    assert g.healthy, "an answer may take a few hundred milliseconds"
+    g.record_overdue(10.1, 10.1 + MIN_FAILURE_S + 0.1)
+    assert not g.healthy
+    g.record_answer(0.01, 12.0)
+    g.record_failure(12.5, 13.0)
+    g.record_answer(0.01, 13.5)
+    g.record_answer(0.01, 13.5 + INITIAL_RECOVERY_S - 0.1)
+    assert not g.healthy, "one failure among the answers begins it anew"
+    g.record_answer(0.01, 13.5 + INITIAL_RECOVERY_S)
+    assert g.healthy
 
 
 def test_one_slow_request_among_answered_ones_is_no_cut_and_a_slow_service_neither() -> None:
-    g = Gauge()
+    g = LinkHealth()
     for i in range(20):
-        g.answered(0.01, 10.0 + 0.1 * i)
-        g.waits(9.0, 10.0 + 0.1 * i + 0.05)
-    g.failed(9.0, 12.0)
-    assert g.good
-    slow = Gauge()
+        g.record_answer(0.01, 10.0 + 0.1 * i)
+        g.record_overdue(9.0, 10.0 + 0.1 * i + 0.05)
+    g.record_failure(9.0, 12.0)
+    assert g.healthy
+    slow = LinkHealth()
     for i in range(60):
-        slow.answered(0.5, 10.0 + i)
-    slow.waits(69.1, 70.5)
-    assert slow.good, "it always takes so long"
+        slow.record_answer(0.5, 10.0 + i)
+    slow.record_overdue(69.1, 70.5)
+    assert slow.healthy, "it always takes so long"
 
 
 def test_a_link_that_flaps_is_trusted_ever_later() -> None:
-    g, now, took = Gauge(), 100.0, []
+    g, now, took = LinkHealth(), 100.0, []
     for _ in range(4):
-        g.answered(0.01, now)
-        g.failed(now + 0.1, now + 1.0)
-        assert not g.good
+        g.record_answer(0.01, now)
+        g.record_failure(now + 0.1, now + 1.0)
+        assert not g.healthy
         now = back = now + 2.0
-        while not g.good:
-            g.answered(0.01, now)
+        while not g.healthy:
+            g.record_answer(0.01, now)
             now += 0.1
         took.append(now - back)
     assert all(b > 1.8 * a for a, b in zip(took, took[1:], strict=False))
 
 
 def said(
-    ways: Ways,
+    ways: RelayRoutes,
     name: str,
     now: float,
     good: list[str] | None = None,
     hears: list[str] | None = None,
     can: list[str] | None = None,
 ) -> None:
-    ways.heard(
+    ways.update(
         name,
         {
             "life": "x",
@@ -85,32 +89,32 @@
 
 
 def test_ways_lead_only_through_who_says_so_just_now() -> None:
-    w = Ways(["c1", "c2"])
-    assert w.to_service("state", "state", 10.0) is None
+    w = RelayRoutes(["c1", "c2"])
+    assert w.route_to_service("state", "state", 10.0) is None
     said(w, "c1", 10.0, ["state"], can=[])
-    assert w.to_service("state", "state", 10.0) is None, "an older release"
+    assert w.route_to_service("state", "state", 10.0) is None, "an older release"
     said(w, "c2", 10.0, ["state"])
     assert (
-        w.to_service("state", "state", 10.5) == "c2"
-        and w.to_service("state", "state", 12.0) is None
+        w.route_to_service("state", "state", 10.5) == "c2"
+        and w.route_to_service("state", "state", 12.0) is None
     )
     said(w, "c1", 12.0, [], ["c2"])
     said(w, "c2", 12.0, ["state"])
-    w.failed("c2", 12.1)
-    assert w.to_service("state", "state", 12.2) == "c1", "over two members"
-    assert w.to_service("state", "state", 12.2, hops=1) is None
-    assert w.to_service("state", "state", 12.2, avoid=frozenset({"c1"})) is None
+    w.record_failure("c2", 12.1)
+    assert w.route_to_service("state", "state", 12.2) == "c1", "over two members"
+    assert w.route_to_service("state", "state", 12.2, hops=1) is None
+    assert w.route_to_service("state", "state", 12.2, avoid=frozenset({"c1"})) is None
     said(w, "c2", 13.2, ["state"])
-    assert w.to_service("state", "state", 13.2) == "c2", "not blamed for ever"
+    assert w.route_to_service("state", "state", 13.2) == "c2", "not blamed for ever"
 
 
 def test_a_way_that_keeps_failing_is_left_alone_for_longer() -> None:
-    w, now, gaps = Ways(["c1"]), 10.0, []
+    w, now, gaps = RelayRoutes(["c1"]), 10.0, []
     for _ in range(4):
         said(w, "c1", now, ["state"])
-        w.failed("c1", now)
+        w.record_failure("c1", now)
         begun = now
-        while w.to_service("state", "state", now) is None:
+        while w.route_to_service("state", "state", now) is None:
             now += 0.1
             said(w, "c1", now, ["state"])
         gaps.append(now - begun)
@@ -132,19 +136,21 @@
     )
 )
 def test_any_word_of_a_member_is_read_or_passed_over(word: dict[str, object]) -> None:
-    w = Ways(["c1"])
-    w.heard("c1", word, 10.0)
-    w.to_service("state", "state", 10.0)
-    w.to_member("c1", "report", 10.0)
-    w.well("c1", 10.0)
+    w = RelayRoutes(["c1"])
+    w.update("c1", word, 10.0)
+    w.route_to_service("state", "state", 10.0)
+    w.route_to_peer("c1", "report", 10.0)
+    w.all_services_reachable("c1", 10.0)
 
 
-GOOD = relay_messages.Question("life", 1, relay_messages.STATE, 5.0, 2, "", "GET", "/kv/a", 0.0, b"")
+GOOD = relay_messages.RelayRequest(
+    "life", 1, relay_messages.STORE, 5.0, 2, "", "GET", "/kv/a", 0.0, b""
+)
 
 
 @given(
     st.dictionaries(
-        st.sampled_from(relay_messages.Question._fields),
+        st.sampled_from(relay_messages.RelayRequest._fields),
         st.one_of(
             st.none(),
             st.booleans(),
@@ -158,20 +164,20 @@
 )
 def test_any_question_is_checked(wrong: dict[str, object]) -> None:
     try:
-        q = relay_messages.question({**GOOD._asdict(), **wrong})
-    except relay_messages.Malformed:
+        q = relay_messages.decode_request({**GOOD._asdict(), **wrong})
+    except relay_messages.InvalidRelayMessageError:
         return
     assert (
-        q.what in relay_messages.KINDS
+        q.kind in relay_messages.KINDS
         and isinstance(q.body, bytes)
-        and 0 <= q.hold <= 60
+        and 0 <= q.hold_s <= 60
         and isinstance(q.number, int)
     )
 
 
 def test_a_question_asks_for_nothing_but_what_is_carried() -> None:
-    assert relay_messages.question(GOOD._asdict()) == GOOD
-    reboot = {"what": relay_messages.DO, "target": "h:1 /reboot"}
+    assert relay_messages.decode_request(GOOD._asdict()) == GOOD
+    reboot = {"what": relay_messages.AGENT_COMMAND, "target": "h:1 /reboot"}
     for wrong in (
         {"target": "/admin"},
         {"what": "shell"},
@@ -180,78 +186,83 @@
         {"hops": 9},
         {"body": "x"},
     ):
-        with pytest.raises(relay_messages.Malformed):
-            relay_messages.question({**GOOD._asdict(), **wrong})
+        with pytest.raises(relay_messages.InvalidRelayMessageError):
+            relay_messages.decode_request({**GOOD._asdict(), **wrong})
 
 
 def test_what_is_open_and_what_waits_is_bounded() -> None:
-    c = Calls("a")
-    assert all(c.ask("c1", 5.0) for _ in range(MOST_OPEN)) and c.ask("c1", 5.0) is None
+    c = PendingRelays("a")
     assert (
-        c.answered("a", 1, "c1") and not c.answered("a", 1, "c1") and c.ask("c1", 5.0) is not None
+        all(c.open_request("c1", 5.0) for _ in range(MAX_OPEN_REQUESTS))
+        and c.open_request("c1", 5.0) is None
     )
-    assert all(c.put("c1", ["x"], 10, 5.0) for _ in range(MOST_WAITING)) and not c.put(
-        "c1", ["x"], 10, 5.0
+    assert (
+        c.complete("a", 1, "c1")
+        and not c.complete("a", 1, "c1")
+        and c.open_request("c1", 5.0) is not None
     )
+    assert all(
+        c.enqueue("c1", ["x"], 10, 5.0) for _ in range(MAX_QUEUED_MESSAGES)
+    ) and not c.enqueue("c1", ["x"], 10, 5.0)
     assert (
-        not c.put("c2", ["x"], MOST_BYTES + 1, 5.0)
-        and c.put("c2", ["late"], 10, 1.0)
-        and c.put("c2", ["x"], 10, 5.0)
+        not c.enqueue("c2", ["x"], MAX_QUEUED_BYTES + 1, 5.0)
+        and c.enqueue("c2", ["late"], 10, 1.0)
+        and c.enqueue("c2", ["x"], 10, 5.0)
     )
-    assert c.take("c2", 2.0) == [["x"]] and c.take("c2", 2.0) == []
-    assert len(c.take("c1", 2.0)) == MOST_WAITING and c.put("c1", ["x"], 10, 5.0)
-    assert too_late(10.0, 100.0) and not too_late(10.0, 11.0)
+    assert c.drain("c2", 2.0) == [["x"]] and c.drain("c2", 2.0) == []
+    assert len(c.drain("c1", 2.0)) == MAX_QUEUED_MESSAGES and c.enqueue("c1", ["x"], 10, 5.0)
+    assert deadline_passed(10.0, 100.0) and not deadline_passed(10.0, 11.0)
 
 
 def test_workers_are_sent_home_once_they_answer_and_ever_more_seldom_when_they_come_back() -> None:
-    h, now = Homing(), 100.0
-    assert not h.carried("n-1", "c1", now) and h.via("n-1", now, 3.0) == "c1"
+    h, now = HeartbeatFailback(), 100.0
+    assert not h.heartbeat_relayed("n-1", "c1", now) and h.relay_for("n-1", now, 3.0) == "c1"
     gaps, last = [], now
     for _ in range(4):
-        while not (found := h.to_probe(now)):
+        while not (found := h.due_probes(now)):
             now += 0.5
-            assert not h.carried("n-1", "c1", now)
-        assert found == ["n-1"] and h.to_probe(now) == []
-        h.probed("n-1", True, now)
+            assert not h.heartbeat_relayed("n-1", "c1", now)
+        assert found == ["n-1"] and h.due_probes(now) == []
+        h.probe_finished("n-1", True, now)
         gaps.append(now - last)
-        assert h.carried("n-1", "c1", now), "it answers: home"
-        assert h.via("n-1", now, 3.0) is None
+        assert h.heartbeat_relayed("n-1", "c1", now), "it answers: home"
+        assert h.relay_for("n-1", now, 3.0) is None
         now = last = now + 2.0
-        assert not h.carried("n-1", "c1", now), "back again: it could not reach home"
+        assert not h.heartbeat_relayed("n-1", "c1", now), "back again: it could not reach home"
     assert gaps[1] > 5.0 and gaps[-1] > 3 * gaps[1]
-    h.probed("n-1", True, now) if h.to_probe(now + 200.0) else None
-    h.carried("n-1", "c1", now + 200.0)
-    h.direct("n-1", now + 200.0 + AGAIN_S + 1.0)
-    assert "n-1" not in h.away
+    h.probe_finished("n-1", True, now) if h.due_probes(now + 200.0) else None
+    h.heartbeat_relayed("n-1", "c1", now + 200.0)
+    h.heartbeat_direct("n-1", now + 200.0 + FAILED_FAILBACK_S + 1.0)
+    assert "n-1" not in h.relayed_agents
 
 
 def test_only_so_many_workers_are_asked_at_once() -> None:
-    h = Homing()
+    h = HeartbeatFailback()
     for i in range(100):
-        h.carried(f"n-{i}", "c1", 10.0)
-    assert len(h.to_probe(10.0)) == PROBES and not h.to_probe(10.0)
-    h.probed("n-0", False, 11.0)
-    assert len(h.to_probe(11.0)) == 1
+        h.heartbeat_relayed(f"n-{i}", "c1", 10.0)
+    assert len(h.due_probes(10.0)) == MAX_CONCURRENT_PROBES and not h.due_probes(10.0)
+    h.probe_finished("n-0", False, 11.0)
+    assert len(h.due_probes(11.0)) == 1
 
 
 def test_a_home_that_comes_and_goes_gets_its_shard_back_ever_later() -> None:
-    m, now, waits = Moves(6.0), 0.0, []
+    m, now, waits = FailbackBackoff(6.0), 0.0, []
     for _ in range(4):
-        m.left(1, now)
-        assert not m.home_is(1, False, now)
+        m.record_loss(1, now)
+        assert not m.should_fail_back(1, False, now)
         begun = now = now + 1.0
-        while not m.home_is(1, True, now):
+        while not m.should_fail_back(1, True, now):
             now += 0.5
         waits.append(now - begun)
-        m.well.clear()
+        m.healthy_since.clear()
     assert 6.0 <= waits[0] < 7.0 and all(
         b > 1.8 * a for a, b in zip(waits, waits[1:], strict=False)
     )
     now += 1000.0
-    m.left(1, now)
-    assert m.pause(1, now) == 6.0, "long forgotten"
-    m.home_is(1, True, now)
-    m.home_is(1, False, now + 5.0)
-    assert not m.home_is(1, True, now + 8.0) and not m.home_is(1, True, now + 13.0), (
-        "well only since then"
-    )
+    m.record_loss(1, now)
+    assert m.delay_s(1, now) == 6.0, "long forgotten"
+    m.should_fail_back(1, True, now)
+    m.should_fail_back(1, False, now + 5.0)
+    assert not m.should_fail_back(1, True, now + 8.0) and not m.should_fail_back(
+        1, True, now + 13.0
+    ), "well only since then"
--- a/tests/test_renter.py
+++ b/tests/test_renter.py
@@ -5,11 +5,11 @@
 from random import Random
 from typing import Any
 
-from ploverhall.autoscaling.autoscaler import Bins, Renter
-from ploverhall.protocol.cloud import Listed, MachineType
+from ploverhall.autoscaling.autoscaler import FreeSlots, Autoscaler
+from ploverhall.protocol.cloud import CloudMachine, MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peer_messages import DemandNews, MachineNews
-from ploverhall.scheduling.inventory import add, fits
+from ploverhall.protocol.peer_messages import DemandUpdate, MachineUpdate
+from ploverhall.scheduling.inventory import add_scaled, fits
 
 from .test_source import a_job
 
@@ -18,19 +18,19 @@
 
 
 def a_service(jid: str, n: int, **kw: Any) -> Job:
-    return a_job(jid, kind="service", n=n, types=None, **kw)
+    return a_job(jid, kind="service", task_count=n, machine_types=None, **kw)
 
 
-def renter(spare: float = 1.4) -> Renter:
-    r = Renter(7, 45.0, spare, 3.0, 10.0, 0.0)
-    r.types = {"t": TYPE}
-    r.lists = 1
+def renter(spare: float = 1.4) -> Autoscaler:
+    r = Autoscaler(7, 45.0, spare, 3.0, 10.0, 0.0)
+    r.machine_types = {"t": TYPE}
+    r.list_count = 1
     return r
 
 
-def view(used: float = 0.0, empty: int = 1) -> MachineNews:
+def view(used: float = 0.0, empty: int = 1) -> MachineUpdate:
     room = [16.0 - used, 4.0 - used, 128.0 - used]
-    return MachineNews("t", "a", 0, room, empty, 0, 0, 0, int(not empty), room)
+    return MachineUpdate("t", "a", 0, room, empty, 0, 0, 0, int(not empty), room)
 
 
 def test_alike_rooms_counted_as_one_take_what_a_list_of_machines_takes() -> None:
@@ -40,7 +40,7 @@
             (float(rng.randrange(1, 9)), float(rng.randrange(5)), 64.0)
             for _ in range(rng.randrange(1, 12))
         ]
-        bins, plain = Bins(), sorted(rooms)
+        bins, plain = FreeSlots(), sorted(rooms)
         for room in rooms:
             bins.add(KIND, room)
         for _ in range(3):
@@ -48,37 +48,37 @@
             most = 0
             for i in range(len(plain)):
                 while most < n and fits(vec, plain[i]):
-                    plain[i] = add(plain[i], vec, -1)
+                    plain[i] = add_scaled(plain[i], vec, -1)
                     most += 1
-            assert bins.put(vec, n, KIND) == most
-            left = sum(max(0.0, r[0]) * c for r, c in bins.rooms[KIND].items())
+            assert bins.pack(vec, n, KIND) == most
+            left = sum(max(0.0, r[0]) * c for r, c in bins.slots[KIND].items())
             assert abs(left - sum(r[0] for r in plain)) < 1e-6, "the same room is left"
-            plain = sorted(r for rs, c in bins.rooms[KIND].items() for r in [rs] * c)
+            plain = sorted(r for rs, c in bins.slots[KIND].items() for r in [rs] * c)
             if not plain:
                 break
 
 
 def test_what_is_idle_and_not_needed_goes_the_newest_first() -> None:
     r = renter()
-    r.on_owner(0, True, {f"n-{i}": view() for i in range(4)}, 0.0)
+    r.on_owner_update(0, True, {f"n-{i}": view() for i in range(4)}, 0.0)
     for i in range(4):
-        r.machines[f"n-{i}"].since = float(i)
-    r.on_source(
-        0, True, {"j-000001": DemandNews(a_service("j-000001", 5).record(), 5, None, [0.0])}
+        r.machines[f"n-{i}"].rented_at = float(i)
+    r.on_source_update(
+        0, True, {"j-000001": DemandUpdate(a_service("j-000001", 5).record(), 5, None, [0.0])}
     )
     r.plan(100.0, 100.0)
-    assert r.drains(0) == ["n-2", "n-3"], "five replicas need two machines of four"
+    assert r.draining_machines(0) == ["n-2", "n-3"], "five replicas need two machines of four"
 
 
 def play_boots(
     took: dict[str, float], until: float, jobs: int = 24
-) -> tuple[Renter, dict[str, float], dict[str, float]]:
+) -> tuple[Autoscaler, dict[str, float], dict[str, float]]:
     """A renter whose machines come up after `took` by zone (absent: never); when each was rented, and when given back."""
     r = renter()
-    r.on_source(
+    r.on_source_update(
         0,
         True,
-        {"j-000001": DemandNews(a_service("j-000001", 4 * jobs).record(), 4 * jobs, None, [0.0])},
+        {"j-000001": DemandUpdate(a_service("j-000001", 4 * jobs).record(), 4 * jobs, None, [0.0])},
     )
     rented: dict[str, float] = {}
     given: dict[str, float] = {}
@@ -86,31 +86,34 @@
     for step in range(int(until)):
         now = float(step)
         plan = r.plan(now, now)
-        for x in plan.rent:
+        for x in plan.scale_out:
             names = [f"n-{len(rented) + i}" for i in range(x.count)]
             rented.update(dict.fromkeys(names, now))
-            zone.update(dict.fromkeys(names, x.kind[1]))
-            r.on_rented(names, x.kind, x.count, now)
-        given.update(dict.fromkeys(plan.give_back, now))
-        r.on_gone(plan.give_back, now)
+            zone.update(dict.fromkeys(names, x.pool[1]))
+            r.on_rented(names, x.pool, x.count, now)
+        given.update(dict.fromkeys(plan.scale_in, now))
+        r.on_deleted(plan.scale_in, now)
         left = {n: z for n, z in zone.items() if n not in given}
-        r.on_list(
-            [Listed(n, "", "t", z, False, "booting", now - rented[n]) for n, z in left.items()],
+        r.on_cloud_list(
+            [
+                CloudMachine(n, "", "t", z, False, "booting", now - rented[n])
+                for n, z in left.items()
+            ],
             now,
             now,
         )
         up = [n for n, z in left.items() if z in took and now - rented[n] >= took[z]]
-        r.on_owner(
+        r.on_owner_update(
             0,
             False,
             {
-                n: MachineNews("t", zone[n], 0, [0.0, 0.0, 0.0], 0, 0, 0, 0, 1, [0.0, 0.0, 0.0])
+                n: MachineUpdate("t", zone[n], 0, [0.0, 0.0, 0.0], 0, 0, 0, 0, 1, [0.0, 0.0, 0.0])
                 for n in up
             },
             now,
         )
         if len(up) >= jobs:
-            r.on_source(0, True, {})
+            r.on_source_update(0, True, {})
     return r, rented, given
 
 
@@ -126,7 +129,7 @@
 def test_a_late_zone_is_learnt_and_the_other_is_taken_instead() -> None:
     _, rented, given = play_boots({"b": 20.0}, 300.0)
     r, _, _ = play_boots({"b": 20.0}, 70.0)
-    assert sum(1 for m in r.machines.values() if m.view is not None) >= 24, (
+    assert sum(1 for m in r.machines.values() if m.update is not None) >= 24, (
         "what does not come in one zone has come in the other"
     )
     assert len(rented) <= 24 * 2 + 8, "and it is not rented and returned in a circle"
@@ -137,33 +140,35 @@
     r = renter()
     for i in range(6):
         r.on_rented([f"n-{i}"], KIND, 1, 0.0)
-        r.on_owner(0, False, {f"n-{i}": view()}, 60.0)
-    assert r._boot(("t", "a"), 61.0) == 60.0 and r._boot(("t", "b"), 61.0) == 20.0
-    assert r._boot(("t", "a"), 400.0) == 20.0
+        r.on_owner_update(0, False, {f"n-{i}": view()}, 60.0)
+    assert r._boot_time_s(("t", "a"), 61.0) == 60.0 and r._boot_time_s(("t", "b"), 61.0) == 20.0
+    assert r._boot_time_s(("t", "a"), 400.0) == 20.0
 
 
 def test_a_machine_that_others_have_overtaken_is_replaced_and_given_back() -> None:
     r = renter()
     r.on_rented(["n-0", "n-1", "n-2"], KIND, 3, 0.0)
-    r.on_owner(0, False, {n: view() for n in ("n-1", "n-2")}, 20.0)
-    assert r._count_booting(30.0) == {"n-0": True} and r._count_booting(46.0) == {"n-0": False}
-    r.on_list([Listed("n-0", "", "t", "a", False, "booting", 95.0)], 95.0, 95.0)
-    assert r.plan(95.0, 95.0).give_back == ["n-0"]
+    r.on_owner_update(0, False, {n: view() for n in ("n-1", "n-2")}, 20.0)
+    assert r._booting_to_count_on(30.0) == {"n-0": True} and r._booting_to_count_on(46.0) == {
+        "n-0": False
+    }
+    r.on_cloud_list([CloudMachine("n-0", "", "t", "a", False, "booting", 95.0)], 95.0, 95.0)
+    assert r.plan(95.0, 95.0).scale_in == ["n-0"]
 
 
 def test_hundreds_are_asked_for_at_once_in_requests_of_fifty() -> None:
     r = renter()
-    r.on_source(
+    r.on_source_update(
         0,
         True,
         {
-            "j-000001": DemandNews(
+            "j-000001": DemandUpdate(
                 a_service("j-000001", 480).record(), 480, {"a": 480, "b": 0}, [0.0]
             )
         },
     )
     plan = r.plan(10.0, 10.0)
-    assert sorted(x.count for x in plan.rent) == [20, 50, 50]
+    assert sorted(x.count for x in plan.scale_out) == [20, 50, 50]
 
 
 def test_a_zone_that_nobody_hears_is_not_given_back_but_one_silent_machine_is() -> None:
@@ -175,14 +180,14 @@
             now = float(step)
             heard = {f"a-{i}": view(2.0, 0) for i in range(6)}
             heard |= {f"b-{i}": view(2.0, 0)._replace(zone="b") for i in range(dark, silent)}
-            r.on_owner(0, step == 0, heard, now)
+            r.on_owner_update(0, step == 0, heard, now)
             items = [
-                Listed(f"{z}-{i}", "", "t", z, False, "running", now)
+                CloudMachine(f"{z}-{i}", "", "t", z, False, "running", now)
                 for z in "ab"
                 for i in range(6)
             ]
-            r.on_list([it for it in items if it.name not in given], now, now)
-            for name in r.plan(now, now).give_back:
+            r.on_cloud_list([it for it in items if it.name not in given], now, now)
+            for name in r.plan(now, now).scale_in:
                 given.setdefault(name, now)
         assert sorted(given) == [f"b-{i}" for i in range(dark)]
         assert min(given.values()) >= (300.0 if dark == 6 else 60.0) and max(given.values()) < (
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -10,18 +10,18 @@
 import pytest
 
 from ploverhall import log, settings, status
-from ploverhall.controller.context import Held
-from ploverhall.controller.controller import Node
+from ploverhall.controller.context import HeldShard
+from ploverhall.controller.controller import Controller
 from ploverhall.protocol import peer_messages
-from ploverhall.protocol.peer_messages import StartNews
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.protocol.peer_messages import AttemptUpdate
+from ploverhall.scheduling.shard_owner import ShardOwner
 
 from .test_loopback import config
 from .test_source import a_job, source
 from .test_trust import failed_on, play
 
 
-def three() -> list[Node]:
+def three() -> list[Controller]:
     """Three controllers that know of one another; c0 and c1 can speak."""
     nodes = []
     for me in range(3):
@@ -32,36 +32,46 @@
             for i in range(3)
             if i != me
         ]
-        nodes.append(Node(settings.parse(data)))
+        nodes.append(Controller(settings.parse(data)))
     return nodes
 
 
-def hold(node: Node, shard: int) -> Held:
+def hold(node: Controller, shard: int) -> HeldShard:
     s = node.settings
-    owner = Owner(shard, 7, 3, s.lease_s, s.report_s, 5.0, 5, node.shared.rng, time.monotonic())
+    owner = ShardOwner(
+        shard,
+        7,
+        3,
+        s.lease_s,
+        s.heartbeat_interval_s,
+        5.0,
+        5,
+        node.context.random,
+        time.monotonic(),
+    )
 
-    async def make() -> Held:
-        return Held(shard, 7, owner, source(30.0))
+    async def make() -> HeldShard:
+        return HeldShard(shard, 7, owner, source(30.0))
 
-    held = node.shared.held[shard] = anyio.run(make)
+    held = node.context.held_shards[shard] = anyio.run(make)
     return held
 
 
-def carry(a: Node, b: Node) -> None:
+def carry(a: Controller, b: Controller) -> None:
     now = time.monotonic()
     for one, other in ((a, b), (b, a)):
-        for m in one.telling.collect(other.settings.name, now):
-            other.telling.deliver(one.settings.name, m)
+        for m in one.status_report.collect(other.settings.name, now):
+            other.status_report.deliver(one.settings.name, m)
 
 
-def ask(a: Node, b: Node, chosen: dict[str, str]) -> Any:
+def ask(a: Controller, b: Controller, chosen: dict[str, str]) -> Any:
     async def run() -> Any:
         out: list[Any] = []
-        for link in a.links.links.values():
-            link.up = link.name == b.settings.name
+        for link in a.peer_links.links.values():
+            link.connected = link.name == b.settings.name
 
         async def asking() -> None:
-            out.append(await a.telling.answer(chosen))
+            out.append(await a.status_report.answer(chosen))
 
         async with anyio.create_task_group() as tg:
             tg.start_soon(asking)
@@ -77,15 +87,18 @@
     a, b, c = three()
     held = hold(b, 1)
     assert held.source is not None
-    held.source.on_job(a_job("j-000001", n=12), "j-000001", 5, 0.0)
+    held.source.on_job(a_job("j-000001", task_count=12), "j-000001", 5, 0.0)
     play(held.source, 20, lambda job, task, machine, now: "error")
     held.source.on_job(
-        a_job("j-000002", kind="gang", n=3, klass="g"), "j-000002", 6, time.monotonic() - 300.0
+        a_job("j-000002", kind="gang", task_count=3, job_class="g"),
+        "j-000002",
+        6,
+        time.monotonic() - 300.0,
     )
     hold(c, 2)
-    a.telling.views["c2"] = (time.monotonic() - 34.0, c.view.of())
+    a.status_report.peer_reports["c2"] = (time.monotonic() - 34.0, c.shard_status.report())
     data = ask(a, b, {})
-    lines = status.text(data, {})
+    lines = status.format_text(data, {})
     assert lines[0].startswith("wrong now:")
     shown = "\n".join(lines)
     first = shown[: shown.index("machines:")]
@@ -98,7 +111,7 @@
         "part 0 of the fleet is held by nobody that can be heard" in first and "part 2" not in first
     )
     assert "died lately:" in shown and "error" in shown[shown.index("died lately:") :]
-    only = "\n".join(status.text(ask(a, b, {"job": "j-000002"}), {"job": "j-000002"}))
+    only = "\n".join(status.format_text(ask(a, b, {"job": "j-000002"}), {"job": "j-000002"}))
     assert "job j-000002" in only and "job j-000001 (array" not in only
 
 
@@ -107,11 +120,13 @@
     held = hold(node, 0)
     assert held.source is not None
     for i in range(3000):
-        held.source.on_job(a_job(f"j-{i:06d}", n=40, at=float(i)), f"j-{i:06d}", 5, 0.0)
+        held.source.on_job(
+            a_job(f"j-{i:06d}", task_count=40, submitted_at=float(i)), f"j-{i:06d}", 5, 0.0
+        )
         if i < 400:
             failed_on(held.owner, f"j-{i}", f"n-{i}", i + 1)
             failed_on(held.owner, f"k-{i}", f"n-{i}", i + 2)
-    view = node.view.of()
+    view = node.shard_status.report()
     assert len(orjson.dumps(view)) < 40_000 and view["left_out"] > 2900
     assert sum(jobs for jobs, _ in view["queue"].values()) == 3000
 
@@ -120,43 +135,49 @@
     (node, *_) = three()
     held = hold(node, 0)
     assert held.source is not None
-    held.source.on_job(a_job("j-000001", n=4), "j-000001", 5, 0.0)
+    held.source.on_job(a_job("j-000001", task_count=4), "j-000001", 5, 0.0)
     play(held.source, 5, lambda job, task, machine, now: "error")
-    before = status.troubles(node.view.of())
+    before = status.conditions(node.shard_status.report())
     assert "broken j-000001" in before
     play(held.source, 60, lambda job, task, machine, now: "done", first=60)
-    after = status.troubles(node.view.of())
+    after = status.conditions(node.shard_status.report())
     assert "broken j-000001" not in after and set(after) <= set(before)
 
 
 def test_what_died_says_where_and_why() -> None:
     s = source()
-    s.on_job(a_job(n=1, kind="service"), "j-000001", 5, 0.0)
+    s.on_job(a_job(task_count=1, kind="service"), "j-000001", 5, 0.0)
     play(s, 3, lambda job, task, machine, now: "running")
-    (e,) = s.jobs["j-000001"].entries.values()
-    s.on_owner(
+    (e,) = s.jobs["j-000001"].allocations.values()
+    s.on_owner_update(
         0,
         3,
         False,
-        {peer_messages.start_key((e.job, 0, e.attempt)): StartNews("gone", "its machine is gone", 0, 0)},
+        {
+            peer_messages.attempt_key((e.job_id, 0, e.attempt)): AttemptUpdate(
+                "gone", "its machine is gone", 0, 0
+            )
+        },
         9.0,
     )
-    assert [(d.at, d.job, d.machine, d.why) for d in s.deaths] == [
+    assert [(d.at, d.job_id, d.machine, d.reason) for d in s.failed_attempts] == [
         (9.0, "j-000001", e.machine, "its machine is gone")
     ]
 
 
 def test_links_that_are_missing_are_named_with_what_is_used_instead() -> None:
     a, b, _ = three()
-    b.state.gauge.good, a_now = False, time.monotonic()
-    b.ways.heard("c0", {"life": "x", "can": ["state"], "good": ["state"], "hears": []}, a_now)
-    b.workers.homing.carried("n-1", "c0", a_now)
-    lines = status.text(ask(a, b, {}), {})
+    b.store_service.health.healthy, a_now = False, time.monotonic()
+    b.relay_routes.update(
+        "c0", {"life": "x", "can": ["state"], "good": ["state"], "hears": []}, a_now
+    )
+    b.agent_commands.failback.heartbeat_relayed("n-1", "c0", a_now)
+    lines = status.format_text(ask(a, b, {}), {})
     assert any("c1 reaches the state service through c0 only" in line for line in lines)
     assert any("c1: 1 workers reach it through another controller only" in line for line in lines)
-    old = {**b.view.of()}
+    old = {**b.shard_status.report()}
     del old["reach"]
-    assert not any("through" in t for t in status.troubles(old).values()), (
+    assert not any("through" in t for t in status.conditions(old).values()), (
         "a release before says nothing of it"
     )
 
--- a/tests/test_stranded.py
+++ b/tests/test_stranded.py
@@ -2,66 +2,70 @@
 
 from __future__ import annotations
 
-from ploverhall.coordination.orphaned_machines import Stranded
+from ploverhall.coordination.orphaned_machines import OrphanedMachines
 
 
 def test_two_machines_of_a_silent_holder_are_enough() -> None:
-    s = Stranded()
-    s.note(1, "n-1", True, 10.0)
-    assert not s.should_take(1, False, 10.1), "one odd worker moves nothing"
-    s.note(1, "n-2", True, 10.5)
-    assert s.should_take(1, False, 10.6)
-    assert not s.should_take(1, True, 10.6), "the holder can be heard: they are sent to it first"
+    s = OrphanedMachines()
+    s.record(1, "n-1", True, 10.0)
+    assert not s.should_acquire(1, False, 10.1), "one odd worker moves nothing"
+    s.record(1, "n-2", True, 10.5)
+    assert s.should_acquire(1, False, 10.6)
+    assert not s.should_acquire(1, True, 10.6), "the holder can be heard: they are sent to it first"
 
 
 def test_machines_that_come_back_from_a_holder_that_is_heard() -> None:
-    s = Stranded()
+    s = OrphanedMachines()
     for m in ("n-1", "n-2"):
-        s.note(1, m, True, 10.0)
-        s.note(1, m, True, 15.0)
-    assert s.should_take(1, True, 15.1)
+        s.record(1, m, True, 10.0)
+        s.record(1, m, True, 15.0)
+    assert s.should_acquire(1, True, 15.1)
 
 
 def test_old_visits_do_not_count() -> None:
-    s = Stranded()
+    s = OrphanedMachines()
     for m in ("n-1", "n-2"):
-        s.note(1, m, True, 10.0)
-    assert not s.should_take(1, False, 23.0)
+        s.record(1, m, True, 10.0)
+    assert not s.should_acquire(1, False, 23.0)
     for m in ("n-1", "n-2"):
-        s.note(1, m, True, 26.0)
-    assert not s.should_take(1, True, 26.1), "they came once, long after"
+        s.record(1, m, True, 26.0)
+    assert not s.should_acquire(1, True, 26.1), "they came once, long after"
 
 
 def test_machines_the_holder_never_served_count_at_home_while_it_is_silent() -> None:
     """After a takeover beyond a cut nobody was served, and all stayed away until the cut was over."""
-    s = Stranded()
+    s = OrphanedMachines()
     for at in (10.0, 13.0):
         for m in ("n-1", "n-2"):
-            s.note(1, m, False, at)
-        assert not s.should_take(1, False, at + 0.1), "they may be on their way to a new holder"
-        assert not s.should_take(1, True, at + 0.1, home=True)
-        assert s.should_take(1, False, at + 0.1, home=True)
+            s.record(1, m, False, at)
+        assert not s.should_acquire(1, False, at + 0.1), "they may be on their way to a new holder"
+        assert not s.should_acquire(1, True, at + 0.1, is_preferred=True)
+        assert s.should_acquire(1, False, at + 0.1, is_preferred=True)
 
 
 def test_a_holder_that_says_it_hears_none_of_them_needs_no_longer_proof() -> None:
     """Sent back to it each worker hung for 4 s, and its tasks were lost with its lease."""
-    s = Stranded()
-    s.note(1, "n-1", True, 10.0)
-    assert not s.should_take(1, True, 10.1, quiet=True), "one odd worker moves nothing"
-    s.note(1, "n-2", False, 10.1)
-    assert not s.should_take(1, True, 10.2, quiet=True), (
+    s = OrphanedMachines()
+    s.record(1, "n-1", True, 10.0)
+    assert not s.should_acquire(1, True, 10.1, holder_without_heartbeats=True), (
+        "one odd worker moves nothing"
+    )
+    s.record(1, "n-2", False, 10.1)
+    assert not s.should_acquire(1, True, 10.2, holder_without_heartbeats=True), (
         "one that it never served may be on its way to it"
     )
-    s.note(1, "n-3", True, 10.2)
-    assert s.should_take(1, True, 10.3, quiet=True) and not s.should_take(1, True, 10.3)
+    s.record(1, "n-3", True, 10.2)
+    assert s.should_acquire(1, True, 10.3, holder_without_heartbeats=True) and not s.should_acquire(
+        1, True, 10.3
+    )
 
 
 def test_who_has_come_once_has_not_come_again() -> None:
     """A holder that was back within a second: two workers met its closed port, came here once, and were served by it again."""
-    s = Stranded()
+    s = OrphanedMachines()
     for name in ("n-1", "n-2"):
-        s.note(0, name, True, 10.0)
-    assert not any(s.should_take(0, True, 10.0 + 0.1 * i) for i in range(60))
+        s.record(0, name, True, 10.0)
+    assert not any(s.should_acquire(0, True, 10.0 + 0.1 * i) for i in range(60))
     for name in ("n-1", "n-2"):
-        s.note(0, name, True, 15.0)
-    assert s.should_take(0, True, 15.1), "sent back, and here again: they can't reach it"
+        s.record(0, name, True, 15.0)
+    assert s.should_acquire(0, True, 15.1), "sent back, and here again: they can't reach it"
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -6,9 +6,15 @@
 from typing import Any
 
 from ploverhall.protocol import agents, peer_messages
-from ploverhall.protocol.peer_messages import Candidate, JobNews, OfferNews, PermitNews, StartNews
-from ploverhall.scheduling.permitting import Source
-from ploverhall.scheduling.shard_owner import TOKEN_BITS, Owner
+from ploverhall.protocol.peer_messages import (
+    CandidateUpdate,
+    JobUpdate,
+    OfferUpdate,
+    PermitUpdate,
+    AttemptUpdate,
+)
+from ploverhall.scheduling.permitting import JobSource
+from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 
 from .test_owner import EPOCH, owner
 from .test_source import a_job, source
@@ -17,7 +23,7 @@
 
 
 def play(
-    s: Source, seconds: int, outcome: Outcome, machines: int = 8, first: int = 0
+    s: JobSource, seconds: int, outcome: Outcome, machines: int = 8, first: int = 0
 ) -> list[tuple[float, str, int, str]]:
     """Owners that always have room, on machines in turn: every start that was made, when and where."""
     starts: list[tuple[float, str, int, str]] = []
@@ -25,35 +31,43 @@
     board: dict[str, Any] = {}
     for step in range(seconds * 2):
         now = first + step / 2
-        for (part, key), value in s.take_news(1, now).items():
+        for (part, key), value in s.take_owner_updates(1, now).items():
             if part == 0:
                 board[key] = value
         changes: dict[str, Any] = {}
         for key, value in board.items():
             if key[0] == peer_messages.CANDIDATE and value is not None:
-                for _ in range(value.n):
+                for _ in range(value.waiting_tasks):
                     ticket += 1
                     machine = f"n-{ticket % machines}"
-                    if machine not in value.avoid:
-                        changes[peer_messages.offer_key(ticket)] = OfferNews(key[1:], machine, "a", 0.0, 0)
-        s.on_owner(0, 3, True, changes, now)
+                    if machine not in value.avoided_machines:
+                        changes[peer_messages.offer_key(ticket)] = OfferUpdate(
+                            key[1:], machine, "a", 0.0, 0
+                        )
+        s.on_owner_update(0, 3, True, changes, now)
         s.decide(now + 0.1)
-        txn = s.plan()
+        txn = s.next_write()
         if txn is not None:
-            s.landed(txn, 100 + first * 10_000 + step, now)
-            starts += [(now, e.job, e.task, e.machine) for e in txn.adds]
+            s.on_committed(txn, 100 + first * 10_000 + step, now)
+            starts += [(now, e.job_id, e.task, e.machine) for e in txn.added]
         for js in list(s.jobs.values()):
-            for e in list(js.entries.values()):
-                if e.landed and not e.over:
+            for e in list(js.allocations.values()):
+                if e.committed and not e.finished:
                     how = (
-                        "stopped" if e.stop is not None else outcome(e.job, e.task, e.machine, now)
+                        "stopped"
+                        if e.stop_grace_s is not None
+                        else outcome(e.job_id, e.task, e.machine, now)
                     )
                     state, why = ("running", "") if how == "running" else ("exited", how)
-                    s.on_owner(
+                    s.on_owner_update(
                         0,
                         3,
                         False,
-                        {peer_messages.start_key((e.job, e.task, e.attempt)): StartNews(state, why, 0, 0)},
+                        {
+                            peer_messages.attempt_key((e.job_id, e.task, e.attempt)): AttemptUpdate(
+                                state, why, 0, 0
+                            )
+                        },
                         now,
                     )
     return starts
@@ -63,23 +77,23 @@
     None
 ):
     s = source(limit=30.0)
-    s.on_job(a_job("j-000001", n=12, at=0.0), "j-000001", 5, 0.0)
+    s.on_job(a_job("j-000001", task_count=12, submitted_at=0.0), "j-000001", 5, 0.0)
     starts = play(s, 300, lambda job, task, machine, now: "error")
     js = s.jobs["j-000001"]
-    assert js.broken and not s.demand(300.0, 300.0), "no machine is rented for it"
+    assert js.failing_everywhere and not s.demand(300.0, 300.0), "no machine is rented for it"
     assert len({m for at, _, _, m in starts if at < 5.0}) >= 2
     assert len([at for at, *_ in starts if at > 5.0]) <= 7, (
         "tried one task at a time, ever more seldom"
     )
-    assert s.order(js)[0] == 2.0, "it stands behind everybody else"
+    assert s.queue_order(js)[0] == 2.0, "it stands behind everybody else"
 
 
 def test_a_job_that_works_again_goes_on_at_once() -> None:
     s = source(limit=30.0)
-    s.on_job(a_job("j-000001", n=12), "j-000001", 5, 0.0)
+    s.on_job(a_job("j-000001", task_count=12), "j-000001", 5, 0.0)
     play(s, 30, lambda job, task, machine, now: "error")
     starts = play(s, 100, lambda job, task, machine, now: "done", first=30)
-    assert "j-000001" in s.ending or "j-000001" not in s.jobs
+    assert "j-000001" in s.jobs_to_end or "j-000001" not in s.jobs
     assert len(starts) == 12 and starts[-1][0] - starts[0][0] < 5.0, (
         "once one has worked, the rest follow"
     )
@@ -87,12 +101,12 @@
 
 def test_one_bad_task_and_one_bad_machine_do_not_slow_a_long_array() -> None:
     s = source(limit=30.0)
-    s.on_job(a_job("j-000001", n=60), "j-000001", 5, 0.0)
+    s.on_job(a_job("j-000001", task_count=60), "j-000001", 5, 0.0)
     starts = play(
         s, 60, lambda job, task, machine, now: "error" if task == 7 or machine == "n-3" else "done"
     )
     js = s.jobs["j-000001"]
-    assert js.done_count == 59 and not js.broken
+    assert js.done_count == 59 and not js.failing_everywhere
     assert max(at for at, _, task, _ in starts if task != 7) < 10.0, (
         "the others did not wait for it"
     )
@@ -103,26 +117,28 @@
 
 def test_a_broken_job_keeps_nobodys_guarantee() -> None:
     s = source(limit=30.0)
-    s.on_job(a_job("j-000001", n=4, at=0.0), "j-000001", 5, 0.0)
-    s.on_job(a_job("j-000002", n=4, at=1.0), "j-000002", 6, 0.0)
+    s.on_job(a_job("j-000001", task_count=4, submitted_at=0.0), "j-000001", 5, 0.0)
+    s.on_job(a_job("j-000002", task_count=4, submitted_at=1.0), "j-000002", 6, 0.0)
     s.decide(0.0)
-    assert s.jobs["j-000001"].within and not s.jobs["j-000002"].within, (
+    assert s.jobs["j-000001"].within_guarantee and not s.jobs["j-000002"].within_guarantee, (
         "both together are more than the guarantee"
     )
     play(s, 5, lambda job, task, machine, now: "error" if job == "j-000001" else "running")
-    assert not s.jobs["j-000001"].within and s.jobs["j-000002"].within
+    assert not s.jobs["j-000001"].within_guarantee and s.jobs["j-000002"].within_guarantee
 
 
 def failed_on(
-    o: Owner, job: str, machine: str, seq: int, broken: int = 0, stance: str = "ended"
+    o: ShardOwner, job: str, machine: str, seq: int, broken: int = 0, stance: str = "ended"
 ) -> None:
     """A task of a job fails on a machine (or runs there)."""
     record = a_job(job, spot=True).record()
-    board: dict[str, Any] = {peer_messages.job_key(job): JobNews(record, [1.0, 1.0, 1.0], 0, broken)}
-    board[peer_messages.permit_key((job, 0, seq))] = PermitNews(machine, EPOCH, 0, None)
-    o.on_source(0, False, board, float(seq))
-    o.on_report(
-        agents.parse(
+    board: dict[str, Any] = {
+        peer_messages.job_key(job): JobUpdate(record, [1.0, 1.0, 1.0], 0, broken)
+    }
+    board[peer_messages.permit_key((job, 0, seq))] = PermitUpdate(machine, EPOCH, 0, None)
+    o.on_source_update(0, False, board, float(seq))
+    o.on_heartbeat(
+        agents.heartbeat_from_json(
             {
                 "perch": machine,
                 "endpoint": "x:1",
@@ -147,41 +163,48 @@
     ):
         failed_on(o, job, machine, seq)
     one = o.machines["n-1"]
-    assert o.fleet.unusable(one, 5.0), "until it is settled nothing new goes there"
-    assert not o.machine_news(one, 5.0).faulty, "but it is not given back yet"  # type: ignore[union-attr]
+    assert o.inventory.unusable(one, 5.0), "until it is settled nothing new goes there"
+    assert not o.machine_update(one, 5.0).faulty, "but it is not given back yet"  # type: ignore[union-attr]
     for job in ("j-1", "j-2"):
-        o.on_source(
-            0, False, {peer_messages.job_key(job): JobNews(a_job(job).record(), [1.0, 1.0, 1.0], 0, 1)}, 5.0
+        o.on_source_update(
+            0,
+            False,
+            {peer_messages.job_key(job): JobUpdate(a_job(job).record(), [1.0, 1.0, 1.0], 0, 1)},
+            5.0,
         )
-    assert not one.faulty_until and not one.faults
+    assert not one.quarantined_until and not one.failures_by_job
     failed_on(o, "j-1", "n-1", 9, broken=1)
-    assert not one.faults, "nor does a later try speak against it"
+    assert not one.failures_by_job, "nor does a later try speak against it"
 
 
 def test_a_machine_on_which_two_working_jobs_fail_is_given_back() -> None:
     o = owner()
     failed_on(o, "j-1", "n-1", 1)
     failed_on(o, "j-2", "n-1", 2)
-    assert o.start_news(o.permits["j-2", 0, 2]).suspect, "its source does not blame the job for it"
-    o.proved = 99.0
-    o.tick(30.0)
-    assert o.machine_news(o.machines["n-1"], 30.0) is None or o.machines["n-1"].condemned
+    assert o.attempt_update(o.permits["j-2", 0, 2]).machine_suspect, (
+        "its source does not blame the job for it"
+    )
+    o.epoch_confirmed_at = 99.0
+    o.advance_time(30.0)
+    assert o.machine_update(o.machines["n-1"], 30.0) is None or o.machines["n-1"].replacement_due
 
 
 def test_a_broken_job_stops_nobody() -> None:
     o = owner()
     failed_on(o, "j-1", "n-1", 1)
     failed_on(o, "j-2", "n-1", 2, stance="running")
-    o.place(2.0)
+    o.place_candidates(2.0)
     for broken in (0, 1):
-        news = JobNews(a_job("j-9", rank=0).record(), [1.0, 1.0, 1.0], 1, broken)
-        o.on_source(
+        news = JobUpdate(a_job("j-9", priority=0).record(), [1.0, 1.0, 1.0], 1, broken)
+        o.on_source_update(
             0,
             False,
             {
                 peer_messages.job_key("j-9"): news,
-                peer_messages.candidate_key("j-9"): Candidate(1, [0.0, 0.0, 0.0, 0.0], None, []),
+                peer_messages.candidate_key("j-9"): CandidateUpdate(
+                    1, [0.0, 0.0, 0.0, 0.0], None, []
+                ),
             },
             2.0,
         )
-        assert o.placement._could_stop(o.placement.wants["j-9"]) is not bool(broken)
+        assert o.placement._could_preempt(o.placement.requests["j-9"]) is not bool(broken)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -15,17 +15,22 @@
 
 from ploverhall import settings
 from ploverhall.cli import main
-from ploverhall.controller.store_writing import Writing
+from ploverhall.controller.store_writing import StoreWriting
 from ploverhall.maintenance import command, orders
-from ploverhall.maintenance.disruption_budget import Facts, Rules, Spent, why_not
-from ploverhall.scheduling.eviction_grants import Grants
-from ploverhall.scheduling.permitting import Source
-from ploverhall.storage.store_cache import NODE
+from ploverhall.maintenance.disruption_budget import (
+    EvictionRequest,
+    DisruptionBudgets,
+    RecentDisruptions,
+    denial_reason,
+)
+from ploverhall.scheduling.eviction_grants import EvictionGrants
+from ploverhall.scheduling.permitting import JobSource
+from ploverhall.storage.store_cache import CONTROLLER_PREFIX
 
 from .played import HOLD, Played, play
 from .test_source import source
 
-RULES = Rules(
+RULES = DisruptionBudgets(
     {
         "default": {"down": 2, "share": 0.5, "team_down": 3, "quiet": [["22:30", "06:00"]]},
         "teams": {"a": {"floor": 1}},
@@ -36,48 +41,58 @@
 NOON, NIGHT = 12 * 3600.0, 23 * 3600.0
 
 
-def service(n: int, up: int, team_down: int = 0) -> Facts:
-    return Facts("service", n, up, team_down, 0.0, float("inf"), 0.0)
+def service(n: int, up: int, team_down: int = 0) -> EvictionRequest:
+    return EvictionRequest("service", n, up, team_down, 0.0, float("inf"), 0.0)
 
 
 def test_the_more_particular_budget_holds() -> None:
-    assert RULES.of("a", "x", "j-000002").floor == 1 and RULES.of("b", "x", "j-000002").floor == 0
-    assert RULES.of("a", "c", "j-000002").down == 5 and RULES.of("a", "c", "j-000001").floor == 4
+    assert (
+        RULES.for_job("a", "x", "j-000002").min_available == 1
+        and RULES.for_job("b", "x", "j-000002").min_available == 0
+    )
+    assert (
+        RULES.for_job("a", "c", "j-000002").max_unavailable == 5
+        and RULES.for_job("a", "c", "j-000001").min_available == 4
+    )
 
 
 def test_what_is_down_counts_whoever_did_it() -> None:
-    rule = RULES.of("b", "x", "j-000002")
-    assert why_not(rule, service(8, 8), (0, 0.0), NOON) == ""
-    assert why_not(rule, service(8, 7), (0, 0.0), NOON) == ""
-    assert "its replicas" in why_not(rule, service(8, 6), (0, 0.0), NOON), "two of them are down"
-    assert why_not(rule, service(1, 1), (0, 0.0), NOON) == "", (
+    rule = RULES.for_job("b", "x", "j-000002")
+    assert denial_reason(rule, service(8, 8), (0, 0.0), NOON) == ""
+    assert denial_reason(rule, service(8, 7), (0, 0.0), NOON) == ""
+    assert "its replicas" in denial_reason(rule, service(8, 6), (0, 0.0), NOON), (
+        "two of them are down"
+    )
+    assert denial_reason(rule, service(1, 1), (0, 0.0), NOON) == "", (
         "one is always allowed, or nothing would ever move"
     )
-    assert "floor" in why_not(RULES.of("a", "x", "j-000002"), service(1, 1), (0, 0.0), NOON)
-    assert "team's replicas" in why_not(rule, service(8, 8, 3), (0, 0.0), NOON)
-    assert "hour" in why_not(rule, service(8, 8), (0, 0.0), NIGHT)
-    assert why_not(rule, service(8, 8), (0, 0.0), 6 * 3600.0) == ""
+    assert "floor" in denial_reason(
+        RULES.for_job("a", "x", "j-000002"), service(1, 1), (0, 0.0), NOON
+    )
+    assert "team's replicas" in denial_reason(rule, service(8, 8, 3), (0, 0.0), NOON)
+    assert "hour" in denial_reason(rule, service(8, 8), (0, 0.0), NIGHT)
+    assert denial_reason(rule, service(8, 8), (0, 0.0), 6 * 3600.0) == ""
 
 
 def test_gangs_and_lost_work_a_minute() -> None:
-    rule, spent = Rules().default, Spent()
-    gang = Facts("gang", 4, 0, 0, 4000.0, 500.0, 0.0)
-    assert why_not(rule, gang, spent.lately(0.0), NOON) == "", (
+    rule, spent = DisruptionBudgets().default, RecentDisruptions()
+    gang = EvictionRequest("gang", 4, 0, 0, 4000.0, 500.0, 0.0)
+    assert denial_reason(rule, gang, spent.last_minute(0.0), NOON) == "", (
         "larger than the budget, but the first of its minute"
     )
-    spent.add(1, 4000.0, 0.0)
+    spent.record(1, 4000.0, 0.0)
     assert (
-        "lost work" in why_not(rule, gang, spent.lately(30.0), NOON)
-        and why_not(rule, gang, spent.lately(61.0), NOON) == ""
+        "lost work" in denial_reason(rule, gang, spent.last_minute(30.0), NOON)
+        and denial_reason(rule, gang, spent.last_minute(61.0), NOON) == ""
     )
     for i in range(4):
-        spent.add(1, 0.0, 70.0 + i)
-    assert "gangs" in why_not(rule, gang, spent.lately(80.0), NOON)
-    soon = dataclasses.replace(gang, left_s=60.0)
-    assert "by itself" in why_not(rule, soon, (0, 0.0), NOON)
-    assert why_not(rule, dataclasses.replace(soon, asked_s=130.0), (0, 0.0), NOON) == "", (
-        "it should have ended by now"
-    )
+        spent.record(1, 0.0, 70.0 + i)
+    assert "gangs" in denial_reason(rule, gang, spent.last_minute(80.0), NOON)
+    soon = dataclasses.replace(gang, remaining_s=60.0)
+    assert "by itself" in denial_reason(rule, soon, (0, 0.0), NOON)
+    assert (
+        denial_reason(rule, dataclasses.replace(soon, requested_for_s=130.0), (0, 0.0), NOON) == ""
+    ), "it should have ended by now"
 
 
 @given(
@@ -96,34 +111,36 @@
 )
 def test_any_order_is_checked_and_kept_as_it_was(wrong: dict[str, Any]) -> None:
     try:
-        order = orders.parse("u-1", wrong)
-    except orders.Malformed:
+        order = orders.parse_order("u-1", wrong)
+    except orders.InvalidOrderError:
         return
-    assert orders.parse("u-1", orjson.loads(orjson.dumps(order.record()))) == dataclasses.replace(
-        order, at=round(order.at, 1)
-    )
+    assert orders.parse_order(
+        "u-1", orjson.loads(orjson.dumps(order.record()))
+    ) == dataclasses.replace(order, created_at=round(order.created_at, 1))
 
 
 def test_a_grant_that_is_not_needed_any_more_leaves_nothing_to_write() -> None:
     """The writer was woken a hundred times a second for a value that was never written."""
     s = source(30.0)
     team = next(iter(s.teams))
-    s.granted[team]["j-000001", 0, 1] = False
-    s.dirty_grants.add(team)
-    assert s.plan() is None and not s.dirty_grants and not s.granted[team]
+    s.grants_by_team[team]["j-000001", 0, 1] = False
+    s.teams_with_unwritten_grants.add(team)
+    assert (
+        s.next_write() is None and not s.teams_with_unwritten_grants and not s.grants_by_team[team]
+    )
 
 
 def test_no_order_empties_everything_by_mistake() -> None:
     for wrong in ({}, {"note": "x"}, {"machines": []}, {"zone": ""}):
-        with pytest.raises(orders.Malformed):
-            orders.parse("u-1", wrong)
+        with pytest.raises(orders.InvalidOrderError):
+            orders.parse_order("u-1", wrong)
 
 
 # -- the whole of it ---------------------------------------------------------------------------
 
 
-def source_of(p: Played, jid: str) -> Source:
-    sources = [h.source for n in p.nodes.values() for h in n.shared.held.values()]
+def source_of(p: Played, jid: str) -> JobSource:
+    sources = [h.source for n in p.nodes.values() for h in n.context.held_shards.values()]
     return next(s for s in sources if s is not None and jid in s.jobs)
 
 
@@ -211,7 +228,7 @@
         assert any(
             m.cordoned
             for n in p.nodes.values()
-            for h in n.shared.held.values()
+            for h in n.context.held_shards.values()
             for m in h.owner.machines.values()
         )
         assert (await p.users["c1"].call("POST", "/upkeep/u-1/stop", {}, 5.0))[0] == 200
@@ -219,13 +236,13 @@
         assert not any(
             m.cordoned
             for n in p.nodes.values()
-            for h in n.shared.held.values()
+            for h in n.context.held_shards.values()
             for m in h.owner.machines.values()
         )
         assert not any(
-            h.source.asks
+            h.source.requested_since
             for n in p.nodes.values()
-            for h in n.shared.held.values()
+            for h in n.context.held_shards.values()
             if h.source is not None
         )
 
@@ -271,46 +288,46 @@
     """The owner can't be heard for a while: the stop that was granted still runs when the next source looks."""
     if not guarded:
 
-        async def forgets(self: Writing, key: str) -> tuple[Any, int]:
+        async def forgets(self: StoreWriting, key: str) -> tuple[Any, int]:
             return None, 0
 
-        monkeypatch.setattr(Writing, "_read_one", forgets)
-        real = Grants.plan
+        monkeypatch.setattr(StoreWriting, "_read_one", forgets)
+        real = EvictionGrants.next_write
 
-        def plan(self: Grants, most: int | None = None) -> Any:
+        def plan(self: EvictionGrants, most: int | None = None) -> Any:
             txn = real(self, most)
             if txn is not None:
-                txn.guards = {k: v for k, v in txn.guards.items() if not k.startswith("u/")}
+                txn.compare = {k: v for k, v in txn.compare.items() if not k.startswith("u/")}
             return txn
 
-        monkeypatch.setattr(Grants, "plan", plan)
+        monkeypatch.setattr(EvictionGrants, "next_write", plan)
 
     async def scene(p: Played) -> None:
         await p.submit(p.spec(900, gait="daemon", chicks=4))
         await anyio.sleep(6.0)
         source = source_of(p, "j-000900")
         js = source.jobs["j-000900"]
-        (one, other) = list(js.entries.values())[:2]
-        source.ask(one, True, p.now)
-        source.next_grant = 0.0
-        source.grant(p.now, 0.0)
-        key = (one.job, one.task, one.attempt)
-        assert source.granted[js.team] == {key: False}
-        carried = source._carry_out
-        source._carry_out = lambda js, e: None  # type: ignore[method-assign]  # it is written, and its owner does not hear of it
+        (one, other) = list(js.allocations.values())[:2]
+        source.request_eviction(one, True, p.now)
+        source.next_grant_at = 0.0
+        source.grant_evictions(p.now, 0.0)
+        key = (one.job_id, one.task, one.attempt)
+        assert source.grants_by_team[js.team] == {key: False}
+        carried = source._stop_granted
+        source._stop_granted = lambda js, e: None  # type: ignore[method-assign]  # it is written, and its owner does not hear of it
         await anyio.sleep(1.0)
-        assert source.granted[js.team] == {key: True} and carried is not None
+        assert source.grants_by_team[js.team] == {key: True} and carried is not None
         holder = next(
             n
             for n, node in p.nodes.items()
-            if any(h.source is source for h in node.shared.held.values())
+            if any(h.source is source for h in node.context.held_shards.values())
         )
         await p.crash(holder, 1.0)
         await anyio.sleep(8.0)
         after = source_of(p, "j-000900")
         assert after is not source
-        e = after.jobs["j-000900"].entries.get(one.task)
-        assert (e is None or e.stop is not None or e.attempt != one.attempt) == guarded, (
+        e = after.jobs["j-000900"].allocations.get(one.task)
+        assert (e is None or e.stop_grace_s is not None or e.attempt != one.attempt) == guarded, (
             "it is stopped by the one that comes after"
         )
 
@@ -321,8 +338,11 @@
     async def scene(p: Played) -> None:
         await anyio.sleep(1.0)
         for node in p.nodes.values():
-            value, version = node.shared.replica.keys[NODE + "c2"]
-            node.shared.replica.keys[NODE + "c2"] = ({**value, "can": ["told"]}, version)
+            value, version = node.context.store_cache.entries[CONTROLLER_PREFIX + "c2"]
+            node.context.store_cache.entries[CONTROLLER_PREFIX + "c2"] = (
+                {**value, "can": ["told"]},
+                version,
+            )
         assert await place(p, "c0", {"id": "u-1", "zone": "a"}) == 409
         assert (
             await place(p, "c0", {"id": "u-1"}) == 400
@@ -347,7 +367,7 @@
                 "not_asked": ["c2"],
             }
         if method == "GET":
-            order = orders.parse("u-1", {"zone": "a", "note": "fan"})
+            order = orders.parse_order("u-1", {"zone": "a", "note": "fan"})
             shown = {
                 "id": "u-1",
                 **order.record(),
@@ -365,7 +385,7 @@
             else (404, {"error": "no such order"})
         )
 
-    monkeypatch.setattr(command, "ask", ask)
+    monkeypatch.setattr(command, "request", ask)
     assert main(["drain", "h:1", "--zone", "a", "--kind", "spot", "--dry-run"]) == 0
     assert main(["drain", "h:1", "--machine", "n-1", "--machine", "n-2", "--id", "u-2"]) == 0
     assert main(["upkeep", "list", "h:1"]) == 0 and main(["upkeep", "show", "h:1", "u-9"]) == 1
@@ -388,7 +408,9 @@
 def test_budgets_are_checked_by_the_schema(tmp_path: Path) -> None:
     file = tmp_path / "options.json"
     file.write_text('{"budget": {"default": {"down": 1, "quiet": [["22:00", "06:00"]]}}}')
-    assert Rules(settings.load_options(file).budget).default.quiet == ((1320, 360),)
+    assert DisruptionBudgets(settings.load_options(file).budget).default.quiet_hours == (
+        (1320, 360),
+    )
     for wrong in (
         '{"default": {"down": 0}}',
         '{"default": {"quiet": [["25:00", "06:00"]]}}',
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -17,14 +17,20 @@
 
 from ploverhall import settings
 from ploverhall.controller import job_requests
-from ploverhall.controller.job_requests import Users
-from ploverhall.controller.store_watch import Following
-from ploverhall.controller.store_writing import Writing
-from ploverhall.coordination.job_answers import Answers, Proof
+from ploverhall.controller.job_requests import JobRequests
+from ploverhall.controller.store_watch import StoreWatch
+from ploverhall.controller.store_writing import StoreWriting
+from ploverhall.coordination.job_answers import JobAnswers, FreshRead
 from ploverhall.protocol import jobs
-from ploverhall.protocol.key_value_store import Event, Store
-from ploverhall.scheduling.allocations import Ledger
-from ploverhall.storage.store_cache import JOB, PREFIX, SHARD, Replica, end_record
+from ploverhall.protocol.key_value_store import WatchEvent, KeyValueStore
+from ploverhall.scheduling.allocations import AllocationStore
+from ploverhall.storage.store_cache import (
+    JOB_PREFIX,
+    WATCHED_PREFIX,
+    SHARD_PREFIX,
+    StoreCache,
+    end_record,
+)
 from ploverhall.transport.http import Reply
 
 from . import world
@@ -114,7 +120,7 @@
         seen["over"] = {
             k: max(c[k] for c in over.values()) for c in over.values() for k in c if c[k]
         }
-        seen["ended"] = max(len(node.shared.replica.ended) for node in p.nodes.values())
+        seen["ended"] = max(len(node.context.store_cache.ended_jobs) for node in p.nodes.values())
 
     carried = [0]
     real_carry = Network.carry
@@ -165,21 +171,21 @@
 
 
 def never_archived(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def idle(self: Writing) -> None:
+    async def idle(self: StoreWriting) -> None:
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(Writing, "archive_loop", idle)
+    monkeypatch.setattr(StoreWriting, "archive_loop", idle)
 
 
 def remembered(monkeypatch: pytest.MonkeyPatch) -> None:
     """A source that keeps what it knew of a job that is over."""
-    real = Ledger.on_job
+    real = AllocationStore.on_job
 
-    def on_job(self: Ledger, job: Any, jid: str, *a: Any, **kw: Any) -> None:
+    def on_job(self: AllocationStore, job: Any, jid: str, *a: Any, **kw: Any) -> None:
         self.__dict__.setdefault("kept", set()).add(jid)
         real(self, job, jid, *a, **kw)
 
-    monkeypatch.setattr(Ledger, "on_job", on_job)
+    monkeypatch.setattr(AllocationStore, "on_job", on_job)
 
 
 @pytest.mark.parametrize(
@@ -372,8 +378,10 @@
 def test_the_judge_notices_what_is_accepted_though_it_cant_run(
     odd: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Users, "why_never", lambda self, job: None)
-    monkeypatch.setattr(job_requests.jobs, "parse", lambda d, at: real_parse({"nestS": 0.0, **d}, at))
+    monkeypatch.setattr(JobRequests, "rejection_reason", lambda self, job: None)
+    monkeypatch.setattr(
+        job_requests.jobs, "parse_submission", lambda d, at: real_parse({"nestS": 0.0, **d}, at)
+    )
 
     async def scene(p: Played) -> None:
         await p.try_odd(odd_spec(p, {"gait": "group", **odd}), "c0")
@@ -413,7 +421,7 @@
             play(scene)
 
 
-real_parse = jobs.parse
+real_parse = jobs.parse_submission
 
 
 async def raw(p: Played, name: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
@@ -662,7 +670,7 @@
     """Writes of ends and cancellations land whatever the job's key holds by then."""
 
     async def txn(
-        self: Store, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
+        self: KeyValueStore, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
     ) -> Any:
         over = {k for k, v in puts.items() if isinstance(v, dict)}
         return await real(self, {k: v for k, v in guards.items() if k not in over}, puts, *a, **kw)
@@ -674,7 +682,7 @@
     """What is taken for a proof that the copy is current reads nothing."""
 
     async def watch(
-        self: Store, prefix: str, since: int, hold_ms: int, urgent: bool = False
+        self: KeyValueStore, prefix: str, since: int, hold_ms: int, urgent: bool = False
     ) -> Any:
         return await real(self, prefix, since, hold_ms, urgent) if hold_ms else (since, [])
 
@@ -684,7 +692,7 @@
 def unseen(real: Any) -> Any:
     """Nobody looks into the archive."""
 
-    async def get(self: Store, key: str) -> Any:
+    async def get(self: KeyValueStore, key: str) -> Any:
         return (None, 0) if key.startswith("e/") else await real(self, key)
 
     return get
@@ -693,8 +701,8 @@
 @pytest.mark.parametrize(
     ("step", "name", "without", "rule"),
     [
-        ("the end is written", "txn", unguarded, "went_back"),
-        ("the cancellation is unknown, and late", "txn", unguarded, "went_back"),
+        ("the end is written", "compare_and_swap", unguarded, "went_back"),
+        ("the cancellation is unknown, and late", "compare_and_swap", unguarded, "went_back"),
         ("one reads it much later", "watch", unread, "went_back"),
         ("it has left, nobody knows", "get", unseen, "forgotten"),
     ],
@@ -702,7 +710,7 @@
 def test_the_steps_find_what_a_guard_is_there_for(
     step: str, name: str, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Store, name, without(getattr(Store, name)))
+    monkeypatch.setattr(KeyValueStore, name, without(getattr(KeyValueStore, name)))
     with pytest.raises(AssertionError, match=rule):
         meet_the_end(step)
 
@@ -722,7 +730,7 @@
         service = next(
             n
             for n in range(900, 930)
-            if p.nodes["c2"].shared.layout.team_shard[f"team-{n % 4}"] == 2
+            if p.nodes["c2"].context.shard_map.team_shard[f"team-{n % 4}"] == 2
         )
         await p.submit(p.spec(service, gait="daemon", chicks=3, marsh="a"))
         jid = f"j-{service:06d}"
@@ -770,12 +778,12 @@
     """A store, and one controller's copy of it; what the plain model knows is what the store held at each revision."""
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.store, self.copy = Random(seed), world.Store(), Replica()
+        self.rng, self.store, self.copy = Random(seed), world.Store(), StoreCache()
         self.reads: list[
-            tuple[int, int, list[Event]]
+            tuple[int, int, list[WatchEvent]]
         ] = []  # watches that have been answered, and what they say; not here yet
         self.listings: list[
-            tuple[dict[str, Any], int, int, list[Event]]
+            tuple[dict[str, Any], int, int, list[WatchEvent]]
         ] = []  # the same, of a listing and the watch after it
         self.owns: list[
             tuple[str, Any, int]
@@ -791,35 +799,41 @@
         if not failed and own:
             self.owns += [(k, v, rev) for k, v in puts.items()]
 
-    def watched(self, since: int) -> tuple[int, int, list[Event]]:
+    def watched(self, since: int) -> tuple[int, int, list[WatchEvent]]:
         return since, self.store.rev, self.store.since(since)
 
     def step(self) -> None:
         rng, s, c = self.rng, self.store, self.copy
         jid = f"j-{rng.randrange(1, 7):06d}"
-        value, version = s.kv.get(JOB + jid, (None, 0))
+        value, version = s.kv.get(JOB_PREFIX + jid, (None, 0))
         own = rng.random() < 0.6
         match rng.randrange(9):
             case 0 if not version and "e/" + jid not in s.kv:
                 self.write(
-                    {JOB + jid: 0}, {JOB + jid: world.job(Random(1), jid, 0.0).record()}, [], own
+                    {JOB_PREFIX + jid: 0},
+                    {JOB_PREFIX + jid: world.job(Random(1), jid, 0.0).record()},
+                    [],
+                    own,
                 )
             case 1 if isinstance(value, list):
                 self.write(
-                    {JOB + jid: version},
-                    {JOB + jid: end_record(rng.choice([DONE, OFF]), 1)},
+                    {JOB_PREFIX + jid: version},
+                    {JOB_PREFIX + jid: end_record(rng.choice([DONE, OFF]), 1)},
                     [],
                     own,
                 )
             case 2 if isinstance(value, dict) and rng.random() < 0.3:
                 self.write(
-                    {JOB + jid: version}, {"e/" + jid: value, "p/archived": 1}, [JOB + jid], False
+                    {JOB_PREFIX + jid: version},
+                    {"e/" + jid: value, "p/archived": 1},
+                    [JOB_PREFIX + jid],
+                    False,
                 )
             case 3:
-                key = rng.choice([f"{SHARD}0", f"{SHARD}1", "p/renter"])
+                key = rng.choice([f"{SHARD_PREFIX}0", f"{SHARD_PREFIX}1", "p/renter"])
                 self.write({}, {key: {"node": f"c{rng.randrange(3)}"}}, [], own)
             case 4:
-                self.reads.append(self.watched(c.rev))
+                self.reads.append(self.watched(c.revision))
             case 5 if len(self.listings) < 2 and rng.random() < 0.5:
                 self.listings.append((s.read("p/"), s.rev, s.rev, []))
             case 6 if (
@@ -834,7 +848,7 @@
                 _, upto, events = self.watched(rev)
                 self.listings[-1] = (found, rev, upto, events)
             case 7 if self.owns:
-                c.put_own(*self.owns.pop(0))  # one write's answer after the other
+                c.apply_own_write(*self.owns.pop(0))  # one write's answer after the other
             case 8:
                 if self.listings and rng.random() < 0.4:
                     found, rev, upto, events = self.listings.pop(0)
@@ -842,7 +856,7 @@
                     c.apply(upto, events)
                 elif self.reads:  # two are asked at a time, the answers in any order
                     since, upto, events = self.reads.pop(rng.randrange(len(self.reads)))
-                    if since <= c.rev:
+                    if since <= c.revision:
                         c.apply(upto, events)
         self.judge()
 
@@ -850,19 +864,19 @@
         c = self.copy
         at = {e.key: e.version for e in self.store.log if e.value is None}
         for jid, how in self.ends.items():
-            if jid not in c.ended:
-                assert at.get(JOB + jid), f"{jid} was {how}, and is not over any more"
-        for jid, end in c.ended.items():
-            assert self.ends.setdefault(jid, end.how) == end.how and jid not in c.live, (
-                f"{jid} ended twice"
-            )
-        for jid, (_, version) in c.live.items():
+            if jid not in c.ended_jobs:
+                assert at.get(JOB_PREFIX + jid), f"{jid} was {how}, and is not over any more"
+        for jid, end in c.ended_jobs.items():
+            assert (
+                self.ends.setdefault(jid, end.outcome) == end.outcome and jid not in c.live_jobs
+            ), f"{jid} ended twice"
+        for jid, (_, version) in c.live_jobs.items():
             self.own[jid] = version
         for jid in self.own:
-            assert jid in c.live or jid in c.ended or at.get(JOB + jid), (
+            assert jid in c.live_jobs or jid in c.ended_jobs or at.get(JOB_PREFIX + jid), (
                 f"{jid} was known, and is not"
             )
-        for key, (_, version) in c.keys.items():
+        for key, (_, version) in c.entries.items():
             assert version >= self.versions.get(key, 0), f"{key} went back"
             self.versions[key] = version
 
@@ -872,20 +886,20 @@
         c = Copy(seed)
         for _ in range(150):
             c.step()
-        c.copy.apply(c.store.rev, c.store.since(c.copy.rev))
+        c.copy.apply(c.store.rev, c.store.since(c.copy.revision))
         over = {
-            k[len(JOB) :]: v["s"]
+            k[len(JOB_PREFIX) :]: v["s"]
             for k, (v, _) in c.store.kv.items()
-            if k.startswith(JOB) and isinstance(v, dict)
+            if k.startswith(JOB_PREFIX) and isinstance(v, dict)
         }
-        assert {j: e.how for j, e in c.copy.ended.items()} == over, (
+        assert {j: e.outcome for j, e in c.copy.ended_jobs.items()} == over, (
             "in the end it holds what the store holds"
         )
-        assert {k: v for k, v in c.copy.keys.items()} == {
-            k: v for k, v in c.store.read("p/").items() if not k.startswith(JOB)
+        assert {k: v for k, v in c.copy.entries.items()} == {
+            k: v for k, v in c.store.read("p/").items() if not k.startswith(JOB_PREFIX)
         }
-        assert {JOB + j for j in c.copy.live} | {JOB + j for j in over} == {
-            k for k in c.store.kv if k.startswith(JOB)
+        assert {JOB_PREFIX + j for j in c.copy.live_jobs} | {JOB_PREFIX + j for j in over} == {
+            k for k in c.store.kv if k.startswith(JOB_PREFIX)
         }
 
 
@@ -894,24 +908,27 @@
     run_copy(range(400))
 
 
-def everything_goes(self: Replica, found: dict[str, tuple[Any, int]], rev: int) -> None:
+def everything_goes(self: StoreCache, found: dict[str, tuple[Any, int]], rev: int) -> None:
     """A listing as the whole truth: what it does not hold goes, however new it is."""
-    for key in [*(JOB + j for j in (*self.live, *self.ended, *self.unreadable)), *self.keys]:
+    for key in [
+        *(JOB_PREFIX + j for j in (*self.live_jobs, *self.ended_jobs, *self.unreadable_jobs)),
+        *self.entries,
+    ]:
         if key not in found:
-            self._apply(key, None, rev)
+            self._apply_change(key, None, rev)
     real_load(self, found, rev)
 
 
-def whatever_comes(self: Replica, rev: int, events: list[Event]) -> bool:
+def whatever_comes(self: StoreCache, rev: int, events: list[WatchEvent]) -> bool:
     for e in events:
-        if e.key.startswith(JOB):
-            self.ended.pop(e.key[len(JOB) :], None)
-        self._apply(e.key, e.value, e.version)
-    self.rev = max(self.rev, rev)
+        if e.key.startswith(JOB_PREFIX):
+            self.ended_jobs.pop(e.key[len(JOB_PREFIX) :], None)
+        self._apply_change(e.key, e.value, e.version)
+    self.revision = max(self.revision, rev)
     return bool(events)
 
 
-real_load = Replica.load
+real_load = StoreCache.load
 
 
 @pytest.mark.parametrize(
@@ -920,7 +937,7 @@
 def test_the_model_finds_a_copy_that_goes_back(
     name: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Replica, name, without)
+    monkeypatch.setattr(StoreCache, name, without)
     with pytest.raises(AssertionError):
         run_copy(range(400))
 
@@ -982,7 +999,7 @@
             p.asked[jid], p.bodies[jid], p.fleet.specs[jid] = (
                 Asked(p.now),
                 spec,
-                jobs.parse(spec, 0.0),
+                jobs.parse_submission(spec, 0.0),
             )
             a, b = rng.sample(p.names, 2) if n % 4 else [rng.choice(p.names)] * 2
             p.tasks.start_soon(user, p, spec, a, b)
@@ -1033,9 +1050,9 @@
     """A submission lands whatever is known of its job."""
 
     async def txn(
-        self: Store, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
+        self: KeyValueStore, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
     ) -> Any:
-        new = {k for k, v in puts.items() if k.startswith(JOB) and isinstance(v, list)}
+        new = {k for k, v in puts.items() if k.startswith(JOB_PREFIX) and isinstance(v, list)}
         return await real(
             self,
             {k: v for k, v in guards.items() if not new or k in puts.keys() - new},
@@ -1048,12 +1065,14 @@
 
 
 def each_by_itself(real: Any) -> Any:
-    async def proof(self: Following) -> Proof:
-        begun = self.shared.clock()
-        answer = await self.shared.store.watch(PREFIX, self.shared.replica.rev, 0)
+    async def proof(self: StoreWatch) -> FreshRead:
+        begun = self.context.clock()
+        answer = await self.context.store.watch(
+            WATCHED_PREFIX, self.context.store_cache.revision, 0
+        )
         assert answer is not None
-        self._took(begun, *answer)
-        return Proof(begun)
+        self._apply_events(begun, *answer)
+        return FreshRead(begun)
 
     return proof
 
@@ -1062,9 +1081,9 @@
     ("where", "name", "without", "share", "says"),
     [
         # a job that is submitted once more, as another one, ends the steps of its team's source
-        (Store, "txn", any_submission, 0.0, "accepted once|not in list"),
-        (Answers, "final", lambda real: lambda self, jid: None, 0.15, "forgotten|went_back"),
-        (Following, "proof", each_by_itself, 0.0, "a read for each"),
+        (KeyValueStore, "compare_and_swap", any_submission, 0.0, "accepted once|not in list"),
+        (JobAnswers, "final", lambda real: lambda self, jid: None, 0.15, "forgotten|went_back"),
+        (StoreWatch, "fresh_read", each_by_itself, 0.0, "a read for each"),
     ],
 )
 def test_two_users_find_what_a_guard_is_there_for(
@@ -1110,11 +1129,11 @@
                 p.fleet.specs[jid] = job
             assert sorted(got.values()) == [200, 201]
             won = next(i for i in got if got[i] == 201)
-            assert (job.n, job.team) == (specs[won]["chicks"], specs[won]["keeper"])
+            assert (job.task_count, job.team) == (specs[won]["chicks"], specs[won]["keeper"])
             p.asked[jid], p.bodies[jid] = Asked(p.now, accepted=p.now), specs[won]
         await anyio.sleep(25.0)
         assert not await p.all_answered(KNOWN_S) and set(p.told.values()) == {DONE}
-        assert {k[0]: 0 for k in p.fleet.begun if k[1] >= p.specs[k[0]].n} == {}
+        assert {k[0]: 0 for k in p.fleet.begun if k[1] >= p.specs[k[0]].task_count} == {}
 
     play(scene, seed)
 
@@ -1126,14 +1145,14 @@
         n = next(
             n
             for n in range(900, 930)
-            if p.nodes["c0"].shared.layout.team_shard[f"team-{n % 4}"] == 0
+            if p.nodes["c0"].context.shard_map.team_shard[f"team-{n % 4}"] == 0
         )
         jid = f"j-{n:06d}"
         p.fleet.longer.update({(jid, 0): 50.0, (jid, 1): 80.0})
         await p.submit(p.spec(n, gait="array", chicks=2, flightS=1.0))
         await anyio.sleep(6.0)
         await p.crash("c0", 7.0)
-        while (jid, 0) not in p.fleet.results or p.nodes["c0"].shared.held.keys() != {0}:
+        while (jid, 0) not in p.fleet.results or p.nodes["c0"].context.held_shards.keys() != {0}:
             await anyio.sleep(0.5)
         await anyio.sleep(3.0)
         shown = [
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 from ploverhall.transport.http_parser import (
     MAX_BODY,
     MAX_HEAD,
-    Bad,
+    InvalidHttpError,
     Request,
     RequestReader,
     ResponseReader,
@@ -123,7 +123,7 @@
 def test_what_is_no_acceptable_request_is_refused(data: bytes, status: int) -> None:
     for size in (len(data), 997):
         reader = RequestReader()
-        with pytest.raises(Bad) as e:
+        with pytest.raises(InvalidHttpError) as e:
             for i in range(0, len(data), size):
                 reader.feed(data[i : i + size])
         assert e.value.status == status
@@ -134,7 +134,7 @@
 def test_garbage_is_refused_or_waited_for_never_a_fault(data: bytes, cuts: list[int]) -> None:
     try:
         fed(data, cuts)
-    except Bad:
+    except InvalidHttpError:
         pass
 
 
@@ -188,13 +188,13 @@
     """A number for `chicks` or a list for `stance` ended in an exception and 503; any `driftwood` was taken for true or false."""
     import orjson
 
-    with pytest.raises(agents.Malformed):
-        agents.parse({**GOOD, **wrong})
+    with pytest.raises(agents.InvalidHeartbeatError):
+        agents.heartbeat_from_json({**GOOD, **wrong})
     if not any(
         isinstance(v, int) and v >= 1 << 64 for v in wrong.values()
     ) and "18446744073709551616" not in str(wrong):
-        with pytest.raises(agents.Malformed):
-            agents.decode(orjson.dumps({**GOOD, **wrong}))
+        with pytest.raises(agents.InvalidHeartbeatError):
+            agents.decode_heartbeat(orjson.dumps({**GOOD, **wrong}))
 
 
 ANY = st.recursive(
@@ -212,6 +212,6 @@
 def test_no_json_is_a_fault(d: object) -> None:
     for value in (d, {**GOOD, **d} if isinstance(d, dict) else d):
         try:
-            agents.parse(value).tasks()
-        except agents.Malformed:
+            agents.heartbeat_from_json(value).tasks()
+        except agents.InvalidHeartbeatError:
             pass
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.scheduling.permitting import Source
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.scheduling.permitting import JobSource
+from ploverhall.scheduling.shard_owner import ShardOwner
 
 from .world import Broken, World, job
 
@@ -83,21 +83,21 @@
 def test_the_judge_notices_a_missing_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """With one guard taken out, the world must see a rule broken; else it judges nothing."""
     if guard == "silence counts as gone":
-        real = Owner.tick
+        real = ShardOwner.advance_time
 
-        def tick(self: Owner, now: float) -> None:
+        def tick(self: ShardOwner, now: float) -> None:
             for m in self.machines.values():
-                if now - m.last_report > 3.0:
+                if now - m.last_heartbeat_at > 3.0:
                     for p in m.permits.values():
                         p.gone = True
-                        self.changed.add(p.key)
+                        self.changed_attempts.add(p.attempt_id)
             real(self, now)
 
-        monkeypatch.setattr(Owner, "tick", tick)
+        monkeypatch.setattr(ShardOwner, "advance_time", tick)
     elif guard == "no limit":
-        monkeypatch.setattr(Source, "headroom", lambda self, js: 1000)
+        monkeypatch.setattr(JobSource, "quota_headroom", lambda self, js: 1000)
     else:
-        monkeypatch.setattr(Source, "zone_room", lambda self, js: None)
+        monkeypatch.setattr(JobSource, "zone_limits", lambda self, js: None)
     assert _seeds_until_broken()
 
 
@@ -107,14 +107,14 @@
 ) -> None:
     """One stands still, another takes its part and keeps its work alive, and the source hears of neither: ran_twice without the guard."""
     if not guarded:
-        real = Owner.tick
+        real = ShardOwner.advance_time
 
-        def believing(self: Owner, now: float) -> None:
-            self.proved = now
+        def believing(self: ShardOwner, now: float) -> None:
+            self.epoch_confirmed_at = now
             real(self, now)
 
-        monkeypatch.setattr(Owner, "tick", believing)
-        monkeypatch.setattr(Owner, "stood_still", lambda self, s, now: None)
+        monkeypatch.setattr(ShardOwner, "advance_time", believing)
+        monkeypatch.setattr(ShardOwner, "on_event_loop_stall", lambda self, s, now: None)
     w = World(3, machines=16, chaos=0.0)
     team = next(t for t, shard in w.layout.team_shard.items() if shard == 2)
     for i in range(3):
@@ -124,19 +124,19 @@
                 one,
                 team=team,
                 kind="service",
-                n=3,
+                task_count=3,
                 gpus=1.0,
-                spread=False,
-                one_zone=False,
+                spread_zones=False,
+                single_zone=False,
                 spot=False,
                 zone="a",
             )
         )
     w.run(10.0)
     first, source = w.nodes[0], w.nodes[2]
-    assert any(w.layout.part(x.zone, x.name) == 0 and x.tasks for x in w.workers.values()), (
-        "nothing runs on the part in question"
-    )
+    assert any(
+        w.layout.shard_of_machine(x.zone, x.name) == 0 and x.tasks for x in w.workers.values()
+    ), "nothing runs on the part in question"
     w.chaos = 1e-9  # watches may hang; nothing else goes wrong
     w.kinds = ()
     first.frozen_until, first.blind_until, source.blind_until = (
@@ -160,10 +160,10 @@
         job(Random(1), "j-000001", 0.0),
         team="team-0",
         kind="service",
-        n=4,
+        task_count=4,
         gpus=1.0,
-        spread=True,
-        one_zone=False,
+        spread_zones=True,
+        single_zone=False,
         spot=False,
     )
     w.submit(one)
@@ -187,7 +187,7 @@
     w = cut_off(True)
     w.run(200.0)
     assert w.cancelled and not any(x.on_machine() for x in w.workers.values())
-    monkeypatch.setattr(Cancellations, "may_tell", lambda self, version, now: True)
+    monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
     with pytest.raises(Broken, match="ran_cancelled"):
         cut_off(False).run(200.0)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,22 +10,22 @@
 from random import Random
 from typing import Any
 
-from ploverhall.coordination.cancellation_barrier import Cancellations
-from ploverhall.coordination.shard_map import Layout
-from ploverhall.coordination.state_channel import Inbox, Outbox
+from ploverhall.coordination.cancellation_barrier import CancellationBarrier
+from ploverhall.coordination.shard_map import ShardMap
+from ploverhall.coordination.state_channel import InboundChannels, OutboundChannels
 from ploverhall.protocol import agents, peer_messages
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.jobs import WITHDRAWN, Job
-from ploverhall.protocol.key_value_store import Event
-from ploverhall.scheduling.permitting import Source
-from ploverhall.scheduling.shard_owner import Owner
+from ploverhall.protocol.jobs import CANCELLED, Job
+from ploverhall.protocol.key_value_store import WatchEvent
+from ploverhall.scheduling.permitting import JobSource
+from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Team
 from ploverhall.storage.store_cache import (
-    JOB,
-    PREFIX,
-    SHARD,
-    Replica,
-    cell_prefix,
+    JOB_PREFIX,
+    WATCHED_PREFIX,
+    SHARD_PREFIX,
+    StoreCache,
+    allocation_prefix,
     end_record,
     progress_prefix,
 )
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self.rev = 1
         self.kv: dict[str, tuple[Any, int]] = {}
-        self.log: list[Event] = []
+        self.log: list[WatchEvent] = []
 
     def txn(
         self, guards: dict[str, int], puts: dict[str, Any], deletes: list[str], limit: int = 48
@@ -58,19 +58,19 @@
         self.rev += 1
         for k, v in puts.items():
             self.kv[k] = (v, self.rev)
-            self.log.append(Event(k, v, self.rev))
+            self.log.append(WatchEvent(k, v, self.rev))
         for k in deletes:
             if self.kv.pop(k, None) is not None:
-                self.log.append(Event(k, None, self.rev))
+                self.log.append(WatchEvent(k, None, self.rev))
         return self.rev, []
 
-    def since(self, rev: int) -> list[Event]:
+    def since(self, rev: int) -> list[WatchEvent]:
         """What was changed after a revision, as the controllers watch it."""
         out = []
         for e in reversed(self.log):
             if e.version <= rev:
                 break
-            if e.key.startswith(PREFIX):
+            if e.key.startswith(WATCHED_PREFIX):
                 out.append(e)
         return out[::-1]
 
@@ -88,7 +88,7 @@
     def __init__(self, world: World, name: str, zone: str, spot: bool) -> None:
         self.w, self.name, self.zone, self.spot = world, name, zone, spot
         self.session, self.seq, self.token = 1, 0, 0
-        self.tasks: dict[agents.Key, dict[str, Any]] = {}
+        self.tasks: dict[agents.AttemptId, dict[str, Any]] = {}
         self.home = world.rng.randrange(len(world.nodes))
         self.answered_sent = world.now  # when the last answered report was sent
         self.dead = False
@@ -181,7 +181,7 @@
             self.execute(body["calls"])
         return self.report()
 
-    def on_machine(self) -> list[agents.Key]:
+    def on_machine(self) -> list[agents.AttemptId]:
         if self.w.now - self.answered_sent > LEASE + 0.1:
             return []  # hung beyond its lease: whatever it wakes with, its tasks are killed first
         return [k for k, t in self.tasks.items() if t["state"] not in ("pulling", "ended")]
@@ -193,24 +193,24 @@
     def __init__(self, node: Node, shard: int, epoch: int) -> None:
         w = node.w
         self.node, self.shard, self.epoch = node, shard, epoch
-        self.owner = Owner(shard, epoch, len(w.nodes), LEASE, REPORT, 5.0, 5, w.rng, w.now)
-        self.owner.types = {"t": TYPE}
-        self.owner.fleet.job_vec = lambda jid: (
-            node.replica.live[jid][0].vec if jid in node.replica.live else None
+        self.owner = ShardOwner(shard, epoch, len(w.nodes), LEASE, REPORT, 5.0, 5, w.rng, w.now)
+        self.owner.machine_types = {"t": TYPE}
+        self.owner.inventory.resources_of_job = lambda jid: (
+            node.replica.live_jobs[jid][0].resources if jid in node.replica.live_jobs else None
         )
-        self.owner.job_over = node.replica.ended.__contains__
-        teams = [w.teams[t] for t in w.layout.teams(shard)]
+        self.owner.job_ended_in_store = node.replica.ended_jobs.__contains__
+        teams = [w.teams[t] for t in w.layout.teams_of(shard)]
         # the cells are read after the claim: from here on no earlier holder can write them
-        self.source = Source(shard, epoch, teams, ("a", "b"), w.value_bytes, w.txn_ops)
-        node.replica.apply(w.store.rev, w.store.since(node.replica.rev))
-        for jid, (job, version) in node.replica.live.items():
+        self.source = JobSource(shard, epoch, teams, ("a", "b"), w.value_bytes, w.txn_ops)
+        node.replica.apply(w.store.rev, w.store.since(node.replica.revision))
+        for jid, (job, version) in node.replica.live_jobs.items():
             if w.layout.team_shard[job.team] == shard:
                 self.source.on_job(job, jid, version, w.now)
         for t in teams:
-            self.source.install_cell(t.name, w.store.read(cell_prefix(t.name)), w.now)
+            self.source.install_allocations(t.name, w.store.read(allocation_prefix(t.name)), w.now)
             self.source.install_progress(t.name, w.store.read(progress_prefix(t.name)))
         for part in range(len(w.nodes)):
-            node.outbox.board("s", shard, part, epoch)
+            node.outbox.channel("s", shard, part, epoch)
         self.busy = False
 
 
@@ -230,14 +230,14 @@
     def boot(self) -> None:
         self.up_at = 0.0
         others = [f"c{i}" for i in range(3) if i != self.index]
-        self.told = Cancellations(
+        self.told = CancellationBarrier(
             others, CANCEL, LEASE, self.w.cut_off, self.w.now, f"{self.name} {self.lives}"
         )
         self.stepped = self.w.now
-        self.replica = Replica()
+        self.replica = StoreCache()
         if self.reaches_store:
             self.load()
-        self.inbox, self.outbox = Inbox(), Outbox()
+        self.inbox, self.outbox = InboundChannels(), OutboundChannels()
         self.held: dict[int, Held] = {}
         self.generation: dict[str, int] = {}
         self.wires: dict[tuple[str, int, int], float] = {}
@@ -245,12 +245,12 @@
 
     def load(self) -> None:
         """Its first read of the store."""
-        self.replica.load(self.w.store.read(PREFIX), self.w.store.rev)
+        self.replica.load(self.w.store.read(WATCHED_PREFIX), self.w.store.rev)
         self.replica.ready = True
-        self.told.contacted(self.w.now)
-        for jid, end in self.replica.ended.items():
-            if end.how == WITHDRAWN:
-                self.told.note(jid, end.version)
+        self.told.store_contacted(self.w.now)
+        for jid, end in self.replica.ended_jobs.items():
+            if end.outcome == CANCELLED:
+                self.told.record_cancellation(jid, end.version)
         self.replica.changed_jobs.clear()
 
     @property
@@ -277,9 +277,9 @@
                     n.out_since is not None
                     and self.w.now - max(n.out_since, self.w.down_until) > 4.0
                 ):
-                    self.told.gone(n.name, self.w.now)
+                    self.told.peer_absent(n.name, self.w.now)
                 else:
-                    self.told.present(n.name, True, 0)
+                    self.told.peer_present(n.name, True, 0)
 
     def speak(self) -> None:
         """Words to the others, twice a second."""
@@ -290,9 +290,9 @@
                 and self.w.now >= self.spoke.get(n.name, 0.0)
             ):
                 self.spoke[n.name] = self.w.now + 0.5
-                word = peer_messages.pack_word(
-                    self.told.word(
-                        n.name, self.replica.rev if self.replica.ready else 0, self.w.now
+                word = peer_messages.encode_gossip(
+                    self.told.gossip_for(
+                        n.name, self.replica.revision if self.replica.ready else 0, self.w.now
                     )
                 )
                 self.w.later(self.w.delay(self.w.speaking), n.listen, self.name, word, n.lives)
@@ -303,9 +303,11 @@
             and self.up
             and not self.w.asleep(self, self.listen, by, word, lives)
         ):
-            for c in self.told.take(by, peer_messages.word(word), self.w.now):
-                if c.version > self.replica.rev and c.job not in self.replica.ended:
-                    self.replica.put_own(JOB + c.job, end_record(WITHDRAWN, 0), c.version)
+            for c in self.told.receive_gossip(by, peer_messages.decode_gossip(word), self.w.now):
+                if c.revision > self.replica.revision and c.job_id not in self.replica.ended_jobs:
+                    self.replica.apply_own_write(
+                        JOB_PREFIX + c.job_id, end_record(CANCELLED, 0), c.revision
+                    )
             self.news()
 
     def holder(self, role: int) -> str | None:
@@ -314,9 +316,9 @@
     def news(self) -> None:
         changed, self.replica.changed_jobs = self.replica.changed_jobs, []
         for jid in changed:
-            known = self.replica.live.get(jid)
-            if (end := self.replica.ended.get(jid)) is not None and end.how == WITHDRAWN:
-                self.told.note(jid, end.version)
+            known = self.replica.live_jobs.get(jid)
+            if (end := self.replica.ended_jobs.get(jid)) is not None and end.outcome == CANCELLED:
+                self.told.record_cancellation(jid, end.version)
             for h in self.held.values():
                 if known is not None:
                     if self.w.layout.team_shard[known[0].team] == h.shard:
@@ -332,12 +334,12 @@
 
     def take(self, shard: int, epoch: int) -> None:
         self.held[shard] = Held(self, shard, epoch)
-        for (kind, src, dst), (e, state) in list(self.inbox.boards.items()):
+        for (kind, src, dst), (e, state) in list(self.inbox.channels.items()):
             if dst == shard:
                 self.dispatch([kind, src, e, dst, True, dict(state)])
 
     def owners_again(self, h: Held) -> None:
-        for (kind, src, dst), (e, state) in list(self.inbox.boards.items()):
+        for (kind, src, dst), (e, state) in list(self.inbox.channels.items()):
             if dst == h.shard and kind == "o":
                 self.dispatch([kind, src, e, dst, True, dict(state)])
 
@@ -347,15 +349,15 @@
         if h is None or epoch < self.replica.holder(src)[1]:
             return
         if kind == "s":
-            h.owner.on_source(src, full, changes, self.w.now)
+            h.owner.on_source_update(src, full, changes, self.w.now)
         else:
-            h.source.on_owner(src, epoch, full, changes, self.w.now)
+            h.source.on_owner_update(src, epoch, full, changes, self.w.now)
 
     def step(self) -> None:
         now = self.w.now
         if now - self.stepped > 1.0:
             for h in self.held.values():
-                h.owner.stood_still(now - self.stepped, now)
+                h.owner.on_event_loop_stall(now - self.stepped, now)
         self.stepped = now
         self.notice()
         self.speak()
@@ -363,7 +365,7 @@
             for h in list(self.held.values()):
                 self._step(h, now)
             for m in self.outbox.collect(self.name, 0, self.holder):
-                if self.inbox.take(m):
+                if self.inbox.accept(m):
                     self.dispatch(m)
         for other in self.w.nodes:
             if other is not self:
@@ -387,7 +389,7 @@
     def receive(self, batch: list[Any], lives: int) -> None:
         if lives == self.lives and self.up and not self.w.asleep(self, self.receive, batch, lives):
             for m in batch:
-                if self.inbox.take(m):
+                if self.inbox.accept(m):
                     self.dispatch(m)
 
     def prove(self, lives: int, begun: float) -> None:
@@ -396,27 +398,27 @@
             return
         if lives != self.lives or self.w.asleep(self, self.prove, lives, begun):
             return
-        self.replica.apply(self.w.store.rev, self.w.store.since(self.replica.rev))
-        self.told.contacted(self.w.now)
+        self.replica.apply(self.w.store.rev, self.w.store.since(self.replica.revision))
+        self.told.store_contacted(self.w.now)
         self.news()
         for h in self.held.values():
-            h.owner.proved = max(h.owner.proved, begun)
+            h.owner.epoch_confirmed_at = max(h.owner.epoch_confirmed_at, begun)
 
     def _step(self, h: Held, now: float) -> None:
         o, s = h.owner, h.source
-        o.tick(now)
-        if o.unproved:
-            o.unproved = False
+        o.advance_time(now)
+        if o.confirmation_needed:
+            o.confirmation_needed = False
             self.w.later(self.w.delay(), self.prove, self.lives, now)
-        o.place(now)
-        for m, body in o.direct_work(now):
+        o.place_candidates(now)
+        for m, body in o.direct_commands(now):
             self.w.direct(self, h, m, _copy(body))
-        for (src, key), value in o.take_news().items():
-            self.outbox.board("o", h.shard, src, h.epoch).put(key, _copy(value))
+        for (src, key), value in o.take_source_updates().items():
+            self.outbox.channel("o", h.shard, src, h.epoch).put(key, _copy(value))
         s.decide(now)
-        for (part, key), value in s.take_news(len(self.w.nodes), now).items():
-            self.outbox.board("s", h.shard, part, h.epoch).put(key, _copy(value))
-        if not h.busy and (txn := s.plan()) is not None:
+        for (part, key), value in s.take_owner_updates(len(self.w.nodes), now).items():
+            self.outbox.channel("s", h.shard, part, h.epoch).put(key, _copy(value))
+        if not h.busy and (txn := s.next_write()) is not None:
             h.busy = True
             self.w.write(self, h, txn)
 
@@ -460,7 +462,7 @@
         self.store = Store()
         self.value_bytes, self.txn_ops = value_bytes, txn_ops
         self.teams = {f"team-{i}": Team(f"team-{i}", 0, 0, 4, 10) for i in range(4)}
-        self.layout = Layout([("c0", "a"), ("c1", "b"), ("c2", "a")], list(self.teams))
+        self.layout = ShardMap([("c0", "a"), ("c1", "b"), ("c2", "a")], list(self.teams))
         self.specs: dict[str, Job] = {}
         self.results: set[tuple[str, int]] = set()
         self.cancelled: dict[str, float] = {}
@@ -588,8 +590,8 @@
                     (self.rng.random() < 0.7 and self.now >= n.blind_until) or self.chaos <= 0
                 ):
                     if n.replica.ready:
-                        n.replica.apply(self.store.rev, self.store.since(n.replica.rev))
-                        n.told.contacted(self.now)
+                        n.replica.apply(self.store.rev, self.store.since(n.replica.revision))
+                        n.told.store_contacted(self.now)
                     else:
                         n.load()
                 n.news()
@@ -602,7 +604,7 @@
 
     def shards(self, n: Node) -> None:
         for i in range(len(self.nodes)):
-            value, version = self.store.kv.get(f"{SHARD}{i}", (None, 0))
+            value, version = self.store.kv.get(f"{SHARD_PREFIX}{i}", (None, 0))
             holder = value["node"] if value else None
             if holder == n.name and (i not in n.held or n.held[i].epoch != version):
                 self.claim(n, i, version)
@@ -622,7 +624,7 @@
 
     def claim(self, n: Node, shard: int, version: int) -> None:
         rev, failed = self.store.txn(
-            {f"{SHARD}{shard}": version}, {f"{SHARD}{shard}": {"node": n.name}}, []
+            {f"{SHARD_PREFIX}{shard}": version}, {f"{SHARD_PREFIX}{shard}": {"node": n.name}}, []
         )
         if not failed:
             self.orphan.pop(shard, None)
@@ -646,29 +648,29 @@
                 return
             h.busy = False
             if unknown:
-                h.source.unknown(txn)
+                h.source.on_outcome_unknown(txn)
                 for t in h.source.teams_of(txn):
-                    h.source.install_cell(t, self.store.read(cell_prefix(t)), self.now)
+                    h.source.install_allocations(t, self.store.read(allocation_prefix(t)), self.now)
                 node.owners_again(h)
             elif failed:
-                if f"{SHARD}{h.shard}" in failed:
+                if f"{SHARD_PREFIX}{h.shard}" in failed:
                     del node.held[h.shard]
                     node.outbox.drop(("s", "o"), h.shard)
                     return
-                for t in h.source.refused(txn, failed):
-                    h.source.install_cell(t, self.store.read(cell_prefix(t)), self.now)
+                for t in h.source.on_compare_failed(txn, failed):
+                    h.source.install_allocations(t, self.store.read(allocation_prefix(t)), self.now)
                 node.owners_again(h)
             else:
-                h.source.landed(txn, rev, self.now)
+                h.source.on_committed(txn, rev, self.now)
 
         def apply(answer: bool) -> None:
             rev, failed = self.store.txn(
-                txn.guards, _copy(txn.puts), list(txn.deletes), self.txn_ops
+                txn.compare, _copy(txn.puts), list(txn.deletes), self.txn_ops
             )
             if not failed:
                 for k in txn.puts:
-                    if k.startswith(JOB):
-                        self.check_done(k[len(JOB) :])
+                    if k.startswith(JOB_PREFIX):
+                        self.check_done(k[len(JOB_PREFIX) :])
             if answer:
                 self.later(self.delay(), outcome, rev, failed, False)
 
@@ -724,22 +726,26 @@
         if self.asleep(node, self.answer, node, w, body, sent, session, True):
             w.home = (w.home + 1) % len(self.nodes)
             return
-        r = agents.parse(body)
-        h = node.held.get(self.layout.part(r.zone, r.machine)) if not node.isolated else None
-        m = h.owner.on_report(r, self.now) if h is not None else None
+        r = agents.heartbeat_from_json(body)
+        h = (
+            node.held.get(self.layout.shard_of_machine(r.zone, r.machine))
+            if not node.isolated
+            else None
+        )
+        m = h.owner.on_heartbeat(r, self.now) if h is not None else None
         if h is None or m is None:
             if not late:
-                holder = node.replica.holder(self.layout.part(r.zone, r.machine))[0]
+                holder = node.replica.holder(self.layout.shard_of_machine(r.zone, r.machine))[0]
                 w.home = (
                     int(holder[1])
                     if holder and holder != node.name
                     else (w.home + 1) % len(self.nodes)
                 )
             return
-        if m.copy:
+        if m.stale_heartbeat:
             return  # as in control.reports: an answer without commands, for which nobody waits
-        reply = _copy(agents.answer(m.token, h.owner.commands(m, self.now)))
-        m.last_answer = self.now
+        reply = _copy(agents.heartbeat_answer(m.token, h.owner.commands_for(m, self.now)))
+        m.last_answer_at = self.now
         if self.now < w.deaf_until:
             w.home = (w.home + 1) % len(self.nodes)
         elif (
@@ -761,7 +767,9 @@
                 and node.held.get(h.shard) is h
                 and not self.asleep(node, done, report)
             ):
-                h.owner.direct_done(m, agents.parse(report) if report else None, self.now)
+                h.owner.on_direct_answer(
+                    m, agents.heartbeat_from_json(report) if report else None, self.now
+                )
 
         def arrive(answer: bool) -> None:
             if w.dead:
@@ -784,13 +792,13 @@
     # -- gangs ---------------------------------------------------------------------------------
 
     def gangs(self) -> None:
-        groups: dict[tuple[str, int], list[tuple[Worker, agents.Key, dict[str, Any]]]] = {}
+        groups: dict[tuple[str, int], list[tuple[Worker, agents.AttemptId, dict[str, Any]]]] = {}
         for w in self.workers.values():
             for k, t in w.tasks.items():
                 if self.specs[k[0]].kind == "gang" and t["state"] in ("waiting", "running"):
                     groups.setdefault((k[0], k[2]), []).append((w, k, t))
         for (job, _), members in groups.items():
-            n = self.specs[job].n
+            n = self.specs[job].task_count
             if len(members) == n and all(t["state"] == "waiting" for _, _, t in members):
                 for _, _, t in members:
                     t.update(
@@ -818,23 +826,25 @@
             self.later(1.0, self.submit, job)
             return
         self.specs[job.id] = job
-        self.store.txn({JOB + job.id: 0}, {JOB + job.id: job.record()}, [])
+        self.store.txn({JOB_PREFIX + job.id: 0}, {JOB_PREFIX + job.id: job.record()}, [])
 
     def live(self) -> list[str]:
         """Keys of jobs that are not over."""
         return [
-            k for k, (v, _) in self.store.kv.items() if k.startswith(JOB) and isinstance(v, list)
+            k
+            for k, (v, _) in self.store.kv.items()
+            if k.startswith(JOB_PREFIX) and isinstance(v, list)
         ]
 
     def withdraw(self, jid: str) -> None:
         """A user asks any controller that can be reached, again and again until it is told."""
-        value, version = self.store.kv.get(JOB + jid, (None, 0))
+        value, version = self.store.kv.get(JOB_PREFIX + jid, (None, 0))
         if isinstance(value, list) and self.now < self.down_until:
             self.later(1.0, self.withdraw, jid)
             return
         if isinstance(value, list):
             version, _ = self.store.txn(
-                {JOB + jid: version}, {JOB + jid: end_record("withdrawn", 0)}, []
+                {JOB_PREFIX + jid: version}, {JOB_PREFIX + jid: end_record("withdrawn", 0)}, []
             )
         elif value is None or value["s"] != "withdrawn":
             return
@@ -844,18 +854,18 @@
         if (
             node is not None
             and node.replica.ready
-            and node.replica.rev >= version
-            and node.told.may_tell(version, self.now)
+            and node.replica.revision >= version
+            and node.told.may_acknowledge(version, self.now)
         ):
             self.cancelled.setdefault(jid, self.now)
         else:
             self.later(1.0, self.withdraw, jid)
 
     def check_done(self, jid: str) -> None:
-        if any((jid, i) not in self.results for i in range(self.specs[jid].n)):
+        if any((jid, i) not in self.results for i in range(self.specs[jid].task_count)):
             raise Broken(f"not_done: {jid} at {self.now}")
 
-    def started(self, w: Worker, key: agents.Key) -> None:
+    def started(self, w: Worker, key: agents.AttemptId) -> None:
         """A task is on its machine from now on."""
         self.starts += 1
         job = self.specs[key[0]]
@@ -871,10 +881,10 @@
         if (
             (w.spot and not job.spot)
             or (job.zone and job.zone != w.zone)
-            or (job.one_zone and len(zones) > 1)
+            or (job.single_zone and len(zones) > 1)
         ):
             raise Broken(f"wrong_place: {key} on {w.name}")
-        if job.spread and zones[w.zone] > job.zone_cap:
+        if job.spread_zones and zones[w.zone] > job.max_tasks_per_zone:
             raise Broken(f"wrong_place: {key} on {w.name}: {zones}")
 
     def judge(self) -> None:
@@ -889,7 +899,7 @@
                 if k[0] in self.cancelled and self.now - self.cancelled[k[0]] > CANCEL:
                     raise Broken(f"ran_cancelled: {k} on {w.name} at {self.now}")
         for team, gpus in used.items():
-            if gpus > self.teams[team].gpus_max + 1e-6:
+            if gpus > self.teams[team].max_gpus + 1e-6:
                 raise Broken(f"quota: {team} uses {gpus} at {self.now}")
 
 
@@ -900,24 +910,24 @@
     one_zone = kind == "gang" and rng.random() < 0.5
     return Job(
         id=jid,
-        klass=kind,
+        job_class=kind,
         team=f"team-{rng.randrange(4)}",
         kind=kind,
-        rank=rng.randrange(4),
-        n=n,
+        priority=rng.randrange(4),
+        task_count=n,
         cpus=2.0,
         gpus=rng.choice([1.0, 2.0]),
-        mem=8.0,
+        memory_gb=8.0,
         image=f"i{rng.randrange(3)}",
         image_gb=2.0,
-        types=None,
+        machine_types=None,
         zone=None,
-        one_zone=one_zone,
-        spread=kind == "service" and rng.random() < 0.5,
+        single_zone=one_zone,
+        spread_zones=kind == "service" and rng.random() < 0.5,
         spot=kind == "array",
         estimate_s=rng.choice([2.0, 8.0, 20.0]),
         checkpoint_s=0.0,
         save_s=0.0,
         deadline_s=None,
-        at=at,
+        submitted_at=at,
     )
