--- a/ploverhall/cli.py
+++ b/ploverhall/cli.py
@@ -6,6 +6,7 @@
 import sys
 
 from ploverhall import __version__, settings
+from ploverhall.errors import SettingsError
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -64,7 +65,7 @@
         return show(args.address, args.json, args.job, args.team, args.machine)
     try:
         config = settings.load(args.config, args.options)
-    except settings.SettingsError as error:
+    except SettingsError as error:
         print(f"ploverhall: {error}", file=sys.stderr)
         return 2
     if args.command == "check-config":
--- a/ploverhall/controller/agent_commands.py
+++ b/ploverhall/controller/agent_commands.py
@@ -10,13 +10,13 @@
 
 from ploverhall.connectivity.heartbeat_failback import HeartbeatFailback
 from ploverhall.controller.context import ControllerContext
-from ploverhall.controller.relay import Relay, RelayRefusedError
+from ploverhall.controller.relay import Relay
+from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError, UnreachableError
 from ploverhall.protocol import agents, relay_messages
 from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.transport.client_pool import ClientPool
-from ploverhall.transport.http import Unreachable
 
 COMMAND_TIMEOUT_S = 1.5  # how long a worker has to answer
 RELAY_EXTRA_S = 0.3  # and a member that asks it
@@ -73,13 +73,13 @@
         """One request to a worker by the own link."""
         host, _, port = address.rpartition(":")
         if not host or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-            raise Unreachable(
+            raise UnreachableError(
                 "not an address"
             )  # a worker says where it is: whatever it says must end nothing here
         try:
             return await self.clients.call(host, int(port), method, path, body, COMMAND_TIMEOUT_S)
         except ValueError as error:  # no name of a host either
-            raise Unreachable(f"{address!r}: {error}") from error
+            raise UnreachableError(f"{address!r}: {error}") from error
 
     async def send(self, owner: ShardOwner, machine: Machine, body: dict[str, Any]) -> None:
         """Send one /do and hand its answer, or that there was none, to the owner.
@@ -110,9 +110,9 @@
             if status in (200, 409):
                 report = agents.heartbeat_from_json(answer)
         except (
-            Unreachable,
+            UnreachableError,
             RelayRefusedError,
-            agents.InvalidHeartbeatError,
+            InvalidHeartbeatError,
             orjson.JSONDecodeError,
         ):
             pass
@@ -159,7 +159,7 @@
                     hops=1,
                 )
                 reached.append(status == 200)
-            except (Unreachable, RelayRefusedError):
+            except (UnreachableError, RelayRefusedError):
                 reached.append(False)
 
         async with anyio.create_task_group() as task_group:
@@ -197,6 +197,6 @@
         """Ask one worker by the own link; its report is not used, the next one says more."""
         try:
             status, _ = await self._request(address, "GET", "/show")
-        except Unreachable:
+        except UnreachableError:
             status = 0
         self.failback.probe_finished(name, status == 200, self.context.clock())
--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -9,20 +9,20 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.autoscaling.autoscaler import RentalRequest, Autoscaler
+from ploverhall.autoscaling.autoscaler import Autoscaler, RentalRequest
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.routing import Routing
 from ploverhall.coordination import state_channel
+from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
 from ploverhall.maintenance import orders
 from ploverhall.protocol import cloud
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.key_value_store import RequestRefusedError, OutcomeUnknownError
 from ploverhall.storage.store_cache import (
     AUTOSCALER_KEY,
-    MACHINE_TYPE_PREFIX,
     MACHINE_TYPE_COUNT_KEY,
+    MACHINE_TYPE_PREFIX,
 )
-from ploverhall.transport.http import Caller, Unreachable
+from ploverhall.transport.http import Caller
 
 MACHINE_TYPES_INTERVAL_S, MACHINE_TYPES_RETRY_S = 60.0, 2.0
 LIST_EVERY_S = 2.0  # between two reads of the machine list, or longer where it has many pages
@@ -147,7 +147,7 @@
                     if pending and pending[0][0] == request_id:
                         pending.pop(0)
                     await anyio.sleep(1.2 / self.context.settings.cloud_rps)
-            except Unreachable:
+            except UnreachableError:
                 continue  # asked again under the same name: it gives the same answer
 
     async def _claim(self, version: int, now: float) -> bool:
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -12,7 +12,7 @@
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
-from ploverhall.controller.context import STORE_LIMIT_SHARE, HeldShard, ControllerContext
+from ploverhall.controller.context import STORE_LIMIT_SHARE, ControllerContext, HeldShard
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
 from ploverhall.controller.http_routes import HttpRoutes, is_report
 from ploverhall.controller.job_requests import JobRequests
@@ -40,7 +40,7 @@
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
-from ploverhall.storage.store_cache import JOB_PREFIX, AUTOSCALER_KEY, end_record
+from ploverhall.storage.store_cache import AUTOSCALER_KEY, JOB_PREFIX, end_record
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http import Server
 
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -9,17 +9,18 @@
 from ploverhall import log
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
-from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import PeerLiveness
-from ploverhall.controller.relay import Relay, RelayRefusedError
+from ploverhall.controller.relay import Relay
 from ploverhall.controller.routing import Routing
 from ploverhall.controller.shard_leases import ShardLeases
 from ploverhall.coordination import fencing_tokens
+from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError, UnreachableError
 from ploverhall.protocol import agents
 from ploverhall.protocol.agents import Heartbeat
 from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
 from ploverhall.scheduling.inventory import Machine
-from ploverhall.transport.http import Reply, Unreachable
+from ploverhall.transport.http import Reply
 from ploverhall.transport.http_parser import Request
 
 RECOVERY_LOG_INTERVAL_S = 10.0  # answering for an earlier life is worth a word when it begins
@@ -54,7 +55,7 @@
         """A worker's report."""
         try:
             heartbeat = agents.decode_heartbeat(request.body)
-        except agents.InvalidHeartbeatError as error:
+        except InvalidHeartbeatError as error:
             return Reply(400, {"error": str(error)})
         shard = self.context.shard_map.shard_of_machine(heartbeat.zone, heartbeat.machine)
         held = self.context.held_shards.get(shard)
@@ -209,7 +210,7 @@
                 hops=hops,
             )
             answer = orjson.loads(raw)
-        except (RelayRefusedError, Unreachable, orjson.JSONDecodeError):
+        except (RelayRefusedError, UnreachableError, orjson.JSONDecodeError):
             return None
         if status not in (200, 421) or not isinstance(answer, dict):
             return None
@@ -225,7 +226,7 @@
         """A member has a report of a worker that can't reach this controller, or one that only this one can pass on."""
         try:
             heartbeat = agents.decode_heartbeat(request.body)
-        except agents.InvalidHeartbeatError as error:
+        except InvalidHeartbeatError as error:
             raise RelayRefusedError(str(error)) from error
         shard = self.context.shard_map.shard_of_machine(heartbeat.zone, heartbeat.machine)
         held = self.context.held_shards.get(shard)
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -12,18 +12,18 @@
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.job_answers import (
-    STATE_UNKNOWN,
     CANCELLATION_NOT_ACKNOWLEDGED,
+    STATE_UNKNOWN,
+    ArchiveLookupNeeded,
     JobAnswer,
     JobAnswers,
-    ArchiveLookupNeeded,
     JobStatus,
-    UnknownJob,
     Unavailable,
+    UnknownJob,
 )
+from ploverhall.errors import InvalidJobError, OutcomeUnknownError, RequestRefusedError
 from ploverhall.protocol import jobs
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.key_value_store import RequestRefusedError, OutcomeUnknownError
 from ploverhall.scheduling.inventory import fits
 from ploverhall.storage.store_cache import ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.transport.http import Reply
@@ -113,7 +113,7 @@
         """POST /api/jobs."""
         try:
             job = jobs.parse_submission(orjson.loads(body), self.context.wall_clock())
-        except (orjson.JSONDecodeError, jobs.InvalidJobError) as error:
+        except (orjson.JSONDecodeError, InvalidJobError) as error:
             return _rejected(400, str(error))
         if (end := self.answers.final(job.id)) is not None:
             return _reply(end)
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -12,15 +12,10 @@
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.status_report import StatusReport
 from ploverhall.controller.store_watch import StoreWatch
+from ploverhall.errors import InvalidOrderError, OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance import orders
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
-from ploverhall.maintenance.orders import (
-    ORDER_PREFIX,
-    STATE_BY_VERB,
-    InvalidOrderError,
-    MaintenanceOrder,
-)
-from ploverhall.protocol.key_value_store import RequestRefusedError, OutcomeUnknownError
+from ploverhall.maintenance.orders import ORDER_PREFIX, STATE_BY_VERB, MaintenanceOrder
 from ploverhall.storage.store_cache import CONTROLLER_PREFIX
 from ploverhall.transport.http import Reply
 from ploverhall.transport.http_parser import Request
@@ -56,9 +51,9 @@
                 try:
                     body = orjson.loads(request.body)
                 except orjson.JSONDecodeError as error:
-                    raise InvalidOrderError("not JSON") from error
+                    raise InvalidOrderError(problem="not JSON") from error
                 if not isinstance(body, dict):
-                    raise InvalidOrderError("not an object")
+                    raise InvalidOrderError(problem="not an object")
                 return await (self._preview(body) if path else self._create(body))
             return await self._change(path[0], path[1] if len(path) > 1 else "")
         except InvalidOrderError as error:
--- a/ploverhall/controller/outbound.py
+++ b/ploverhall/controller/outbound.py
@@ -13,10 +13,11 @@
 from ploverhall import log
 from ploverhall.connectivity.link_health import LinkHealth
 from ploverhall.controller.context import ControllerContext
-from ploverhall.controller.relay import Relay, RelayRefusedError
+from ploverhall.controller.relay import Relay
+from ploverhall.errors import RelayRefusedError, UnreachableError
 from ploverhall.protocol.key_value_store import RateLimiter
 from ploverhall.protocol.relay_messages import RelayRequest
-from ploverhall.transport.http import Client, Unreachable
+from ploverhall.transport.http import Client
 
 CHECK_INTERVAL_S = 0.1
 STALL_S = 0.5  # a tick so late: this process stood still, and nobody else was silent for that time
@@ -70,13 +71,13 @@
     async def call(
         self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
     ) -> tuple[int, object]:
-        """One request: (status, JSON). Unreachable: it may or may not have been executed, now or later."""
+        """One request: (status, JSON). UnreachableError: it may or may not have been executed, now or later."""
         until = self.context.clock() + timeout + hold
         via = self.current_relay()
         if via is None:
             try:
                 status, out = await self._call_directly(method, target, body, timeout, hold)
-            except Unreachable:
+            except UnreachableError:
                 via = self.current_relay()
                 if via is None or not (method == "GET" or target.startswith(self.repeatable)):
                     raise
@@ -105,7 +106,7 @@
         try:
             return status, orjson.loads(raw) if raw else None
         except orjson.JSONDecodeError as error:
-            raise Unreachable(f"{method} {target}: not JSON") from error
+            raise UnreachableError(f"{method} {target}: not JSON") from error
 
     async def _call_directly(
         self, method: str, target: str, body: object, timeout: float, hold: float
@@ -127,8 +128,8 @@
                         max(0.0, now - started_at - hold) if hold else now - started_at, now
                     )
                 return status, out
-            raise Unreachable(f"{method} {target}: given up")
-        except Unreachable:
+            raise UnreachableError(f"{method} {target}: given up")
+        except UnreachableError:
             self.health.record_failure(started_at + hold, clock())
             raise
         finally:
@@ -172,7 +173,7 @@
         started_at = self.context.clock()
         try:
             status, _ = await self.client.call("GET", self.probe_target, None, PROBE_INTERVAL_S)
-        except Unreachable:
+        except UnreachableError:
             self.health.record_failure(started_at, self.context.clock())
             return
         now = self.context.clock()
--- a/ploverhall/controller/peer_links.py
+++ b/ploverhall/controller/peer_links.py
@@ -13,14 +13,9 @@
 from ploverhall.controller.status_report import StatusReport
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.state_channel import Message
+from ploverhall.errors import InvalidPeerMessageError
 from ploverhall.protocol import relay_messages
-from ploverhall.protocol.peer_messages import (
-    Cancellation,
-    InvalidPeerMessageError,
-    PeerStatus,
-    encode_gossip,
-    decode_gossip,
-)
+from ploverhall.protocol.peer_messages import Cancellation, PeerStatus, decode_gossip, encode_gossip
 from ploverhall.transport.peer_stream import PeerLink, PeerListener
 
 STATUS_INTERVAL_S = 0.5
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -13,10 +13,10 @@
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.coordination.state_channel import Message
+from ploverhall.errors import InvalidRelayMessageError, RelayRefusedError, UnreachableError
 from ploverhall.log import raised_at
 from ploverhall.protocol import relay_messages
-from ploverhall.protocol.relay_messages import RelayResponse, RelayRequest
-from ploverhall.transport.http import Unreachable
+from ploverhall.protocol.relay_messages import RelayRequest, RelayResponse
 
 CONNECTIVITY_INTERVAL_S = 0.5
 MAX_LAG_S = 0.5  # its own work comes first: so far behind it carries nothing
@@ -26,10 +26,6 @@
 Handler = Callable[[str, RelayRequest], Awaitable[tuple[int, bytes]]]
 
 
-class RelayRefusedError(Exception):
-    """Surely not executed: no way, no room, no time."""
-
-
 class Relay:
     """Both sides: what is asked of others, and what others ask."""
 
@@ -83,7 +79,7 @@
         destination: str = "",
         hops: int = 2,
     ) -> tuple[int, bytes]:
-        """One question to a member: (status, body). NotCarried: surely not executed; Unreachable: that is not known."""
+        """One question to a member: (status, body). NotCarried: surely not executed; UnreachableError: that is not known."""
         shared = self.context
         deadline = shared.clock() + timeout + hold_s
         if not self.is_connected(via):
@@ -127,13 +123,13 @@
             self.pending.close(number)
         if not waiter[1]:
             self.routes.record_failure(via, shared.clock())
-            raise Unreachable(f"{kind} through {via}: no answer")
+            raise UnreachableError(f"{kind} through {via}: no answer")
         response = waiter[1][0]
         if response.status == 0:
             self.routes.record_failure(via, shared.clock())
             if response.refused:
                 raise RelayRefusedError(f"{kind} through {via}: refused")
-            raise Unreachable(f"{kind} through {via}: outcome not known")
+            raise UnreachableError(f"{kind} through {via}: outcome not known")
         self.routes.record_success(via)
         return response.status, response.body
 
@@ -152,7 +148,7 @@
                 )  # it has been executed: only its answer can't be carried
         except RelayRefusedError:
             pass
-        except Unreachable:
+        except UnreachableError:
             refused = False
         except Exception as error:  # one question must not end the process
             refused = False
@@ -239,5 +235,5 @@
                 ):
                     waiting[1].append(response)
                     waiting[0].set()
-        except relay_messages.InvalidRelayMessageError:
+        except InvalidRelayMessageError:
             pass
--- a/ploverhall/controller/routing.py
+++ b/ploverhall/controller/routing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import SHARD_CLAIM_MAX_AGE_S, PeerLiveness
 from ploverhall.coordination import state_channel
 from ploverhall.coordination.state_channel import Message
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -8,7 +8,7 @@
 import anyio
 
 from ploverhall import log
-from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.routing import Routing
 from ploverhall.coordination import state_channel
--- a/ploverhall/controller/shard_leases.py
+++ b/ploverhall/controller/shard_leases.py
@@ -11,7 +11,7 @@
 from ploverhall.connectivity.failback_backoff import FailbackBackoff
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
-from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.controller.store_watch import StoreWatch
@@ -22,9 +22,9 @@
 from ploverhall.coordination.isolation import IsolatedRedirects
 from ploverhall.coordination.orphaned_machines import OrphanedMachines
 from ploverhall.coordination.restart_recovery import RenewalGrants
+from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance import orders
 from ploverhall.protocol.jobs import DONE
-from ploverhall.protocol.key_value_store import RequestRefusedError, OutcomeUnknownError
 from ploverhall.storage.store_cache import CONTROLLER_PREFIX, SHARD_PREFIX, EndedJob
 
 CONTACT_READ_INTERVAL_S = 2.5  # the copy is proven current at least this often
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ploverhall import log
-from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.routing import Routing
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.storage.store_cache import MACHINE_TYPE_COUNT_KEY
--- a/ploverhall/controller/shard_status.py
+++ b/ploverhall/controller/shard_status.py
@@ -7,13 +7,14 @@
 
 import orjson
 
-from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import PeerLiveness
+from ploverhall.errors import InvalidOrderError
 from ploverhall.maintenance import orders
 from ploverhall.scheduling.allocations import JobState
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.permitting import JobSource
-from ploverhall.status import RECENT_STALL_S, MAX_ROWS, MAX_TASK_ROWS
+from ploverhall.status import MAX_ROWS, MAX_TASK_ROWS, RECENT_STALL_S
 
 
 class ShardStatus:
@@ -184,7 +185,7 @@
     """What an order would be about in a shard: machines, and by team the tasks on them by kind."""
     try:
         order = orders.parse_order("u-0", orjson.loads(text))
-    except (orders.InvalidOrderError, orjson.JSONDecodeError):
+    except (InvalidOrderError, orjson.JSONDecodeError):
         return
     for machine in held.owner.machines.values():
         if order.matches(machine.name, machine.pool, held.shard):
--- a/ploverhall/controller/store_writing.py
+++ b/ploverhall/controller/store_writing.py
@@ -11,16 +11,16 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.controller.context import HeldShard, ControllerContext
+from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.routing import Routing
+from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
-from ploverhall.protocol.key_value_store import RequestRefusedError, OutcomeUnknownError
 from ploverhall.scheduling.allocations import MAX_TRANSACTION_BYTES, PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage import image_index
 from ploverhall.storage.store_cache import (
-    ARCHIVE_PREFIX,
     ARCHIVE_MARKER_KEY,
+    ARCHIVE_PREFIX,
     JOB_PREFIX,
     SHARD_PREFIX,
     EndedJob,
--- a/ploverhall/maintenance/orders.py
+++ b/ploverhall/maintenance/orders.py
@@ -6,6 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ploverhall.errors import InvalidOrderError
+
 ORDER_PREFIX = "p/upkeep/"  # followed by every controller
 FEATURE_MAINTENANCE = (
     "upkeep"  # a member's word: it knows orders, and asks and grants within budgets
@@ -18,10 +20,6 @@
 ORDER_ID_PATTERN = re.compile(r"u-[0-9a-z-]{1,40}\Z")
 
 
-class InvalidOrderError(Exception):
-    """An order that is not in the form; the message names the field."""
-
-
 @dataclass(frozen=True, slots=True)
 class MaintenanceOrder:
     """Empty these machines and give them back. Everything that is set must match; None: any."""
@@ -82,16 +80,16 @@
     if value is not None and (
         not isinstance(value, str) or not 0 < len(value) <= 200 or not value.isprintable()
     ):
-        raise InvalidOrderError(f"{key}: must be a name")
+        raise InvalidOrderError(key, "must be a name")
     return value
 
 
 def parse_order(order_id: Any, fields: Any, version: int = 0) -> MaintenanceOrder:
     """Check an order as a person sends it, or as it is kept. Raises Malformed."""
     if not isinstance(order_id, str) or not ORDER_ID_PATTERN.match(order_id):
-        raise InvalidOrderError("id: must be like u-7f3a")
+        raise InvalidOrderError("id", "must be like u-7f3a")
     if not isinstance(fields, dict):
-        raise InvalidOrderError("not an object")
+        raise InvalidOrderError(problem="not an object")
     names, spot, shard, max_concurrent, state = (
         fields.get("machines"),
         fields.get("spot"),
@@ -104,22 +102,24 @@
         and 0 < len(names) <= MAX_MACHINES_PER_ORDER
         and all(isinstance(n, str) and 0 < len(n) <= 100 for n in names)
     ):
-        raise InvalidOrderError(f"machines: must be a list of 1 to {MAX_MACHINES_PER_ORDER} names")
+        raise InvalidOrderError(
+            "machines", f"must be a list of 1 to {MAX_MACHINES_PER_ORDER} names"
+        )
     if spot is not None and not isinstance(spot, bool):
-        raise InvalidOrderError("spot: must be true or false")
+        raise InvalidOrderError("spot", "must be true or false")
     if shard is not None and (isinstance(shard, bool) or not isinstance(shard, int) or shard < 0):
-        raise InvalidOrderError("part: must be a number")
+        raise InvalidOrderError("part", "must be a number")
     if (
         isinstance(max_concurrent, bool)
         or not isinstance(max_concurrent, int)
         or not 1 <= max_concurrent <= 1000
     ):
-        raise InvalidOrderError("at_once: must be 1 to 1000")
+        raise InvalidOrderError("at_once", "must be 1 to 1000")
     if state not in (RUNNING, PAUSED, STOPPED, DONE):
-        raise InvalidOrderError("state: unknown")
+        raise InvalidOrderError("state", "unknown")
     at = fields.get("at", 0.0)
     if isinstance(at, bool) or not isinstance(at, (int, float)):
-        raise InvalidOrderError("at: must be a time")
+        raise InvalidOrderError("at", "must be a time")
     order = MaintenanceOrder(
         order_id,
         frozenset(names) if names is not None else None,
@@ -141,7 +141,7 @@
         and shard is None
     ):
         raise InvalidOrderError(
-            "it would empty every machine: name a machine, zone, type, kind or part"
+            problem="it would empty every machine: name a machine, zone, type, kind or part"
         )
     return order
 
--- a/ploverhall/protocol/agents.py
+++ b/ploverhall/protocol/agents.py
@@ -8,6 +8,8 @@
 
 import msgspec
 
+from ploverhall.errors import InvalidHeartbeatError
+
 # task states as they are called inside
 TASK_STATES = {
     "pulling": "fetching",
@@ -21,10 +23,6 @@
 AttemptId = tuple[str, int, int]  # job, task, attempt
 
 
-class InvalidHeartbeatError(Exception):
-    """A report that is not in the published form."""
-
-
 @dataclass(slots=True)
 class TaskStatus:
     """One task as a machine reports it."""
@@ -134,7 +132,7 @@
         if listed.attempt >= 1 << 64:
             raise InvalidHeartbeatError("hatch")
     if body.incarnation >= 1 << 64 or body.sequence >= 1 << 64 or body.token >= 1 << 64:
-        raise InvalidHeartbeatError("a count of 2^64 or more")
+        raise InvalidHeartbeatError(problem="a count of 2^64 or more")
     return Heartbeat(
         body.machine,
         body.address,
@@ -154,9 +152,9 @@
     try:
         return _validated(_decoder.decode(body))
     except msgspec.MsgspecError as error:
-        raise InvalidHeartbeatError(str(error)) from error
+        raise InvalidHeartbeatError(problem=str(error)) from error
     except UnicodeDecodeError as error:
-        raise InvalidHeartbeatError("not UTF-8") from error
+        raise InvalidHeartbeatError(problem="not UTF-8") from error
 
 
 def heartbeat_from_json(d: Any) -> Heartbeat:
@@ -164,7 +162,7 @@
     try:
         return _validated(msgspec.convert(d, _HeartbeatBody))
     except msgspec.MsgspecError as error:
-        raise InvalidHeartbeatError(str(error)) from error
+        raise InvalidHeartbeatError(problem=str(error)) from error
 
 
 def run_command(attempt_id: AttemptId) -> dict[str, Any]:
--- a/ploverhall/protocol/jobs.py
+++ b/ploverhall/protocol/jobs.py
@@ -6,6 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ploverhall.errors import InvalidJobError
+
 JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,18}\Z")
 KINDS = {"array": "array", "group": "gang", "daemon": "service"}
 PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "best_effort": 3}
@@ -13,10 +15,6 @@
 MAX_TASKS = 100_000
 
 
-class InvalidJobError(Exception):
-    """A submission that is not in the published form."""
-
-
 @dataclass(slots=True)
 class Job:
     """A job as its user described it, in standard words."""
@@ -115,51 +113,51 @@
         or not 0 <= value < 1e12
         or (positive and value <= 0)
     ):
-        raise InvalidJobError(f"{key}: must be an amount")
+        raise InvalidJobError(key, "must be an amount")
     return float(value)
 
 
 def _text(fields: dict[str, Any], key: str) -> str:
     value = fields.get(key)
     if not isinstance(value, str) or not value or len(value) > 500:
-        raise InvalidJobError(f"{key}: must be a name")
+        raise InvalidJobError(key, "must be a name")
     return value
 
 
 def _flag(fields: dict[str, Any], key: str) -> bool:
     value = fields.get(key)
     if not isinstance(value, bool):
-        raise InvalidJobError(f"{key}: must be true or false")
+        raise InvalidJobError(key, "must be true or false")
     return value
 
 
 def parse_submission(fields: Any, submitted_at: float) -> Job:
     """Check a submission; Malformed names the field."""
     if not isinstance(fields, dict):
-        raise InvalidJobError("not an object")
+        raise InvalidJobError(problem="not an object")
     job_id = fields.get("id")
     if not isinstance(job_id, str) or not JOB_ID_PATTERN.match(job_id):
-        raise InvalidJobError("id: must be like j-000412")
+        raise InvalidJobError("id", "must be like j-000412")
     kind, priority, task_count = fields.get("gait"), fields.get("rank"), fields.get("chicks")
     if not isinstance(kind, str) or kind not in KINDS:
-        raise InvalidJobError("gait: must be array, group or daemon")
+        raise InvalidJobError("gait", "must be array, group or daemon")
     if not isinstance(priority, str) or priority not in PRIORITIES:
-        raise InvalidJobError("rank: unknown")
+        raise InvalidJobError("rank", "unknown")
     if (
         isinstance(task_count, bool)
         or not isinstance(task_count, int)
         or not 1 <= task_count <= MAX_TASKS
     ):
-        raise InvalidJobError("chicks: must be 1 to 100000")
+        raise InvalidJobError("chicks", "must be 1 to 100000")
     machine_types = fields.get("breeds")
     if machine_types is not None and not (
         isinstance(machine_types, list)
         and all(isinstance(t, str) and len(t) <= 500 for t in machine_types)
     ):
-        raise InvalidJobError("breeds: must be null or a list of names")
+        raise InvalidJobError("breeds", "must be null or a list of names")
     zone = fields.get("marsh")
     if zone is not None and (not isinstance(zone, str) or len(zone) > 500):
-        raise InvalidJobError("marsh: must be null or a name")
+        raise InvalidJobError("marsh", "must be null or a name")
     deadline = _amount(fields, "duskS") if fields.get("duskS") is not None else None
     return Job(
         id=job_id,
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -13,24 +13,14 @@
 import anyio
 
 from ploverhall import log
-from ploverhall.transport.http import Caller, Unreachable
+from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
+from ploverhall.transport.http import Caller
 
 INVALID_RESPONSE_LOG_INTERVAL_S = (
     10.0  # answers in no published form are worth a line so often at most
 )
 
 
-class OutcomeUnknownError(Exception):
-    """A request whose outcome is not known: no answer, one with a status of no list, or one in no published form.
-
-    A write may have been executed, or may be executed later; a read says nothing of what is there.
-    """
-
-
-class RequestRefusedError(Exception):
-    """The state service did not execute the request (outage, or over its limits): only its 503 and 429 say so."""
-
-
 @dataclass(slots=True)
 class RateLimiter:
     """A token bucket. Urgent takers may go below zero, so leases never wait behind ordinary traffic."""
@@ -140,7 +130,7 @@
         await self.requests.acquire(1, urgent)
         try:
             status, out = await self.caller.call(method, target, body, timeout, hold)
-        except Unreachable as error:
+        except UnreachableError as error:
             raise OutcomeUnknownError(str(error)) from error
         if status in (429, 503):
             raise RequestRefusedError(f"{method} {target}: {status}")
--- a/ploverhall/protocol/peer_messages.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -10,6 +10,7 @@
 import math
 from typing import Any, NamedTuple
 
+from ploverhall.errors import InvalidPeerMessageError
 from ploverhall.protocol import jobs
 from ploverhall.protocol.agents import AttemptId
 
@@ -120,10 +121,6 @@
     cancellations: list[Cancellation]  # what the receiver may not know, by revision
 
 
-class InvalidPeerMessageError(ValueError):
-    """A message that is not in its form."""
-
-
 MAX_CANCELLATIONS = 1000  # named in one word
 
 
@@ -143,7 +140,7 @@
 def decode_gossip(value: Any) -> CancellationGossip:
     """Check a word. Raises Malformed, naming the field."""
     if not isinstance(value, dict):
-        raise InvalidPeerMessageError("not a table")
+        raise InvalidPeerMessageError(problem="not a table")
     known, life, echo, cancelled = (
         value.get("seen"),
         value.get("life", ""),
--- a/ploverhall/protocol/relay_messages.py
+++ b/ploverhall/protocol/relay_messages.py
@@ -8,6 +8,8 @@
 
 from typing import Any, NamedTuple
 
+from ploverhall.errors import InvalidRelayMessageError
+
 REQUEST, RESPONSE, CONNECTIVITY = "x", "y", "h"
 STORE, CLOUD, HEARTBEAT, AGENT_COMMAND = "state", "cloud", "report", "do"
 KINDS = (STORE, CLOUD, HEARTBEAT, AGENT_COMMAND)
@@ -21,10 +23,6 @@
 }
 
 
-class InvalidRelayMessageError(Exception):
-    """A message that is not in this form."""
-
-
 # Field names on the link between controllers, in the order of the types below.
 REQUEST_WIRE_NAMES = (
     "life",
@@ -112,7 +110,7 @@
 
 def _read_fields(names: tuple[str, ...], value: Any, types: dict[str, type]) -> list[Any]:
     if not isinstance(value, dict):
-        raise InvalidRelayMessageError("not a table")
+        raise InvalidRelayMessageError(problem="not a table")
     fields: list[Any] = []
     for name in names:
         field_value, expected_type = value.get(name), types.get(name, str)
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from ploverhall.maintenance.disruption_budget import (
-    EvictionRequest,
     DisruptionBudgets,
+    EvictionRequest,
     RecentDisruptions,
     denial_reason,
 )
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -15,28 +15,28 @@
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import (
     NOTICE_EVICTION_REQUESTED,
+    AttemptUpdate,
     CandidateUpdate,
     DemandUpdate,
     JobUpdate,
     OfferUpdate,
-    AttemptUpdate,
 )
 from ploverhall.scheduling.allocations import (
-    OVERDUE_START_S,
     HEALTHY_RUN_S,
-    RecordChunk,
-    FailedAttempt,
+    OVERDUE_START_S,
     Allocation,
+    FailedAttempt,
     JobState,
     Offer,
+    RecordChunk,
     allocation_bytes,
     header_bytes,
 )
 from ploverhall.scheduling.eviction_grants import EvictionGrants
 from ploverhall.scheduling.inventory import (
     EPSILON,
-    UNBOUNDED,
     NO_RESOURCES,
+    UNBOUNDED,
     add_scaled,
     fits,
     max_count,
--- a/ploverhall/scheduling/placement.py
+++ b/ploverhall/scheduling/placement.py
@@ -18,18 +18,18 @@
 from ploverhall.protocol.peer_messages import CandidateUpdate
 from ploverhall.scheduling.inventory import (
     EPSILON,
-    PreemptionClass,
     Inventory,
     JobTraits,
     Machine,
-    Permit,
     MachinePool,
+    Permit,
+    PreemptionClass,
     Reservation,
     ResourceVector,
     add_scaled,
     fits,
-    occupies,
     max_count,
+    occupies,
 )
 
 PREEMPTION_INTERVAL_S = (
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -17,11 +17,11 @@
 from ploverhall.protocol.jobs import Job, from_record
 from ploverhall.protocol.peer_messages import (
     NOTICE_EVICTION_REQUESTED,
+    AttemptUpdate,
     CandidateUpdate,
     JobUpdate,
     MachineUpdate,
     PermitUpdate,
-    AttemptUpdate,
 )
 from ploverhall.scheduling.inventory import (
     Inventory,
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -11,14 +11,14 @@
 
 from ploverhall.protocol.jobs import DONE
 from ploverhall.scheduling.allocations import (
-    TASKS_PER_PROGRESS_VALUE,
     MAX_TRANSACTION_BYTES,
-    RecordChunk,
-    ChunkWrite,
+    TASKS_PER_PROGRESS_VALUE,
     Allocation,
-    JobState,
     AllocationStore,
+    ChunkWrite,
+    JobState,
     PendingWrite,
+    RecordChunk,
     append_allocation,
 )
 from ploverhall.storage.store_cache import (
--- a/ploverhall/settings.py
+++ b/ploverhall/settings.py
@@ -7,11 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-DEFAULT_CLOCK_SKEW_S = 0.25  # how far the time of day may be off where the platform does not say
-
+from ploverhall.errors import SettingsError
 
-class SettingsError(Exception):
-    """A settings file that can't be used; the message names the field."""
+DEFAULT_CLOCK_SKEW_S = 0.25  # how far the time of day may be off where the platform does not say
 
 
 @dataclass(slots=True, frozen=True)
--- a/ploverhall/transport/client_pool.py
+++ b/ploverhall/transport/client_pool.py
@@ -32,7 +32,7 @@
     async def call(
         self, host: str, port: int, method: str, target: str, body: object, timeout: float
     ) -> tuple[int, object]:
-        """One request; status and JSON. Raises Unreachable as `Client.call` does."""
+        """One request; status and JSON. Raises UnreachableError as `Client.call` does."""
         key = (host, port)
         pooled = self.clients.pop(key, None)
         if pooled is None:
--- a/ploverhall/transport/http.py
+++ b/ploverhall/transport/http.py
@@ -12,13 +12,9 @@
 import anyio.abc
 import orjson
 
+from ploverhall.errors import InvalidHttpError, UnreachableError
 from ploverhall.transport.connection_limit import Connection, ConnectionLimiter
-from ploverhall.transport.http_parser import (
-    InvalidHttpError,
-    Request,
-    RequestReader,
-    ResponseReader,
-)
+from ploverhall.transport.http_parser import Request, RequestReader, ResponseReader
 from ploverhall.transport.network import TCP_NETWORK, Network
 
 READ = 65536
@@ -39,10 +35,6 @@
 }
 
 
-class Unreachable(Exception):
-    """No whole response came; the request may or may not have been carried out."""
-
-
 @dataclass(slots=True)
 class Reply:
     """What the handler answers: a JSON value, and when to come back if it says no."""
@@ -190,7 +182,7 @@
     async def call(
         self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
     ) -> tuple[int, object]:
-        """One request: status and JSON; Unreachable when no whole response came in time."""
+        """One request: status and JSON; UnreachableError when no whole response came in time."""
         ...
 
 
@@ -214,7 +206,7 @@
     async def call(
         self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
     ) -> tuple[int, object]:
-        """One request; Unreachable when no whole response came in `timeout` seconds, and `hold` more where the other side may wait."""
+        """One request; UnreachableError when no whole response came in `timeout` seconds, and `hold` more where the other side may wait."""
         data = orjson.dumps(body) if body is not None else b""
         try:
             with anyio.fail_after(timeout + hold):
@@ -233,11 +225,11 @@
                     await self._give(stream, reader)
                     break
         except (TimeoutError, InvalidHttpError, *_BROKEN) as error:
-            raise Unreachable(f"{method} {target}: {error!r}") from error
+            raise UnreachableError(f"{method} {target}: {error!r}") from error
         try:
             return status, (orjson.loads(raw) if raw else None)
         except orjson.JSONDecodeError as error:
-            raise Unreachable(f"{method} {target}: not JSON") from error
+            raise UnreachableError(f"{method} {target}: not JSON") from error
 
     async def aclose(self) -> None:
         """Close the kept connections. The client can still be used: it connects again."""
--- a/ploverhall/transport/http_parser.py
+++ b/ploverhall/transport/http_parser.py
@@ -14,19 +14,13 @@
 
 import httptools
 
+from ploverhall.errors import InvalidHttpError
+
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
 MAX_PIPELINED_REQUESTS = 16  # requests read ahead of their answers; the protocol has none
 
 
-class InvalidHttpError(Exception):
-    """The bytes are no acceptable HTTP. `status` is what a client is told."""
-
-    def __init__(self, status: int, reason: str) -> None:
-        super().__init__(reason)
-        self.status = status
-
-
 @dataclass(slots=True)
 class Request:
     """One request, its body read. `close`: the client wants the connection closed after the answer."""
--- a/scripts/back.py
+++ b/scripts/back.py
@@ -21,8 +21,9 @@
 import tomli_w
 
 from ploverhall import settings
+from ploverhall.errors import UnreachableError
 from ploverhall.protocol import jobs
-from ploverhall.transport.http import Client, Server, Unreachable
+from ploverhall.transport.http import Client, Server
 from tests import test_loopback
 from tests.standins import Fleet, State
 
@@ -70,7 +71,7 @@
         """Whether it answers; any answer counts for another path."""
         try:
             status, _ = await Client(*self.settings.bind, keep=0).call("GET", path, None, 1.0)
-        except Unreachable:
+        except UnreachableError:
             return False
         return status == 200 or path != "/healthz"
 
@@ -83,7 +84,7 @@
             self.fleet.specs[spec["id"]] = jobs.parse_submission(spec, 0.0)
             try:
                 await client.call("POST", "/api/jobs", spec, 1.0)
-            except Unreachable:
+            except UnreachableError:
                 pass
             await anyio.sleep(0.05)
 
--- a/scripts/cost.py
+++ b/scripts/cost.py
@@ -30,6 +30,8 @@
 from random import Random
 from typing import Any
 
+from ploverhall.errors import UnreachableError
+
 ROOT = Path(__file__).resolve().parent.parent
 ROUNDS = 3
 
@@ -394,7 +396,7 @@
     import anyio
 
     from ploverhall.storage.store_cache import JOB_PREFIX, end_record
-    from ploverhall.transport.http import Client, Reply, Server, Unreachable
+    from ploverhall.transport.http import Client, Reply, Server
     from ploverhall.transport.http_parser import Request
     from tests.standins import Fleet, State
 
@@ -450,7 +452,7 @@
             async def asked(method: str, path: str, body: Any) -> int:
                 try:
                     return (await user.call(method, path, body, 5.0))[0]
-                except Unreachable:
+                except UnreachableError:
                     return 0
 
             with anyio.fail_after(60.0):
--- a/scripts/mixed.py
+++ b/scripts/mixed.py
@@ -33,8 +33,9 @@
 import tomli_w
 
 from ploverhall import settings
+from ploverhall.errors import UnreachableError
 from ploverhall.protocol import jobs
-from ploverhall.transport.http import Client, Server, Unreachable
+from ploverhall.transport.http import Client, Server
 from tests import test_loopback, world
 from tests.standins import Fleet, State
 
@@ -199,7 +200,7 @@
         """One request; status 0 without an answer."""
         try:
             return await self.clients[name].call(method, path, body, 3.0)
-        except Unreachable:
+        except UnreachableError:
             return 0, None
 
     async def ask_about(self, job: str, name: str, method: str, path: str, body: Any = None) -> int:
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -28,25 +28,31 @@
 from ploverhall.coordination import fencing_tokens
 from ploverhall.coordination.shard_map import ShardMap
 from ploverhall.coordination.state_channel import InboundChannels, OutboundChannels
+from ploverhall.errors import (
+    InvalidHeartbeatError,
+    InvalidJobError,
+    InvalidOrderError,
+    InvalidPeerMessageError,
+    InvalidRelayMessageError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    SettingsError,
+)
 from ploverhall.maintenance import orders
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
 from ploverhall.protocol import agents, cloud, jobs, peer_messages, relay_messages
-from ploverhall.protocol.key_value_store import (
-    RequestRefusedError,
-    KeyValueStore,
-    OutcomeUnknownError,
-)
+from ploverhall.protocol.key_value_store import KeyValueStore
 from ploverhall.storage import image_index, store_cache
 
 from . import inputs
 
 REFUSALS = (
-    relay_messages.InvalidRelayMessageError,
-    peer_messages.InvalidPeerMessageError,
-    agents.InvalidHeartbeatError,
-    orders.InvalidOrderError,
-    jobs.InvalidJobError,
-    settings.SettingsError,
+    InvalidRelayMessageError,
+    InvalidPeerMessageError,
+    InvalidHeartbeatError,
+    InvalidOrderError,
+    InvalidJobError,
+    SettingsError,
 )
 
 
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -13,7 +13,8 @@
 import orjson
 
 from ploverhall import settings
-from ploverhall.transport.http import Client, Unreachable
+from ploverhall.errors import UnreachableError
+from ploverhall.transport.http import Client
 from tests.played import DEAF, SILENT, Loop, Played
 
 from . import inputs
@@ -54,7 +55,7 @@
     client = Client(at, 80, 1, p.net.of(who), p.loop.time)
     try:
         return list(await client.call(method, path, body, 6.0))
-    except Unreachable:
+    except UnreachableError:
         return None
 
 
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -23,7 +23,7 @@
 
 import anyio
 
-from ploverhall.transport.http import Unreachable
+from ploverhall.errors import UnreachableError
 
 from . import world
 from .played import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW, Played, play
@@ -203,7 +203,7 @@
                 p.tasks.start_soon(p.withdraw, rng.choice(done))
             how = rng.choice([{"gpus": 64.0}, {"keeper": "nobody"}, {"cores": None}])
             wrong = {**p.spec(990_000 + rng.randrange(100), gait="array"), **how}
-            with contextlib.suppress(Unreachable):
+            with contextlib.suppress(UnreachableError):
                 status, _ = await p.users[rng.choice(p.names)].call("POST", "/api/jobs", wrong, 5.0)
                 if status in (200, 201):
                     p.broken.append(f"accepted though it can't run: {wrong}")
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -29,8 +29,8 @@
 import cbor2
 
 from ploverhall import settings
+from ploverhall.errors import UnreachableError
 from ploverhall.protocol.peer_messages import ATTEMPT, AttemptUpdate
-from ploverhall.transport.http import Unreachable
 
 from . import played, world
 from .meetings import CANCEL, LEASE, Begun, begin, draw
@@ -232,7 +232,7 @@
 
 async def request(p: Played, rng: Random, path: str, body: dict[str, Any]) -> None:
     """An operator's request to any controller; asked once, whatever comes of it."""
-    with suppress(Unreachable):
+    with suppress(UnreachableError):
         await p.users[rng.choice(p.names)].call("POST", path, body, 5.0)
 
 
--- a/tests/played.py
+++ b/tests/played.py
@@ -24,10 +24,11 @@
 
 from ploverhall import settings
 from ploverhall.controller.controller import Controller
+from ploverhall.errors import UnreachableError
 from ploverhall.protocol import jobs
 from ploverhall.runtime import Runtime
 from ploverhall.storage.store_cache import SHARD_PREFIX
-from ploverhall.transport.http import Client, Reply, Server, Unreachable
+from ploverhall.transport.http import Client, Reply, Server
 from ploverhall.transport.http_parser import Request
 
 from . import world
@@ -536,7 +537,7 @@
 
         async def again(machine: str, name: str, body: dict[str, Any], after: float) -> None:
             await anyio.sleep(after)
-            with contextlib.suppress(Unreachable):
+            with contextlib.suppress(UnreachableError):
                 await Client(name, 80, 1, self.net.of(f"copy of {machine}"), self.loop.time).call(
                     "POST", "/v1/report", body, 2.0
                 )
@@ -598,7 +599,7 @@
                 mine[each:] = [body]
 
         async def come(body: dict[str, Any], name: str) -> None:
-            with contextlib.suppress(Unreachable):
+            with contextlib.suppress(UnreachableError):
                 await Client(
                     name, 80, 1, self.net.of(f"copy of {body['perch']}"), self.loop.time
                 ).call("POST", "/v1/report", body, 2.0)
@@ -752,7 +753,7 @@
         before, accepted = self.told.get(jid), self.asked[jid].accepted is not None
         try:
             status, answer = await self.users[name].call(method, path, body, s)
-        except Unreachable:
+        except UnreachableError:
             return 0
         where = f"{jid} by {name} at {self.now:.3f} ({method} {path}: {status} {answer})"
         if status in (400, 404, 422) and accepted:
@@ -944,7 +945,7 @@
         """A user submits what must not be accepted; the status."""
         try:
             status, answer = await self.users[name].call("POST", "/api/jobs", body, 5.0)
-        except Unreachable:
+        except UnreachableError:
             return 0
         if status in (200, 201):
             self.broken.append(
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -14,9 +14,10 @@
 import anyio
 import orjson
 
+from ploverhall.errors import UnreachableError
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.key_value_store import KeyValueStore
-from ploverhall.transport.http import Client, Reply, Server, Unreachable
+from ploverhall.transport.http import Client, Reply, Server
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.network import TCP_NETWORK, Network
 
@@ -372,7 +373,7 @@
                     listed = [dict(t) for t in w.tasks.values()]
                     try:
                         status, answer = await clients[w.home].call("POST", "/v1/report", body, 4.0)
-                    except Unreachable:
+                    except UnreachableError:
                         status, answer = 0, None
                     if await self.awake(w) and self.now - sent > 4.0:
                         status, answer = 0, None  # it has hung over an answer
--- a/tests/test_afterlife.py
+++ b/tests/test_afterlife.py
@@ -18,7 +18,7 @@
 from ploverhall import settings
 from ploverhall.coordination import fencing_tokens, restart_recovery
 from ploverhall.coordination.cancellation_barrier import CLOCK_DRIFT
-from ploverhall.coordination.restart_recovery import NO_GRANT, GRANT_FROM_ANSWER, RenewalGrants
+from ploverhall.coordination.restart_recovery import GRANT_FROM_ANSWER, NO_GRANT, RenewalGrants
 
 from . import world
 from .played import HOLD, SILENT, Played, play
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -8,7 +8,7 @@
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peer_messages import DemandUpdate, AttemptUpdate
+from ploverhall.protocol.peer_messages import AttemptUpdate, DemandUpdate
 from ploverhall.scheduling.objectives import Objective, Objectives
 
 from .test_source import a_job, offers, source
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ploverhall.coordination.isolation import IsolatedRedirects
-from ploverhall.transport.http import Unreachable
+from ploverhall.errors import UnreachableError
 
 from .played import HOLD, REFUSE, RESET, Played, play
 from .test_back import soonest
@@ -26,7 +26,7 @@
 async def health(p: Played, name: str) -> int:
     try:
         return (await p.users[name].call("GET", "/healthz", None, 1.0))[0]
-    except Unreachable:
+    except UnreachableError:
         return 0
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,17 +12,17 @@
 
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.job_answers import (
+    FreshRead,
     JobAnswers,
     JobStatus,
-    UnknownJob,
     Unavailable,
-    FreshRead,
+    UnknownJob,
 )
 from ploverhall.protocol import jobs
 from ploverhall.protocol.key_value_store import WatchEvent
 from ploverhall.storage.store_cache import (
-    ARCHIVE_PREFIX,
     ARCHIVE_MARKER_KEY,
+    ARCHIVE_PREFIX,
     JOB_PREFIX,
     StoreCache,
     end_record,
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -16,12 +16,12 @@
     MAX_CANCELLATIONS_PER_MESSAGE,
     CancellationBarrier,
 )
+from ploverhall.errors import InvalidPeerMessageError
 from ploverhall.protocol.peer_messages import (
     Cancellation,
-    InvalidPeerMessageError,
     CancellationGossip,
-    encode_gossip,
     decode_gossip,
+    encode_gossip,
 )
 
 CANCEL, LEASE, CUT_OFF = 46.0, 16.0, 60.0
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -18,12 +18,13 @@
 from ploverhall import settings
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
-from ploverhall.controller.relay import Relay, RelayRefusedError
+from ploverhall.controller.relay import Relay
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.job_answers import FreshRead
+from ploverhall.errors import RelayRefusedError, UnreachableError
 from ploverhall.protocol import relay_messages
-from ploverhall.transport.http import Reply, Unreachable
+from ploverhall.transport.http import Reply
 
 from . import played
 from .played import HOLD, RESET, SILENT, Played, play
@@ -257,7 +258,7 @@
         async def swallows(by: str, q: relay_messages.RelayRequest) -> tuple[int, bytes]:
             if not late and q.target == "/multi" and b'"c/team-0/' in q.body:
                 late.append(q)
-                raise Unreachable("held back")
+                raise UnreachableError("held back")
             return await carried(by, q)
 
         p.nodes["c1"].relay.handlers[relay_messages.STORE] = swallows
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -13,10 +13,11 @@
 import pytest
 
 from ploverhall.controller.http_routes import REPORT_PATH, is_report
+from ploverhall.errors import UnreachableError
 from ploverhall.storage import image_index
 from ploverhall.transport.client_pool import ClientPool
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
-from ploverhall.transport.http import Client, Reply, Server, Unreachable
+from ploverhall.transport.http import Client, Reply, Server
 from ploverhall.transport.http_parser import Request
 
 from .played import Loop, Network
@@ -67,7 +68,7 @@
     async def ask(self, client: Client, name: str, method: str, path: str) -> None:
         try:
             status, _ = await client.call(method, path, {}, 2.0)
-        except Unreachable:
+        except UnreachableError:
             status = 0
         counted = self.answered if status == 200 else self.failed
         counted[name] = counted.get(name, 0) + 1
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -5,7 +5,8 @@
 import anyio
 import pytest
 
-from ploverhall.transport.http import Client, Reply, Server, Unreachable
+from ploverhall.errors import UnreachableError
+from ploverhall.transport.http import Client, Reply, Server
 from ploverhall.transport.http_parser import Request
 
 from .test_loopback import free_ports
@@ -74,7 +75,7 @@
         async with anyio.create_task_group() as tg:
             tg.start_soon(Server(never, cap=2).run, "127.0.0.1", port)
             await anyio.sleep(0.1)
-            with pytest.raises(Unreachable):
+            with pytest.raises(UnreachableError):
                 await Client("127.0.0.1", port).call("GET", "/", timeout=0.3)
             tg.cancel_scope.cancel()
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -22,13 +22,9 @@
 from ploverhall import settings
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
 from ploverhall.controller.shard_leases import ShardLeases
-from ploverhall.protocol.key_value_store import (
-    WatchEvent,
-    RequestRefusedError,
-    KeyValueStore,
-    OutcomeUnknownError,
-)
-from ploverhall.transport.http import Reply, Unreachable
+from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
+from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
+from ploverhall.transport.http import Reply
 
 from .played import Played, play
 from .standins import State, unguarded
@@ -156,7 +152,7 @@
     """An operator has machines emptied, and repeats that until it is known to be placed."""
     while True:
         for name in ("c2", "c0", "c1"):
-            with contextlib.suppress(Unreachable):
+            with contextlib.suppress(UnreachableError):
                 if (await p.users[name].call("POST", "/upkeep", {"id": jid, **what}, 5.0))[0] in (
                     200,
                     201,
@@ -184,7 +180,7 @@
     if "order" in answers.kinds:
         for verb in ("pause", "resume", "pause", "resume"):
             for _ in range(20):  # until told so
-                with contextlib.suppress(Unreachable):
+                with contextlib.suppress(UnreachableError):
                     if (await p.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0] in (
                         200,
                         409,
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -16,11 +16,11 @@
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.job_answers import FreshRead
 from ploverhall.coordination.restart_recovery import RenewalGrants
+from ploverhall.errors import UnreachableError
 from ploverhall.protocol.key_value_store import KeyValueStore
 from ploverhall.scheduling.allocations import JobState
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
-from ploverhall.transport.http import Unreachable
 
 from .meetings import KNOWN_S, Begun, Day, Trouble, begin, draw, meet, rule, shrink
 from .played import HOLD, RESET, Played, play
@@ -131,12 +131,12 @@
         while p.now - at < 100.0:
             i += 1
             jid = f"j-{800 + i % 8:06d}"
-            with contextlib.suppress(Unreachable):
+            with contextlib.suppress(UnreachableError):
                 status, answer = await p.users["c0"].call("GET", f"/api/jobs/{jid}", None, 2.0)
                 assert status != 404 and (
                     jid not in p.cancelled or status != 200 or answer["stance"] == "withdrawn"
                 )  # type: ignore[index]
-            with contextlib.suppress(Unreachable):
+            with contextlib.suppress(UnreachableError):
                 status, _ = await p.users["c0"].call(
                     "POST", "/api/jobs", p.spec(950, gait="array"), 4.0
                 )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import CandidateUpdate
 from ploverhall.scheduling.inventory import Inventory, JobTraits, Machine, Permit, add_scaled, fits
-from ploverhall.scheduling.placement import Placement, CandidateRequest
+from ploverhall.scheduling.placement import CandidateRequest, Placement
 
 from .test_source import a_job
 from .world import TYPE
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -12,15 +12,16 @@
     MAX_CONCURRENT_PROBES,
     HeartbeatFailback,
 )
-from ploverhall.connectivity.link_health import MIN_FAILURE_S, INITIAL_RECOVERY_S, LinkHealth
+from ploverhall.connectivity.link_health import INITIAL_RECOVERY_S, MIN_FAILURE_S, LinkHealth
 from ploverhall.connectivity.pending_relays import (
-    MAX_QUEUED_BYTES,
     MAX_OPEN_REQUESTS,
+    MAX_QUEUED_BYTES,
     MAX_QUEUED_MESSAGES,
     PendingRelays,
     deadline_passed,
 )
 from ploverhall.connectivity.relay_routes import RelayRoutes
+from ploverhall.errors import InvalidRelayMessageError
 from ploverhall.protocol import relay_messages
 
 
@@ -165,7 +166,7 @@
 def test_any_question_is_checked(wrong: dict[str, object]) -> None:
     try:
         q = relay_messages.decode_request({**GOOD._asdict(), **wrong})
-    except relay_messages.InvalidRelayMessageError:
+    except InvalidRelayMessageError:
         return
     assert (
         q.kind in relay_messages.KINDS
@@ -186,7 +187,7 @@
         {"hops": 9},
         {"body": "x"},
     ):
-        with pytest.raises(relay_messages.InvalidRelayMessageError):
+        with pytest.raises(InvalidRelayMessageError):
             relay_messages.decode_request({**GOOD._asdict(), **wrong})
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,6 +8,7 @@
 import pytest
 
 from ploverhall import settings
+from ploverhall.errors import SettingsError
 
 from .test_loopback import config
 
@@ -26,7 +27,7 @@
         for w in way:
             at = at[w]
         at[last] = value
-        with pytest.raises(settings.SettingsError, match=path.replace(".", r"\.")):
+        with pytest.raises(SettingsError, match=path.replace(".", r"\.")):
             settings.parse(bad)
 
 
@@ -36,7 +37,7 @@
     assert settings.load_options(file).hold_s == 3
     for wrong in ('{"hold_s": "long"}', '{"hold": 3}', "nonsense"):
         file.write_text(wrong)
-        with pytest.raises(settings.SettingsError):
+        with pytest.raises(SettingsError):
             settings.load_options(file)
 
 
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -7,11 +7,11 @@
 
 from ploverhall.protocol import agents, peer_messages
 from ploverhall.protocol.peer_messages import (
+    AttemptUpdate,
     CandidateUpdate,
     JobUpdate,
     OfferUpdate,
     PermitUpdate,
-    AttemptUpdate,
 )
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -16,10 +16,11 @@
 from ploverhall import settings
 from ploverhall.cli import main
 from ploverhall.controller.store_writing import StoreWriting
+from ploverhall.errors import InvalidOrderError, SettingsError
 from ploverhall.maintenance import command, orders
 from ploverhall.maintenance.disruption_budget import (
-    EvictionRequest,
     DisruptionBudgets,
+    EvictionRequest,
     RecentDisruptions,
     denial_reason,
 )
@@ -112,7 +113,7 @@
 def test_any_order_is_checked_and_kept_as_it_was(wrong: dict[str, Any]) -> None:
     try:
         order = orders.parse_order("u-1", wrong)
-    except orders.InvalidOrderError:
+    except InvalidOrderError:
         return
     assert orders.parse_order(
         "u-1", orjson.loads(orjson.dumps(order.record()))
@@ -132,7 +133,7 @@
 
 def test_no_order_empties_everything_by_mistake() -> None:
     for wrong in ({}, {"note": "x"}, {"machines": []}, {"zone": ""}):
-        with pytest.raises(orders.InvalidOrderError):
+        with pytest.raises(InvalidOrderError):
             orders.parse_order("u-1", wrong)
 
 
@@ -417,5 +418,5 @@
         '{"team": {}}',
     ):
         file.write_text('{"budget": ' + wrong + "}")
-        with pytest.raises(settings.SettingsError):
+        with pytest.raises(SettingsError):
             settings.load_options(file)
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -20,14 +20,14 @@
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.controller.store_writing import StoreWriting
-from ploverhall.coordination.job_answers import JobAnswers, FreshRead
+from ploverhall.coordination.job_answers import FreshRead, JobAnswers
 from ploverhall.protocol import jobs
-from ploverhall.protocol.key_value_store import WatchEvent, KeyValueStore
+from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
 from ploverhall.scheduling.allocations import AllocationStore
 from ploverhall.storage.store_cache import (
     JOB_PREFIX,
-    WATCHED_PREFIX,
     SHARD_PREFIX,
+    WATCHED_PREFIX,
     StoreCache,
     end_record,
 )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from ploverhall.errors import InvalidHeartbeatError, InvalidHttpError
 from ploverhall.protocol import agents
 from ploverhall.transport.http_parser import (
     MAX_BODY,
     MAX_HEAD,
-    InvalidHttpError,
     Request,
     RequestReader,
     ResponseReader,
@@ -188,12 +188,12 @@
     """A number for `chicks` or a list for `stance` ended in an exception and 503; any `driftwood` was taken for true or false."""
     import orjson
 
-    with pytest.raises(agents.InvalidHeartbeatError):
+    with pytest.raises(InvalidHeartbeatError):
         agents.heartbeat_from_json({**GOOD, **wrong})
     if not any(
         isinstance(v, int) and v >= 1 << 64 for v in wrong.values()
     ) and "18446744073709551616" not in str(wrong):
-        with pytest.raises(agents.InvalidHeartbeatError):
+        with pytest.raises(InvalidHeartbeatError):
             agents.decode_heartbeat(orjson.dumps({**GOOD, **wrong}))
 
 
@@ -213,5 +213,5 @@
     for value in (d, {**GOOD, **d} if isinstance(d, dict) else d):
         try:
             agents.heartbeat_from_json(value).tasks()
-        except agents.InvalidHeartbeatError:
+        except InvalidHeartbeatError:
             pass
--- a/tests/world.py
+++ b/tests/world.py
@@ -22,8 +22,8 @@
 from ploverhall.settings import Team
 from ploverhall.storage.store_cache import (
     JOB_PREFIX,
-    WATCHED_PREFIX,
     SHARD_PREFIX,
+    WATCHED_PREFIX,
     StoreCache,
     allocation_prefix,
     end_record,
