--- a/ploverhall/autoscaling/autoscaler.py
+++ b/ploverhall/autoscaling/autoscaler.py
@@ -18,19 +18,17 @@
 from ploverhall.scheduling.inventory import ResourceVector, add_scaled, fits
 from ploverhall.scheduling.objectives import Objectives
 
-TYPICAL_BOOT_MULTIPLE = (
-    1.6  # times the nominal boot time: what the cloud's machines usually need at most
-)
+# Times the nominal boot time: what the cloud's machines usually need at most
+TYPICAL_BOOT_MULTIPLE = 1.6
 BOOT_HISTORY_S = 300.0  # boots seen within this time count
-UNRESPONSIVE_S = 60.0  # a machine that is up and whose worker nobody hears is given back after this and two leases
-ZONE_UNRESPONSIVE_S = (
-    300.0  # where most of its zone is not heard, after this: nothing runs there any more
-)
+# A machine that is up and whose worker nobody hears is given back after this and two leases
+UNRESPONSIVE_S = 60.0
+# Where most of its zone is not heard, after this: nothing runs there any more
+ZONE_UNRESPONSIVE_S = 300.0
 MIN_ZONE_SAMPLE = 4  # so many machines of a zone say something about the zone
 MAX_DELETED_REPORTED = 300  # machines that went last: owners are told without asking
-GONE_KEPT = (
-    10_000  # machines known to be gone: a list that lags may still name every one of a whole fleet
-)
+# Machines known to be gone: a list that lags may still name every one of a whole fleet
+GONE_KEPT = 10_000
 ARRIVAL_SLOT_S = 15.0  # arrivals are counted in slots of this length
 
 
@@ -126,12 +124,10 @@
         now: float,
     ) -> None:
         self.epoch = epoch
-        self.idle_s, self.headroom, self.list_lag_s, self.lease_s = (
-            idle_s,
-            headroom,
-            list_lag_s,
-            lease_s,
-        )
+        self.idle_s = idle_s
+        self.headroom = headroom
+        self.list_lag_s = list_lag_s
+        self.lease_s = lease_s
         self.started = now
         self.machine_types: dict[str, MachineType] = {}
         self.objectives = Objectives()
@@ -139,29 +135,24 @@
         self.demand: dict[tuple[int, str], Demand] = {}
         self.machines_per_pool: dict[Kind, int] = {}  # machines by kind
         self.missing_since: dict[str, float] = {}
-        self.unprovable_by_shard: dict[
-            int, tuple[str, ...]
-        ] = {}  # by part: the machines that its owner can't prove anything about just now
+        # By part: the machines that its owner can't prove anything about just now
+        self.unprovable_by_shard: dict[int, tuple[str, ...]] = {}
         self.refused_pools: dict[Kind, tuple[float, float]] = {}  # until, length of the last pause
         self.deleted: dict[str, float] = {}
         self.list_count = 0  # complete lists taken since this renter began
         self.request_count = 0
-        self.arrivals: dict[
-            str, tuple[float, Job]
-        ] = {}  # jobs of the last minutes, for the spare room
+        # Jobs of the last minutes, for the spare room
+        self.arrivals: dict[str, tuple[float, Job]] = {}
         self.wall_time = self.now = 0.0
         self.orders: list[MaintenanceOrder] = []  # to empty machines, as the store has them
         self.order_wait_reasons: dict[str, str] = {}
         self.orders_evaluated = False  # it has looked at the orders, with the cloud's list at hand
-        self.boot_history: dict[
-            tuple[str, str], deque[tuple[float, float]]
-        ] = {}  # by type and zone: rented and up, newest last
-        self.booting_on_time: dict[
-            tuple[str, str], int
-        ] = {}  # machines that boot and are not overdue yet
-        self.overdue: dict[
-            tuple[str, str], int
-        ] = {}  # machines that should be up, where none rented after them has come
+        # By type and zone: rented and up, newest last
+        self.boot_history: dict[tuple[str, str], deque[tuple[float, float]]] = {}
+        # Machines that boot and are not overdue yet
+        self.booting_on_time: dict[tuple[str, str], int] = {}
+        # Machines that should be up, where none rented after them has come
+        self.overdue: dict[tuple[str, str], int] = {}
 
     def next_request_id(self) -> str:
         """A request name, used once."""
@@ -220,7 +211,9 @@
             if known.update is None and not known.updated_at:
                 seen = self.boot_history.setdefault(known.pool[:2], deque(maxlen=64))
                 seen.append((known.rented_at, now))
-            known.update, known.shard, known.updated_at = view, shard, now
+            known.update = view
+            known.shard = shard
+            known.updated_at = now
             if not view.idle:
                 known.idle_since = None
             elif known.idle_since is None:
@@ -229,7 +222,9 @@
     def _agent_lost(self, machine: RentedMachine, now: float) -> None:
         """No worker reports from it any more."""
         if machine.update is not None:
-            machine.update, machine.updated_at, machine.idle_since = None, now, None
+            machine.update = None
+            machine.updated_at = now
+            machine.idle_since = None
 
     def _add_machine(self, machine: RentedMachine) -> RentedMachine:
         self.machines[machine.name] = machine
@@ -272,7 +267,8 @@
                         listed.name, (listed.type, listed.zone, listed.spot), now - listed.age_s
                     )
                 )
-            machine.cloud_state, machine.age_s = listed.state, listed.age_s
+            machine.cloud_state = listed.state
+            machine.age_s = listed.age_s
         old = 2.0 * self.list_lag_s + 1.0
         for name, machine in list(self.machines.items()):
             # it existed, and a list that is surely younger does not have it: it was taken or deleted
@@ -308,7 +304,8 @@
     def plan(self, now: float, wall_time: float) -> ScalingPlan:
         """The difference between what is wanted and what is."""
         out = ScalingPlan()
-        self.wall_time, self.now = wall_time, now
+        self.wall_time = wall_time
+        self.now = now
         self._plan_scale_in(now, out)
         if self.list_count and self.machine_types:
             self._plan_scale_out(now, out)
@@ -367,7 +364,8 @@
                 machine.order_id = order.id
                 going.append(machine)
                 mine += 1
-        self.order_wait_reasons, self.orders_evaluated = waits, True
+        self.order_wait_reasons = waits
+        self.orders_evaluated = True
 
     def _eviction_order(self, machine: RentedMachine) -> tuple[bool, bool, float, str]:
         update = machine.update
@@ -784,7 +782,8 @@
         A late one is not counted where others have overtaken it, or where another zone's machines come in time. Where all
         are late, every second one is counted as missing, so that what is rented twice stays bounded.
         """
-        self.booting_on_time, self.overdue = {}, {}
+        self.booting_on_time = {}
+        self.overdue = {}
         late: list[tuple[RentedMachine, float]] = []
         out: dict[str, bool] = {}
         for machine in self.machines.values():
--- a/ploverhall/connectivity/failback_backoff.py
+++ b/ploverhall/connectivity/failback_backoff.py
@@ -18,9 +18,8 @@
 
     base_delay_s: float
     losses: dict[int, list[float]] = field(default_factory=dict)  # per shard: when its home lost it
-    healthy_since: dict[int, float] = field(
-        default_factory=dict
-    )  # since when its home has been well
+    # Since when its home has been well
+    healthy_since: dict[int, float] = field(default_factory=dict)
 
     def record_loss(self, shard: int, now: float) -> None:
         """A shard has gone from its home to another."""
--- a/ploverhall/connectivity/heartbeat_failback.py
+++ b/ploverhall/connectivity/heartbeat_failback.py
@@ -12,10 +12,10 @@
 
 PROBE_INTERVAL_S = 2.0  # between two questions to one worker
 MAX_CONCURRENT_PROBES = 8  # questions open at once
-FAILED_FAILBACK_S = (
-    20.0  # sent home, and through another again so soon: it could not reach this controller
-)
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 10.0, 120.0
+# Sent home, and through another again so soon: it could not reach this controller
+FAILED_FAILBACK_S = 20.0
+INITIAL_BACKOFF_S = 10.0
+MAX_BACKOFF_S = 120.0
 FORGET_AGENT_S = 60.0
 
 
@@ -50,10 +50,13 @@
             and now - agent.redirected_at < FAILED_FAILBACK_S
         ):
             agent.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2 * agent.backoff_s))
-            agent.next_probe_at, agent.redirected_at = now + agent.backoff_s, -1e9
-        agent.via, agent.last_heartbeat_at = via, now
+            agent.next_probe_at = now + agent.backoff_s
+            agent.redirected_at = -1000000000.0
+        agent.via = via
+        agent.last_heartbeat_at = now
         if agent.failback_due:
-            agent.failback_due, agent.redirected_at = False, now
+            agent.failback_due = False
+            agent.redirected_at = now
             return True
         return False
 
@@ -89,7 +92,8 @@
                 and agent.redirected_at == -1e9
                 and now >= agent.next_probe_at
             ):
-                agent.probing, agent.next_probe_at = True, now + PROBE_INTERVAL_S
+                agent.probing = True
+                agent.next_probe_at = now + PROBE_INTERVAL_S
                 self.open_probes += 1
                 out.append(name)
         return out
@@ -99,4 +103,5 @@
         self.open_probes -= 1
         agent = self.relayed_agents.get(machine)
         if agent is not None:
-            agent.probing, agent.failback_due = False, answered
+            agent.probing = False
+            agent.failback_due = answered
--- a/ploverhall/connectivity/link_health.py
+++ b/ploverhall/connectivity/link_health.py
@@ -8,13 +8,13 @@
 
 from dataclasses import dataclass
 
-MIN_FAILURE_S = 0.6  # an answer takes tens of milliseconds, now and then a few hundred; nothing at all for so long is a cut
-FAILURE_RTT_MULTIPLE = (
-    4.0  # and for so many times what an answer usually takes: a slow service is no cut
-)
-INITIAL_RECOVERY_S = (
-    1.5  # answers for so long, and nothing else, before a link that was bad is trusted
-)
+# An answer takes tens of milliseconds, now and then a few hundred; nothing at all for so long is
+# a cut
+MIN_FAILURE_S = 0.6
+# And for so many times what an answer usually takes: a slow service is no cut
+FAILURE_RTT_MULTIPLE = 4.0
+# Answers for so long, and nothing else, before a link that was bad is trusted
+INITIAL_RECOVERY_S = 1.5
 FLAP_WINDOW_S = 30.0  # bad again so soon after it was good: the next return takes twice as long
 MAX_RECOVERY_S = 24.0  # at most
 
@@ -40,11 +40,13 @@
     def record_answer(self, latency_s: float, now: float) -> None:
         """A question was answered after so long."""
         self.typical_latency_s += (min(latency_s, 2.0) - self.typical_latency_s) * 0.1
-        self.failing_since, self.last_answer_at = None, now
+        self.failing_since = None
+        self.last_answer_at = now
         if self.answering_since is None:
             self.answering_since = now
         if not self.healthy and now - self.answering_since >= self.recovery_s:
-            self.healthy, self.changed_at = True, now
+            self.healthy = True
+            self.changed_at = now
 
     def record_failure(self, started_at: float, now: float) -> None:
         """A question asked then was refused, or got no answer in time."""
@@ -58,9 +60,8 @@
             self._extend_failure(oldest_due_at, now)
 
     def _extend_failure(self, started_at: float, now: float) -> None:
-        since = max(
-            started_at, self.last_answer_at
-        )  # an answer to another question, later than this one, says that the link was up
+        # An answer to another question, later than this one, says that the link was up
+        since = max(started_at, self.last_answer_at)
         self.failing_since = since if self.failing_since is None else min(self.failing_since, since)
         self._update_state(now)
 
@@ -74,5 +75,6 @@
             self.recovery_s = (
                 min(MAX_RECOVERY_S, self.recovery_s * 2) if flapping else INITIAL_RECOVERY_S
             )
-            self.healthy, self.changed_at = False, now
+            self.healthy = False
+            self.changed_at = now
             self.failure_count += 1
--- a/ploverhall/connectivity/pending_relays.py
+++ b/ploverhall/connectivity/pending_relays.py
@@ -14,8 +14,12 @@
 MAX_OPEN_REQUESTS = 4096  # questions asked and not answered: a report of each of 4,000 workers
 MAX_QUEUED_MESSAGES = 2048  # messages for one member that have not gone out
 MAX_QUEUED_BYTES = 8 * 1024 * 1024  # of them
-MAX_CONCURRENT_PER_PEER = 2048  # questions of one member that are worked on here: a frame may bring a report of each worker of a shard
-CLOCK_SKEW_S = 2.0  # by how much times of day may differ: a question that comes so late after its end is dropped unread
+# Questions of one member that are worked on here: a frame may bring a report of each worker of a
+# shard
+MAX_CONCURRENT_PER_PEER = 2048
+# By how much times of day may differ: a question that comes so late after its end is dropped
+# unread
+CLOCK_SKEW_S = 2.0
 
 
 @dataclass(slots=True)
--- a/ploverhall/connectivity/relay_routes.py
+++ b/ploverhall/connectivity/relay_routes.py
@@ -10,9 +10,8 @@
 from typing import Any
 
 REPORT_MAX_AGE_S = 1.6  # members speak twice a second; what is older may be over
-INITIAL_BACKOFF_S = (
-    1.0  # a way that has just failed is left alone for so long, and twice as long each time
-)
+# A way that has just failed is left alone for so long, and twice as long each time
+INITIAL_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
 OUTSIDE_SERVICES = frozenset(("state", "cloud"))
 
@@ -23,17 +22,14 @@
 
     received_at: float = -1e9  # when it was heard
     incarnation: str = ""  # changes when its process starts anew
-    relay_kinds: frozenset[str] = (
-        frozenset()
-    )  # what it carries; nothing if it is of a release that doesn't
+    # What it carries; nothing if it is of a release that doesn't
+    relay_kinds: frozenset[str] = frozenset()
     reachable_services: frozenset[str] = frozenset()  # which outside services it reaches by itself
-    relays_in_use: dict[str, str] = field(
-        default_factory=dict
-    )  # others: through whom it reaches them now
+    # Others: through whom it reaches them now
+    relays_in_use: dict[str, str] = field(default_factory=dict)
     heard_peers: frozenset[str] = frozenset()  # members that it hears
-    unreachable_shards: dict[int, int] = field(
-        default_factory=dict
-    )  # shards held whose workers don't reach it, and their epochs
+    # Shards held whose workers don't reach it, and their epochs
+    unreachable_shards: dict[int, int] = field(default_factory=dict)
     backoff_until: float = -1e9  # until when it is left alone
     backoff_s: float = INITIAL_BACKOFF_S
 
@@ -43,9 +39,8 @@
 
     def __init__(self, peer_names: list[str]) -> None:
         self.peers = {name: PeerConnectivity() for name in sorted(peer_names)}
-        self.chosen_relays: dict[
-            str, str
-        ] = {}  # per service: the member that was asked last; kept while it serves
+        # Per service: the member that was asked last; kept while it serves
+        self.chosen_relays: dict[str, str] = {}
 
     def update(self, name: str, report: dict[str, Any], now: float) -> None:
         """A member has spoken. What is not in the known form counts as not said."""
@@ -166,7 +161,8 @@
     def record_success(self, name: str) -> None:
         """A way has served."""
         peer = self.peers[name]
-        peer.backoff_s, peer.backoff_until = INITIAL_BACKOFF_S, -1e9
+        peer.backoff_s = INITIAL_BACKOFF_S
+        peer.backoff_until = -1000000000.0
 
     def record_failure(self, name: str, now: float) -> None:
         """A way has not served: the next one, or none, for a while."""
--- a/ploverhall/controller/agent_commands.py
+++ b/ploverhall/controller/agent_commands.py
@@ -20,7 +20,9 @@
 
 COMMAND_TIMEOUT_S = 1.5  # how long a worker has to answer
 RELAY_EXTRA_S = 0.3  # and a member that asks it
-FIRST_HEARTBEAT_GRACE_S = 6.0  # so long after a takeover its workers may still be on their way: 4 s at the old one, 1 s until they go on
+# So long after a takeover its workers may still be on their way: 4 s at the old one, 1 s until
+# they go on
+FIRST_HEARTBEAT_GRACE_S = 6.0
 PROBE_CHECK_INTERVAL_S = 0.25
 REACHABILITY_SAMPLE = 5  # workers that a member is asked to try
 
@@ -35,13 +37,13 @@
         start_probe: Callable[[str, str], None],
         room: Callable[[], int],
     ) -> None:
-        self.context, self.relay = context, relay
+        self.context = context
+        self.relay = relay
         self.start_probe = start_probe  # a probe, as a task of its own
         self.clients = ClientPool(lambda host, port: context.client(host, port, keep=1), room)
         self.failback = HeartbeatFailback()
-        self.direct_heartbeat_at: dict[
-            int, float
-        ] = {}  # per shard: the newest report that came by itself
+        # Per shard: the newest report that came by itself
+        self.direct_heartbeat_at: dict[int, float] = {}
 
     def heartbeat_received(self, shard: int, machine: str, now: float) -> None:
         """A report has come here by itself."""
--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -22,9 +22,10 @@
     MACHINE_TYPE_COUNT_KEY,
     MACHINE_TYPE_PREFIX,
 )
-from ploverhall.transport.http import Caller
+from ploverhall.transport.http_client import Caller
 
-MACHINE_TYPES_INTERVAL_S, MACHINE_TYPES_RETRY_S = 60.0, 2.0
+MACHINE_TYPES_INTERVAL_S = 60.0
+MACHINE_TYPES_RETRY_S = 2.0
 LIST_EVERY_S = 2.0  # between two reads of the machine list, or longer where it has many pages
 LIST_SHARE = 0.5  # of the cloud's limit of requests that reading the list may use
 
@@ -39,7 +40,9 @@
         current_lease: Callable[[], int | None],
         cloud: Caller,
     ) -> None:
-        self.context, self.routing, self.cloud = context, routing, cloud
+        self.context = context
+        self.routing = routing
+        self.cloud = cloud
         self.current_lease = current_lease  # this controller's, while it has one
         self.unheld_since = 0.0
         self.pending: list[tuple[str, RentalRequest]] = []
@@ -234,7 +237,8 @@
 
     async def _list_machines(self, autoscaler: Autoscaler, now: float) -> None:
         items: list[cloud.CloudMachine] = []
-        after, pages = "", 0
+        after = ""
+        pages = 0
         rps = self.context.settings.cloud_rps
         while True:
             status, answer = await self.cloud.call(
--- a/ploverhall/controller/context.py
+++ b/ploverhall/controller/context.py
@@ -20,7 +20,7 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
 from ploverhall.storage.store_cache import StoreCache
-from ploverhall.transport.http import Client
+from ploverhall.transport.http_client import Client
 
 STORE_LIMIT_SHARE = 0.92  # of the state service's limits that the controllers use together
 
@@ -44,12 +44,10 @@
 
     def __init__(self, settings: Settings, runtime: Runtime) -> None:
         config = self.settings = settings
-        self.runtime, self.clock, self.wall_clock, self.random = (
-            runtime,
-            runtime.clock,
-            runtime.wall_clock,
-            runtime.random,
-        )
+        self.runtime = runtime
+        self.clock = runtime.clock
+        self.wall_clock = runtime.wall_clock
+        self.random = runtime.random
         self.shard_map = ShardMap(config.controllers, [team.name for team in config.teams])
         self.teams = {team.name: team for team in config.teams}
         self.objectives = Objectives(config.objectives)
@@ -66,15 +64,13 @@
         self.held_shards: dict[int, HeldShard] = {}
         self.autoscaler: Autoscaler | None = None
         self.machine_types: dict[str, MachineType] | None = None
-        self.cancelled_revision = (
-            0  # the newest revision at which a job was cancelled, as far as is known here
-        )
+        # The newest revision at which a job was cancelled, as far as is known here
+        self.cancelled_revision = 0
         self.scheduling_wake = anyio.Event()  # of the engine
         self.started_at = self.clock()
-        self.stalled_at, self.stall_s = (
-            -1e9,
-            0.0,
-        )  # when this process last stood still, and for how long
+        # When this process last stood still, and for how long
+        self.stalled_at = -1000000000.0
+        self.stall_s = 0.0
 
     def client(self, host: str, port: int, keep: int = 8) -> Client:
         """Calls to one address."""
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -42,7 +42,7 @@
 from ploverhall.settings import Settings
 from ploverhall.storage.store_cache import AUTOSCALER_KEY, JOB_PREFIX, end_record
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
-from ploverhall.transport.http import Server
+from ploverhall.transport.http_server import Server
 
 
 class Controller:
@@ -50,11 +50,11 @@
 
     def __init__(self, settings: Settings, runtime: Runtime | None = None) -> None:
         settings, shared = settings, ControllerContext(settings, runtime or Runtime())
-        self.settings, self.context = settings, shared
+        self.settings = settings
+        self.context = shared
         self.tasks: anyio.abc.TaskGroup
-        self.logged_unreadable_jobs: set[str] = (
-            set()
-        )  # jobs whose records can't be read, and that the log has named
+        # Jobs whose records can't be read, and that the log has named
+        self.logged_unreadable_jobs: set[str] = set()
         self.peer_liveness = PeerLiveness(shared)
         self.routing = Routing(shared, self.peer_liveness)
         self.relay_routes = RelayRoutes([peer.name for peer in settings.peers])
@@ -195,14 +195,15 @@
 
     async def run(self) -> None:
         """Serve until cancelled."""
-        settings, seams = self.settings, self.context.runtime
+        settings = self.settings
+        seams = self.context.runtime
         async with anyio.create_task_group() as task_group:
             self.tasks = task_group
             cap = self.limiter.limits.accepted
             server = Server(
                 self.http_routes.handle,
                 cap,
-                net=seams.network,
+                network=seams.network,
                 clock=seams.clock,
                 limiter=self.limiter,
             )
@@ -322,7 +323,8 @@
     def on_store_changed(self) -> None:
         """The copy of the store has changed: hand on what is new."""
         shared, now = self.context, self.context.clock()
-        ended, changed = shared.store_cache.ended_jobs, shared.store_cache.changed_jobs
+        ended = shared.store_cache.ended_jobs
+        changed = shared.store_cache.changed_jobs
         self.shard_leases.update_peers(now)
         cancelled = 0
         for job_id in changed:
@@ -333,9 +335,8 @@
                 )  # whoever wrote it may not know that it has landed
                 cancelled = max(cancelled, ended_job.version)
         if cancelled > shared.cancelled_revision:
-            shared.cancelled_revision = (
-                cancelled  # the users' answers wait for everybody's word that it has been read
-            )
+            # The users' answers wait for everybody's word that it has been read
+            shared.cancelled_revision = cancelled
             self.peer_links.notify(*self.peer_links.links)
         for other_id in sorted(shared.store_cache.unreadable_jobs - self.logged_unreadable_jobs):
             self.logged_unreadable_jobs.add(other_id)
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -20,8 +20,8 @@
 from ploverhall.protocol.agents import Heartbeat
 from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
 from ploverhall.scheduling.inventory import Machine
-from ploverhall.transport.http import Reply
 from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply
 
 RECOVERY_LOG_INTERVAL_S = 10.0  # answering for an earlier life is worth a word when it begins
 RELAY_TIMEOUT_S = 2.4  # a worker waits for 4 s, and has to hear within them that there is no answer
@@ -40,16 +40,15 @@
         relay: Relay,
         agent_commands: AgentCommands,
     ) -> None:
-        self.context, self.peer_liveness, self.routing, self.shard_leases = (
-            context,
-            peer_liveness,
-            routing,
-            shard_leases,
-        )
-        self.relay_routes, self.relay, self.agent_commands = relay_routes, relay, agent_commands
-        self.recovered_answer_at = (
-            -1e9
-        )  # when a worker of this controller's earlier life was last answered
+        self.context = context
+        self.peer_liveness = peer_liveness
+        self.routing = routing
+        self.shard_leases = shard_leases
+        self.relay_routes = relay_routes
+        self.relay = relay
+        self.agent_commands = agent_commands
+        # When a worker of this controller's earlier life was last answered
+        self.recovered_answer_at = -1e9
 
     async def receive(self, request: Request) -> Reply:
         """A worker's report."""
@@ -108,9 +107,8 @@
             other = self._isolation_redirect(heartbeat, None, now)
             return Reply(200, answer) if other is None else Reply(421, agents.redirect(other))
         holder, epoch = self.context.store_cache.holder(shard)
-        served = (
-            fencing_tokens.epoch_of(heartbeat.token) == epoch
-        )  # it has left that holder: its answers did not come
+        # It has left that holder: its answers did not come
+        served = fencing_tokens.epoch_of(heartbeat.token) == epoch
         # or it has been sent there, by this controller or another, and could not reach it
         overdue = 0 < fencing_tokens.epoch_of(heartbeat.token) < epoch and self.routing.settled(
             shard, now
--- a/ploverhall/controller/http_routes.py
+++ b/ploverhall/controller/http_routes.py
@@ -13,8 +13,8 @@
 from ploverhall.coordination.job_answers import JobStatus, Unavailable
 from ploverhall.log import raised_at
 from ploverhall.protocol import jobs
-from ploverhall.transport.http import Reply
 from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply
 
 REPORT_PATH = "/v1/report"
 STORE_ANSWER_MAX_AGE_S = 2.5  # the state service's last answer, by whichever way, is no older
@@ -38,17 +38,13 @@
         heartbeat_requests: HeartbeatRequests,
         maintenance_requests: MaintenanceRequests,
     ) -> None:
-        self.context, self.peer_liveness, self.shard_leases, self.status_report = (
-            context,
-            peer_liveness,
-            shard_leases,
-            status_report,
-        )
-        self.job_requests, self.heartbeat_requests, self.maintenance_requests = (
-            job_requests,
-            heartbeat_requests,
-            maintenance_requests,
-        )
+        self.context = context
+        self.peer_liveness = peer_liveness
+        self.shard_leases = shard_leases
+        self.status_report = status_report
+        self.job_requests = job_requests
+        self.heartbeat_requests = heartbeat_requests
+        self.maintenance_requests = maintenance_requests
 
     async def handle(self, request: Request) -> Reply:
         """Route one request."""
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -26,17 +26,19 @@
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.inventory import fits
 from ploverhall.storage.store_cache import ARCHIVE_PREFIX, JOB_PREFIX, end_record
-from ploverhall.transport.http import Reply
+from ploverhall.transport.http_server import Reply
 
-WRITE_RETRY_S = (
-    1.5  # a change whose outcome is not known so soon is written again: its user waits for 5 s
-)
-ACK_WAIT_S = 1.0  # how long a cancellation's answer waits for the other controllers' word before its user is sent away
-MAX_LOOKUP_DELAY_S, MAX_DELAYED_LOOKUPS = 20.0, 1000  # a question is sent away for so long at most
-MAX_SUBMISSION_WAIT_S, MAX_UNGUARANTEED_WAIT_S = (
-    1.5,
-    0.5,
-)  # a submission that would wait for longer is refused at once, and told when to come back
+# A change whose outcome is not known so soon is written again: its user waits for 5 s
+WRITE_RETRY_S = 1.5
+# How long a cancellation's answer waits for the other controllers' word before its user is sent
+# away
+ACK_WAIT_S = 1.0
+# a question is sent away for so long at most
+MAX_LOOKUP_DELAY_S = 20.0
+MAX_DELAYED_LOOKUPS = 1000
+# A submission that would wait for longer is refused at once, and told when to come back
+MAX_SUBMISSION_WAIT_S = 1.5
+MAX_UNGUARANTEED_WAIT_S = 0.5
 
 
 def _reply(answer: JobAnswer) -> Reply:
@@ -66,15 +68,12 @@
         answers: JobAnswers,
         on_store_changed: Callable[[], None],
     ) -> None:
-        self.context, self.store_watch, self.answers, self.on_store_changed = (
-            context,
-            store_watch,
-            answers,
-            on_store_changed,
-        )
-        self.delayed_lookups: dict[
-            str, float
-        ] = {}  # old or unknown jobs that were not looked up, and since when
+        self.context = context
+        self.store_watch = store_watch
+        self.answers = answers
+        self.on_store_changed = on_store_changed
+        # Old or unknown jobs that were not looked up, and since when
+        self.delayed_lookups: dict[str, float] = {}
         self.pending_submissions = 0  # submissions that wait to be written
 
     def rejection_reason(self, job: Job) -> str | None:
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -17,8 +17,8 @@
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
 from ploverhall.maintenance.orders import ORDER_PREFIX, STATE_BY_VERB, MaintenanceOrder
 from ploverhall.storage.store_cache import CONTROLLER_PREFIX
-from ploverhall.transport.http import Reply
 from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply
 
 
 class MaintenanceRequests:
@@ -31,12 +31,10 @@
         status_report: StatusReport,
         on_store_changed: Callable[[], None],
     ) -> None:
-        self.context, self.store_watch, self.status_report, self.on_store_changed = (
-            context,
-            store_watch,
-            status_report,
-            on_store_changed,
-        )
+        self.context = context
+        self.store_watch = store_watch
+        self.status_report = status_report
+        self.on_store_changed = on_store_changed
         self.budgets = DisruptionBudgets(context.settings.options.budget)
 
     async def handle(self, request: Request) -> Reply:
--- a/ploverhall/controller/outbound.py
+++ b/ploverhall/controller/outbound.py
@@ -15,9 +15,9 @@
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.relay import Relay
 from ploverhall.errors import RelayRefusedError, UnreachableError
-from ploverhall.protocol.key_value_store import RateLimiter
+from ploverhall.protocol.rate_limiter import RateLimiter
 from ploverhall.protocol.relay_messages import RelayRequest
-from ploverhall.transport.http import Client
+from ploverhall.transport.http_client import Client
 
 CHECK_INTERVAL_S = 0.1
 STALL_S = 0.5  # a tick so late: this process stood still, and nobody else was silent for that time
@@ -41,18 +41,23 @@
         refuses_with_503: bool,
         repeatable: tuple[str, ...],
     ) -> None:
-        self.context, self.relay, self.service, self.client = context, relay, service, client
+        self.context = context
+        self.relay = relay
+        self.service = service
+        self.client = client
         self.probe_target = probe_target  # a cheap read
-        self.refuses_with_503 = refuses_with_503  # its 503 says that it executed nothing, and any other 5xx that something between is in trouble
+        # Its 503 says that it executed nothing, and any other 5xx that something between is in
+        # trouble
+        self.refuses_with_503 = refuses_with_503
         self.repeatable = repeatable  # targets that may be asked twice
         self.health = LinkHealth()
-        self.in_flight: dict[
-            int, tuple[float, anyio.CancelScope]
-        ] = {}  # when each should have been answered, and what gives it up
+        # When each should have been answered, and what gives it up
+        self.in_flight: dict[int, tuple[float, anyio.CancelScope]] = {}
         self.last_number = 0
+        # What each may ask here: its own slice
         self.peer_limiters = {
             peer.name: RateLimiter(rate, context.clock) for peer in context.settings.peers
-        }  # what each may ask here: its own slice
+        }
         self.probed_at = -1e9
 
     def current_relay(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
--- a/ploverhall/controller/peer_links.py
+++ b/ploverhall/controller/peer_links.py
@@ -36,16 +36,16 @@
         relay: Relay,
         on_cancellations: Callable[[list[Cancellation]], None],
     ) -> None:
-        self.context, self.peer_liveness, self.routing, self.shard_roles, self.status_report = (
-            context,
-            peer_liveness,
-            routing,
-            shard_roles,
-            status_report,
-        )
-        self.cancellation_barrier, self.relay = cancellation_barrier, relay
+        self.context = context
+        self.peer_liveness = peer_liveness
+        self.routing = routing
+        self.shard_roles = shard_roles
+        self.status_report = status_report
+        self.cancellation_barrier = cancellation_barrier
+        self.relay = relay
         self.on_cancellations = on_cancellations  # acts on what a peer says has been cancelled
-        settings, seams = context.settings, context.runtime
+        settings = context.settings
+        seams = context.runtime
         self.links = {
             peer.name: PeerLink(
                 settings.name,
@@ -61,9 +61,8 @@
         self.listener = PeerListener(self.deliver, seams.network, seams.clock)
         self.status_sent_at: dict[str, float] = {}
         self.gossiped_revision: dict[str, int] = {}  # per peer: the watermark that it was told
-        self.rejection_logged_at: dict[
-            str, float
-        ] = {}  # per peer: when a word of its that is in no form was last named in the log
+        # Per peer: when a word of its that is in no form was last named in the log
+        self.rejection_logged_at: dict[str, float] = {}
         self.gossip_sequence = 0
 
     def connected(self) -> list[str]:
--- a/ploverhall/controller/peer_liveness.py
+++ b/ploverhall/controller/peer_liveness.py
@@ -6,13 +6,11 @@
 from ploverhall.protocol.peer_messages import PeerStatus
 
 PEER_TIMEOUT_S = 2.5  # a peer that has said nothing for longer can't be heard
-SHARD_CLAIM_MAX_AGE_S = (
-    5.0  # but what it last said of its shards is still better than the store's older word
-)
+# But what it last said of its shards is still better than the store's older word
+SHARD_CLAIM_MAX_AGE_S = 5.0
 STORE_ANSWER_MAX_AGE_S = 1.5  # an answer of the state service that is no older
-BORROWED_SHARE = (
-    0.7  # of what another controller leaves unused: the rest is room for its next burst
-)
+# Of what another controller leaves unused: the rest is room for its next burst
+BORROWED_SHARE = 0.7
 
 
 class PeerLiveness:
@@ -20,9 +18,8 @@
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        self.peer_status: dict[
-            str, tuple[float, PeerStatus]
-        ] = {}  # node -> when heard, and what it said
+        # Node -> when heard, and what it said
+        self.peer_status: dict[str, tuple[float, PeerStatus]] = {}
 
     def record(self, controller: str, status: PeerStatus) -> None:
         """A peer has spoken."""
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -20,9 +20,8 @@
 
 CONNECTIVITY_INTERVAL_S = 0.5
 MAX_LAG_S = 0.5  # its own work comes first: so far behind it carries nothing
-CONNECTION_CHECK_S = (
-    0.25  # how soon it is seen that there is no connection any more over which it could be answered
-)
+# How soon it is seen that there is no connection any more over which it could be answered
+CONNECTION_CHECK_S = 0.25
 Handler = Callable[[str, RelayRequest], Awaitable[tuple[int, bytes]]]
 
 
@@ -56,12 +55,10 @@
         self.pending = PendingRelays(f"{context.random.getrandbits(64):x}")
         self.response_waiters: dict[int, tuple[anyio.Event, list[RelayResponse]]] = {}
         self.handlers: dict[str, Handler] = {}
-        self.scheduling_lag: Callable[[], float] = (
-            float  # by how much this controller's own work is behind
-        )
-        self.own_connectivity: Callable[[], dict[str, Any]] = (
-            dict  # what this member reaches, for its word
-        )
+        # By how much this controller's own work is behind
+        self.scheduling_lag: Callable[[], float] = float
+        # What this member reaches, for its word
+        self.own_connectivity: Callable[[], dict[str, Any]] = dict
         self.connectivity_sent_at: dict[str, float] = {}
 
     # -- asking --------------------------------------------------------------------------------
@@ -137,15 +134,16 @@
 
     async def serve(self, peer: str, request: RelayRequest) -> None:
         """Work on a member's question, and answer."""
-        status, refused, body = 0, True, b""
+        status = 0
+        refused = True
+        body = b""
         try:
             status, body = await self.handlers[request.kind](peer, request)
             if len(body) > relay_messages.MAX_BODY_BYTES:
-                status, refused, body = (
-                    0,
-                    False,
-                    b"",
-                )  # it has been executed: only its answer can't be carried
+                # It has been executed: only its answer can't be carried
+                status = 0
+                refused = False
+                body = b""
         except RelayRefusedError:
             pass
         except UnreachableError:
--- a/ploverhall/controller/routing.py
+++ b/ploverhall/controller/routing.py
@@ -9,22 +9,20 @@
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.permitting import JobSource
 
-SETTLED_AFTER_S = (
-    4.5  # a worker that is sent to a holder that it can't reach waits for 4 s there, and 1 s more
-)
+# A worker that is sent to a holder that it can't reach waits for 4 s there, and 1 s more
+SETTLED_AFTER_S = 4.5
 
 
 class Routing:
     """Where boards go, and what is done with those that come."""
 
     def __init__(self, context: ControllerContext, peer_liveness: PeerLiveness) -> None:
-        self.context, self.peer_liveness = context, peer_liveness
-        self.holders: dict[
-            int, str | None
-        ] = {}  # by role, as of the last event that may have changed it
-        self.epochs: dict[
-            int, tuple[int, float]
-        ] = {}  # per shard: its epoch in the store, and since when it is known here
+        self.context = context
+        self.peer_liveness = peer_liveness
+        # By role, as of the last event that may have changed it
+        self.holders: dict[int, str | None] = {}
+        # Per shard: its epoch in the store, and since when it is known here
+        self.epochs: dict[int, tuple[int, float]] = {}
         self.version = 0  # rises with every change of `holders`
 
     def update_routes(self) -> None:
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -39,7 +39,9 @@
         renewal_grant: Callable[[float], int],
         send_direct_command: Callable[[ShardOwner, Machine, dict[str, Any]], None],
     ) -> None:
-        self.context, self.peer_liveness, self.routing = context, peer_liveness, routing
+        self.context = context
+        self.peer_liveness = peer_liveness
+        self.routing = routing
         (
             self.notify_peers,
             self.request_read,
@@ -88,7 +90,8 @@
             if now > self.next_shortage_log_at:
                 if self.next_shortage_log_at and (short := self.capacity_shortages()):
                     log.info("short of", **short)
-                self.next_shortage_log_at, self.max_lag_s = now + SHORTAGE_LOG_INTERVAL_S, 0.0
+                self.next_shortage_log_at = now + SHORTAGE_LOG_INTERVAL_S
+                self.max_lag_s = 0.0
             for _ in range(4):  # what roles here tell one another is answered in the same breath
                 now = shared.clock()
                 for held in list(shared.held_shards.values()):
@@ -106,7 +109,8 @@
             await anyio.sleep(STEP_INTERVAL_S)
 
     def _step(self, held: HeldShard, now: float) -> None:
-        owner, source = held.owner, held.source
+        owner = held.owner
+        source = held.source
         owner.advance_time(now)
         owner.needs_step = False
         if owner.confirmation_needed:
--- a/ploverhall/controller/shard_leases.py
+++ b/ploverhall/controller/shard_leases.py
@@ -29,9 +29,8 @@
 
 CONTACT_READ_INTERVAL_S = 2.5  # the copy is proven current at least this often
 ISOLATION_MARGIN_S = 1.0  # its lease may end so late
-REACQUIRE_DELAY_S = (
-    10.0  # a shard that is taken from a live holder and lost again is left alone for this long
-)
+# A shard that is taken from a live holder and lost again is left alone for this long
+REACQUIRE_DELAY_S = 10.0
 
 
 class ShardLeases:
@@ -48,14 +47,13 @@
         agent_commands: AgentCommands,
         all_peers_connected: Callable[[], bool],
     ) -> None:
-        self.context, self.peer_liveness, self.store_watch, self.shard_roles, self.relay_routes = (
-            context,
-            peer_liveness,
-            store_watch,
-            shard_roles,
-            relay_routes,
-        )
-        self.cancellation_barrier, self.agent_commands = cancellation_barrier, agent_commands
+        self.context = context
+        self.peer_liveness = peer_liveness
+        self.store_watch = store_watch
+        self.shard_roles = shard_roles
+        self.relay_routes = relay_routes
+        self.cancellation_barrier = cancellation_barrier
+        self.agent_commands = agent_commands
         settings = context.settings
         self.renewal_grants = RenewalGrants(
             settings.cancel_s, settings.lease_s, settings.clock_skew_s, settings.options.cut_off_s
@@ -65,9 +63,8 @@
         self.isolated_redirects = IsolatedRedirects(
             before, settings.heartbeat_interval_s, settings.lease_s
         )
-        self.all_peers_connected = (
-            all_peers_connected  # whether there is a connection to every peer
-        )
+        # Whether there is a connection to every peer
+        self.all_peers_connected = all_peers_connected
         self.wake = anyio.Event()
         self.unheld_since: dict[int, float] = {}
         self.preferred_versions: dict[int, int] = {}  # per shard: the version of its home's key
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -17,14 +17,15 @@
     def __init__(
         self, context: ControllerContext, routing: Routing, start_tasks: Callable[[HeldShard], None]
     ) -> None:
-        self.context, self.routing = context, routing
-        self.start_tasks = (
-            start_tasks  # starts what reads and writes for a shard that has just been taken
-        )
+        self.context = context
+        self.routing = routing
+        # Starts what reads and writes for a shard that has just been taken
+        self.start_tasks = start_tasks
 
     def acquire(self, shard: int, epoch: int) -> None:
         """A shard is held from now on: serve its workers at once, its teams when their cells are read."""
-        shared, settings = self.context, self.context.settings
+        shared = self.context
+        settings = self.context.settings
         owner = ShardOwner(
             shard,
             epoch,
@@ -78,13 +79,15 @@
             seconds=round(seconds, 1),
             shards=",".join(map(str, self.context.held_shards)) or "-",
         )
-        self.context.stalled_at, self.context.stall_s = now, seconds
+        self.context.stalled_at = now
+        self.context.stall_s = seconds
         for held in self.context.held_shards.values():
             held.owner.on_event_loop_stall(seconds, now)
 
     def on_store_changed(self, now: float) -> None:
         """The copy of the store has changed: types, jobs that came, jobs that are over."""
-        shared, store_cache = self.context, self.context.store_cache
+        shared = self.context
+        store_cache = self.context.store_cache
         if shared.machine_types is None or MACHINE_TYPE_COUNT_KEY in store_cache.entries:
             types = store_cache.machine_types()
             if types is not None and types != shared.machine_types:
@@ -93,7 +96,8 @@
                     held_shard.owner.machine_types = types
                     if held_shard.source is not None:
                         held_shard.source.machine_types = types
-        changed, store_cache.changed_jobs = store_cache.changed_jobs, []
+        changed = store_cache.changed_jobs
+        store_cache.changed_jobs = []
         for job_id in changed:
             known = store_cache.live_jobs.get(job_id)
             if known is not None:
--- a/ploverhall/controller/shard_status.py
+++ b/ploverhall/controller/shard_status.py
@@ -27,13 +27,15 @@
         capacity_shortages: Callable[[], dict[str, float]],
         connectivity: Callable[[], dict[str, Any]],
     ) -> None:
-        self.context, self.peer_liveness = context, peer_liveness
+        self.context = context
+        self.peer_liveness = peer_liveness
         self.capacity_shortages = capacity_shortages  # what this controller is short of
         self.connectivity = connectivity  # which links it lacks, and through whom it does without
 
     def report(self, selection: dict[str, str] | None = None) -> dict[str, Any]:
         """What this controller sees; with a job, team or machine chosen, all that it knows of that."""
-        shared, settings = self.context, self.context.settings
+        shared = self.context
+        settings = self.context.settings
         now = shared.clock()
         out: dict[str, Any] = {
             "node": settings.name,
--- a/ploverhall/controller/status_report.py
+++ b/ploverhall/controller/status_report.py
@@ -31,19 +31,17 @@
         connected_peers: Callable[[], list[str]],
         notify_peer: Callable[[str], None],
     ) -> None:
-        self.context, self.shard_status = context, shard_status
-        self.connected_peers, self.notify_peer = (
-            connected_peers,
-            notify_peer,
-        )  # the peers there is a connection to, and how to say that there is something for one
-        self.peer_reports: dict[
-            str, tuple[float, dict[str, Any]]
-        ] = {}  # other controllers': when heard, and what
+        self.context = context
+        self.shard_status = shard_status
+        # The peers there is a connection to, and how to say that there is something for one
+        self.connected_peers = connected_peers
+        self.notify_peer = notify_peer
+        # Other controllers': when heard, and what
+        self.peer_reports: dict[str, tuple[float, dict[str, Any]]] = {}
         self.sent_at: dict[str, float] = {}
         self.own_report: dict[str, Any] = {}
-        self.open_questions: dict[
-            int, tuple[dict[str, str], dict[str, Any], anyio.Event]
-        ] = {}  # asked here: what, answers, all in
+        # Asked here: what, answers, all in
+        self.open_questions: dict[int, tuple[dict[str, str], dict[str, Any], anyio.Event]] = {}
         self.question_count = 0
         self.outbound: dict[str, list[Message]] = {}  # questions and answers to be sent
         self.active_conditions: dict[str, str] = {}
--- a/ploverhall/controller/store_watch.py
+++ b/ploverhall/controller/store_watch.py
@@ -117,7 +117,8 @@
             if not self.waiters:
                 self.fresh_read_wake = anyio.Event()
                 await self.fresh_read_wake.wait()
-            batch, self.waiters = self.waiters, []
+            batch = self.waiters
+            self.waiters = []
             fresh_read: FreshRead | None = None
             started_at = self.context.clock()
             try:
--- a/ploverhall/controller/store_writing.py
+++ b/ploverhall/controller/store_writing.py
@@ -32,10 +32,9 @@
 
 IMAGE_WRITE_INTERVAL_S = 4.0
 ARCHIVE_INTERVAL_S = 1.0
-SUBMISSION_RESERVE, RESERVE_PATIENCE_S = (
-    1.0,
-    0.5,
-)  # a write leaves a change for the next submission, unless it has waited for so long
+# A write leaves a change for the next submission, unless it has waited for so long
+SUBMISSION_RESERVE = 1.0
+RESERVE_PATIENCE_S = 0.5
 
 
 class StoreWriting:
@@ -51,16 +50,14 @@
         may_archive: Callable[[EndedJob], bool],
         on_superseded: Callable[[int], None],
     ) -> None:
-        self.context, self.routing = context, routing
-        self.is_current, self.on_store_changed, self.may_archive = (
-            is_current,
-            on_store_changed,
-            may_archive,
-        )
+        self.context = context
+        self.routing = routing
+        self.is_current = is_current
+        self.on_store_changed = on_store_changed
+        self.may_archive = may_archive
         self.budgets = DisruptionBudgets(context.settings.options.budget)
-        self.on_superseded = (
-            on_superseded  # a write was refused because another controller holds the shard
-        )
+        # A write was refused because another controller holds the shard
+        self.on_superseded = on_superseded
 
     async def run_source(self, held: HeldShard) -> None:
         """Read the cells, then permit: the new source knows every start that may be anywhere."""
@@ -78,7 +75,9 @@
                 settings.max_value_bytes,
                 settings.max_transaction_ops,
             )
-            source.log_debug, source.log_info, source.budgets = log.debug, log.info, self.budgets
+            source.log_debug = log.debug
+            source.log_info = log.info
+            source.budgets = self.budgets
             source.objectives, source.machine_types = (
                 self.context.objectives,
                 self.context.machine_types or {},
@@ -169,11 +168,9 @@
 
         Each controller sees to a fixed share of them, when nobody else wants to write.
         """
-        store, replica, settings = (
-            self.context.store,
-            self.context.store_cache,
-            self.context.settings,
-        )
+        store = self.context.store
+        replica = self.context.store_cache
+        settings = self.context.settings
         while True:
             await anyio.sleep(ARCHIVE_INTERVAL_S)
             surplus = len(replica.ended_jobs) - settings.options.keep_ended
--- a/ploverhall/coordination/cancellation_barrier.py
+++ b/ploverhall/coordination/cancellation_barrier.py
@@ -39,12 +39,12 @@
 
 from ploverhall.protocol.peer_messages import Cancellation, CancellationGossip
 
-FEATURE_CANCELLATION_ACK = (
-    "told"  # the feature in a member's key: it waits with telling, so others may go on for longer
-)
+# The feature in a member's key: it waits with telling, so others may go on for longer
+FEATURE_CANCELLATION_ACK = "told"
 CLOCK_DRIFT = 1.002  # steady clocks of two hosts differ by up to 0.05% each; four times that
 IN_FLIGHT_MARGIN_S = 2.0  # answers on their way, steps that come late
-MAX_ACK_DELAY_S = 60.0  # nobody waits for longer to be told, whatever the times are; no question goes unanswered for 75 s
+# Nobody waits for longer to be told, whatever the times are; no question goes unanswered for 75 s
+MAX_ACK_DELAY_S = 60.0
 LEGACY_EARLY_STOP_S = 8.0  # how much earlier than it had to the old rule let go
 MAX_CANCELLATIONS_PER_MESSAGE = 400  # cancellations in one word; the next one goes on from there
 
@@ -55,17 +55,14 @@
 
     supports_ack: bool = False  # it waits with telling
     known_revision: int = 0  # its watermark; what it has known stays known, by its next life too
-    absent_since: float | None = (
-        None  # since when its key has been seen to be gone; None: it is there
-    )
-    absent_revision: int = (
-        -1
-    )  # the revision at which its key went, as far as this controller has seen
+    # Since when its key has been seen to be gone; None: it is there
+    absent_since: float | None = None
+    # The revision at which its key went, as far as this controller has seen
+    absent_revision: int = -1
     acknowledged_at: float = -1e9  # when its newest word came that has been answered
     confirmed_contact_at: float = -1e9  # when the newest own word left that it has answered
-    last_gossip: tuple[str, float] | None = (
-        None  # its newest word, to be answered: its life, and its clock then
-    )
+    # Its newest word, to be answered: its life, and its clock then
+    last_gossip: tuple[str, float] | None = None
     last_gossip_at: float = -1e9  # when that came
 
 
@@ -81,12 +78,10 @@
         now: float,
         incarnation: str = "",
     ) -> None:
-        self.cancel_s, self.lease_s, self.incarnation, self.started = (
-            cancel_s,
-            lease_s,
-            incarnation,
-            now,
-        )
+        self.cancel_s = cancel_s
+        self.lease_s = lease_s
+        self.incarnation = incarnation
+        self.started = now
         self.cut_off_s = min(
             cut_off_s, MAX_ACK_DELAY_S + cancel_s - lease_s * CLOCK_DRIFT - IN_FLIGHT_MARGIN_S
         )
@@ -94,21 +89,21 @@
         self.peers = {
             name: PeerKnowledge(absent_since=now, acknowledged_at=now) for name in peer_names
         }
-        self.store_contact_at = (
-            -1e9
-        )  # this one's own contact with the store: it had read all, and its key was there
-        self.unconfirmed: list[
-            Cancellation
-        ] = []  # cancellations that not all are known to know, by revision
+        # This one's own contact with the store: it had read all, and its key was there
+        self.store_contact_at = -1e9
+        # Cancellations that not all are known to know, by revision
+        self.unconfirmed: list[Cancellation] = []
         self.informed_revision = 0  # this one's watermark, as far as others have brought it
-        self.lapsed = False  # it was without contact for so long that others may have forgotten what it does not know
+        # It was without contact for so long that others may have forgotten what it does not know
+        self.lapsed = False
 
     # -- what is seen in the store -------------------------------------------------------------
 
     def peer_present(self, name: str, supports_ack: bool, known_revision: int) -> None:
         """A member's key is in the store, and says this of it."""
         if (peer := self.peers.get(name)) is not None:
-            peer.supports_ack, peer.absent_since = supports_ack, None
+            peer.supports_ack = supports_ack
+            peer.absent_since = None
             peer.known_revision = max(peer.known_revision, known_revision)
 
     def peer_absent(self, name: str, now: float, revision: int = 0) -> None:
@@ -116,12 +111,14 @@
         if (peer := self.peers.get(name)) is not None and (
             peer.absent_since is None or peer.absent_revision != revision
         ):
-            peer.absent_since, peer.absent_revision = now, revision
+            peer.absent_since = now
+            peer.absent_revision = revision
 
     def store_contacted(self, received_at: float) -> None:
         """At that time this controller had read the whole store, and its key was there."""
         if received_at > self.store_contact_at:
-            self.store_contact_at, self.lapsed = received_at, False
+            self.store_contact_at = received_at
+            self.lapsed = False
 
     def record_cancellation(self, job: str, version: int) -> None:
         """A job has been cancelled."""
@@ -149,9 +146,8 @@
             cancellations, echo = cancellations[:MAX_CANCELLATIONS_PER_MESSAGE], None
             known_revision = min(known_revision, cancellations[-1].revision)
         if echo is not None:
-            peer.acknowledged_at = (
-                peer.last_gossip_at
-            )  # not from now on: the same word may come back to its sender many times
+            # Not from now on: the same word may come back to its sender many times
+            peer.acknowledged_at = peer.last_gossip_at
         return CancellationGossip(
             known_revision,
             self.incarnation,
@@ -174,9 +170,11 @@
         if previously_known < peer.known_revision:
             self._prune(now)
         if gossip.incarnation:
-            peer.last_gossip, peer.last_gossip_at = (gossip.incarnation, gossip.sent_at), now
+            peer.last_gossip = (gossip.incarnation, gossip.sent_at)
+            peer.last_gossip_at = now
         else:
-            peer.acknowledged_at = now  # of a release without words: it may take it for contact that it is heard and hears
+            # Of a release without words: it may take it for contact that it is heard and hears
+            peer.acknowledged_at = now
         if gossip.has_read_store:
             self.informed_revision = max(self.informed_revision, gossip.known_revision)
         if now - self.last_contact(now) > self.all_leases_expired_s / CLOCK_DRIFT:
--- a/ploverhall/coordination/fencing_tokens.py
+++ b/ploverhall/coordination/fencing_tokens.py
@@ -14,8 +14,12 @@
 
 from __future__ import annotations
 
-TOKEN_BITS = 20  # below the epoch; the same in the releases before this layout, or they could not follow one another
-RENEWAL_GRANT_BITS, COUNT_BITS, HOLDER_BITS = 8, 7, 5
+# Below the epoch; the same in the releases before this layout, or they could not follow one
+# another
+TOKEN_BITS = 20
+RENEWAL_GRANT_BITS = 8
+COUNT_BITS = 7
+HOLDER_BITS = 5
 RENEWAL_GRANT_MASK = (1 << RENEWAL_GRANT_BITS) - 1
 COUNT_MASK = ((1 << COUNT_BITS) - 1) << RENEWAL_GRANT_BITS
 UNNAMED_HOLDER_MASK = (1 << (RENEWAL_GRANT_BITS + COUNT_BITS)) - 1
--- a/ploverhall/coordination/isolation.py
+++ b/ploverhall/coordination/isolation.py
@@ -17,24 +17,23 @@
 
 from dataclasses import dataclass, field
 
-AGENT_TIMEOUT_S, AGENT_RETRY_PAUSE_S = (
-    4.0,
-    1.0,
-)  # a worker waits so long for an answer, and then so long before it tries the next controller
-IDLE_SCOUTS, BUSY_SCOUTS = (
-    3,
-    1,
-)  # one that is busy loses its tasks if this controller ends just then
-INITIAL_ROUND_INTERVAL_S, MAX_ROUND_INTERVAL_S = 15.0, 60.0
+# A worker waits so long for an answer, and then so long before it tries the next controller
+AGENT_TIMEOUT_S = 4.0
+AGENT_RETRY_PAUSE_S = 1.0
+# One that is busy loses its tasks if this controller ends just then
+IDLE_SCOUTS = 3
+BUSY_SCOUTS = 1
+INITIAL_ROUND_INTERVAL_S = 15.0
+MAX_ROUND_INTERVAL_S = 60.0
 
 
 @dataclass(slots=True)
 class IsolatedRedirects:
     """The scouts of one spell of being alone."""
 
-    candidates: list[
-        str
-    ]  # the other controllers; the one after which a worker tries this one comes first, then the one before that
+    # The other controllers; the one after which a worker tries this one comes first, then the one
+    # before that
+    candidates: list[str]
     heartbeat_interval_s: float
     lease_s: float
     isolated_since: float | None = None
--- a/ploverhall/coordination/restart_recovery.py
+++ b/ploverhall/coordination/restart_recovery.py
@@ -30,13 +30,13 @@
 from ploverhall.protocol import agents
 from ploverhall.protocol.agents import EXITED, Heartbeat
 
-GRANT_FROM_ANSWER, NO_GRANT = 0, fencing_tokens.RENEWAL_GRANT_MASK
+GRANT_FROM_ANSWER = 0
+NO_GRANT = fencing_tokens.RENEWAL_GRANT_MASK
 GRANT_STEP_S = 2.0
 GRANT_STEPS = NO_GRANT - 1  # before a time of day comes round again: 508 s
 RECENT_CONTACT_S = 6.0  # contact that is no older is sure
-MAX_GRANT_S = (
-    200.0  # no right reaches further, or its time of day could be taken for an earlier one
-)
+# No right reaches further, or its time of day could be taken for an earlier one
+MAX_GRANT_S = 200.0
 MARGIN_S = 1.0  # answers on their way
 
 
@@ -78,9 +78,8 @@
         if grant == GRANT_FROM_ANSWER:
             return self.informed_renewal_s - self.lease_s * CLOCK_DRIFT - MARGIN_S
         step = wall_time / GRANT_STEP_S
-        ahead = (
-            grant - 1 - step
-        ) % GRANT_STEPS  # steps until that time of day comes, or comes again
+        # Steps until that time of day comes, or comes again
+        ahead = (grant - 1 - step) % GRANT_STEPS
         return (
             ahead if ahead <= GRANT_STEPS / 2 else ahead - GRANT_STEPS
         ) * GRANT_STEP_S - 2 * self.skew_s
--- a/ploverhall/coordination/state_channel.py
+++ b/ploverhall/coordination/state_channel.py
@@ -30,9 +30,8 @@
     changed_keys: set[str] = field(default_factory=set)
     sent_to: tuple[str, int] | None = None
     sequence: int = 0
-    pending_channels: set[tuple[str, int, int]] = field(
-        default_factory=set
-    )  # shared by all boards of an outbox: those with something new
+    # Shared by all boards of an outbox: those with something new
+    pending_channels: set[tuple[str, int, int]] = field(default_factory=set)
 
     def put(self, key: str, value: Any) -> None:
         """Set or remove (None) one key."""
@@ -62,12 +61,10 @@
 
     def __init__(self) -> None:
         self.channels: dict[tuple[str, int, int], StateChannel] = {}
-        self.pending: set[tuple[str, int, int]] = (
-            set()
-        )  # boards with something that has not been sent
-        self.routes: dict[
-            str, tuple[int, int | None]
-        ] = {}  # per node: the generation and the routing that all its boards were sent under
+        # Boards with something that has not been sent
+        self.pending: set[tuple[str, int, int]] = set()
+        # Per node: the generation and the routing that all its boards were sent under
+        self.routes: dict[str, tuple[int, int | None]] = {}
 
     def channel(self, kind: str, source: int, destination: int, epoch: int) -> StateChannel:
         """The board of a role; a new epoch starts it anew."""
--- a/ploverhall/maintenance/command.py
+++ b/ploverhall/maintenance/command.py
@@ -16,7 +16,8 @@
 def request(address: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
     """One request, asked again while the controller can't decide: an order is placed once, whatever became of the answer."""
     data = json.dumps(body).encode() if body is not None else b"" if method == "POST" else None
-    status, out = 0, None
+    status = 0
+    out = None
     for _ in range(MAX_ATTEMPTS):
         try:
             with urllib.request.urlopen(
@@ -27,7 +28,8 @@
             try:
                 status, out = error.code, json.load(error)
             except ValueError:
-                status, out = error.code, None
+                status = error.code
+                out = None
             if status != 503:
                 break
         except (OSError, ValueError) as error:
--- a/ploverhall/maintenance/disruption_budget.py
+++ b/ploverhall/maintenance/disruption_budget.py
@@ -24,15 +24,12 @@
     min_available: int = 0  # replicas of one job that serve at any time
     team_max_unavailable: int = 12  # replicas of a team that are down at once
     gangs_per_min: float = 4.0  # gangs of a team stopped in a minute
-    lost_s_per_min: float = (
-        1800.0  # task seconds of a team lost in a minute; one stop is granted whatever it loses
-    )
-    let_finish_s: float = (
-        120.0  # a task that should end within this is let finish, and for no longer
-    )
-    quiet_hours: tuple[
-        tuple[int, int], ...
-    ] = ()  # minutes of the day (UTC) from and to which nothing is stopped
+    # Task seconds of a team lost in a minute; one stop is granted whatever it loses
+    lost_s_per_min: float = 1800.0
+    # A task that should end within this is let finish, and for no longer
+    let_finish_s: float = 120.0
+    # Minutes of the day (UTC) from and to which nothing is stopped
+    quiet_hours: tuple[tuple[int, int], ...] = ()
 
 
 # Names in the operators' options file.
@@ -84,9 +81,8 @@
 class RecentDisruptions:
     """What one team has had stopped by choice in the last minute."""
 
-    evictions: deque[tuple[float, int, float]] = field(
-        default_factory=deque
-    )  # when, gangs, task seconds lost
+    # When, gangs, task seconds lost
+    evictions: deque[tuple[float, int, float]] = field(default_factory=deque)
 
     def last_minute(self, now: float) -> tuple[int, float]:
         """Gangs and task seconds of the last minute."""
--- a/ploverhall/maintenance/orders.py
+++ b/ploverhall/maintenance/orders.py
@@ -9,13 +9,15 @@
 from ploverhall.errors import InvalidOrderError
 
 ORDER_PREFIX = "p/upkeep/"  # followed by every controller
-FEATURE_MAINTENANCE = (
-    "upkeep"  # a member's word: it knows orders, and asks and grants within budgets
-)
+# A member's word: it knows orders, and asks and grants within budgets
+FEATURE_MAINTENANCE = "upkeep"
 MAX_ACTIVE_ORDERS = 32  # orders that are not over
 MAX_MACHINES_PER_ORDER = 100  # machines in one order
 RETENTION_S = 3600.0  # an order that is over can be looked at for so long
-RUNNING, PAUSED, STOPPED, DONE = "running", "paused", "stopped", "done"
+RUNNING = "running"
+PAUSED = "paused"
+STOPPED = "stopped"
+DONE = "done"
 STATE_BY_VERB = {"pause": PAUSED, "resume": RUNNING, "stop": STOPPED}
 ORDER_ID_PATTERN = re.compile(r"u-[0-9a-z-]{1,40}\Z")
 
--- a/ploverhall/protocol/jobs.py
+++ b/ploverhall/protocol/jobs.py
@@ -11,7 +11,10 @@
 JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,18}\Z")
 KINDS = {"array": "array", "group": "gang", "daemon": "service"}
 PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "best_effort": 3}
-QUEUED, RUNNING, DONE, CANCELLED = "queued", "running", "done", "withdrawn"
+QUEUED = "queued"
+RUNNING = "running"
+DONE = "done"
+CANCELLED = "withdrawn"
 MAX_TASKS = 100_000
 
 
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -6,88 +6,17 @@
 import math
 import time
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any
 from urllib.parse import quote
 
-import anyio
-
 from ploverhall import log
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
-from ploverhall.transport.http import Caller
-
-INVALID_RESPONSE_LOG_INTERVAL_S = (
-    10.0  # answers in no published form are worth a line so often at most
-)
-
-
-@dataclass(slots=True)
-class RateLimiter:
-    """A token bucket. Urgent takers may go below zero, so leases never wait behind ordinary traffic."""
-
-    rate: float
-    clock: Callable[[], float] = time.monotonic
-    tokens: float = 0.0
-    refilled_at: float = 0.0
-    queue: anyio.Lock = field(default_factory=anyio.Lock)
-    taken: float = 0.0  # since counted
-    usage_counted_at: float = 0.0
-    usage_rate: float = 0.0
-    burst: float = 0.0  # at most so much at once, whatever the rate is by now
-
-    def __post_init__(self) -> None:
-        self.tokens = self.burst = self.rate
-        self.refilled_at = self.usage_counted_at = self.clock()
-
-    def _refill(self) -> None:
-        now = self.clock()
-        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
-        self.refilled_at = now
-
-    def delay(self, count: float) -> float:
-        """Seconds until n may be taken."""
-        self._refill()
-        return max(0.0, (min(count, self.burst) - self.tokens) / self.rate)
-
-    def available(self) -> float:
-        """What may be taken at once."""
-        self._refill()
-        return self.tokens
-
-    async def acquire(
-        self, count: float, urgent: bool = False, reserve: float = 0.0, patience: float = math.inf
-    ) -> None:
-        """Take n unless urgent in turn: else small takers, for whom there is always enough, kept larger ones waiting for ever.
-
-        With a reserve it waits aside until so much more is left, and lets everybody else go first, as long as its patience lasts.
-        """
-        deadline = self.clock() + patience
-        while reserve and (
-            (delay := self.delay(count + reserve)) > 0 or self.queue.statistics().tasks_waiting
-        ):
-            if (remaining_s := deadline - self.clock()) <= 0:
-                reserve = 0.0
-                break
-            await anyio.sleep(min(delay + 0.02, remaining_s))
-        if not reserve and not urgent:
-            async with self.queue:
-                while (delay := self.delay(count)) > 0:
-                    await anyio.sleep(delay + 0.001)
-        self.consume(count)
-
-    def consume(self, count: float) -> None:
-        """Take n now, whatever is left."""
-        self._refill()
-        self.tokens -= count
-        self.taken += count
+from ploverhall.protocol.rate_limiter import RateLimiter
+from ploverhall.transport.http_client import Caller
 
-    def recent_usage(self) -> float:
-        """What was taken a second, lately."""
-        now = self.clock()
-        if (passed := now - self.usage_counted_at) >= 0.5:
-            self.usage_rate += (self.taken / passed - self.usage_rate) * min(1.0, passed / 2.0)
-            self.taken, self.usage_counted_at = 0.0, now
-        return self.usage_rate
+# Answers in no published form are worth a line so often at most
+INVALID_RESPONSE_LOG_INTERVAL_S = 10.0
 
 
 @dataclass(slots=True)
@@ -109,14 +38,14 @@
         write_rps: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.caller, self.clock = caller, clock
+        self.caller = caller
+        self.clock = clock
         self.requests = RateLimiter(rps, clock)
         self.writes = RateLimiter(write_rps, clock)
         self.last_answer_at = 0.0
-        self.invalid_responses, self.invalid_logged_at = (
-            0,
-            -math.inf,
-        )  # answers in no published form since the last line about them, and when that was
+        # Answers in no published form since the last line about them, and when that was
+        self.invalid_responses = 0
+        self.invalid_logged_at = -math.inf
 
     async def _call(
         self,
@@ -152,7 +81,8 @@
                     answer=repr(out)[:120],
                     times=self.invalid_responses,
                 )
-                self.invalid_responses, self.invalid_logged_at = 0, now
+                self.invalid_responses = 0
+                self.invalid_logged_at = now
             raise OutcomeUnknownError(f"{what}: {status}, {error!r}") from error
         self.last_answer_at = self.clock()
 
@@ -168,7 +98,8 @@
     async def list_prefix(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
         """All keys with a prefix, and the revision of the first page."""
         found: dict[str, tuple[Any, int]] = {}
-        after, first = "", -1
+        after = ""
+        first = -1
         while True:
             target = f"/kv?starts={quote(prefix, safe='/')}&limit=1000" + (
                 f"&from={quote(after, safe='/')}" if after else ""
--- a/ploverhall/protocol/peer_messages.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -15,7 +15,11 @@
 from ploverhall.protocol.agents import AttemptId
 
 NOTICE_EVICTION_REQUESTED = 3
-JOB, CANDIDATE, PERMIT, OFFER, ATTEMPT = "j", "w", "p", "o", "t"
+JOB = "j"
+CANDIDATE = "w"
+PERMIT = "p"
+OFFER = "o"
+ATTEMPT = "t"
 
 
 class JobUpdate(NamedTuple):
@@ -24,9 +28,8 @@
     record: list[Any] | None
     resources: list[float]
     within_guarantee: int  # of its team's guarantee
-    failing_everywhere: int = (
-        0  # it fails wherever it starts: no machine is to blame for it, and it may stop nothing
-    )
+    # It fails wherever it starts: no machine is to blame for it, and it may stop nothing
+    failing_everywhere: int = 0
 
 
 class CandidateUpdate(NamedTuple):
@@ -63,7 +66,9 @@
     state: str
     reason: str
     checkpoint_saved: int
-    notice: int  # 1: its machine goes, 2: its room is needed, 3: its machine is to be emptied, when its team can do without
+    # 1: its machine goes, 2: its room is needed, 3: its machine is to be emptied, when its team
+    # can do without
+    notice: int
     machine_suspect: int = 0  # other jobs have failed on this machine lately, too
 
 
@@ -79,9 +84,8 @@
     notice: int
     faulty: int
     on_demand_work: int  # runs work that can't be on a cheap machine
-    free_for_services: list[
-        float
-    ]  # what services could have: the room of work that may be stopped counts as free
+    # What services could have: the room of work that may be stopped counts as free
+    free_for_services: list[float]
 
 
 class DemandUpdate(NamedTuple):
@@ -112,7 +116,8 @@
 class CancellationGossip(NamedTuple):
     """Controller to controller: what it knows of cancellations, and that it has heard the other (coordination.cancellations)."""
 
-    known_revision: int  # it knows all cancellations up to this revision, and after this word so does whoever gets it
+    # It knows all cancellations up to this revision, and after this word so does whoever gets it
+    known_revision: int
     incarnation: str  # of the sender's process; none in a release that says only what it knows
     sent_at: float  # the sender's steady clock
     uptime_s: float  # seconds for which that life has run
--- a/ploverhall/protocol/relay_messages.py
+++ b/ploverhall/protocol/relay_messages.py
@@ -10,12 +10,16 @@
 
 from ploverhall.errors import InvalidRelayMessageError
 
-REQUEST, RESPONSE, CONNECTIVITY = "x", "y", "h"
-STORE, CLOUD, HEARTBEAT, AGENT_COMMAND = "state", "cloud", "report", "do"
+REQUEST = "x"
+RESPONSE = "y"
+CONNECTIVITY = "h"
+STORE = "state"
+CLOUD = "cloud"
+HEARTBEAT = "report"
+AGENT_COMMAND = "do"
 KINDS = (STORE, CLOUD, HEARTBEAT, AGENT_COMMAND)
-MAX_BODY_BYTES = (
-    4 * 1024 * 1024
-)  # bytes of one question or answer: a watch answers with all changes since it was last asked
+# Bytes of one question or answer: a watch answers with all changes since it was last asked
+MAX_BODY_BYTES = 4 * 1024 * 1024
 ALLOWED_TARGETS = {
     STORE: ("/kv", "/multi", "/grants", "/watch"),
     CLOUD: ("/flavors", "/hosts"),
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -26,17 +26,18 @@
 from ploverhall.storage.store_cache import allocation_prefix, progress_prefix
 
 TASKS_PER_PROGRESS_VALUE = 8192  # tasks whose bits share one value: about 1.4 KB
-CHUNK_FILL_FACTOR = (
-    0.92  # of a value's limit that a chunk may take; the rest is room for what json may add
-)
+# Of a value's limit that a chunk may take; the rest is room for what json may add
+CHUNK_FILL_FACTOR = 0.92
 MAX_TRANSACTION_BYTES = 56_000  # of the 64 KiB a transaction may take
-MAX_LARGE_ARRAY_DELAY_S = (
-    120.0  # a large array stands behind smaller ones that came so much later at most
-)
-OVERDUE_START_S = 120.0  # a job of which nothing has run for so long comes before others of its kind until it begins
+# A large array stands behind smaller ones that came so much later at most
+MAX_LARGE_ARRAY_DELAY_S = 120.0
+# A job of which nothing has run for so long comes before others of its kind until it begins
+OVERDUE_START_S = 120.0
 DEFAULT_DUE_S = 600.0  # nobody has said by when: it stands behind what came within so long
 MAX_HISTORY = 200  # starts that died and jobs that ended, for people who ask
-HEALTHY_RUN_S = 5.0  # a task that has run for so long works: what fails by its own mistake fails as soon as it has its image
+# A task that has run for so long works: what fails by its own mistake fails as soon as it has its
+# image
+HEALTHY_RUN_S = 5.0
 
 
 @dataclass(slots=True, eq=False)
@@ -153,16 +154,13 @@
     resources: ResourceVector
     job: Job | None = None  # None: over, only its tasks remain
     version: int = 0
-    allocations: dict[int, Allocation] = field(
-        default_factory=dict
-    )  # by task; one start of a task at a time
+    # By task; one start of a task at a time
+    allocations: dict[int, Allocation] = field(default_factory=dict)
     allocations_per_zone: dict[str, int] = field(default_factory=dict)  # entries by zone
-    uncommitted_per_shard: dict[int, int] = field(
-        default_factory=dict
-    )  # permits being written, by part
-    used_reservations: set[tuple[int, int, int]] = field(
-        default_factory=set
-    )  # part, epoch and ticket of its entries
+    # Permits being written, by part
+    uncommitted_per_shard: dict[int, int] = field(default_factory=dict)
+    # Part, epoch and ticket of its entries
+    used_reservations: set[tuple[int, int, int]] = field(default_factory=set)
     running_count: int = 0
     done_bits: bytearray = field(default_factory=bytearray)
     done_count: int = 0
@@ -172,16 +170,13 @@
     retry_tasks: list[int] = field(default_factory=list)
     offers: dict[tuple[int, int], Offer] = field(default_factory=dict)
     retry_at: float = 0.0
-    failed_on: dict[str, float] = field(
-        default_factory=dict
-    )  # machines that are avoided, and since when
+    # Machines that are avoided, and since when
+    failed_on: dict[str, float] = field(default_factory=dict)
     task_failures: dict[int, int] = field(default_factory=dict)
-    task_retry_at: dict[int, float] = field(
-        default_factory=dict
-    )  # tasks that failed, and when they may be tried again
-    failing_everywhere: bool = (
-        False  # it fails wherever it starts: its own fault, not the machines'
-    )
+    # Tasks that failed, and when they may be tried again
+    task_retry_at: dict[int, float] = field(default_factory=dict)
+    # It fails wherever it starts: its own fault, not the machines'
+    failing_everywhere: bool = False
     failing_attempts: int = 0  # since it has been taken for broken
     failure_count: int = 0  # in all, for display
     last_failure: str = ""
@@ -194,9 +189,8 @@
     started: bool = False  # a task of it has run; of a gang, all of them
     overdue: bool = False  # it has waited for that for too long, and comes before others just now
     overdue_check_at: float = 0.0  # when that is looked at
-    due_at: float | None = (
-        None  # by when it should be done, for its place in the queue (wall clock)
-    )
+    # By when it should be done, for its place in the queue (wall clock)
+    due_at: float | None = None
     task_duration_s: float | None = None  # how long its tasks have run that have completed, lately
 
     @property
@@ -277,9 +271,8 @@
     chunks: list[ChunkWrite] = field(default_factory=list)
     progress_parts: list[tuple[JobState, int]] = field(default_factory=list)
     ended_jobs: list[JobState] = field(default_factory=list)
-    eviction_grants: dict[str, list[AttemptId]] = field(
-        default_factory=dict
-    )  # by team: the stops that it lands
+    # By team: the stops that it lands
+    eviction_grants: dict[str, list[AttemptId]] = field(default_factory=dict)
     size_bytes: int = 400
 
     @property
@@ -335,7 +328,8 @@
         max_value_bytes: int,
         max_transaction_ops: int,
     ) -> None:
-        self.shard, self.epoch = shard, epoch
+        self.shard = shard
+        self.epoch = epoch
         self.teams = {team.name: team for team in teams}
         self.zones = zones
         self.max_transaction_ops = max_transaction_ops
@@ -344,24 +338,19 @@
         )
         self.jobs: dict[str, JobState] = {}
         self.chunks: dict[str, dict[int, RecordChunk]] = {team.name: {} for team in teams}
-        self.dirty_chunks: dict[
-            RecordChunk, bool
-        ] = {}  # to be written; True: holds permits that wait for it
-        self.chunks_to_fence: set[tuple[str, int]] = (
-            set()
-        )  # chunks that a write of unknown outcome may still change
-        self.jobs_to_end: dict[
-            str, JobState
-        ] = {}  # complete, the record of it is still to be written
+        # To be written; True: holds permits that wait for it
+        self.dirty_chunks: dict[RecordChunk, bool] = {}
+        # Chunks that a write of unknown outcome may still change
+        self.chunks_to_fence: set[tuple[str, int]] = set()
+        # Complete, the record of it is still to be written
+        self.jobs_to_end: dict[str, JobState] = {}
         self.obsolete_keys: list[str] = []  # progress records of jobs that are over
         self.used: dict[str, ResourceVector] = {team.name: (0.0, 0.0, 0.0) for team in teams}
-        self.jobs_by_age: dict[str, list[tuple[float, str]]] = {
-            team.name: [] for team in teams
-        }  # live jobs, oldest first
+        # Live jobs, oldest first
+        self.jobs_by_age: dict[str, list[tuple[float, str]]] = {team.name: [] for team in teams}
         self.jobs_within_guarantee: dict[str, set[str]] = {team.name: set() for team in teams}
-        self.waiting_jobs: dict[str, dict[str, JobState]] = {
-            team.name: {} for team in teams
-        }  # jobs with tasks that wait
+        # Jobs with tasks that wait
+        self.waiting_jobs: dict[str, dict[str, JobState]] = {team.name: {} for team in teams}
         self.job_by_offer: dict[tuple[int, int], str] = {}
         self.changed_jobs: set[str] = set()  # jobs that owners must hear of
         self.changed_counts: set[str] = set()  # jobs whose numbers for display have changed
@@ -370,9 +359,8 @@
         self.teams_with_changed_usage: set[str] = set()  # teams whose use has changed
         self.teams_to_reorder: set[str] = set(self.teams)
         self.timers: list[tuple[float, str]] = []
-        self.reserved_for_services: dict[
-            str, ResourceVector
-        ] = {}  # of a team's limit, for replicas that wait
+        # Of a team's limit, for replicas that wait
+        self.reserved_for_services: dict[str, ResourceVector] = {}
         self.next_team_check_at = self.next_revisit_at = self.next_service_check_at = 0.0
         self.attempt_count = 0
         self.write_operation_limit = max_transaction_ops  # of the write being planned
@@ -380,9 +368,8 @@
         self.holding_back_offers = False  # a worse answer is being held back for a moment
         self.failed_attempts: deque[FailedAttempt] = deque(maxlen=MAX_HISTORY)
         self.recently_ended: deque[EndedJobEntry] = deque(maxlen=MAX_HISTORY)
-        self.typical_wait_s: dict[
-            str, float
-        ] = {}  # by class: how long its gangs and services wait until all their tasks run, lately
+        # By class: how long its gangs and services wait until all their tasks run, lately
+        self.typical_wait_s: dict[str, float] = {}
         self.typical_work_s: dict[str, float] = {}  # by class: task seconds of its arrays, lately
         self.visit_count = 0  # jobs and entries looked at: what the tests of growth count
         self.objectives = Objectives()
@@ -501,7 +488,8 @@
                 ]
             self.teams_to_reorder.add(job_state.team)
             self.jobs_to_end.pop(job_id, None)
-            job_state.job, job_state.version = None, 0
+            job_state.job = None
+            job_state.version = 0
             self._drop_offers(job_state)
             for allocation in job_state.allocations.values():
                 self._request_stop(allocation, 0.0)
@@ -518,12 +506,10 @@
             for allocation in job_state.allocations.values():
                 allocation.stop_grace_s = None
                 self._update_permit(allocation)
-        job_state.job, job_state.version, job_state.resources, job_state.blocked = (
-            job,
-            version,
-            job.resources,
-            False,
-        )
+        job_state.job = job
+        job_state.version = version
+        job_state.resources = job.resources
+        job_state.blocked = False
         if job_state.due_at is None:
             job_state.due_at = self._due_time(job)
             job_state.overdue_check_at = max(now, job_state.arrived_at + OVERDUE_START_S)
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -48,9 +48,8 @@
         self.max_grants = min(MAX_GRANTS_PER_TEAM, int(value_bytes * 0.9) // GRANT_BYTES)
         self.requested_since: dict[AttemptId, float] = {}  # since when
         self.denial_reasons: dict[AttemptId, str] = {}  # why it is not granted yet, for people
-        self.grants_by_team: dict[str, dict[AttemptId, bool]] = {
-            team.name: {} for team in teams
-        }  # by team; True: it is written
+        # By team; True: it is written
+        self.grants_by_team: dict[str, dict[AttemptId, bool]] = {team.name: {} for team in teams}
         self.grant_versions: dict[str, int] = {team.name: 0 for team in teams}
         self.teams_with_unwritten_grants: set[str] = set()
         self.recent_disruptions: dict[str, RecentDisruptions] = {
--- a/ploverhall/scheduling/inventory.py
+++ b/ploverhall/scheduling/inventory.py
@@ -17,9 +17,8 @@
 
 ResourceVector = tuple[float, float, float]
 MachinePool = tuple[str, str, bool]  # type, zone, spot
-PreemptionClass = tuple[
-    int, bool, str, str, bool
-]  # what decides who may stop a task: rank, within its team's guarantee, team, kind, called
+# What decides who may stop a task: rank, within its team's guarantee, team, kind, called
+PreemptionClass = tuple[int, bool, str, str, bool]
 CapacityLevel = tuple[int, int]  # whole units free, and the free cores' power of two
 EPSILON = 1e-6
 UNBOUNDED = 1 << 30  # as often as anybody asks
@@ -67,12 +66,10 @@
     gone_reason: str = ""  # it is gone, for people
     victims: tuple[AttemptId, ...] = ()
     running_since: float | None = None  # when it was first seen running
-    overdue: bool = (
-        False  # it began in its job's turn, after a long wait: higher ranks don't stop it again
-    )
-    evict_requested: bool = (
-        False  # a gang's task whose room is needed: its source stops the whole gang in order
-    )
+    # It began in its job's turn, after a long wait: higher ranks don't stop it again
+    overdue: bool = False
+    # A gang's task whose room is needed: its source stops the whole gang in order
+    evict_requested: bool = False
 
 
 @dataclass(slots=True)
@@ -104,9 +101,8 @@
     save_s: float
     spot_allowed: bool  # could be on a cheap machine
     failing_everywhere: bool = False  # fails wherever it starts
-    claimed_guarantee: bool = (
-        False  # it has had work of another team stopped for its team's guarantee
-    )
+    # It has had work of another team stopped for its team's guarantee
+    claimed_guarantee: bool = False
 
     @property
     def preemption_grace_s(self) -> float:
@@ -159,22 +155,23 @@
     quarantined_until: float = 0.0
     quarantined_since: float = 0.0
     replacement_due: bool = False  # faulty for long enough to be given back
-    failures_by_job: dict[str, float] = field(
-        default_factory=dict
-    )  # job -> when it failed here; without jobs that fail everywhere
+    # Job -> when it failed here; without jobs that fail everywhere
+    failures_by_job: dict[str, float] = field(default_factory=dict)
     inflight_runs: set[AttemptId] = field(default_factory=set)  # keys of runs in an unanswered /do
     command_pending: bool = False  # a /do is unanswered
     next_command_at: float = 0.0
     unanswered_commands: int = 0  # direct commands in a row that it has not answered
+    # Session and number of the newest report, which answers to commands may have overtaken
     newest_heartbeat: tuple[int, int] = (
         0,
         0,
-    )  # session and number of the newest report, which answers to commands may have overtaken
+    )
     stale_heartbeat: bool = False  # the last message was no newer than that
-    runs_in_answer: set[AttemptId] = field(
-        default_factory=set
-    )  # keys of runs in the answer to its newest report
-    awaited_token: int = 0  # the token that it has to show before it counts as hearing again; 0: nothing speaks against that
+    # Keys of runs in the answer to its newest report
+    runs_in_answer: set[AttemptId] = field(default_factory=set)
+    # The token that it has to show before it counts as hearing again; 0: nothing speaks against
+    # that
+    awaited_token: int = 0
     awaited_since: float = 0.0
     not_receiving: bool = False  # it has not shown it for so long that it is taken to hear nothing
     receiving_again_at: float = -1e9  # when that was last over
@@ -185,13 +182,11 @@
     free_for_services: ResourceVector = NO_RESOURCES
     index_bucket: list[Machine] | None = None  # where it stands in the index
     index_position: int = 0
-    preemptible: dict[AttemptId, PreemptionClass] = field(
-        default_factory=dict
-    )  # its tasks that somebody might stop, as of the last look
+    # Its tasks that somebody might stop, as of the last look
+    preemptible: dict[AttemptId, PreemptionClass] = field(default_factory=dict)
     preemptible_classes: frozenset[PreemptionClass] = frozenset()
-    preemptible_since: int = (
-        0  # of the fleet's counter, when it last gained such a task or room besides them
-    )
+    # Of the fleet's counter, when it last gained such a task or room besides them
+    preemptible_since: int = 0
 
     @property
     def pool(self) -> MachinePool:
@@ -209,40 +204,32 @@
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self.heartbeat_interval_s = heartbeat_interval_s
-        self.unresponsive_after_s = (
-            2.0 * heartbeat_interval_s + 1.5
-        )  # who has said nothing for longer gets nothing new
+        # Who has said nothing for longer gets nothing new
+        self.unresponsive_after_s = 2.0 * heartbeat_interval_s + 1.5
         self.machine_types: dict[str, MachineType] = {}
         self.machines: dict[str, Machine] = {}
-        self.permits_by_machine: dict[
-            str, dict[AttemptId, Permit]
-        ] = {}  # by machine, known or not yet
+        # By machine, known or not yet
+        self.permits_by_machine: dict[str, dict[AttemptId, Permit]] = {}
         self.proven_gone: set[str] = set()
         self.job_traits: dict[str, JobTraits] = {}
         self.resources_of_job: Callable[[str], ResourceVector | None] = lambda job_id: None
         self.capacity_index: dict[MachinePool, dict[CapacityLevel, list[Machine]]] = {}
-        self.warm_machines: dict[
-            tuple[MachinePool, str], dict[str, Machine]
-        ] = {}  # machines in the index that hold an image and have a unit free
+        # Machines in the index that hold an image and have a unit free
+        self.warm_machines: dict[tuple[MachinePool, str], dict[str, Machine]] = {}
         self.image_holders: dict[str, dict[str, Machine]] = {}  # image -> all machines that hold it
-        self.preemptible_classes: Counter[PreemptionClass] = (
-            Counter()
-        )  # usable machines with tasks of that class that could be stopped; none is no key
-        self.preemption_candidates: dict[
-            str, Machine
-        ] = {}  # these machines, the one that gained something last at the end
+        # Usable machines with tasks of that class that could be stopped; none is no key
+        self.preemptible_classes: Counter[PreemptionClass] = Counter()
+        # These machines, the one that gained something last at the end
+        self.preemption_candidates: dict[str, Machine] = {}
         self.preemption_generation = 0  # rises with every such gain
         self.changed_machines: dict[str, Machine] = {}
-        self.machines_with_gains: dict[
-            str, Machine
-        ] = {}  # machines with more room than at the last look
-        self.remembered_images: dict[
-            str, dict[str, float]
-        ] = {}  # images that an earlier owner knew of, on machines not yet seen
+        # Machines with more room than at the last look
+        self.machines_with_gains: dict[str, Machine] = {}
+        # Images that an earlier owner knew of, on machines not yet seen
+        self.remembered_images: dict[str, dict[str, float]] = {}
         self.images_changed = False
-        self.refresh_count = self.fit_checks = (
-            0  # machines looked at, and asked for room: what the tests of growth count
-        )
+        # Machines looked at, and asked for room: what the tests of growth count
+        self.refresh_count = self.fit_checks = 0
 
     # -- room --------------------------------------------------------------------------------
 
@@ -380,7 +367,8 @@
                 if not self.preemptible_classes[preemption_class]:
                     del self.preemptible_classes[preemption_class]
             self.preemptible_classes.update(classes - machine.preemptible_classes)
-            machine.preemptible, machine.preemptible_classes = preemptible, classes
+            machine.preemptible = preemptible
+            machine.preemptible_classes = classes
         if not preemptible:
             self.preemption_candidates.pop(machine.name, None)
         elif gained or machine.name not in self.preemption_candidates:
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -43,25 +43,20 @@
 )
 
 ATTEMPT_BITS = 28
-OFFER_WAIT_S = (
-    0.06  # how long a worse answer waits for a better one: a few round trips between controllers
-)
+# How long a worse answer waits for a better one: a few round trips between controllers
+OFFER_WAIT_S = 0.06
 TEAM_CHECK_INTERVAL_S = 0.2  # how often a team's waiting jobs are held against its limit anew
 AVOID_MACHINE_S = 120.0  # how long a machine is avoided by a job that failed there
-INITIAL_JOB_BACKOFF_S, MAX_JOB_BACKOFF_S = (
-    5.0,
-    90.0,
-)  # first and longest pause between two tries of a job that fails everywhere
-INITIAL_TASK_BACKOFF_S, MAX_TASK_BACKOFF_S = (
-    1.0,
-    60.0,
-)  # the same for one task that fails while its job works
-SERVICE_CHECK_INTERVAL_S = (
-    0.5  # how often replicas that wait for their team's limit are held against its arrays
-)
-REVISIT_INTERVAL_S = (
-    1.0  # how often every job with offers is decided anew, whatever has been seen to change
-)
+# First and longest pause between two tries of a job that fails everywhere
+INITIAL_JOB_BACKOFF_S = 5.0
+MAX_JOB_BACKOFF_S = 90.0
+# The same for one task that fails while its job works
+INITIAL_TASK_BACKOFF_S = 1.0
+MAX_TASK_BACKOFF_S = 60.0
+# How often replicas that wait for their team's limit are held against its arrays
+SERVICE_CHECK_INTERVAL_S = 0.5
+# How often every job with offers is decided anew, whatever has been seen to change
+REVISIT_INTERVAL_S = 1.0
 
 
 class JobSource(EvictionGrants):
@@ -125,7 +120,8 @@
     def _update_attempt(
         self, job_state: JobState, allocation: Allocation, update: AttemptUpdate, now: float
     ) -> None:
-        state, reason = update.state, update.reason
+        state = update.state
+        reason = update.reason
         if allocation.finished or (
             state == allocation.state
             and reason == allocation.reason
@@ -144,7 +140,9 @@
         job_state.running_count -= allocation.running
         if NOTICE_EVICTION_REQUESTED in (update.notice, allocation.notice):
             self.request_eviction(allocation, update.notice == NOTICE_EVICTION_REQUESTED, now)
-        allocation.state, allocation.reason, allocation.notice = state, reason, update.notice
+        allocation.state = state
+        allocation.reason = reason
+        allocation.notice = update.notice
         allocation.finished = state in ("exited", "gone")
         job_state.running_count += allocation.running
         if state == "running" and allocation.running_since is None:
--- a/ploverhall/scheduling/placement.py
+++ b/ploverhall/scheduling/placement.py
@@ -32,24 +32,25 @@
     occupies,
 )
 
-PREEMPTION_INTERVAL_S = (
-    0.25  # how often a waiting candidate is matched anew against work that may be stopped
-)
+# How often a waiting candidate is matched anew against work that may be stopped
+PREEMPTION_INTERVAL_S = 0.25
 MAX_PREEMPTION_SEARCHES = 24  # candidates matched in one go
 LOWEST_PRIORITY = max(PRIORITIES.values())
-REPLICA_SPREAD_COST_S = 3.0  # seconds of fetching that keeping a replica apart from its like is worth: at 30, replicas fetched beside idle copies
+# Seconds of fetching that keeping a replica apart from its like is worth: at 30, replicas fetched
+# beside idle copies
+REPLICA_SPREAD_COST_S = 3.0
 CACHED_IMAGE_COST_S = 0.15  # seconds that each image a machine holds is worth to others
 PREEMPTION_DELAY_S = 1.0  # what stopping others takes, until their room is free
 LOST_WORK_WEIGHT = 0.2  # seconds of waiting that a second of lost work is worth
-PREEMPTION_SAMPLE, PREEMPTION_SAMPLE_PER_TASK = (
-    64,
-    4,
-)  # machines asked what could be stopped on them: at least so many, and so many a task
-WARM_SEARCH_THRESHOLD_S = 2.0  # a start that is slower than this is worth the question whether a machine that holds the image is better
+# Machines asked what could be stopped on them: at least so many, and so many a task
+PREEMPTION_SAMPLE = 64
+PREEMPTION_SAMPLE_PER_TASK = 4
+# A start that is slower than this is worth the question whether a machine that holds the image is
+# better
+WARM_SEARCH_THRESHOLD_S = 2.0
 WARM_SAMPLE = 24  # machines asked that question
-REVISIT_INTERVAL_S = (
-    2.0  # how often every waiting candidate is looked at anew, whatever has been seen to change
-)
+# How often every waiting candidate is looked at anew, whatever has been seen to change
+REVISIT_INTERVAL_S = 2.0
 FailedShapes = list[tuple[ResourceVector, tuple[str, ...] | None, str | None, bool]]
 
 
@@ -75,33 +76,29 @@
     """Holds room for candidates and tells the sources."""
 
     def __init__(self, inventory: Inventory, hold_s: float, sample: int, random: Random) -> None:
-        self.inventory, self.hold_s, self.sample, self.random = inventory, hold_s, sample, random
+        self.inventory = inventory
+        self.hold_s = hold_s
+        self.sample = sample
+        self.random = random
         self.requests: dict[str, CandidateRequest] = {}
         self.reservations: dict[str, dict[int, Reservation]] = {}
-        self.queue: list[
-            tuple[tuple[float, ...], str]
-        ] = []  # candidates without room, most important first
+        # Candidates without room, most important first
+        self.queue: list[tuple[tuple[float, ...], str]] = []
         self.new_requests: set[str] = set()  # those not yet looked at
         self.expiry_queue: deque[Reservation] = deque()  # in the order in which the hold time ends
         self.preempting: dict[int, Reservation] = {}
-        self.victims: set[AttemptId] = (
-            set()
-        )  # what permits being carried out stop already; the owner keeps it
-        self.exhausted_searches: dict[
-            str, tuple[int, int, str | None]
-        ] = {}  # who found too few ways: the fleet's counter, how many, in which zone
-        self.exhausted_gang_searches: dict[
-            tuple[object, ...], tuple[int, int]
-        ] = {}  # alike gangs: the counter, and the ways there were in all
-        self.preemption_checks = (
-            0  # machines asked what could be stopped on them: what the tests of growth count
-        )
-        self.kept_for_job: dict[
-            str, str
-        ] = {}  # machines that are left to empty for a gang that has not begun for long
-        self.partial_gang: str | None = (
-            None  # the one gang that may hold room for less than all of its tasks
-        )
+        # What permits being carried out stop already; the owner keeps it
+        self.victims: set[AttemptId] = set()
+        # Who found too few ways: the fleet's counter, how many, in which zone
+        self.exhausted_searches: dict[str, tuple[int, int, str | None]] = {}
+        # Alike gangs: the counter, and the ways there were in all
+        self.exhausted_gang_searches: dict[tuple[object, ...], tuple[int, int]] = {}
+        # Machines asked what could be stopped on them: what the tests of growth count
+        self.preemption_checks = 0
+        # Machines that are left to empty for a gang that has not begun for long
+        self.kept_for_job: dict[str, str] = {}
+        # The one gang that may hold room for less than all of its tasks
+        self.partial_gang: str | None = None
         self.next_reservation_id = 1
         self.next_preemption_at = 0.0
         self.next_revisit_at = 0.0
@@ -275,7 +272,8 @@
             for job_id in self.requests:
                 self._enqueue_if_missing(job_id)
             self._keep_machines_for_gang(now)
-        gained, fleet.machines_with_gains = fleet.machines_with_gains, {}
+        gained = fleet.machines_with_gains
+        fleet.machines_with_gains = {}
         failed: FailedShapes = []
         tries = MAX_PREEMPTION_SEARCHES
         partial_seen = False
@@ -283,9 +281,8 @@
         for i, (order, job_id) in enumerate(self.queue):
             if not self.new_requests and not gained and not (preempt and tries):
                 still += self.queue[i:]
-                partial_seen = (
-                    True  # not all were seen: whoever holds pieces may still be among the rest
-                )
+                # Not all were seen: whoever holds pieces may still be among the rest
+                partial_seen = True
                 break
             request = self.requests.get(job_id)
             if request is None:
@@ -803,9 +800,8 @@
             info = self.inventory.job_traits.get(key[0])
             if key in taken:
                 if occupies(permit, machine.tasks.get(key)):
-                    room = add_scaled(
-                        room, permit.resources
-                    )  # it goes for a start whose room is counted already
+                    # It goes for a start whose room is counted already
+                    room = add_scaled(room, permit.resources)
                 continue
             if (
                 info is None
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -36,16 +36,15 @@
 TOKEN_BITS = fencing_tokens.TOKEN_BITS
 FAILURE_WINDOW_S = 300.0  # how long a failure on a machine counts against it
 QUARANTINE_S = 600.0  # how long a machine on which two jobs have failed is not trusted
-REPLACEMENT_DELAY_S = (
-    20.0  # before it is given back: a job that fails everywhere is found out sooner
-)
-COMMAND_RETRY_S, LONG_COMMAND_RETRY_S = (
-    5.0,
-    60.0,
-)  # a worker that has not answered a command is sent none for so long: each costs a token
+# Before it is given back: a job that fails everywhere is found out sooner
+REPLACEMENT_DELAY_S = 20.0
+# A worker that has not answered a command is sent none for so long: each costs a token
+COMMAND_RETRY_S = 5.0
+LONG_COMMAND_RETRY_S = 60.0
 UNANSWERED_BEFORE_LONG_RETRY = 8  # after so many it is long: its reports bring it what it has to do
 FLAP_WINDOW_S = 60.0  # a machine that stops hearing again so soon rests, twice as long each time
-INITIAL_FLAP_BACKOFF_S, MAX_FLAP_BACKOFF_S = 5.0, 120.0
+INITIAL_FLAP_BACKOFF_S = 5.0
+MAX_FLAP_BACKOFF_S = 120.0
 SWEEP_INTERVAL_S = 0.25  # how often time itself is looked at for every machine
 
 
@@ -65,17 +64,16 @@
         now: float,
         holder: int | None = None,
     ) -> None:
-        self.shard, self.epoch, self.source_count = shard, epoch, source_count
+        self.shard = shard
+        self.epoch = epoch
+        self.source_count = source_count
         self.lease_s = lease_s
-        self.initial_token = fencing_tokens.initial_token(
-            epoch, holder
-        )  # what every worker is given to begin with
-        self.renewal_grant = (
-            0  # what tokens that leave now say of who may answer later (coordination.afterlife)
-        )
-        self.token_space_exhausted = (
-            False  # a token could not be raised any more: a new epoch is wanted
-        )
+        # What every worker is given to begin with
+        self.initial_token = fencing_tokens.initial_token(epoch, holder)
+        # What tokens that leave now say of who may answer later (coordination.afterlife)
+        self.renewal_grant = 0
+        # A token could not be raised any more: a new epoch is wanted
+        self.token_space_exhausted = False
         self.started = now
         self.inventory = Inventory(heartbeat_interval_s)
         self.machines = self.inventory.machines
@@ -85,38 +83,31 @@
         self.permits: dict[AttemptId, Permit] = {}
         self.permits_by_job: dict[str, dict[AttemptId, Permit]] = {}
         self.known_keys: dict[int, set[str]] = {}  # by source: the keys on its board
-        self.waiting_for_victims: dict[
-            AttemptId, Permit
-        ] = {}  # permits that wait for others to leave
+        # Permits that wait for others to leave
+        self.waiting_for_victims: dict[AttemptId, Permit] = {}
         self.synced_sources: set[int] = set()
         self.draining_machines: set[str] = set()
         self.cordoned_machines: set[str] = set()  # machines that an order wants empty
         self.changed_attempts: set[AttemptId] = set()  # starts whose sources must hear of them
         self.source_updates: dict[tuple[int, str], Any] = self.placement.source_updates
         self.machines_needing_commands: dict[str, Machine] = {}  # machines that may need a command
-        self.machines_by_heartbeat: dict[
-            str, Machine
-        ] = {}  # all machines, the one that has been silent for longest first
+        # All machines, the one that has been silent for longest first
+        self.machines_by_heartbeat: dict[str, Machine] = {}
         self.suspected_machines: dict[str, Machine] = {}  # machines on which two jobs have failed
-        self.unconfirmed_machines: dict[
-            str, Machine
-        ] = {}  # machines that may not hear what they are told
-        self.changed_for_autoscaler: dict[
-            str, Machine | None
-        ] = {}  # machines the renter must hear of
+        # Machines that may not hear what they are told
+        self.unconfirmed_machines: dict[str, Machine] = {}
+        # Machines the renter must hear of
+        self.changed_for_autoscaler: dict[str, Machine | None] = {}
         self.needs_step = True
         self.superseded_by = 0
         self.next_sweep_at = 0.0
         self.last_heartbeat_at = 0.0  # when any worker last reported
-        self.epoch_confirmed_at = (
-            now  # begin of the newest read of the store that showed this owner's epoch in force
-        )
-        self.confirmation_needed = (
-            False  # a lease has run out by this clock, and a read must show who holds the part
-        )
-        self.job_ended_in_store: Callable[[str], bool] = lambda job_id: (
-            False
-        )  # by this node's own copy of the store
+        # Begin of the newest read of the store that showed this owner's epoch in force
+        self.epoch_confirmed_at = now
+        # A lease has run out by this clock, and a read must show who holds the part
+        self.confirmation_needed = False
+        # By this node's own copy of the store
+        self.job_ended_in_store: Callable[[str], bool] = lambda job_id: False
 
     @property
     def machine_types(self) -> dict[str, MachineType]:
@@ -334,7 +325,9 @@
                 and not mine.claimed_guarantee
                 and (by_guarantee or info.preemption_class[-1])
             ):
-                mine.claimed_guarantee = True  # as what it takes the room of had it: else whom that one stopped would stop this one
+                # As what it takes the room of had it: else whom that one stopped would stop this
+                # one
+                mine.claimed_guarantee = True
                 for q in self.permits_by_job[permit.attempt_id[0]].values():
                     self._mark_changed(self.machines.get(q.machine))
 
@@ -394,17 +387,20 @@
         if machine.lease_expired and (heartbeat.incarnation, heartbeat.sequence) <= max(
             machine.newest_heartbeat, (machine.incarnation, machine.sequence)
         ):
-            machine.newest_heartbeat, machine.incarnation, machine.sequence = (0, 0), 0, 0
+            machine.newest_heartbeat = (0, 0)
+            machine.incarnation = 0
+            machine.sequence = 0
             self._await_token(machine, now)
         machine.stale_heartbeat = (heartbeat.incarnation, heartbeat.sequence) <= (
             machine.newest_heartbeat if not direct else (machine.incarnation, machine.sequence)
         )
         if machine.stale_heartbeat:
             return machine
+        # This one's answer to the last report has not come: it went on
         answer_lost = relayed and machine.newest_heartbeat == (
             heartbeat.incarnation,
             heartbeat.sequence - 1,
-        )  # this one's answer to the last report has not come: it went on
+        )
         if not direct:
             machine.newest_heartbeat = (heartbeat.incarnation, heartbeat.sequence)
             self.last_heartbeat_at = now
@@ -481,15 +477,15 @@
         (played world: 9 in a minute on one machine).
         """
         if not machine.awaited_token and self._raise_token(machine):
-            machine.awaited_token, machine.awaited_since = machine.token, now
+            machine.awaited_token = machine.token
+            machine.awaited_since = now
             self.unconfirmed_machines[machine.name] = machine
             self._mark_changed(machine)
 
     def _token_confirmed(self, machine: Machine, now: float) -> None:
         """It has taken a token that was raised since the doubt began."""
-        machine.awaited_token = (
-            0  # it leaves `unheard` with the next sweep that finds its rest over
-        )
+        # It leaves `unheard` with the next sweep that finds its rest over
+        machine.awaited_token = 0
         if machine.not_receiving:
             machine.not_receiving = False
             machine.flap_backoff_s = (
@@ -519,7 +515,8 @@
                 ):
                     self._record_failure(machine, key[0], now)
         self.changed_attempts.update(key for key in machine.tasks if key not in tasks)
-        machine.tasks, machine.listed_tasks = tasks, heartbeat.listed_tasks
+        machine.tasks = tasks
+        machine.listed_tasks = heartbeat.listed_tasks
         for key, task in tasks.items():
             if (
                 task.state not in (EXITED, "fetching")
@@ -566,12 +563,12 @@
             return
         machine = self.machines.get(permit.machine)
         if permit.machine in self.inventory.proven_gone:
-            permit.gone, permit.gone_reason = True, "its machine is gone"
+            permit.gone = True
+            permit.gone_reason = "its machine is gone"
         elif permit.refused and permit.run_token == 0 and permit.epoch == self.epoch:
-            permit.gone, permit.gone_reason = (
-                True,
-                "its room was taken",
-            )  # this owner offered the room and has never sent the run
+            # This owner offered the room and has never sent the run
+            permit.gone = True
+            permit.gone_reason = "its room was taken"
         elif (
             machine is not None
             and permit.attempt_id not in machine.tasks
@@ -589,10 +586,9 @@
                     else "its worker no longer has it"
                 )
             elif permit.epoch < self.epoch:
-                permit.gone, permit.gone_reason = (
-                    True,
-                    "its worker no longer has it",
-                )  # earlier runs bear tokens below the one the worker has taken
+                # Earlier runs bear tokens below the one the worker has taken
+                permit.gone = True
+                permit.gone_reason = "its worker no longer has it"
             elif permit.stop_grace_s is not None and permit.epoch == self.epoch:
                 permit.gone = True  # never sent
         if permit.gone:
@@ -651,7 +647,8 @@
                         permit.refused = True
                         self._check_gone(permit)
                     self.changed_attempts.add(permit.attempt_id)
-                machine.tasks, machine.listed_tasks = {}, None
+                machine.tasks = {}
+                machine.listed_tasks = None
             elif (
                 (machine.lease_expired or not machine.accepted_token)
                 and now - machine.last_heartbeat_at > 900
@@ -795,9 +792,8 @@
         ) is not None:
             machine.token = token
         else:
-            self.token_space_exhausted = (
-                True  # the worker keeps an earlier right, which ends sooner
-            )
+            # The worker keeps an earlier right, which ends sooner
+            self.token_space_exhausted = True
         for permit in machine.permits.values():
             task = machine.tasks.get(permit.attempt_id)
             if task is not None:
@@ -845,7 +841,8 @@
                     out.append(agents.reap_command(key))
         for permit in runs:
             out.append(agents.run_command(permit.attempt_id))
-            permit.run_token, permit.run_incarnation = machine.token, machine.incarnation
+            permit.run_token = machine.token
+            permit.run_incarnation = machine.incarnation
             if direct:
                 permit.run_sent_directly = True
                 machine.inflight_runs.add(permit.attempt_id)
@@ -880,7 +877,9 @@
             else:
                 self._await_token(machine, now)
             for permit in machine.permits.values():
-                permit.kill_sent_grace_s = None  # nor need a stop have arrived: where its reports don't come either, nothing else would bring it
+                # Nor need a stop have arrived: where its reports don't come either, nothing else
+                # would bring it
+                permit.kill_sent_grace_s = None
             machine.unanswered_commands += 1
             machine.next_command_at = now + (
                 COMMAND_RETRY_S
@@ -991,7 +990,8 @@
 
     def take_machine_updates(self, now: float) -> dict[str, MachineUpdate | None]:
         """The machines something happened to since the last time."""
-        seen, self.changed_for_autoscaler = self.changed_for_autoscaler, {}
+        seen = self.changed_for_autoscaler
+        self.changed_for_autoscaler = {}
         return {
             name: self.machine_update(machine, now) if machine is not None else None
             for name, machine in seen.items()
--- a/ploverhall/status.py
+++ b/ploverhall/status.py
@@ -11,15 +11,13 @@
 
 MAX_ROWS = 40  # rows of one kind in a view
 MAX_TASK_ROWS = 100  # tasks of a job that was asked for
-SLOW_MULTIPLE, MIN_SLOW_S = (
-    4.0,
-    60.0,
-)  # a gang or service waits far longer than usual: so many times, and at least so long
+# A gang or service waits far longer than usual: so many times, and at least so long
+SLOW_MULTIPLE = 4.0
+MIN_SLOW_S = 60.0
 RECENT_STALL_S = 120.0  # a controller that stood still is named for so long
 SERVICES = {"state": "state service"}
-STORE_ANSWER_MAX_AGE_S = (
-    2.5  # a controller that the state service has not answered for longer is in trouble
-)
+# A controller that the state service has not answered for longer is in trouble
+STORE_ANSWER_MAX_AGE_S = 2.5
 
 
 def select(report: dict[str, Any], selection: dict[str, str]) -> dict[str, Any]:
--- a/ploverhall/storage/image_index.py
+++ b/ploverhall/storage/image_index.py
@@ -35,7 +35,9 @@
         )
         if value[1] and size + entry + table > max_bytes:
             values.append(value)
-            names, value, size = {}, [[], {}], 8
+            names = {}
+            value = [[], {}]
+            size = 8
             table = sum(len(orjson.dumps([i, gb])) + 1 for i, gb in machine_images.items())
         if size + entry + table > max_bytes:
             continue
--- a/ploverhall/storage/store_cache.py
+++ b/ploverhall/storage/store_cache.py
@@ -14,8 +14,12 @@
 from ploverhall.protocol.key_value_store import WatchEvent
 
 WATCHED_PREFIX = "p/"
-JOB_PREFIX, SHARD_PREFIX, CONTROLLER_PREFIX = "p/job/", "p/shard/", "p/node/"
-AUTOSCALER_KEY, MACHINE_TYPE_COUNT_KEY, MACHINE_TYPE_PREFIX = "p/renter", "p/types", "p/type/"
+JOB_PREFIX = "p/job/"
+SHARD_PREFIX = "p/shard/"
+CONTROLLER_PREFIX = "p/node/"
+AUTOSCALER_KEY = "p/renter"
+MACHINE_TYPE_COUNT_KEY = "p/types"
+MACHINE_TYPE_PREFIX = "p/type/"
 ARCHIVE_MARKER_KEY = "p/archived"  # there is something under ARCHIVE
 ARCHIVE_PREFIX = "e/"  # jobs that ended long ago: followed by nobody, read when somebody asks
 
@@ -77,12 +81,10 @@
     ended_jobs: dict[str, EndedJob] = field(default_factory=dict)  # the oldest first
     entries: dict[str, tuple[Any, int]] = field(default_factory=dict)  # everything else, small
     changed_jobs: list[str] = field(default_factory=list)
-    unreadable_jobs: set[str] = field(
-        default_factory=set
-    )  # accepted jobs whose record says nothing to this release
-    departed_controllers: dict[str, int] = field(
-        default_factory=dict
-    )  # members' keys that are gone: the revision at which they went
+    # Accepted jobs whose record says nothing to this release
+    unreadable_jobs: set[str] = field(default_factory=set)
+    # Members' keys that are gone: the revision at which they went
+    departed_controllers: dict[str, int] = field(default_factory=dict)
     loaded_revision: int = 0  # what went before this revision, and came again, was not seen
 
     def load(self, listing: dict[str, tuple[Any, int]], revision: int) -> None:
--- a/ploverhall/transport/client_pool.py
+++ b/ploverhall/transport/client_pool.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ploverhall.transport.http import Client
+from ploverhall.transport.http_client import Client
 
 
 @dataclass(slots=True)
@@ -51,8 +51,7 @@
         if excess <= 0:
             return
         unused = [key for key, pooled in self.clients.items() if pooled.calls == 0][:excess]
-        removed = [
-            self.clients.pop(key) for key in unused
-        ]  # before any wait: nobody takes them now
+        # Before any wait: nobody takes them now
+        removed = [self.clients.pop(key) for key in unused]
         for pooled in removed:
             await pooled.client.aclose()
--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -7,7 +7,7 @@
 of agents that have gone elsewhere are closed, the longest idle first. Near the limit of accepted
 connections users' connections are closed after their answers, too.
 
-Used by `transport.http.Server` for the connections that it accepts, and by
+Used by `transport.http_server.Server` for the connections that it accepts, and by
 `transport.client_pool.ClientPool` for the connections to workers. Nothing is done before a limit is
 reached.
 """
--- a/ploverhall/transport/http_parser.py
+++ b/ploverhall/transport/http_parser.py
@@ -46,7 +46,10 @@
 
     def on_message_begin(self) -> None:
         self.body.clear()
-        self.head, self.bytes_fed, self.in_head, self.message_begun = 0, 0, True, True
+        self.head = 0
+        self.bytes_fed = 0
+        self.in_head = True
+        self.message_begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._grow(len(name) + len(value) + 4)
@@ -108,7 +111,9 @@
     def on_message_begin(self) -> None:
         """Called by the parser."""
         super().on_message_begin()
-        self._url, self._host, self.expects = b"", False, False
+        self._url = b""
+        self._host = False
+        self.expects = False
 
     def on_url(self, url: bytes) -> None:
         """Called by the parser, with a part of the target."""
@@ -149,9 +154,8 @@
 class ResponseReader(_Reader):
     """One response after the other, each asked for by one request."""
 
-    max_body_bytes = (
-        256 * 1024 * 1024
-    )  # a watch's answer has no limit of its own; this one only bounds what a broken service can do
+    # A watch's answer has no limit of its own; this one only bounds what a broken service can do
+    max_body_bytes = 256 * 1024 * 1024
 
     def __init__(self) -> None:
         super().__init__()
--- a/ploverhall/transport/network.py
+++ b/ploverhall/transport/network.py
@@ -13,6 +13,13 @@
 from anyio.abc import ByteStream
 
 BACKLOG = 4096  # connections that wait to be accepted: every agent comes at once after a pause
+READ_BYTES = 65_536  # read from a stream at once
+CONNECTION_ERRORS = (
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    OSError,
+)
 Handler = Callable[[Any], Awaitable[None]]
 
 
--- a/ploverhall/transport/peer_stream.py
+++ b/ploverhall/transport/peer_stream.py
@@ -47,8 +47,12 @@
         network: Network = TCP_NETWORK,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.network, self.clock = network, clock
-        self.own_name, self.name, self.host, self.port = own_name, name, host, port
+        self.network = network
+        self.clock = clock
+        self.own_name = own_name
+        self.name = name
+        self.host = host
+        self.port = port
         self.collect = collect
         self.generation = 0
         self.connected = False
@@ -117,7 +121,8 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.deliver = deliver
-        self.network, self.clock = network, clock
+        self.network = network
+        self.clock = clock
 
     async def run(self, host: str, port: int) -> None:
         """Listen until cancelled."""
--- a/scripts/back.py
+++ b/scripts/back.py
@@ -23,7 +23,8 @@
 from ploverhall import settings
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol import jobs
-from ploverhall.transport.http import Client, Server
+from ploverhall.transport.http_client import Client
+from ploverhall.transport.http_server import Server
 from tests import test_loopback
 from tests.standins import Fleet, State
 
--- a/scripts/cost.py
+++ b/scripts/cost.py
@@ -42,29 +42,29 @@
 
     import anyio
 
-    from ploverhall.transport import http
+    from ploverhall.transport.http_server import Reply, Server
 
-    uv = (
-        find_spec("ploverhall.transport.http_parser") is not None
-    )  # the version that runs on uvloop
+    # The version that runs on uvloop
+    uv = find_spec("ploverhall.transport.http_parser") is not None
     body = json.dumps(body_of("n-1", 1, 1, 4)).encode()
     data = (
         b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
         % len(body)
         + body
     )
-    n, out = 4000, 0.0
+    n = 4000
+    out = 0.0
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         port = s.getsockname()[1]
 
     async def handler(q: Any) -> Any:
-        return http.Reply(200, {"crest": 41, "calls": []})
+        return Reply(200, {"crest": 41, "calls": []})
 
     async def play() -> None:
         nonlocal out
         async with anyio.create_task_group() as tg:
-            tg.start_soon(http.Server(handler, cap=1000).run, "127.0.0.1", port)
+            tg.start_soon(Server(handler, cap=1000).run, "127.0.0.1", port)
             await anyio.sleep(0.2)
             begun = time.process_time()
             if (pid := os.fork()) == 0:
@@ -166,13 +166,15 @@
         from ploverhall.scheduling.permitting import JobSource
         from ploverhall.settings import Team
 
-        self.now, self.spent, self.permits, self.jobs = 0.0, 0.0, 0, 0
+        self.now = 0.0
+        self.spent = 0.0
+        self.permits = 0
+        self.jobs = 0
         self.o = an_owner(size)
         teams = [Team(f"t{i}", 0.0, 0.0, float(size), 4.0 * size) for i in range(8)]
         self.s = JobSource(0, 3, teams, ("a",), 4096, 48)
-        self.tasks: dict[str, dict[Any, list[Any]]] = {
-            m: {} for m in self.o.machines
-        }  # machine -> task -> state, cause, until
+        # Machine -> task -> state, cause, until
+        self.tasks: dict[str, dict[Any, list[Any]]] = {m: {} for m in self.o.machines}
         self.seq = dict.fromkeys(self.o.machines, 1)
         self.length: dict[str, float] = {}
 
@@ -288,7 +290,8 @@
     for _ in range(40):
         p.step()
     assert sum(map(len, p.tasks.values())) > size * 2.5, "the fleet is filled first"
-    p.spent, p.permits = 0.0, 0
+    p.spent = 0.0
+    p.permits = 0
     for i in range(60):
         p.submit("array", 2, 12, 1.0, 2.0)
         if i % 10 == 0:
@@ -306,7 +309,8 @@
         p.step()
     for i in range(10):
         p.submit("gang" if i % 2 else "array", 1, 4, 4.0, 9.0)
-    p.spent, p.permits = 0.0, 0
+    p.spent = 0.0
+    p.permits = 0
     names = list(p.tasks)
     for i in range(60):
         p.submit("array", 2, 6, 1.0, 2.0)
@@ -318,10 +322,9 @@
     return p.spent / max(1, p.permits) * 1e6
 
 
-ASKED, AT_ONCE = (
-    6000,
-    40,
-)  # questions of a round; a read of the state service is shared by those that wait for it
+# Questions of a round; a read of the state service is shared by those that wait for it
+ASKED = 6000
+AT_ONCE = 40
 
 
 def users_cost(size: int, verb: str) -> float:
@@ -396,8 +399,9 @@
     import anyio
 
     from ploverhall.storage.store_cache import JOB_PREFIX, end_record
-    from ploverhall.transport.http import Client, Reply, Server
+    from ploverhall.transport.http_client import Client
     from ploverhall.transport.http_parser import Request
+    from ploverhall.transport.http_server import Reply, Server
     from tests.standins import Fleet, State
 
     state = State()
@@ -413,9 +417,8 @@
             for k, v in state.store.read(q.query["starts"]).items()
             if k > q.query.get("from", "")
         ]
-        items = [
-            {"path": k, "v": v, "feather": n} for k, (v, n) in found[:1000]
-        ]  # as large pages as the service gives
+        # As large pages as the service gives
+        items = [{"path": k, "v": v, "feather": n} for k, (v, n) in found[:1000]]
         return Reply(200, {"items": items, "hasNext": len(found) > 1000, "moult": state.store.rev})
 
     spec = {
@@ -444,7 +447,8 @@
     async def play() -> None:
         async with anyio.create_task_group() as tg:
             fleet = Fleet({}, 0)
-            fleet.tasks, fleet.most = tg, 0
+            fleet.tasks = tg
+            fleet.most = 0
             tg.start_soon(Server(handle, 100).run, "127.0.0.1", ports[2])
             tg.start_soon(Server(fleet.handle, 100).run, "127.0.0.1", ports[3])
             user = Client("127.0.0.1", ports[0], AT_ONCE)
--- a/scripts/cuts.py
+++ b/scripts/cuts.py
@@ -136,7 +136,9 @@
 
 def read(report: dict[str, Any], logs: Path, day: Day) -> dict[str, Any]:
     """The figures of a played day, from its report and its controllers' logs."""
-    permits, taken, end = [day.begin], 0, day.end + AFTER_S
+    permits = [day.begin]
+    taken = 0
+    end = day.end + AFTER_S
     line = re.compile(rb" *([0-9.]+) \S+ \w+ (permit|shard taken) ")
     with logs.open("rb") as f:
         for text in f:
--- a/scripts/days.py
+++ b/scripts/days.py
@@ -357,9 +357,8 @@
         rng.random() < 0.3,
     )
     if any(j.get("spread") for j in site["jobs"]):
-        zones = max(
-            2, zones
-        )  # in a single zone no more than half of such a job can ever run: that is no day
+        # In a single zone no more than half of such a job can ever run: that is no day
+        zones = max(2, zones)
     zones = min(zones, nodes + 1)
     times, delay = rng.choice([0.5, 0.75, 1.0, 1.25, 1.5, 1.5]), rng.choice(DELAYS)
     scaled(site, times)
--- a/scripts/further.py
+++ b/scripts/further.py
@@ -461,9 +461,8 @@
 def faults(site: dict[str, Any], seed: int, i: int, rng: Random) -> tuple[list[Fault], list[str]]:
     """All troubles of day number I by their times, and the names of its meetings."""
     d, at, out = Draw(site, rng), site["warmup_s"] * rng.uniform(0.7, 1.0), []
-    last = (
-        0.8 * site["duration_s"]
-    )  # what is left of the day is for those that are waiting, and for the questions
+    # What is left of the day is for those that are waiting, and for the questions
+    last = 0.8 * site["duration_s"]
     names = []
     for meeting in order(seed, i):
         here = meeting(d)
@@ -475,9 +474,8 @@
             8.0, 20.0
         )
         if at >= last:
-            at = site["warmup_s"] + (last - site["warmup_s"]) * rng.uniform(
-                0.0, 0.8
-            )  # on top of an earlier one
+            # On top of an earlier one
+            at = site["warmup_s"] + (last - site["warmup_s"]) * rng.uniform(0.0, 0.8)
     return sorted(out, key=lambda f: f["at_s"]), names
 
 
--- a/scripts/mixed.py
+++ b/scripts/mixed.py
@@ -35,21 +35,24 @@
 from ploverhall import settings
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol import jobs
-from ploverhall.transport.http import Client, Server
+from ploverhall.transport.http_client import Client
+from ploverhall.transport.http_server import Server
 from tests import test_loopback, world
 from tests.standins import Fleet, State
 
 ROOT = Path(__file__).resolve().parent.parent
-OLD, NEW = "old", "new"
+OLD = "old"
+NEW = "new"
 NAMES = ("c0", "c1", "c2")
 ZONES = ("a", "b", "a")
 MACHINES = 9
 FIRST_AGENT_PORT = 27_000
+# A shard's lease is 4 s: the last one's shard is taken over meanwhile
 AWAY_S = {
     "c0": 0.3,
     "c1": 1.0,
     "c2": 5.0,
-}  # a shard's lease is 4 s: the last one's shard is taken over meanwhile
+}
 CANCEL_S = 30.0
 JOB_EVERY_S = 0.2
 CANCELLED_SHARE = 0.25
@@ -57,10 +60,11 @@
 ANSWERED_WITHIN_S = 20.0
 ENDED_WITHIN_S = 30.0
 WHOLE_RUN_S = 175.0
+# Beginnings of log lines that no controller may write
 FAULTY_LINES = (
     "error ",
     "warning state service: odd answer",
-)  # beginnings of log lines that no controller may write
+)
 
 
 @dataclass
@@ -109,7 +113,8 @@
     """The controller processes, each in one of two versions."""
 
     def __init__(self, trees: dict[str, Path], folder: Path, ports: list[int]) -> None:
-        self.trees, self.folder = trees, folder
+        self.trees = trees
+        self.folder = folder
         self.settings: dict[str, settings.Settings] = {}
         self.version: dict[str, str] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -206,7 +211,8 @@
     async def ask_about(self, job: str, name: str, method: str, path: str, body: Any = None) -> int:
         """One request about a job. What the user is told must not be less than what was told before the request."""
         submitted = self.submitted[job]
-        accepted, final = submitted.accepted, submitted.final
+        accepted = submitted.accepted
+        final = submitted.final
         status, answer = await self.call(name, method, path, body)
         if accepted and status in (201, 400, 404, 422):
             self.wrong.append(f"forgotten: {job} by {name}: {method} {status} {answer}")
--- a/scripts/served.py
+++ b/scripts/served.py
@@ -24,7 +24,8 @@
 from pathlib import Path
 from typing import Any
 
-HALF, NEAR = 0.5, 0.65
+HALF = 0.5
+NEAR = 0.65
 BEGIN_S = 240.0
 LINE = re.compile(r" *([0-9.]+) \S+ \w+ (accepted|task|done|withdrawn) (.*)")
 
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -52,6 +52,7 @@
     "at_once": 1,
     "note": "x",
 }
+# One of these is wrong in each field
 WRONG: tuple[Any, ...] = (
     [],
     {},
@@ -60,7 +61,7 @@
     "",
     "\x00\u2028",
     1e300,
-)  # one of these is wrong in each field
+)
 
 
 def _post(path: str, body: bytes, method: str = "POST") -> bytes:
@@ -100,10 +101,9 @@
         {"chick": "j-1/1"},
     ]
     jobs_path, report_path = "/api/jobs", "/v1/report"
+    # Nothing of it is accepted, whatever is put in
     out = {
-        **_variants(
-            jobs_path, {**SUBMISSION, "keeper": "nobody"}
-        ),  # nothing of it is accepted, whatever is put in
+        **_variants(jobs_path, {**SUBMISSION, "keeper": "nobody"}),
         **_variants(report_path, REPORT),
         **_variants("/upkeep", {**ORDER, "at_once": 0}),
         **{
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -14,7 +14,7 @@
 
 from ploverhall import settings
 from ploverhall.errors import UnreachableError
-from ploverhall.transport.http import Client
+from ploverhall.transport.http_client import Client
 from tests.played import DEAF, SILENT, Loop, Played
 
 from . import inputs
--- a/tests/golden/traffic.py
+++ b/tests/golden/traffic.py
@@ -19,9 +19,8 @@
 
 from .shapes import Kinds, pattern
 
-STORED = frozenset(
-    ("v",)
-)  # a stored record inside a message of the state service: see the golden file of the store
+# A stored record inside a message of the state service: see the golden file of the store
+STORED = frozenset(("v",))
 TEXTS = ("v", "q", "a")  # link messages that hold the views for people
 
 
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -29,10 +29,11 @@
 from .played import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW, Played, play
 
 KNOWN_S = 75.0
+# The deployments' own; a worker that tries two silent controllers is back after 11 s
 LEASE, CANCEL = (
     16.0,
     46.0,
-)  # the deployments' own; a worker that tries two silent controllers is back after 11 s
+)
 
 
 @dataclass(frozen=True)
@@ -289,9 +290,8 @@
         p.tasks.start_soon(self.cancels, rng.uniform(0.0, 3.0))
         at = p.now
         wait = rng.choice([1.5, 3.0, 6.0, 12.0])
-        early = (
-            rng.random() < 0.5
-        )  # at the moment at which its key has gone, before anybody takes its part
+        # At the moment at which its key has gone, before anybody takes its part
+        early = rng.random() < 0.5
         while p.now - at < wait or (early and p.now - at < 8.0):
             if early and f"p/node/{name}" not in p.state.store.kv:
                 break
@@ -411,10 +411,11 @@
     async def scene(p: Played) -> None:
         for i in range(3):
             p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
+        # Arrays and gangs that run on through a change of leader
         long = {
             "flightS": 400.0,
             "pullGb": 0.1,
-        }  # arrays and gangs that run on through a change of leader
+        }
         for i in range(8):
             p.tasks.start_soon(p.submit, p.spec(910 + i, gait="array", chicks=2, **long))
         p.tasks.start_soon(p.submit, p.spec(920, gait="group", **long))
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -39,16 +39,16 @@
 RECORDED = Path(__file__).with_name("packet_checksums.json")
 INTERVAL_S = 10.0  # of virtual time between two kept values of the running checksum
 FRAME_HEADER_BYTES = 4
+# What a controller sees, for `/status`: sent now and then, and as an answer
 VIEW_MESSAGES = (
     "v",
     "a",
-)  # what a controller sees, for `/status`: sent now and then, and as an answer
+)
 OWNER_BOARD = "o"
 REASON_FIELD = AttemptUpdate._fields.index("reason")
 STATE_FIELD = AttemptUpdate._fields.index("state")
-GONE = (
-    "gone"  # the state whose reason is a sentence; the other states' reasons are the agents' codes
-)
+# The state whose reason is a sentence; the other states' reasons are the agents' codes
+GONE = "gone"
 
 Scene = Callable[[Played, Random], Awaitable[None]]
 
--- a/tests/played.py
+++ b/tests/played.py
@@ -28,17 +28,17 @@
 from ploverhall.protocol import jobs
 from ploverhall.runtime import Runtime
 from ploverhall.storage.store_cache import SHARD_PREFIX
-from ploverhall.transport.http import Client, Reply, Server
+from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply, Server
 
 from . import world
 from .standins import Fleet, State
 
 SILENT, HOLD, RESET, REFUSE, SLOW, LOSSY = "silent", "hold", "reset", "refuse", "slow", "lossy"
 DEAF = "deaf"  # like silent, but the other side can still connect and be heard
-MUTE = (
-    "mute"  # no connection can be opened that way; those that the other side opens carry both ways
-)
+# No connection can be opened that way; those that the other side opens carry both ways
+MUTE = "mute"
 MODES = (SILENT, HOLD, RESET, REFUSE, SLOW, LOSSY)
 FINISHED_S = 30.0  # a job asked for so long ago should be served
 START = 1000.0  # the clock's first value: nothing may take 0 for "never"
@@ -118,9 +118,8 @@
         self.net, self.here, self.there = net, here, there
         self.buf, self.news = bytearray(), anyio.Event()
         self.ended = self.broken = self.closed = False
-        self.after = (
-            0.0  # when the last of what was sent arrives: what follows does not overtake it
-        )
+        # When the last of what was sent arrives: what follows does not overtake it
+        self.after = 0.0
         self.opened = False  # this side opened it
         self.other: Stream
 
@@ -337,9 +336,8 @@
         self.teams = {f"team-{i}": settings.Team(f"team-{i}", 0, 0, 4, 16) for i in range(teams)}
         self.asked: dict[str, Asked] = {}
         self.bodies: dict[str, dict[str, Any]] = {}  # what was submitted
-        self.closely: Random | None = (
-            None  # while users look closely: what their moments are drawn from
-        )
+        # While users look closely: what their moments are drawn from
+        self.closely: Random | None = None
         self.cancelled: dict[str, float] = {}
         self.withdrawing: set[str] = set()  # whose users have asked to cancel them
         self.told: dict[str, str] = {}  # final states that users have been told
@@ -347,11 +345,11 @@
         self.broken: list[str] = []
         self.settled_at = 0.0
         self.copies = 0  # reports that came a second time
-        self.late_writes = (
-            0.0  # the share of transactions that get no answer and are carried out 2 to 12 s later
-        )
+        # The share of transactions that get no answer and are carried out 2 to 12 s later
+        self.late_writes = 0.0
         self.late = Random(seed + 9)
-        self.lost_answers = 0.0  # the share of transactions that are carried out at once, and only their answer is lost
+        # The share of transactions that are carried out at once, and only their answer is lost
+        self.lost_answers = 0.0
         self.lost = Random(seed + 11)
 
     @property
@@ -405,13 +403,13 @@
         for i, name in enumerate(self.names):
             tg.start_soon(
                 Server(
-                    self._state_for(name), 200, net=self.net.of("state"), clock=self.loop.time
+                    self._state_for(name), 200, network=self.net.of("state"), clock=self.loop.time
                 ).run,
                 "state",
                 1 + i,
             )
         tg.start_soon(
-            Server(self.fleet.handle, 100, net=self.net.of("cloud"), clock=self.loop.time).run,
+            Server(self.fleet.handle, 100, network=self.net.of("cloud"), clock=self.loop.time).run,
             "cloud",
             1,
         )
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -17,8 +17,9 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.key_value_store import KeyValueStore
-from ploverhall.transport.http import Client, Reply, Server
+from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply, Server
 from ploverhall.transport.network import TCP_NETWORK, Network
 
 from . import world
@@ -152,37 +153,34 @@
         self.first_starts: set[tuple[str, int]] = set()
         self.first_at: dict[tuple[str, int], float] = {}  # when each task first was on a machine
         self.begun: Counter[tuple[str, int]] = Counter()  # how often each task was started
-        self.longer: dict[
-            tuple[str, int], float
-        ] = {}  # by how much some tasks run longer than others of their job
+        # By how much some tasks run longer than others of their job
+        self.longer: dict[tuple[str, int], float] = {}
         self.killed_by_lease = 0
         self.broken: list[str] = []
         self.tasks: Any = None
         self.most = 10_000  # machines that are to be had
-        self.sent: Callable[[world.Worker, str, dict[str, Any]], None] | None = (
-            None  # told of every report that leaves
-        )
-        self.starts_of: list[
-            tuple[float, Any, str]
-        ] = []  # every start: when, which attempt of which task, on which machine
+        # Told of every report that leaves
+        self.sent: Callable[[world.Worker, str, dict[str, Any]], None] | None = None
+        # Every start: when, which attempt of which task, on which machine
+        self.starts_of: list[tuple[float, Any, str]] = []
         # the cloud's own troubles; its draws are its own
+        # Seconds from a rental to its worker's first report, drawn between these
         self.boots = (
             0.0,
             0.0,
-        )  # seconds from a rental to its worker's first report, drawn between these
-        self.list_lag_s = 0.0  # its list describes a moment up to twice that ago, also an earlier one than the list before it
-        self.lost_answers = (
-            0.0  # the share of rentals and deletions that are executed, and not answered
         )
+        # Its list describes a moment up to twice that ago, also an earlier one than the list
+        # before it
+        self.list_lag_s = 0.0
+        # The share of rentals and deletions that are executed, and not answered
+        self.lost_answers = 0.0
         self.late_requests = 0.0  # the share that are not answered and executed 2 to 12 s later
         self.cloud_rng = Random(17)
-        self.was: list[
-            tuple[float, dict[str, dict[str, Any]]]
-        ] = []  # what a list without a lag would have shown, from then on
+        # What a list without a lag would have shown, from then on
+        self.was: list[tuple[float, dict[str, dict[str, Any]]]] = []
         self.listed_once: set[str] = set()
-        self.held_do: dict[
-            str, tuple[float, bool]
-        ] = {}  # until when commands to a machine (True: their answers) are held up
+        # Until when commands to a machine (True: their answers) are held up
+        self.held_do: dict[str, tuple[float, bool]] = {}
         self.hours: dict[str, float] = {}  # when a machine was asked for
 
     @property
@@ -355,14 +353,17 @@
             await self._boots(w, self.machines[w.name][1])
             async with anyio.create_task_group() as tg:
                 tg.start_soon(
-                    Server(do, 10, net=net, clock=self.clock).run, self.host or w.name, port
+                    Server(do, 10, network=net, clock=self.clock).run, self.host or w.name, port
                 )
                 names = list(self.controllers)
                 clients = [
-                    Client(*self.controllers[n], keep=1, net=net, clock=self.clock) for n in names
+                    Client(*self.controllers[n], keep=1, network=net, clock=self.clock)
+                    for n in names
                 ]
                 tg.start_soon(self._ticks, w)
-                told = -1e9  # when a higher token was last told of by itself: no more than once in half a lease
+                # When a higher token was last told of by itself: no more than once in half a
+                # lease
+                told = -1e9
                 while True:
                     if await self.awake(w):
                         self.tick(w)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -153,12 +153,10 @@
         ]
         self.told: dict[str, int] = {}  # 1: accepted, 2: over
         self.how: dict[str, str] = {}
-        self.listing: dict[
-            int, tuple[list[str], dict[str, Any], int]
-        ] = {}  # a listing that is being read: pages come one by one
-        self.open: list[
-            tuple[int, str, int, int, int]
-        ] = []  # questions: by whom, of what, when, the copy's revision, what had been told
+        # A listing that is being read: pages come one by one
+        self.listing: dict[int, tuple[list[str], dict[str, Any], int]] = {}
+        # Questions: by whom, of what, when, the copy's revision, what had been told
+        self.open: list[tuple[int, str, int, int, int]] = []
 
     def teller(self, i: int) -> Any:
         """A cancellation may be told by a controller that has read it, once all know of it."""
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -262,14 +262,12 @@
         self.keys: dict[str, float] = {}  # until when a controller's lease runs
         self.written: dict[int, float] = {}
         self.told: dict[int, float] = {}
-        self.answered: dict[
-            int, float
-        ] = {}  # when somebody last answered workers who did not know of it
+        # When somebody last answered workers who did not know of it
+        self.answered: dict[int, float] = {}
         self.down: list[tuple[float, float]] = []  # of the store
         self.refused: list[tuple[str, float, float]] = []
-        self.links: list[
-            tuple[str, str, float, float, bool]
-        ] = []  # from, to, since, until, whether it holds things back
+        # From, to, since, until, whether it holds things back
+        self.links: list[tuple[str, str, float, float, bool]] = []
         self.flying: list[tuple[float, int, str, str, Any]] = []
         self.count = 0
         self.nodes = {
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -24,7 +24,7 @@
 from ploverhall.coordination.job_answers import FreshRead
 from ploverhall.errors import RelayRefusedError, UnreachableError
 from ploverhall.protocol import relay_messages
-from ploverhall.transport.http import Reply
+from ploverhall.transport.http_server import Reply
 
 from . import played
 from .played import HOLD, RESET, SILENT, Played, play
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -17,8 +17,9 @@
 from ploverhall.storage import image_index
 from ploverhall.transport.client_pool import ClientPool
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
-from ploverhall.transport.http import Client, Reply, Server
+from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply, Server
 
 from .played import Loop, Network
 
@@ -44,7 +45,7 @@
         self.server = Server(
             self._handle,
             LIMITS.accepted,
-            net=self.net.of("c0"),
+            network=self.net.of("c0"),
             clock=self.loop.time,
             limiter=self.limiter,
         )
@@ -59,7 +60,7 @@
     async def agent(self, name: str, reports: int = 1_000_000) -> None:
         """Reports every REPORT_S, give or take a quarter, on one kept connection."""
         rng = Random(name)
-        client = Client("c0", 80, keep=1, net=self.net.of(name), clock=self.loop.time)
+        client = Client("c0", 80, keep=1, network=self.net.of(name), clock=self.loop.time)
         await anyio.sleep(REPORT_S * rng.random())
         for _ in range(reports):
             await self.ask(client, name, "POST", REPORT_PATH)
@@ -77,7 +78,7 @@
         """Each comes with a new connection."""
         for i in range(count):
             name = f"user-{i}"
-            client = Client("c0", 80, net=self.net.of(name), clock=self.loop.time)
+            client = Client("c0", 80, network=self.net.of(name), clock=self.loop.time)
             await self.ask(client, name, "GET", "/api/jobs/j-1")
             await client.aclose()
             await anyio.sleep(0.3)
@@ -200,7 +201,7 @@
 def test_users_connections_are_closed_after_their_answers_near_the_limit() -> None:
     async def scene(controller: Controller) -> None:
         clients = [
-            Client("c0", 80, net=controller.net.of(f"user-{i}"), clock=controller.loop.time)
+            Client("c0", 80, network=controller.net.of(f"user-{i}"), clock=controller.loop.time)
             for i in range(MAX_SOCKETS)
         ]
         for i, client in enumerate(clients):
@@ -224,12 +225,15 @@
 
         def make(host: str, port: int) -> Client:
             return Client(
-                host, port, keep=1, net=controller.net.of("caller"), clock=controller.loop.time
+                host, port, keep=1, network=controller.net.of("caller"), clock=controller.loop.time
             )
 
         for i in range(20):
             server = Server(
-                controller._handle, 10, net=controller.net.of(f"w{i}"), clock=controller.loop.time
+                controller._handle,
+                10,
+                network=controller.net.of(f"w{i}"),
+                clock=controller.loop.time,
             )
             controller.tasks.start_soon(server.run, f"w{i}", 9)
         await anyio.sleep(0.01)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -111,11 +111,12 @@
         ) -> Any:
             m = self.machines.get(r.machine)
             if m is not None and not direct and (r.session, r.seq) <= m.newest_heartbeat:
+                # As if what it is answered were its first
                 m.accepted_token, m.last_heartbeat_at, m.last_answer_at = (
                     True,
                     now - 2 * world.LEASE,
                     0.0,
-                )  # as if what it is answered were its first
+                )
                 self.epoch_confirmed_at = now
             return real(self, r, now, direct, carried)
 
@@ -152,14 +153,12 @@
         self.results: set[Any] = set()
         self.longer: dict[tuple[str, int], float] = {}
         self.workers = [world.Worker(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
-        self.sent: list[
-            tuple[world.Worker, dict[str, Any], float]
-        ] = []  # reports that left, the oldest first
+        # Reports that left, the oldest first
+        self.sent: list[tuple[world.Worker, dict[str, Any], float]] = []
         self.commands: list[tuple[world.Worker, dict[str, Any]]] = []  # that may still arrive
         self.epoch = 0
-        self.entries: dict[
-            str, tuple[int, int]
-        ] = {}  # job -> attempt, machine: what the source has written
+        # Job -> attempt, machine: what the source has written
+        self.entries: dict[str, tuple[int, int]] = {}
         self.attempt = 0
         self.claim()
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -67,10 +67,11 @@
             if step == "lease gone":
                 await anyio.sleep(0.3)
                 ttl, _ = p.state.leases[lease := p.state.tied[f"{SHARD_PREFIX}0"]]
+                # Workers that come elsewhere would have the part taken before that
                 p.state.leases[lease] = (
                     ttl,
                     p.now - 1.0,
-                )  # workers that come elsewhere would have the part taken before that
+                )
                 while f"{SHARD_PREFIX}0" in p.state.store.kv:
                     await anyio.sleep(0.01)
                 hook.claimant = "c2"
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -59,9 +59,8 @@
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
         layout = p.nodes["c0"].context.shard_map
-        mine = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][
-            :3
-        ]  # it is the source, too: nobody else stops them
+        # It is the source, too: nobody else stops them
+        mine = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][:3]
         for n in mine:
             await p.submit(p.spec(n, gait="daemon", chicks=4))
         await anyio.sleep(6.0)
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -6,12 +6,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "ploverhall"
+# Lower ones first; bookkeeping lies beside coordination
 LAYERS = [
     "transport",
     "protocol",
     "coordination",
     "control",
-]  # lower ones first; bookkeeping lies beside coordination
+]
 
 
 def imports() -> dict[str, set[str]]:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,8 +6,9 @@
 import pytest
 
 from ploverhall.errors import UnreachableError
-from ploverhall.transport.http import Client, Reply, Server
+from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply, Server
 
 from .test_loopback import free_ports
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -16,7 +16,8 @@
 from ploverhall.controller.controller import Controller
 from ploverhall.protocol import jobs
 from ploverhall.status import format_text
-from ploverhall.transport.http import Client, Server
+from ploverhall.transport.http_client import Client
+from ploverhall.transport.http_server import Server
 
 from .standins import Fleet, State
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -24,7 +24,7 @@
 from ploverhall.controller.shard_leases import ShardLeases
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
-from ploverhall.transport.http import Reply
+from ploverhall.transport.http_server import Reply
 
 from .played import Played, play
 from .standins import State, unguarded
@@ -313,7 +313,8 @@
     "grant": lambda s: s.grant_lease(4.0),
     "renew": lambda s: s.renew_lease(7),
 }
-MEANT: dict[str, dict[int, tuple[Any, Any]]] = {  # what the protocol lists, and what it says
+# What the protocol lists, and what it says
+MEANT: dict[str, dict[int, tuple[Any, Any]]] = {
     "get": {
         200: ({"path": "e/j-000001", "v": {"s": "done"}, "feather": 3}, ({"s": "done"}, 3)),
         404: ({"moult": 4}, (None, 0)),
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,8 +12,8 @@
 from ploverhall.controller.context import HeldShard
 from ploverhall.controller.controller import Controller
 from ploverhall.protocol import peer_messages
-from ploverhall.protocol.key_value_store import RateLimiter
 from ploverhall.protocol.peer_messages import PeerStatus
+from ploverhall.protocol.rate_limiter import RateLimiter
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -31,7 +31,7 @@
     StoreCache,
     end_record,
 )
-from ploverhall.transport.http import Reply
+from ploverhall.transport.http_server import Reply
 
 from . import world
 from .meetings import KNOWN_S
@@ -43,6 +43,7 @@
 # -- one-task jobs four a second for minutes, a quarter of them cancelled ---------------------------------------------------------
 
 KEPT = 20  # jobs that are over and stay in memory
+# Remember a bounded number
 BY_DESIGN = {
     "ends": 200,
     "arrivals": 500,
@@ -50,7 +51,7 @@
     "views": 200,
     "boards": 60,
     "deaths": 200,
-}  # remember a bounded number
+}
 # (boards: what was last said to a shard that was held here for a while and let go)
 
 
@@ -514,9 +515,8 @@
         self.real = p.state.handle
         self.orders: dict[str, list[str]] = {}  # what has landed for each job, in order
         self.held = 0
-        self.lost: set[str] = (
-            set()
-        )  # jobs of which a write has been late: of each only the first one
+        # Jobs of which a write has been late: of each only the first one
+        self.lost: set[str] = set()
         p.state.handle = self.handle  # type: ignore[method-assign]
         real_txn = p.state.store.txn
 
@@ -779,15 +779,12 @@
 
     def __init__(self, seed: int) -> None:
         self.rng, self.store, self.copy = Random(seed), world.Store(), StoreCache()
-        self.reads: list[
-            tuple[int, int, list[WatchEvent]]
-        ] = []  # watches that have been answered, and what they say; not here yet
-        self.listings: list[
-            tuple[dict[str, Any], int, int, list[WatchEvent]]
-        ] = []  # the same, of a listing and the watch after it
-        self.owns: list[
-            tuple[str, Any, int]
-        ] = []  # own writes that have landed; the answer is not here yet
+        # Watches that have been answered, and what they say; not here yet
+        self.reads: list[tuple[int, int, list[WatchEvent]]] = []
+        # The same, of a listing and the watch after it
+        self.listings: list[tuple[dict[str, Any], int, int, list[WatchEvent]]] = []
+        # Own writes that have landed; the answer is not here yet
+        self.owns: list[tuple[str, Any, int]] = []
         self.ends: dict[str, str] = {}  # how jobs ended, by what this copy has shown
         self.own: dict[str, int] = {}  # jobs that were accepted here, and at which revision
         self.versions: dict[str, int] = {}
--- a/tests/world.py
+++ b/tests/world.py
@@ -370,9 +370,8 @@
         for other in self.w.nodes:
             if other is not self:
                 if self.w.cut(self, other) or (self.w.chaos > 0 and self.w.rng.random() < 0.01):
-                    self.generation[other.name] = (
-                        self.generation.get(other.name, 0) + 1
-                    )  # a new connection follows
+                    # A new connection follows
+                    self.generation[other.name] = self.generation.get(other.name, 0) + 1
                     continue
                 batch = self.outbox.collect(
                     other.name, self.generation.get(other.name, 0) * 1000 + other.lives, self.holder
@@ -444,17 +443,16 @@
         copies: float = 0.0,
     ) -> None:
         self.cut_off = cut_off
-        self.copies = (
-            copies  # the share of reports that come again, from seconds to three leases later
-        )
+        # The share of reports that come again, from seconds to three leases later
+        self.copies = copies
         self.down_until = 0.0  # the store refuses everybody
-        self.longer: dict[
-            tuple[str, int], float
-        ] = {}  # by how much some tasks run longer than others of their job
+        # By how much some tasks run longer than others of their job
+        self.longer: dict[tuple[str, int], float] = {}
+        # Words change nothing else that is drawn
         self.rng, self.speaking = (
             Random(seed),
             Random(seed + 1_000_000),
-        )  # words change nothing else that is drawn
+        )
         self.chaos, self.kinds = chaos, kinds
         self.now = 0.0
         self.n = 0
@@ -631,9 +629,8 @@
             n.take(shard, rev)
 
     def write(self, node: Node, h: Held, txn: Any) -> None:
-        fate = (
-            self.rng.random() if node.reaches_store else 1.0
-        )  # what a cut holds back of it is not played: unknown, and not executed
+        # What a cut holds back of it is not played: unknown, and not executed
+        fate = self.rng.random() if node.reaches_store else 1.0
         lives = node.lives
 
         def outcome(rev: int, failed: list[str], unknown: bool) -> None:
