--- /dev/null
+++ b/scripts/doc_references.py
@@ -0,0 +1,60 @@
+"""Whether the files and functions that docs/architecture.md names exist.
+
+    python -m scripts.doc_references
+
+A path in backquotes that ends in `.py` must exist in the package or at the root. Names in
+backquotes behind a path and a colon (`controller/http_routes.py`: `healthy`) must be defined in
+that file. Ends with status 1 and the list of those that do not.
+"""
+
+from __future__ import annotations
+
+import ast
+import re
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+PAGE = ROOT / "docs" / "architecture.md"
+# A path, and the names that may stand behind it
+REFERENCE = re.compile(r"`((?:\w+/)*\w+\.py)`(:(?: `\w+`,?)+)?")
+
+
+def find(path: str) -> Path | None:
+    """The file that a path on the page stands for."""
+    candidates = (ROOT / "ploverhall" / path, ROOT / path)
+    return next((file for file in candidates if file.exists()), None)
+
+
+def defined_names(file: Path) -> set[str]:
+    """The functions, methods and classes of a module."""
+    kinds = ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef
+    return {node.name for node in ast.walk(ast.parse(file.read_text())) if isinstance(node, kinds)}
+
+
+def missing(text: str) -> list[str]:
+    """What a page names that does not exist."""
+    found = []
+    for path, names in REFERENCE.findall(text):
+        # a module of the same package may be named without it
+        file = find(path) if "/" in path else next((ROOT / "ploverhall").rglob(path), None)
+        if file is None:
+            found.append(path)
+            continue
+        defined = defined_names(file)
+        found += [
+            f"{path}: {name}" for name in re.findall(r"`(\w+)`", names) if name not in defined
+        ]
+    return found
+
+
+def main() -> int:
+    """Print what is missing."""
+    wrong = missing(PAGE.read_text())
+    for reference in wrong:
+        print(f"{PAGE.name}: no such file or name: {reference}")
+    return 1 if wrong else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/scripts/mixed_versions.py
+++ b/scripts/mixed_versions.py
@@ -11,8 +11,8 @@
 Checked: no task runs twice or on a wrong machine, no team is over its limit, nothing cancelled
 runs `cancel_s` after its user was told; every accepted job is answered by every controller, and
 no final state changes; what was not cancelled ends; after each step every controller hears every
-other; no controller logs an error or an invalid response, and none ends by itself. The exit code is 1
-with the reasons if one of these fails, or if the run takes longer than three minutes.
+other; no controller logs an error or an invalid response, and none ends by itself. The exit code
+is 1 with the reasons if one of these fails, or if the run takes longer than three minutes.
 
 Both versions need the libraries in target/deps, or in the running interpreter.
 """
