--- a/ploverhall/controller/shard_status.py
+++ b/ploverhall/controller/shard_status.py
@@ -11,7 +11,7 @@
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.errors import InvalidOrderError
 from ploverhall.maintenance import orders
-from ploverhall.scheduling.allocations import JobState
+from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.status import MAX_ROWS, MAX_TASK_ROWS, RECENT_STALL_S
--- a/ploverhall/controller/store_writing.py
+++ b/ploverhall/controller/store_writing.py
@@ -15,7 +15,7 @@
 from ploverhall.controller.routing import Routing
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
-from ploverhall.scheduling.allocations import MAX_TRANSACTION_BYTES, PendingWrite
+from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES, PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage import image_index
 from ploverhall.storage.store_cache import (
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -1,6 +1,8 @@
-"""What a source knows of its teams' jobs: entries, offers, and the chunks of the cells that hold the entries.
+"""The jobs of one shard's teams, their allocations, and the record chunks that hold these.
 
-Only state and its bookkeeping: who is permitted is decided in `source`, what is written and when in `writes`.
+`AllocationStore` holds state and its bookkeeping only. `StoreWriter` plans what is written,
+`EvictionGrants` adds the granted evictions, and `JobSource` decides which task is permitted; the
+three build on it as subclasses, since they change the same state. No I/O.
 """
 
 from __future__ import annotations
@@ -10,284 +12,37 @@
 from bisect import insort
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-import orjson
-
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.agents import AttemptId
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import PermitUpdate
 from ploverhall.scheduling.inventory import ResourceVector, add_scaled
+from ploverhall.scheduling.job_state import TASKS_PER_PROGRESS_VALUE, JobState
 from ploverhall.scheduling.objectives import Objectives
+from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES
+from ploverhall.scheduling.record_chunks import Allocation, RecordChunk
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import allocation_prefix, progress_prefix
+from ploverhall.storage.store_cache import progress_prefix
 
-TASKS_PER_PROGRESS_VALUE = 8192  # tasks whose bits share one value: about 1.4 KB
-# Of a value's limit that a chunk may take; the rest is room for what json may add
+# Share of a value's limit that a chunk may fill; the rest is for what JSON may add
 CHUNK_FILL_FACTOR = 0.92
-MAX_TRANSACTION_BYTES = 56_000  # of the 64 KiB a transaction may take
-# A large array stands behind smaller ones that came so much later at most
+# A large array queues behind smaller ones that arrived up to this much later
 MAX_LARGE_ARRAY_DELAY_S = 120.0
-# A job of which nothing has run for so long comes before others of its kind until it begins
+# A job of which no task has run for this long goes ahead of others of its kind until it starts
 OVERDUE_START_S = 120.0
-DEFAULT_DUE_S = 600.0  # nobody has said by when: it stands behind what came within so long
-MAX_HISTORY = 200  # starts that died and jobs that ended, for people who ask
-# A task that has run for so long works: what fails by its own mistake fails as soon as it has its
-# image
-HEALTHY_RUN_S = 5.0
-
-
-@dataclass(slots=True, eq=False)
-class Allocation:
-    """One outstanding permit."""
-
-    job_id: str
-    task: int
-    attempt: int
-    machine: str
-    shard: int
-    zone: str
-    epoch: int  # of the owner whose offer this is
-    reservation_id: int
-    chunk: RecordChunk
-    committed: bool = False
-    state: str = "permitted"
-    reason: str = ""
-    notice: int = 0  # 1: its machine goes, 2: its room is needed, 3: its machine is to be emptied
-    stop_grace_s: float | None = None
-    running_since: float | None = None  # when it was first told to be running
-    finished: bool = False  # exited and recorded here, or proven gone: to be taken out of the cell
-
-    def record(self) -> list[Any]:
-        """The form kept in the cell."""
-        return [
-            self.task,
-            self.attempt,
-            self.machine,
-            self.shard,
-            self.zone,
-            self.epoch,
-            self.reservation_id,
-        ]
-
-    @property
-    def running(self) -> bool:
-        """Whether users are told that it runs."""
-        return not self.finished and self.state in ("running", "saving")
-
-
-@dataclass(slots=True, eq=False)
-class RecordChunk:
-    """One value of a team's cell, with its size as it will be encoded.
-
-    Its key is never deleted, only written empty. Else its version would be 0 again, and a write that found none, and is carried out
-    late or once more, would land a permit that nobody knows of.
-    """
-
-    team: str
-    index: int
-    version: int = 0
-    allocations: dict[tuple[str, int], Allocation] = field(default_factory=dict)
-    allocations_per_job: dict[str, int] = field(default_factory=dict)  # entries by job
-    size_bytes: int = 2
-
-    @property
-    def key(self) -> str:
-        """Where it is kept."""
-        return f"{allocation_prefix(self.team)}{self.index}"
-
-    def add(self, allocation: Allocation, resources: ResourceVector) -> None:
-        """Take an entry in."""
-        self.allocations[allocation.job_id, allocation.task] = allocation
-        if allocation.job_id not in self.allocations_per_job:
-            self.size_bytes += header_bytes(allocation.job_id, resources)
-        self.allocations_per_job[allocation.job_id] = (
-            self.allocations_per_job.get(allocation.job_id, 0) + 1
-        )
-        self.size_bytes += allocation_bytes(allocation)
-        allocation.chunk = self
-
-    def remove(self, allocation: Allocation, resources: ResourceVector) -> None:
-        """Take an entry out."""
-        if self.allocations.get((allocation.job_id, allocation.task)) is not allocation:
-            return
-        del self.allocations[allocation.job_id, allocation.task]
-        self.size_bytes -= allocation_bytes(allocation)
-        self.allocations_per_job[allocation.job_id] -= 1
-        if not self.allocations_per_job[allocation.job_id]:
-            del self.allocations_per_job[allocation.job_id]
-            self.size_bytes -= header_bytes(allocation.job_id, resources)
-
-
-def allocation_bytes(allocation: Allocation) -> int:
-    """What an entry takes in its chunk's value, as encoded."""
-    return len(orjson.dumps(allocation.record())) + 1
-
-
-def header_bytes(job_id: str, resources: ResourceVector) -> int:
-    """What a job takes in a chunk's value besides its entries."""
-    return len(orjson.dumps({job_id: [list(resources), []]}))
-
-
-@dataclass(slots=True, eq=False)
-class Offer:
-    """Room that an owner holds for a candidate."""
-
-    shard: int
-    epoch: int
-    reservation_id: int
-    machine: str
-    zone: str
-    cost: float
-    victim_count: int
-
-
-@dataclass(eq=False)
-class JobState:
-    """A job while it is live or has tasks somewhere."""
-
-    id: str
-    team: str
-    resources: ResourceVector
-    job: Job | None = None  # None: over, only its tasks remain
-    version: int = 0
-    # By task; one start of a task at a time
-    allocations: dict[int, Allocation] = field(default_factory=dict)
-    allocations_per_zone: dict[str, int] = field(default_factory=dict)  # entries by zone
-    # Permits being written, by part
-    uncommitted_per_shard: dict[int, int] = field(default_factory=dict)
-    # Part, epoch and ticket of its entries
-    used_reservations: set[tuple[int, int, int]] = field(default_factory=set)
-    running_count: int = 0
-    done_bits: bytearray = field(default_factory=bytearray)
-    done_count: int = 0
-    dirty_progress: set[int] = field(default_factory=set)
-    stored_progress: set[int] = field(default_factory=set)
-    next_new_task: int = 0  # tasks from here on were never permitted by this source
-    retry_tasks: list[int] = field(default_factory=list)
-    offers: dict[tuple[int, int], Offer] = field(default_factory=dict)
-    retry_at: float = 0.0
-    # Machines that are avoided, and since when
-    failed_on: dict[str, float] = field(default_factory=dict)
-    task_failures: dict[int, int] = field(default_factory=dict)
-    # Tasks that failed, and when they may be tried again
-    task_retry_at: dict[int, float] = field(default_factory=dict)
-    # It fails wherever it starts: its own fault, not the machines'
-    failing_everywhere: bool = False
-    failing_attempts: int = 0  # since it has been taken for broken
-    failure_count: int = 0  # in all, for display
-    last_failure: str = ""
-    complete: bool = False  # every task done; the record of it is still to be written
-    blocked: bool = False  # its key changed under a write: wait for the watch
-    within_guarantee: bool = False  # of its team's guarantee, together with the team's earlier jobs
-    waiting_since: float = 0.0  # when it came, or a start of it last ended
-    arrived_at: float = 0.0  # when this source first knew of it
-    fully_ran: bool = False  # all of its tasks have run at once
-    started: bool = False  # a task of it has run; of a gang, all of them
-    overdue: bool = False  # it has waited for that for too long, and comes before others just now
-    overdue_check_at: float = 0.0  # when that is looked at
-    # By when it should be done, for its place in the queue (wall clock)
-    due_at: float | None = None
-    task_duration_s: float | None = None  # how long its tasks have run that have completed, lately
-
-    @property
-    def task_count(self) -> int:
-        """Number of tasks."""
-        return self.job.task_count if self.job else 0
-
-    def is_done(self, task: int) -> bool:
-        """Whether a task's result is recorded."""
-        return bool(self.done_bits) and bool(self.done_bits[task >> 3] & (1 << (task & 7)))
-
-    def mark_done(self, task: int) -> None:
-        """Record a result."""
-        if not self.done_bits:
-            self.done_bits = bytearray((self.task_count + 7) // 8)
-        if not self.is_done(task):
-            self.done_bits[task >> 3] |= 1 << (task & 7)
-            self.done_count += 1
-            self.dirty_progress.add(task // TASKS_PER_PROGRESS_VALUE)
-
-    def waiting_count(self) -> int:
-        """Tasks with no start outstanding and no result."""
-        if self.job is None or self.complete:
-            return 0
-        return self.task_count - self.done_count - len(self.allocations)
-
-    def next_task(self) -> int | None:
-        """The next task to permit."""
-        while self.retry_tasks:
-            task = heapq.heappop(self.retry_tasks)
-            if task not in self.allocations and not self.is_done(task):
-                return task
-        while self.next_new_task < self.task_count:
-            task = self.next_new_task
-            self.next_new_task += 1
-            if task not in self.allocations and not self.is_done(task):
-                return task
-        return None
-
-    def requeue(self, task: int) -> None:
-        """A task that had a start waits again."""
-        if task < self.next_new_task and task not in self.task_retry_at:
-            heapq.heappush(self.retry_tasks, task)
-
-    def release_backoff(self, now: float) -> None:
-        """Tasks that may be tried again wait like any other."""
-        for task in [t for t, until in self.task_retry_at.items() if until <= now]:
-            del self.task_retry_at[task]
-            if task not in self.allocations:
-                self.requeue(task)
-
-    def is_healthy(self, now: float) -> bool:
-        """Whether any of its tasks has been seen to do what it should: it completed, or it runs on."""
-        return self.done_count > 0 or any(
-            allocation.running
-            and allocation.running_since is not None
-            and now - allocation.running_since > HEALTHY_RUN_S
-            for allocation in self.allocations.values()
-        )
-
-
-@dataclass(slots=True)
-class ChunkWrite:
-    """What one write does to one chunk."""
-
-    chunk: RecordChunk
-    added: list[Allocation] = field(default_factory=list)
-    removed: list[Allocation] = field(default_factory=list)
-
-
-@dataclass(slots=True)
-class PendingWrite:
-    """One write: what it guards on, what it changes, and what it means here when it lands."""
-
-    compare: dict[str, int]
-    puts: dict[str, Any]
-    deletes: list[str]
-    chunks: list[ChunkWrite] = field(default_factory=list)
-    progress_parts: list[tuple[JobState, int]] = field(default_factory=list)
-    ended_jobs: list[JobState] = field(default_factory=list)
-    # By team: the stops that it lands
-    eviction_grants: dict[str, list[AttemptId]] = field(default_factory=dict)
-    size_bytes: int = 400
-
-    @property
-    def operation_count(self) -> int:
-        """Puts and deletes."""
-        return len(self.puts) + len(self.deletes)
-
-    @property
-    def added(self) -> list[Allocation]:
-        """The permits that this write lands."""
-        return [allocation for write in self.chunks for allocation in write.added]
+# Assumed for a job without deadline or objective: it queues behind what arrives within this time
+DEFAULT_DUE_S = 600.0
+MAX_HISTORY = 200  # failed attempts and ended jobs kept for the status pages
+OUTCOME_DONE = "done"  # outcomes of an ended job, as /status shows them
+OUTCOME_CANCELLED = "withdrawn"
+WORK_AVERAGE_WEIGHT = 0.2  # of the newest array in its class's average
 
 
 class FailedAttempt(NamedTuple):
-    """A start that ended without completing."""
+    """An attempt that ended without completing its task."""
 
     at: float
     job_id: str
@@ -297,7 +52,7 @@
 
 
 class EndedJobEntry(NamedTuple):
-    """A job that is over."""
+    """A job that has ended."""
 
     at: float
     job_id: str
@@ -309,15 +64,11 @@
     last_failure: str
 
 
-def append_allocation(value: dict[str, Any], job_state: JobState, allocation: Allocation) -> None:
-    """Put an entry into a chunk's value, under its job's header."""
-    value.setdefault(allocation.job_id, [list(job_state.resources), []])[1].append(
-        allocation.record()
-    )
-
-
 class AllocationStore:
-    """The jobs of one shard's teams, and every start of theirs that may be somewhere."""
+    """The jobs of one shard's teams, and each of their attempts that may be on a machine.
+
+    `max_value_bytes` and `max_transaction_ops` are the limits of the key-value store.
+    """
 
     def __init__(
         self,
@@ -336,167 +87,187 @@
         self.max_chunk_bytes = min(
             int(max_value_bytes * CHUNK_FILL_FACTOR), MAX_TRANSACTION_BYTES // 2
         )
+
+        # Jobs and what their teams use
         self.jobs: dict[str, JobState] = {}
-        self.chunks: dict[str, dict[int, RecordChunk]] = {team.name: {} for team in teams}
-        # To be written; True: holds permits that wait for it
-        self.dirty_chunks: dict[RecordChunk, bool] = {}
-        # Chunks that a write of unknown outcome may still change
-        self.chunks_to_fence: set[tuple[str, int]] = set()
-        # Complete, the record of it is still to be written
-        self.jobs_to_end: dict[str, JobState] = {}
-        self.obsolete_keys: list[str] = []  # progress records of jobs that are over
         self.used: dict[str, ResourceVector] = {team.name: (0.0, 0.0, 0.0) for team in teams}
-        # Live jobs, oldest first
+        # Live jobs by time of submission, oldest first
         self.jobs_by_age: dict[str, list[tuple[float, str]]] = {team.name: [] for team in teams}
         self.jobs_within_guarantee: dict[str, set[str]] = {team.name: set() for team in teams}
-        # Jobs with tasks that wait
+        # Jobs with waiting tasks
         self.waiting_jobs: dict[str, dict[str, JobState]] = {team.name: {} for team in teams}
         self.job_by_offer: dict[tuple[int, int], str] = {}
-        self.changed_jobs: set[str] = set()  # jobs that owners must hear of
-        self.changed_counts: set[str] = set()  # jobs whose numbers for display have changed
-        self.permit_updates: dict[tuple[int, str], PermitUpdate | None] = {}
-        self.jobs_to_decide: set[str] = set()  # jobs to decide
-        self.teams_with_changed_usage: set[str] = set()  # teams whose use has changed
-        self.teams_to_reorder: set[str] = set(self.teams)
-        self.timers: list[tuple[float, str]] = []
-        # Of a team's limit, for replicas that wait
+        # The share of a team's limit that is kept for waiting replicas
         self.reserved_for_services: dict[str, ResourceVector] = {}
+        self.attempt_count = 0  # attempts that this source has numbered
+
+        # What is to be written
+        self.chunks: dict[str, dict[int, RecordChunk]] = {team.name: {} for team in teams}
+        # Chunks to be written; True: it holds permits that wait for that
+        self.dirty_chunks: dict[RecordChunk, bool] = {}
+        # Chunks that a write of unknown outcome may still change
+        self.chunks_to_fence: set[tuple[str, int]] = set()
+        # Complete jobs whose end is still to be written
+        self.jobs_to_end: dict[str, JobState] = {}
+        self.obsolete_keys: list[str] = []  # progress values of ended jobs
+        self.write_operation_limit = max_transaction_ops  # of the transaction being planned
+        self.crowded_writes = 0  # transactions that could not take all that waited
+
+        # What is to be decided or sent
+        self.changed_jobs: set[str] = set()  # jobs that shard owners must be sent
+        self.changed_counts: set[str] = set()  # jobs whose task counts for users have changed
+        # By shard and key on the state channel
+        self.permit_updates: dict[tuple[int, str], PermitUpdate | None] = {}
+        self.jobs_to_decide: set[str] = set()  # jobs whose offers are to be looked at
+        self.teams_with_changed_usage: set[str] = set()
+        self.teams_to_reorder: set[str] = set(self.teams)  # their guarantees are to be divided anew
+        self.holding_back_offers = False  # costlier offers wait a moment for better ones
+        self.timers: list[tuple[float, str]] = []  # a heap of times at which a job is looked at
         self.next_team_check_at = self.next_revisit_at = self.next_service_check_at = 0.0
-        self.attempt_count = 0
-        self.write_operation_limit = max_transaction_ops  # of the write being planned
-        self.crowded_writes = 0  # writes that could not take all that waited
-        self.holding_back_offers = False  # a worse answer is being held back for a moment
+
+        # History
         self.failed_attempts: deque[FailedAttempt] = deque(maxlen=MAX_HISTORY)
         self.recently_ended: deque[EndedJobEntry] = deque(maxlen=MAX_HISTORY)
-        # By class: how long its gangs and services wait until all their tasks run, lately
+        # Moving averages by job class: the wait of its gangs and services until all tasks run, and
+        # the task seconds of its arrays
         self.typical_wait_s: dict[str, float] = {}
-        self.typical_work_s: dict[str, float] = {}  # by class: task seconds of its arrays, lately
-        self.visit_count = 0  # jobs and entries looked at: what the tests of growth count
+        self.typical_work_s: dict[str, float] = {}
+        # Jobs and allocations looked at, for the tests of how the work grows
+        self.visit_count = 0
+
+        # Set by the controller
         self.objectives = Objectives()
-        self.machine_types: dict[str, MachineType] = {}  # what the cloud sells
-        self.log_debug: Callable[..., None] = lambda *a, **k: None  # what was decided on the way
-        self.log_info: Callable[..., None] = lambda *a, **k: None  # what a person should know
+        self.machine_types: dict[str, MachineType] = {}  # that the cloud offers
+        self.log_debug: Callable[..., None] = lambda *args, **fields: None
+        self.log_info: Callable[..., None] = lambda *args, **fields: None
 
-    # -- starting ----------------------------------------------------------------------------
+    # -- reading the key-value store ----------------------------------------------------------
 
     def install_allocations(self, team: str, found: dict[str, tuple[Any, int]], now: float) -> None:
-        """Take in a team's cell as read: at the start, and whenever a write's outcome is unknown."""
-        seen: set[tuple[str, int, int]] = set()
-        old = self.chunks[team]
-        for chunk in old.values():
+        """Replace a team's chunks by those read, given as key -> (value, version).
+
+        Called at the start, and whenever the outcome of a write is unknown.
+        """
+        stored_attempts: set[AttemptId] = set()
+        old_chunks = self.chunks[team]
+        for chunk in old_chunks.values():
             self.dirty_chunks.pop(chunk, None)
         self.chunks[team] = {}
         for key, (value, version) in found.items():
             chunk = RecordChunk(team, int(key.rsplit("/", 1)[1]), version)
             self.chunks[team][chunk.index] = chunk
-            for job_id, (resources, entries) in value.items():
-                for task, attempt, machine, part, zone, epoch, ticket in entries:
-                    job_state = self.jobs.get(job_id)
-                    if job_state is None:
-                        job_state = self.jobs[job_id] = JobState(
-                            job_id,
-                            team,
-                            (resources[0], resources[1], resources[2]),
-                            waiting_since=now,
-                            arrived_at=now,
-                        )
-                    seen.add((job_id, task, attempt))
-                    allocation = job_state.allocations.get(task)
-                    if allocation is not None and allocation.attempt == attempt:
-                        chunk.add(allocation, job_state.resources)
-                        self._mark_committed(job_state, allocation)
-                    else:
-                        if allocation is not None:
-                            self._remove(job_state, allocation)
-                            self.jobs[job_id] = job_state
-                        allocation = Allocation(
-                            job_id,
-                            task,
-                            attempt,
-                            machine,
-                            part,
-                            zone,
-                            epoch,
-                            ticket,
-                            chunk,
-                            committed=True,
-                        )
-                        if job_state.job is None:
-                            allocation.stop_grace_s = 0.0
-                        self._insert(job_state, allocation)
-                        self._update_permit(allocation)
+            for job_id, (resources, records) in value.items():
+                for record in records:
+                    job_state = self._job_of_record(job_id, team, resources, now)
+                    allocation = self._install_record(job_state, chunk, record)
+                    stored_attempts.add((job_id, allocation.task, allocation.attempt))
                     if allocation.finished:
                         self.dirty_chunks.setdefault(chunk, False)
-        for chunk in old.values():
+        self._remove_unstored(old_chunks, stored_attempts)
+
+    def _job_of_record(
+        self, job_id: str, team: str, resources: list[float], now: float
+    ) -> JobState:
+        """Return the state of a stored job; one that is not known is taken to have ended."""
+        job_state = self.jobs.get(job_id)
+        if job_state is None:
+            job_state = self.jobs[job_id] = JobState(
+                job_id,
+                team,
+                (resources[0], resources[1], resources[2]),
+                waiting_since=now,
+                arrived_at=now,
+            )
+        return job_state
+
+    def _install_record(
+        self, job_state: JobState, chunk: RecordChunk, record: list[Any]
+    ) -> Allocation:
+        """Return the allocation of a stored record: the one that is known, or a new one."""
+        task, attempt, machine, shard, zone, epoch, reservation_id = record
+        known = job_state.allocations.get(task)
+        if known is not None and known.attempt == attempt:
+            chunk.add(known, job_state.resources)
+            self._mark_committed(job_state, known)
+            return known
+        if known is not None:
+            self._remove(job_state, known)
+            self.jobs[job_state.id] = job_state
+        allocation = Allocation(
+            job_state.id,
+            task,
+            attempt,
+            machine,
+            shard,
+            zone,
+            epoch,
+            reservation_id,
+            chunk,
+            committed=True,
+        )
+        if job_state.job is None:
+            allocation.stop_grace_s = 0.0
+        self._insert(job_state, allocation)
+        self._update_permit(allocation)
+        return allocation
+
+    def _remove_unstored(
+        self, old_chunks: dict[int, RecordChunk], stored_attempts: set[AttemptId]
+    ) -> None:
+        """Remove allocations that are not stored: they never landed, or their removal did."""
+        for chunk in old_chunks.values():
             for allocation in list(chunk.allocations.values()):
                 job_state = self.jobs.get(allocation.job_id)
                 if (
                     job_state is not None
                     and job_state.allocations.get(allocation.task) is allocation
-                    and (allocation.job_id, allocation.task, allocation.attempt) not in seen
+                    and (allocation.job_id, allocation.task, allocation.attempt)
+                    not in stored_attempts
                 ):
-                    self._remove(job_state, allocation)  # it never landed, or its removal did
+                    self._remove(job_state, allocation)
                     job_state.requeue(allocation.task)
 
     def install_progress(self, team: str, found: dict[str, tuple[Any, int]]) -> None:
-        """Take in what is recorded of a team's unfinished arrays. Live jobs must be known by now."""
+        """Take in the progress values of a team's arrays, given as key -> (value, version).
+
+        The team's live jobs must be known; values of other jobs are marked for deletion.
+        """
         for key, (value, _) in found.items():
-            job_id, _, chunk = key[len(progress_prefix(team)) :].rpartition("/")
+            job_id, _, index = key[len(progress_prefix(team)) :].rpartition("/")
             job_state = self.jobs.get(job_id)
             if job_state is None or job_state.job is None:
                 self.obsolete_keys.append(key)
                 continue
-            base = int(chunk) * TASKS_PER_PROGRESS_VALUE
-            job_state.stored_progress.add(int(chunk))
-            for i, byte in enumerate(base64.b64decode(value)):
-                for bit in range(8):
-                    task = base + i * 8 + bit
-                    if byte & (1 << bit) and task < job_state.task_count:
-                        job_state.mark_done(task)
+            self._install_progress_value(job_state, int(index), base64.b64decode(value))
             job_state.dirty_progress.clear()
             if job_state.job.kind == "array" and job_state.done_count == job_state.task_count:
                 self._mark_complete(job_state)
 
+    def _install_progress_value(
+        self, job_state: JobState, value_index: int, done_bits: bytes
+    ) -> None:
+        first_task = value_index * TASKS_PER_PROGRESS_VALUE
+        job_state.stored_progress.add(value_index)
+        for byte_index, byte in enumerate(done_bits):
+            for bit in range(8):
+                task = first_task + byte_index * 8 + bit
+                if byte & (1 << bit) and task < job_state.task_count:
+                    job_state.mark_done(task)
+
     def on_job(
         self, job: Job | None, job_id: str, version: int, now: float, age: float = 0.0
     ) -> None:
-        """The watch brought a job of this shard's teams, submitted so long ago, or its end (None)."""
-        job_state = self.jobs.get(job_id)
+        """Take in a job from the watch, submitted `age` seconds ago, or its end (`job` is None)."""
         self.changed_jobs.add(job_id)
         self.changed_counts.add(job_id)
-        if job is None:
-            if job_state is None:
-                return
-            if job_state.job is not None:
-                how = "done" if job_state.complete else "withdrawn"
-                self.recently_ended.append(
-                    EndedJobEntry(
-                        now,
-                        job_id,
-                        job_state.team,
-                        how,
-                        job_state.task_count if job_state.complete else job_state.done_count,
-                        job_state.task_count,
-                        job_state.failure_count,
-                        job_state.last_failure,
-                    )
-                )
-                self.jobs_by_age[job_state.team].remove((job_state.job.submitted_at, job_id))
-                self.obsolete_keys += [
-                    f"{progress_prefix(job_state.team)}{job_id}/{k}"
-                    for k in job_state.stored_progress | job_state.dirty_progress
-                ]
-            self.teams_to_reorder.add(job_state.team)
-            self.jobs_to_end.pop(job_id, None)
-            job_state.job = None
-            job_state.version = 0
-            self._drop_offers(job_state)
-            for allocation in job_state.allocations.values():
-                self._request_stop(allocation, 0.0)
-            if not job_state.allocations:
-                del self.jobs[job_id]
-            return
+        if job is not None:
+            self._install_job(job, job_id, version, now, age)
+        elif (job_state := self.jobs.get(job_id)) is not None:
+            self._end_job(job_state, now)
+
+    def _install_job(self, job: Job, job_id: str, version: int, now: float, age: float) -> None:
         self.teams_to_reorder.add(job.team)
+        job_state = self.jobs.get(job_id)
         if job_state is None:
             job_state = self.jobs[job_id] = JobState(
                 job_id, job.team, job.resources, waiting_since=now, arrived_at=now - age
@@ -515,9 +286,41 @@
             job_state.overdue_check_at = max(now, job_state.arrived_at + OVERDUE_START_S)
             heapq.heappush(self.timers, (job_state.overdue_check_at, job_id))
 
-    # -- entries -----------------------------------------------------------------------------
+    def _end_job(self, job_state: JobState, now: float) -> None:
+        """Forget a job; where it has allocations, stop these first."""
+        job_id = job_state.id
+        if job_state.job is not None:
+            self.recently_ended.append(
+                EndedJobEntry(
+                    now,
+                    job_id,
+                    job_state.team,
+                    OUTCOME_DONE if job_state.complete else OUTCOME_CANCELLED,
+                    job_state.task_count if job_state.complete else job_state.done_count,
+                    job_state.task_count,
+                    job_state.failure_count,
+                    job_state.last_failure,
+                )
+            )
+            self.jobs_by_age[job_state.team].remove((job_state.job.submitted_at, job_id))
+            self.obsolete_keys += [
+                f"{progress_prefix(job_state.team)}{job_id}/{value_index}"
+                for value_index in job_state.stored_progress | job_state.dirty_progress
+            ]
+        self.teams_to_reorder.add(job_state.team)
+        self.jobs_to_end.pop(job_id, None)
+        job_state.job = None
+        job_state.version = 0
+        self._drop_offers(job_state)
+        for allocation in job_state.allocations.values():
+            self._request_stop(allocation, 0.0)
+        if not job_state.allocations:
+            del self.jobs[job_id]
+
+    # -- allocations -------------------------------------------------------------------------
 
     def _insert(self, job_state: JobState, allocation: Allocation) -> None:
+        """Add an allocation to its job, its chunk and the team's usage."""
         job_state.allocations[allocation.task] = allocation
         job_state.allocations_per_zone[allocation.zone] = (
             job_state.allocations_per_zone.get(allocation.zone, 0) + 1
@@ -535,6 +338,7 @@
         self.teams_with_changed_usage.add(job_state.team)
 
     def _remove(self, job_state: JobState, allocation: Allocation) -> None:
+        """Undo `_insert`; a job that has ended goes with its last allocation."""
         del job_state.allocations[allocation.task]
         job_state.allocations_per_zone[allocation.zone] -= 1
         if not job_state.allocations_per_zone[allocation.zone]:
@@ -566,17 +370,17 @@
             del job_state.uncommitted_per_shard[allocation.shard]
 
     def _mark_committed(self, job_state: JobState, allocation: Allocation) -> None:
-        """A permit is in the cell: its owner may hear of it."""
+        """A permit is written: its shard owner may be sent it."""
         if not allocation.committed:
             self._decrement_uncommitted(job_state, allocation)
             allocation.committed = True
             self.changed_jobs.add(job_state.id)
         if job_state.job is None and not allocation.finished:
-            allocation.stop_grace_s = 0.0  # its job ended while the write was on its way
+            allocation.stop_grace_s = 0.0  # the job ended while the write was in flight
         self._update_permit(allocation)
 
     def _update_permit(self, allocation: Allocation) -> None:
-        """The owner of a permit must hear of it."""
+        """Send a written permit, with what has changed in it, to its shard owner."""
         if allocation.committed:
             self.permit_updates[
                 allocation.shard,
@@ -589,16 +393,17 @@
             )
 
     def _request_stop(self, allocation: Allocation, grace_s: float) -> None:
+        """Stop an attempt, with this much time to save before it is killed."""
         if allocation.stop_grace_s != grace_s:
             allocation.stop_grace_s = grace_s
             self._update_permit(allocation)
 
-    def _chunk_for(self, team: str, size: int) -> RecordChunk:
-        """A chunk with that much room: one that is to be written anyway, else any, else a new one."""
+    def _chunk_for(self, team: str, size_bytes: int) -> RecordChunk:
+        """Return a chunk with that much space: a dirty one, else any, else a new one."""
         chunks = self.chunks[team]
         best: RecordChunk | None = None
         for chunk in chunks.values():
-            if chunk.size_bytes + size <= self.max_chunk_bytes:
+            if chunk.size_bytes + size_bytes <= self.max_chunk_bytes:
                 if chunk in self.dirty_chunks:
                     return chunk
                 best = best or chunk
@@ -624,34 +429,37 @@
         self.changed_jobs.add(job_state.id)
 
     def _due_time(self, job: Job) -> float:
-        """By when it should be done. Of arrays of a class with an aim, small ones come before large ones that came a little sooner.
+        """Return the wall-clock time by which a job should be done.
 
-        Where there is not room for all in time, the order in which they came has all of them late: one of 1,630 tasks, and two
-        smaller ones behind it (shannon-loanworks steady, 365 to 390 s). A large one is put off by no more than what the aim allows.
+        Among arrays of a class with an objective, small ones go before large ones that arrived a
+        little sooner: in the order of arrival a large array makes all of them miss the objective.
+        A large one is delayed by no more than its objective allows.
         """
         if job.deadline_s is not None:
             return job.submitted_at + job.deadline_s
-        if job.kind != "array" or (within := self.objectives.of(job).finish_s) is None:
+        if job.kind != "array" or (finish_s := self.objectives.of(job).finish_s) is None:
             return job.submitted_at + DEFAULT_DUE_S
-        work = job.task_count * max(1.0, job.estimate_s)
-        usual = self.typical_work_s.get(job.job_class, work)
-        self.typical_work_s[job.job_class] = usual + 0.2 * (work - usual)
-        return job.submitted_at + min(within, MAX_LARGE_ARRAY_DELAY_S) * min(
-            1.0, 0.5 * work / usual
+        work_s = job.task_count * max(1.0, job.estimate_s)
+        typical_s = self.typical_work_s.get(job.job_class, work_s)
+        self.typical_work_s[job.job_class] = typical_s + WORK_AVERAGE_WEIGHT * (work_s - typical_s)
+        return job.submitted_at + min(finish_s, MAX_LARGE_ARRAY_DELAY_S) * min(
+            1.0, 0.5 * work_s / typical_s
         )
 
     def queue_order(self, job_state: JobState) -> tuple[float, ...]:
-        """Place in every queue: services, then work within its guarantee, then by rank and time.
+        """Return a job's place in every queue, as a tuple to sort by.
 
-        What has waited for too long to begin comes before all ranks, but not before services and work within a guarantee. A large
-        gang lost the pieces of room that it held to each task of a higher rank that came, for as long as such tasks came.
+        Services come first, then work within its guarantee, then by priority and due time. An
+        overdue job goes ahead of all priorities, but not of services and work within a guarantee:
+        else a large gang would lose the reservations it has gathered to each task of a higher
+        priority that arrives.
         """
         job = job_state.job
         assert job is not None
-        rank = 0.0 if job_state.overdue and not job_state.started else float(job.priority)
+        priority = 0.0 if job_state.overdue and not job_state.started else float(job.priority)
         return (
             2.0 if job_state.failing_everywhere else 0.0 if job.priority == 0 else 1.0,
             0.0 if job_state.within_guarantee else 1.0,
-            rank,
+            priority,
             job_state.due_at or 0.0,
         )
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -16,12 +16,9 @@
     denial_reason,
 )
 from ploverhall.protocol.agents import AttemptId
-from ploverhall.scheduling.allocations import (
-    MAX_TRANSACTION_BYTES,
-    Allocation,
-    JobState,
-    PendingWrite,
-)
+from ploverhall.scheduling.job_state import JobState
+from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES, PendingWrite
+from ploverhall.scheduling.record_chunks import Allocation
 from ploverhall.scheduling.store_writer import StoreWriter
 from ploverhall.settings import Team
 from ploverhall.storage.store_cache import SHARD_PREFIX, grants_key
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -21,17 +21,7 @@
     JobUpdate,
     OfferUpdate,
 )
-from ploverhall.scheduling.allocations import (
-    HEALTHY_RUN_S,
-    OVERDUE_START_S,
-    Allocation,
-    FailedAttempt,
-    JobState,
-    Offer,
-    RecordChunk,
-    allocation_bytes,
-    header_bytes,
-)
+from ploverhall.scheduling.allocations import OVERDUE_START_S, FailedAttempt
 from ploverhall.scheduling.eviction_grants import EvictionGrants
 from ploverhall.scheduling.inventory import (
     EPSILON,
@@ -41,6 +31,13 @@
     fits,
     max_count,
 )
+from ploverhall.scheduling.job_state import HEALTHY_RUN_S, JobState, Offer
+from ploverhall.scheduling.record_chunks import (
+    Allocation,
+    RecordChunk,
+    allocation_bytes,
+    header_bytes,
+)
 
 ATTEMPT_BITS = 28
 # How long a worse answer waits for a better one: a few round trips between controllers
--- /dev/null
+++ b/ploverhall/scheduling/record_chunks.py
@@ -0,0 +1,118 @@
+"""Outstanding permits in the form in which the key-value store keeps them.
+
+A team's allocation record is split into chunks, each one value of the key-value store that stays
+below the store's limit for a value. The module owns `Allocation`, the chunks and the stored form of
+both; `AllocationStore` keeps the chunks up to date and `StoreWriter` writes them.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+import orjson
+
+from ploverhall.scheduling.inventory import ResourceVector
+from ploverhall.storage.store_cache import allocation_prefix
+
+
+@dataclass(slots=True, eq=False)
+class Allocation:
+    """One outstanding permit: a task attempt that may run on a machine."""
+
+    job_id: str
+    task: int
+    attempt: int
+    machine: str
+    shard: int
+    zone: str
+    epoch: int  # of the shard owner whose offer was taken
+    reservation_id: int
+    chunk: RecordChunk
+    committed: bool = False
+    state: str = "permitted"
+    reason: str = ""
+    # 1: its machine is terminated, 2: it is preempted, 3: its machine is drained
+    notice: int = 0
+    stop_grace_s: float | None = None  # time to save before it is stopped; None: it runs on
+    running_since: float | None = None  # when it was first reported as running
+    # It exited or is proven gone, and is to be removed from the allocation record
+    finished: bool = False
+
+    def record(self) -> list[Any]:
+        """Return the form kept in the allocation record."""
+        return [
+            self.task,
+            self.attempt,
+            self.machine,
+            self.shard,
+            self.zone,
+            self.epoch,
+            self.reservation_id,
+        ]
+
+    @property
+    def running(self) -> bool:
+        """Whether users see it as running."""
+        return not self.finished and self.state in ("running", "saving")
+
+
+@dataclass(slots=True, eq=False)
+class RecordChunk:
+    """One value of a team's allocation record, with its size in bytes as encoded.
+
+    Its key is never deleted, only written empty: with the version back at 0, a delayed or repeated
+    write that had found no key would land a permit that no controller knows of.
+    """
+
+    team: str
+    index: int
+    version: int = 0
+    allocations: dict[tuple[str, int], Allocation] = field(default_factory=dict)
+    allocations_per_job: dict[str, int] = field(default_factory=dict)
+    size_bytes: int = 2
+
+    @property
+    def key(self) -> str:
+        """The key of this chunk in the key-value store."""
+        return f"{allocation_prefix(self.team)}{self.index}"
+
+    def add(self, allocation: Allocation, resources: ResourceVector) -> None:
+        """Add an allocation of a job whose tasks need these resources each."""
+        self.allocations[allocation.job_id, allocation.task] = allocation
+        if allocation.job_id not in self.allocations_per_job:
+            self.size_bytes += header_bytes(allocation.job_id, resources)
+        self.allocations_per_job[allocation.job_id] = (
+            self.allocations_per_job.get(allocation.job_id, 0) + 1
+        )
+        self.size_bytes += allocation_bytes(allocation)
+        allocation.chunk = self
+
+    def remove(self, allocation: Allocation, resources: ResourceVector) -> None:
+        """Remove an allocation; does nothing if another attempt has taken its place."""
+        if self.allocations.get((allocation.job_id, allocation.task)) is not allocation:
+            return
+        del self.allocations[allocation.job_id, allocation.task]
+        self.size_bytes -= allocation_bytes(allocation)
+        self.allocations_per_job[allocation.job_id] -= 1
+        if not self.allocations_per_job[allocation.job_id]:
+            del self.allocations_per_job[allocation.job_id]
+            self.size_bytes -= header_bytes(allocation.job_id, resources)
+
+
+def allocation_bytes(allocation: Allocation) -> int:
+    """Return the encoded size in bytes of an allocation within a chunk's value."""
+    return len(orjson.dumps(allocation.record())) + 1
+
+
+def header_bytes(job_id: str, resources: ResourceVector) -> int:
+    """Return the encoded size in bytes that a job adds to a chunk besides its allocations."""
+    return len(orjson.dumps({job_id: [list(resources), []]}))
+
+
+def append_allocation(
+    value: dict[str, Any], resources: ResourceVector, allocation: Allocation
+) -> None:
+    """Add an allocation to a chunk's value, under its job and the resources of one of its tasks."""
+    job_value = value.setdefault(allocation.job_id, [list(resources), []])
+    job_value[1].append(allocation.record())
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -10,17 +10,10 @@
 from typing import Any
 
 from ploverhall.protocol.jobs import DONE
-from ploverhall.scheduling.allocations import (
-    MAX_TRANSACTION_BYTES,
-    TASKS_PER_PROGRESS_VALUE,
-    Allocation,
-    AllocationStore,
-    ChunkWrite,
-    JobState,
-    PendingWrite,
-    RecordChunk,
-    append_allocation,
-)
+from ploverhall.scheduling.allocations import AllocationStore
+from ploverhall.scheduling.job_state import TASKS_PER_PROGRESS_VALUE, JobState
+from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES, ChunkWrite, PendingWrite
+from ploverhall.scheduling.record_chunks import Allocation, RecordChunk, append_allocation
 from ploverhall.storage.store_cache import (
     JOB_PREFIX,
     SHARD_PREFIX,
@@ -129,7 +122,7 @@
             value: dict[str, Any] = {}
             for _, allocation in sorted(chunk.allocations.items()):
                 if allocation.committed:
-                    append_allocation(value, self.jobs[allocation.job_id], allocation)
+                    append_allocation(value, self.jobs[allocation.job_id].resources, allocation)
             txn.compare[chunk.key] = chunk.version
             txn.puts[chunk.key] = value
             txn.chunks.append(ChunkWrite(chunk))
@@ -164,7 +157,7 @@
                     key = f"{progress_prefix(chunk.team)}{job_id}/{part}"
                     if key not in txn.puts:
                         if spare <= 0 or txn.size_bytes + chunk.size_bytes > MAX_TRANSACTION_BYTES:
-                            append_allocation(value, job_state, allocation)
+                            append_allocation(value, job_state.resources, allocation)
                             continue
                         spare -= 1
                         first_byte = part * TASKS_PER_PROGRESS_VALUE // 8
@@ -190,7 +183,7 @@
                     txn.compare[key] = job_state.version
                     txn.size_bytes += len(key) + 40
                 write.added.append(allocation)
-            append_allocation(value, job_state, allocation)
+            append_allocation(value, job_state.resources, allocation)
         txn.compare[chunk.key] = chunk.version
         if value or chunk.version:
             txn.puts[chunk.key] = value
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -14,7 +14,7 @@
 def test_a_gang_of_whole_machines_begins(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """Four of six machines of a zone at once; each time one had room, the next urgent task took it. A controller ends in between."""
     for module in (allocations, permitting):
-        monkeypatch.setattr(module, "BEGIN_S", 30.0 if guarded else 1e9)
+        monkeypatch.setattr(module, "OVERDUE_START_S", 30.0 if guarded else 1e9)
     began: list[float] = []
 
     async def scene(p: Played) -> None:
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -17,7 +17,7 @@
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.protocol.agents import Heartbeat
-from ploverhall.scheduling.allocations import JobState
+from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.inventory import Permit
 from ploverhall.scheduling.permitting import ATTEMPT_BITS, JobSource
 from ploverhall.scheduling.placement import Placement
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -18,7 +18,7 @@
 from ploverhall.coordination.restart_recovery import RenewalGrants
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol.key_value_store import KeyValueStore
-from ploverhall.scheduling.allocations import JobState
+from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -7,7 +7,7 @@
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import AttemptUpdate, OfferUpdate
-from ploverhall.scheduling.allocations import PendingWrite
+from ploverhall.scheduling.pending_write import PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.settings import Team
 from ploverhall.storage.store_cache import JOB_PREFIX, SHARD_PREFIX
