--- /dev/null
+++ b/ploverhall/autoscaling/demand_forecast.py
@@ -0,0 +1,119 @@
+"""The demand for machines: tasks that wait, how urgent they are, and tasks that are likely to come.
+
+Waiting tasks come from the sources, accepted jobs from the controller. No I/O.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+from ploverhall.autoscaling.boot_tracking import BootTracking
+from ploverhall.autoscaling.fleet_state import Demand
+from ploverhall.protocol.jobs import Job, from_record
+from ploverhall.protocol.peer_messages import DemandUpdate
+from ploverhall.scheduling.inventory import fits
+
+MAX_ARRIVALS = 500  # accepted jobs that are remembered
+ARRIVAL_SLOT_S = 15.0  # arrivals are counted in slots of this length
+FORECAST_S = 300.0  # arrivals of this time count
+MIN_FORECAST_SPAN_S = 60.0
+MAX_TASKS_PER_ARRIVAL = 50  # more tasks of one job are no rate of arrival
+ARRIVAL_MARGIN_S = 20.0  # beyond the boot of a machine
+ESTIMATE_MARGIN = 1.3  # of a job's run time, against its deadline
+DEADLINE_MARGIN_S = 60.0
+MAX_SPOT_WAIT_S = 120.0  # a job without deadline waits no longer for a spot machine
+
+
+class DemandForecast(BootTracking):
+    """Waiting and expected tasks."""
+
+    def on_source_update(self, source_shard: int, full: bool, changes: dict[str, Any]) -> None:
+        """Take in a source's waiting tasks by job; `full` says that `changes` holds all of them."""
+        if full:
+            for key in [
+                key for key in self.demand if key[0] == source_shard and key[1] not in changes
+            ]:
+                del self.demand[key]
+        for job_id, value in changes.items():
+            key = (source_shard, job_id)
+            if value is None:
+                self.demand.pop(key, None)
+                continue
+            update = DemandUpdate(*value)
+            known = self.demand.get(key)
+            job = known.job if known is not None else from_record(update.record)
+            self.demand[key] = Demand(
+                job, update.waiting_tasks, update.zone_limits, tuple(update.queue_order)
+            )
+
+    def on_job(self, job: Job, now: float) -> None:
+        """Count an accepted job for the forecast."""
+        self.arrivals[job.id] = (now, job)
+        while len(self.arrivals) > MAX_ARRIVALS:
+            del self.arrivals[next(iter(self.arrivals))]
+
+    def _demand_by_priority(self) -> list[Demand]:
+        """Return the waiting tasks, the most important job first."""
+        return sorted(self.demand.values(), key=lambda demand: demand.queue_order)
+
+    def _starts_before_boot(self, job: Job) -> bool:
+        """Whether a job's objective is to start sooner than any machine boots."""
+        start_s = self.objectives.of(job).start_s
+        return start_s is not None and start_s < min(
+            (machine_type.boot_s for machine_type in self.machine_types.values()), default=0.0
+        )
+
+    def _urgent(self, job: Job) -> bool:
+        """Whether spot work would miss its deadline or objective by waiting for a spot machine."""
+        if job.deadline_s is None:
+            # Of an array with an objective, no more is requested than must run now
+            return (
+                self._starts_before_boot(job)
+                or self.objectives.of(job).finish_s is not None
+                or self.wall_time - job.submitted_at > MAX_SPOT_WAIT_S
+            )
+        return (
+            self.wall_time + ESTIMATE_MARGIN * job.estimate_s + DEADLINE_MARGIN_S
+            > job.submitted_at + job.deadline_s
+        )
+
+    def _forecast(self, now: float) -> list[tuple[Job, int]]:
+        """Return tasks to keep free capacity for, as (the class's largest job, task count).
+
+        Of each class that can't wait for a spot machine: what usually arrives while one boots.
+        """
+        since = max(self.started, now - FORECAST_S)
+        span_s = max(MIN_FORECAST_SPAN_S, now - since)
+        largest: dict[str, Job] = {}
+        tasks_per_slot: dict[str, dict[int, int]] = {}
+        for received_at, job in self.arrivals.values():
+            if received_at < since or (job.spot and not self._starts_before_boot(job)):
+                continue
+            job_class = job.job_class
+            if job_class not in largest or job.resources > largest[job_class].resources:
+                largest[job_class] = job
+            slots = tasks_per_slot.setdefault(job_class, {})
+            slot = int(received_at / ARRIVAL_SLOT_S)
+            slots[slot] = slots.get(slot, 0) + min(job.task_count, MAX_TASKS_PER_ARRIVAL)
+        forecast = []
+        for job_class, job in largest.items():
+            # The busiest slot is left out: all jobs submitted at the start are a burst, not a rate,
+            # and would rent machines for the whole of it once more
+            task_counts = tasks_per_slot[job_class].values()
+            count = sum(task_counts) - max(task_counts)
+            mean = count / span_s * (self._fastest_boot_s(job, now) + ARRIVAL_MARGIN_S)
+            forecast.append((job, max(1, math.ceil(mean + self.headroom * math.sqrt(mean)))))
+        return sorted(forecast, key=lambda expected: -max(expected[0].resources))
+
+    def _fastest_boot_s(self, job: Job, now: float) -> float:
+        """Return the shortest boot time of a machine that fits the job's tasks; 0: none does."""
+        return min(
+            (
+                self._boot_time_s((machine_type.name, zone), now)
+                for machine_type in self.machine_types.values()
+                if fits(job.resources, machine_type.resources)
+                for zone in machine_type.zones
+            ),
+            default=0.0,
+        )
--- /dev/null
+++ b/ploverhall/autoscaling/fleet_state.py
@@ -0,0 +1,297 @@
+"""The rented machines, as the shard owners, the cloud's list and its answers describe them.
+
+`FleetState` holds all state of the autoscaler and takes in what is known of machines. The classes
+that decide build on it: `BootTracking`, `DemandForecast`, `ScaleOut`, `ScaleIn` and
+`MaintenancePlanning`, all of them joined in `Autoscaler`. No I/O.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from typing import Any
+
+from ploverhall.maintenance.orders import MaintenanceOrder
+from ploverhall.protocol.cloud import CloudMachine, MachineType
+from ploverhall.protocol.jobs import Job
+from ploverhall.protocol.peer_messages import MachineUpdate
+from ploverhall.scheduling.inventory import MachinePool
+from ploverhall.scheduling.objectives import Objectives
+
+MAX_DELETED_REPORTED = 300  # latest deleted machines of which shard owners are told unasked
+# Deleted machines that are remembered: a list that lags may still name a whole fleet
+MAX_DELETED_KEPT = 10_000
+MAX_BOOT_HISTORY = 64  # boots remembered by type and zone
+# Pause after the cloud has refused machines
+INITIAL_REFUSAL_PAUSE_S = 5.0
+REFUSAL_PAUSE_FACTOR = 1.6
+MAX_REFUSAL_PAUSE_S = 60.0
+# States in the cloud's list
+CLOUD_BOOTING = "booting"
+CLOUD_RUNNING = "running"
+CLOUD_FAILED = "failed"
+# Values of `MachineUpdate.draining`
+DRAINING_FOR_GOOD = 1
+DRAINING_BY_ORDER = 2
+UNPROVABLE_KEY = "?"  # key on the state channel of machines of which the owner can't prove the fate
+
+
+@dataclass(slots=True)
+class RentedMachine:
+    """A rented machine as the autoscaler knows it."""
+
+    name: str
+    pool: MachinePool
+    rented_at: float
+    cloud_state: str = ""  # as the cloud lists it
+    age_s: float = 0.0  # as the cloud lists it
+    # The shard owner's latest, while the machine's agent sends heartbeats
+    update: MachineUpdate | None = None
+    updated_at: float = 0.0  # when `update` last changed; 0: no agent has been heard yet
+    shard: int = -1
+    idle_since: float | None = None
+    returning: bool = False
+    draining: bool = False
+    order_id: str | None = None  # the maintenance order that drains it
+
+
+@dataclass(slots=True)
+class Demand:
+    """A job's waiting tasks."""
+
+    job: Job
+    count: int
+    zone_limits: dict[str, int] | None
+    queue_order: tuple[float, ...]
+
+
+@dataclass(slots=True)
+class RentalRequest:
+    """A request to rent up to `count` machines of one pool."""
+
+    pool: MachinePool
+    count: int
+
+
+@dataclass(slots=True)
+class ScalingPlan:
+    """What to rent, and the names of the machines to return."""
+
+    scale_out: list[RentalRequest] = field(default_factory=list)
+    scale_in: list[str] = field(default_factory=list)
+
+
+class FleetState:
+    """All state of the autoscaler.
+
+    `idle_s` is how long a machine may be idle, `headroom` how many standard deviations of demand to
+    keep capacity for, `list_lag_s` the lag of the cloud's list, `lease_s` the shard leases' length.
+    """
+
+    def __init__(
+        self,
+        epoch: int,
+        idle_s: float,
+        headroom: float,
+        list_lag_s: float,
+        lease_s: float,
+        now: float,
+    ) -> None:
+        self.epoch = epoch
+        self.idle_s = idle_s
+        self.headroom = headroom
+        self.list_lag_s = list_lag_s
+        self.lease_s = lease_s
+        self.started = now
+        self.now = 0.0
+        self.wall_time = 0.0
+
+        # Set by the controller
+        self.machine_types: dict[str, MachineType] = {}
+        self.objectives = Objectives()
+        self.orders: list[MaintenanceOrder] = []
+
+        # Machines
+        self.machines: dict[str, RentedMachine] = {}
+        self.machines_per_pool: dict[MachinePool, int] = {}
+        self.missing_since: dict[str, float] = {}
+        # By shard: the machines of which its owner can't prove the fate
+        self.unprovable_by_shard: dict[int, tuple[str, ...]] = {}
+        self.deleted: dict[str, float] = {}  # name -> when, oldest first
+        self.list_count = 0  # complete lists of the cloud that were taken in
+        self.request_count = 0
+        # Refused until, and the length of that pause
+        self.refused_pools: dict[MachinePool, tuple[float, float]] = {}
+
+        # Demand: waiting tasks by shard and job, and the jobs of the last minutes by id
+        self.demand: dict[tuple[int, str], Demand] = {}
+        self.arrivals: dict[str, tuple[float, Job]] = {}
+
+        # Boots by type and zone: (rented at, up at), oldest first
+        self.boot_history: dict[tuple[str, str], deque[tuple[float, float]]] = {}
+        # Booting machines that are not overdue
+        self.booting_on_time: dict[tuple[str, str], int] = {}
+        # Machines that should be up, where none that was rented later is up either
+        self.overdue: dict[tuple[str, str], int] = {}
+
+        # Maintenance
+        self.order_wait_reasons: dict[str, str] = {}
+        self.orders_evaluated = False  # at least once, with the cloud's list at hand
+
+    def next_request_id(self) -> str:
+        """Return an id for a request to the cloud that no other request has."""
+        self.request_count += 1
+        return f"r-{self.epoch}-{self.request_count}"
+
+    # -- inputs ------------------------------------------------------------------------------
+
+    def on_owner_update(self, shard: int, full: bool, changes: dict[str, Any], now: float) -> None:
+        """Take in a shard owner's machines by name, and the list of unprovable ones.
+
+        `full` says that `changes` holds all of the shard's machines.
+        """
+        unprovable = changes.get(UNPROVABLE_KEY) or ()
+        if full or UNPROVABLE_KEY in changes:
+            self.unprovable_by_shard[shard] = tuple(unprovable)
+        for name in unprovable:
+            if name not in self.deleted:
+                self.missing_since.setdefault(name, now)
+        if full:
+            for machine in self.machines.values():
+                if (
+                    machine.shard == shard
+                    and machine.update is not None
+                    and machine.name not in changes
+                ):
+                    self._on_agent_lost(machine, now)
+        for name, value in changes.items():
+            if name == UNPROVABLE_KEY:
+                continue
+            if value is not None:
+                self._update_machine(shard, name, MachineUpdate(*value), now)
+            elif (known := self.machines.get(name)) is not None and known.shard == shard:
+                self._on_agent_lost(known, now)
+
+    def _update_machine(self, shard: int, name: str, update: MachineUpdate, now: float) -> None:
+        machine = self.machines.get(name)
+        if machine is None:
+            if name in self.deleted:
+                return
+            pool = (update.type, update.zone, bool(update.spot))
+            machine = self._add_machine(RentedMachine(name, pool, now))
+        if machine.update is None and not machine.updated_at:
+            boots = self.boot_history.setdefault(machine.pool[:2], deque(maxlen=MAX_BOOT_HISTORY))
+            boots.append((machine.rented_at, now))
+        machine.update = update
+        machine.shard = shard
+        machine.updated_at = now
+        if not update.idle:
+            machine.idle_since = None
+        elif machine.idle_since is None:
+            machine.idle_since = now
+
+    def _on_agent_lost(self, machine: RentedMachine, now: float) -> None:
+        """A machine's agent sends no heartbeats any more."""
+        if machine.update is not None:
+            machine.update = None
+            machine.updated_at = now
+            machine.idle_since = None
+
+    def _add_machine(self, machine: RentedMachine) -> RentedMachine:
+        self.machines[machine.name] = machine
+        self.machines_per_pool[machine.pool] = self.machines_per_pool.get(machine.pool, 0) + 1
+        return machine
+
+    def on_rented(self, names: list[str], pool: MachinePool, requested: int, now: float) -> None:
+        """Take in the machines that the cloud has rented out for a request."""
+        for name in names:
+            if name not in self.machines:
+                self._add_machine(RentedMachine(name, pool, now))
+        if len(names) < requested:
+            self.on_refused(pool, now)
+        else:
+            self.refused_pools.pop(pool, None)
+
+    def on_refused(self, pool: MachinePool, now: float) -> None:
+        """The cloud has no such machines: request none for a while, longer each time."""
+        _, last_pause_s = self.refused_pools.get(pool, (0.0, INITIAL_REFUSAL_PAUSE_S))
+        pause_s = min(MAX_REFUSAL_PAUSE_S, last_pause_s * REFUSAL_PAUSE_FACTOR)
+        self.refused_pools[pool] = (now + pause_s, pause_s)
+
+    def on_cloud_list(self, items: list[CloudMachine], requested_at: float, now: float) -> None:
+        """Take in a complete list of the cloud's machines.
+
+        It may describe the fleet as it was up to twice the list's lag before the request.
+        """
+        self.list_count += 1
+        listed_names = set()
+        for listed in items:
+            listed_names.add(listed.name)
+            if listed.name not in self.deleted:
+                self._update_listed(listed, now)
+        max_list_age_s = 2.0 * self.list_lag_s + 1.0
+        for name, machine in list(self.machines.items()):
+            if name in listed_names or machine.update is not None:
+                continue
+            # It existed at this time; a list that is surely later doesn't have it
+            last_known_at = max(machine.rented_at, machine.updated_at)
+            if requested_at - last_known_at > max_list_age_s:
+                self.on_deleted([name], now)
+        for name, since in list(self.missing_since.items()):
+            if name not in listed_names and requested_at - since > max_list_age_s:
+                self.on_deleted([name], now)
+
+    def _update_listed(self, listed: CloudMachine, now: float) -> None:
+        machine = self.machines.get(listed.name)
+        if machine is None:
+            pool = (listed.type, listed.zone, listed.spot)
+            machine = self._add_machine(RentedMachine(listed.name, pool, now - listed.age_s))
+        machine.cloud_state = listed.state
+        machine.age_s = listed.age_s
+
+    def on_deleted(self, names: list[str], now: float) -> None:
+        """Forget machines that are proven gone."""
+        for name in names:
+            machine = self.machines.pop(name, None)
+            if machine is not None:
+                self.machines_per_pool[machine.pool] -= 1
+            self.missing_since.pop(name, None)
+            self.deleted.pop(name, None)  # so that the latest is last
+            self.deleted[name] = now
+        while len(self.deleted) > MAX_DELETED_KEPT:
+            del self.deleted[next(iter(self.deleted))]
+
+    # -- queries -----------------------------------------------------------------------------
+
+    def deleted_for(self, shard: int) -> list[str]:
+        """Return machines that a shard's owner should know to be gone, sorted by name.
+
+        These are the latest, and all that it can't prove anything about: else, once more machines
+        than are sent have gone, an old one would count against its team's limit for ever.
+        """
+        latest = list(self.deleted)[-MAX_DELETED_REPORTED:]
+        unprovable = self.unprovable_by_shard.get(shard, ())
+        return sorted({*latest, *(name for name in unprovable if name in self.deleted)})
+
+    def draining_machines(self, shard: int) -> list[str]:
+        """Return the machines of a shard that should take no new tasks, sorted by name."""
+        return sorted(
+            machine.name
+            for machine in self.machines.values()
+            if machine.shard == shard and (machine.draining or machine.returning)
+        )
+
+    def _price(self, pool: MachinePool) -> float:
+        """Return the price of a machine; 0 for a type that the cloud no longer offers."""
+        machine_type = self.machine_types.get(pool[0])
+        return (
+            0.0
+            if machine_type is None
+            else machine_type.spot_price
+            if pool[2]
+            else machine_type.price
+        )
+
+    def _backing_off(self, pool: MachinePool, now: float) -> bool:
+        """Whether the cloud has refused such machines lately."""
+        return self.refused_pools.get(pool, (0.0, 0.0))[0] > now
--- /dev/null
+++ b/ploverhall/autoscaling/machine_maintenance.py
@@ -0,0 +1,212 @@
+"""Maintenance orders: which machines are drained next, and their progress.
+
+A machine is drained only once its work fits on other machines; where it does not, these are rented
+first. No I/O.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+from ploverhall.autoscaling.fleet_state import (
+    DRAINING_BY_ORDER,
+    RentalRequest,
+    RentedMachine,
+    ScalingPlan,
+)
+from ploverhall.autoscaling.scale_out import ScaleOut
+from ploverhall.maintenance.orders import RUNNING, MaintenanceOrder
+from ploverhall.scheduling.inventory import EPSILON, MachinePool
+
+MAX_MACHINES_SHOWN = 20  # by name, in an order's progress
+
+
+class MaintenancePlanning(ScaleOut):
+    """Plans the draining of machines by order."""
+
+    def _advance_maintenance(self, plan: ScalingPlan) -> None:
+        """Pick the machines that are drained next."""
+        running = {order.id: order for order in self.orders if order.state == RUNNING}
+        for machine in self.machines.values():
+            if (
+                machine.order_id is not None
+                and machine.order_id not in running
+                and not machine.returning
+            ):
+                machine.order_id = None  # its order is paused or stopped
+        draining = [machine for machine in self.machines.values() if machine.order_id is not None]
+        self.order_wait_reasons = {}
+        for order in running.values():
+            self._advance_order(order, draining, plan)
+        self.orders_evaluated = True
+
+    def _advance_order(
+        self, order: MaintenanceOrder, draining: list[RentedMachine], plan: ScalingPlan
+    ) -> None:
+        """Drain machines of one order until its limit, or until their work has no free capacity.
+
+        The machines are added to `draining`, and what has to be rented for them to the plan.
+        """
+        draining_count = sum(1 for machine in draining if machine.order_id == order.id)
+        for machine in self._undrained_machines(order):
+            if draining_count >= order.max_concurrent:
+                self.order_wait_reasons[order.id] = (
+                    f"{draining_count} machines are being emptied, as many as it allows at once"
+                )
+                break
+            missing, unrented = self._missing_machines(machine, [*draining, machine])
+            if missing > 0:
+                # Work that is stopped before there is capacity for it waits for a machine's boot
+                pool = self._replacement_pool(machine.pool)
+                if pool is not None and unrented > 0:
+                    plan.scale_out.append(RentalRequest(pool, min(unrented, order.max_concurrent)))
+                self.order_wait_reasons[order.id] = (
+                    f"what runs on {machine.name} has no room elsewhere"
+                    + (", machines are rented" if pool else "")
+                )
+                break
+            machine.order_id = order.id
+            draining.append(machine)
+            draining_count += 1
+
+    def _undrained_machines(self, order: MaintenanceOrder) -> list[RentedMachine]:
+        """Return the machines that an order has still to drain, in the order of draining."""
+        machines = [
+            machine
+            for machine in self.machines.values()
+            if machine.order_id is None
+            and not machine.returning
+            and not machine.draining
+            and machine.update is not None
+            and order.matches(machine.name, machine.pool, machine.shard)
+        ]
+        machines.sort(key=self._eviction_order)
+        return machines
+
+    def _eviction_order(self, machine: RentedMachine) -> tuple[bool, bool, float, str]:
+        """Machines that an earlier autoscaler has begun to drain first, then the emptiest."""
+        update = machine.update
+        return (
+            update is not None and update.draining != DRAINING_BY_ORDER,
+            update is not None and not update.idle,
+            self._used_share(machine),
+            machine.name,
+        )
+
+    def _used_share(self, machine: RentedMachine) -> float:
+        """Return the used share of a machine, by the resource that is used most."""
+        machine_type = self.machine_types.get(machine.pool[0])
+        if machine_type is None or machine.update is None:
+            return 0.0
+        return max(
+            (
+                1.0 - free / capacity
+                for free, capacity in zip(machine.update.free, machine_type.resources, strict=True)
+                if capacity > 0
+            ),
+            default=0.0,
+        )
+
+    def _missing_machines(
+        self, machine: RentedMachine, evacuating: list[RentedMachine]
+    ) -> tuple[int, int]:
+        """Return how many machines are missing for the work on those being drained.
+
+        The second number leaves out machines that boot already. Compared are whole machines' worth
+        of free capacity, of this machine's type.
+        """
+        needed = sum(
+            self._used_share(drained)
+            for drained in evacuating
+            if drained.pool[0] == machine.pool[0]
+        )
+        names = {drained.name for drained in evacuating}
+        running = 0.0
+        booting = 0.0
+        for other in self.machines.values():
+            if (
+                other.pool[0] != machine.pool[0]
+                or other.name in names
+                or other.draining
+                or other.returning
+                or self._under_order(other)
+            ):
+                continue
+            if other.update is not None and not (
+                other.update.draining or other.update.notice or other.update.faulty
+            ):
+                running += 1.0 - self._used_share(other)
+            elif self._is_booting(other):
+                booting += 1.0
+        missing = max(0, math.ceil(needed - running - EPSILON))
+        return missing, max(0, math.ceil(needed - running - booting - EPSILON))
+
+    def _under_order(self, machine: RentedMachine) -> bool:
+        """Whether a running order is to drain this machine, now or later."""
+        return any(
+            order.state == RUNNING and order.matches(machine.name, machine.pool, machine.shard)
+            for order in self.orders
+        )
+
+    def _replacement_pool(self, pool: MachinePool) -> MachinePool | None:
+        """Return the pool to rent a replacement from, the same if possible; None: nowhere."""
+        machine_type = self.machine_types.get(pool[0])
+        if machine_type is None:
+            return None
+        pools = [
+            (pool[0], zone, spot)
+            for spot in (pool[2], False)
+            for zone in (pool[1], *machine_type.zones)
+            if zone in machine_type.zones
+        ]
+        return next(
+            (
+                candidate
+                for candidate in pools
+                if not self._blocked_by_order(candidate)
+                and not self._backing_off(candidate, self.now)
+            ),
+            None,
+        )
+
+    def machines_under_maintenance(self, shard: int) -> list[str]:
+        """Return the machines of a shard that an order drains now, sorted by name."""
+        return sorted(
+            machine.name
+            for machine in self.machines.values()
+            if machine.shard == shard and machine.order_id is not None
+        )
+
+    def order_progress(self) -> dict[str, dict[str, Any]]:
+        """Return by order id what operators are shown of its progress."""
+        progress = {}
+        for order in self.orders:
+            matching = [
+                machine
+                for machine in self.machines.values()
+                if order.matches(machine.name, machine.pool, machine.shard)
+            ]
+            progress[order.id] = {
+                "left": len(matching),
+                "being_emptied": sorted(
+                    machine.name for machine in matching if machine.order_id == order.id
+                )[:MAX_MACHINES_SHOWN],
+                "waits": self.order_wait_reasons.get(order.id, ""),
+            }
+        return progress
+
+    def finished_orders(self, now: float) -> list[MaintenanceOrder]:
+        """Return the running orders that name machines of which none is left.
+
+        One that names a zone or type holds until it is stopped.
+        """
+        if not self.list_count or now - self.started < 2.0 * self.list_lag_s + 5.0:
+            return []  # not all machines may have been seen yet
+        return [
+            order
+            for order in self.orders
+            if order.state == RUNNING
+            and order.machines is not None
+            and not any(name in self.machines for name in order.machines)
+        ]
--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -9,7 +9,8 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.autoscaling.autoscaler import Autoscaler, RentalRequest
+from ploverhall.autoscaling.autoscaler import Autoscaler
+from ploverhall.autoscaling.fleet_state import RentalRequest
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.routing import Routing
 from ploverhall.coordination import state_channel
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -1,8 +1,9 @@
-"""Stops that are asked for and granted: a stop by choice is permitted like a start.
+"""Grants evictions from machines under maintenance, within each team's disruption budget.
 
-An owner asks (its machine is to be emptied), the team's source grants within the team's budget, and the grant is written
-before it is used: a new source finds what was granted, counts it, and stops it again if it still runs; so two sources
-never spend the same budget. A grant that is not needed any more leaves the value with the next one.
+A shard owner requests an eviction; the source grants it within the budget, writes the grant, and
+stops the attempt once that has landed. A new source reads the grants, counts them, and stops the
+attempts again if they still run: else two sources could spend the same budget. A grant that is over
+is removed with the team's next one. `JobSource` and the controller's write loop call this.
 """
 
 from __future__ import annotations
@@ -16,20 +17,24 @@
     denial_reason,
 )
 from ploverhall.protocol.agents import AttemptId
-from ploverhall.scheduling.job_state import JobState
+from ploverhall.protocol.jobs import Job
+from ploverhall.scheduling.job_state import JobState, save_grace_s
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES, PendingWrite
 from ploverhall.scheduling.record_chunks import Allocation
 from ploverhall.scheduling.store_writer import StoreWriter
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import SHARD_PREFIX, grants_key
+from ploverhall.storage.store_cache import grants_key
 
 GRANT_INTERVAL_S = 0.5
-MAX_GRANTS_PER_TEAM = 48  # of one team in one value
+MAX_GRANTS_PER_TEAM = 48  # in the one value that holds a team's grants
 GRANT_BYTES = 40
+GRANTS_OVERHEAD_BYTES = 100
+VALUE_FILL_FACTOR = 0.9  # of a value's limit that the grants may fill
+REASON_TOO_MANY_GRANTS = "so many of its team are being stopped"
 
 
 class EvictionGrants(StoreWriter):
-    """What owners have asked for, and what was granted."""
+    """The evictions that shard owners have requested, and those that are granted."""
 
     def __init__(
         self,
@@ -37,15 +42,17 @@
         epoch: int,
         teams: list[Team],
         zones: tuple[str, ...],
-        value_bytes: int,
-        txn_ops: int,
+        max_value_bytes: int,
+        max_transaction_ops: int,
     ) -> None:
-        super().__init__(shard, epoch, teams, zones, value_bytes, txn_ops)
+        super().__init__(shard, epoch, teams, zones, max_value_bytes, max_transaction_ops)
         self.budgets = DisruptionBudgets()
-        self.max_grants = min(MAX_GRANTS_PER_TEAM, int(value_bytes * 0.9) // GRANT_BYTES)
-        self.requested_since: dict[AttemptId, float] = {}  # since when
-        self.denial_reasons: dict[AttemptId, str] = {}  # why it is not granted yet, for people
-        # By team; True: it is written
+        self.max_grants = min(
+            MAX_GRANTS_PER_TEAM, int(max_value_bytes * VALUE_FILL_FACTOR) // GRANT_BYTES
+        )
+        self.requested_since: dict[AttemptId, float] = {}
+        self.denial_reasons: dict[AttemptId, str] = {}  # for the maintenance status
+        # By team and attempt; True: the grant is written
         self.grants_by_team: dict[str, dict[AttemptId, bool]] = {team.name: {} for team in teams}
         self.grant_versions: dict[str, int] = {team.name: 0 for team in teams}
         self.teams_with_unwritten_grants: set[str] = set()
@@ -54,82 +61,100 @@
         }
         self.next_grant_at = 0.0
 
-    # -- asking ------------------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------------------
 
     def request_eviction(self, allocation: Allocation, requested: bool, now: float) -> None:
-        """An owner wants a start gone from its machine, or not any more."""
+        """A shard owner requests the eviction of an attempt, or takes the request back."""
         key = (allocation.job_id, allocation.task, allocation.attempt)
         if requested:
             self.requested_since.setdefault(key, now)
         elif self.requested_since.pop(key, None) is not None:
             self.denial_reasons.pop(key, None)
-            team = self.jobs[allocation.job_id].team
-            if self.grants_by_team[team].get(key) is False:
-                del self.grants_by_team[team][
-                    key
-                ]  # not written yet: the order was taken back in time
+            granted = self.grants_by_team[self.jobs[allocation.job_id].team]
+            if granted.get(key) is False:
+                del granted[key]  # not written yet
 
     # -- granting ----------------------------------------------------------------------------
 
     def grant_evictions(self, now: float, wall_time: float) -> None:
-        """Hold what is asked for against the budgets, replicas that have waited for longest first."""
+        """Grant what the budgets allow, the oldest requests first; at most every half second.
+
+        `wall_time` decides which of a budget's maintenance windows is open.
+        """
         if not self.requested_since or now < self.next_grant_at:
             return
         self.next_grant_at = now + GRANT_INTERVAL_S
-        downs: dict[str, int] = {}
+        unavailable_per_team: dict[str, int] = {}
         for key in sorted(
             self.requested_since,
             key=lambda attempt_id: (self.requested_since[attempt_id], attempt_id),
         ):
             job_state = self.jobs.get(key[0])
-            allocation = job_state.allocations.get(key[1]) if job_state is not None else None
+            allocation = self._outstanding_allocation(key)
             if (
                 job_state is None
-                or allocation is None
                 or job_state.job is None
-                or allocation.finished
-                or allocation.attempt != key[2]
+                or allocation is None
                 or allocation.stop_grace_s is not None
             ):
-                del self.requested_since[key]  # it is over, or stops already
+                del self.requested_since[key]  # it has ended, or is stopping already
                 self.denial_reasons.pop(key, None)
-                continue
-            granted = self.grants_by_team[job_state.team]
-            if key in granted:
-                continue
-            if job_state.team not in downs:
-                downs[job_state.team] = sum(
-                    self._unavailable_replicas(other_state)
-                    for other_state in self.jobs.values()
-                    if other_state.team == job_state.team and other_state.fully_ran
+            elif key not in self.grants_by_team[job_state.team]:
+                if job_state.team not in unavailable_per_team:
+                    unavailable_per_team[job_state.team] = self._team_unavailable(job_state.team)
+                self._grant_or_deny(
+                    job_state, job_state.job, allocation, unavailable_per_team, now, wall_time
                 )
-            rule = self.budgets.for_job(job_state.team, job_state.job.job_class, job_state.id)
-            facts = self._eviction_request(job_state, allocation, downs[job_state.team], now)
-            members = (
-                [other for other in job_state.allocations.values() if not other.finished]
-                if job_state.job.kind == "gang"
-                else [allocation]
-            )
-            why = denial_reason(
-                rule, facts, self.recent_disruptions[job_state.team].last_minute(now), wall_time
-            )
-            if not why and len(granted) + len(members) > self.max_grants:
-                why = "so many of its team are being stopped"
-            if why:
-                self.denial_reasons[key] = why
-                continue
-            self.denial_reasons.pop(key, None)
-            for other in members:
-                granted[other.job_id, other.task, other.attempt] = False
-            self.recent_disruptions[job_state.team].record(
-                int(job_state.job.kind == "gang"), facts.lost_work_s, now
-            )
-            if job_state.job.kind == "service":
-                downs[job_state.team] += 1
-            self.teams_with_unwritten_grants.add(job_state.team)
+
+    def _grant_or_deny(
+        self,
+        job_state: JobState,
+        job: Job,
+        allocation: Allocation,
+        unavailable_per_team: dict[str, int],
+        now: float,
+        wall_time: float,
+    ) -> None:
+        """Grant one eviction, of a gang with all its attempts, or record why it is denied."""
+        key = (allocation.job_id, allocation.task, allocation.attempt)
+        team = job_state.team
+        granted = self.grants_by_team[team]
+        disruptions = self.recent_disruptions[team]
+        request = self._eviction_request(job_state, allocation, unavailable_per_team[team], now)
+        attempts = (
+            [other for other in job_state.allocations.values() if not other.finished]
+            if job.kind == "gang"
+            else [allocation]
+        )
+        reason = denial_reason(
+            self.budgets.for_job(team, job.job_class, job_state.id),
+            request,
+            disruptions.last_minute(now),
+            wall_time,
+        )
+        if not reason and len(granted) + len(attempts) > self.max_grants:
+            reason = REASON_TOO_MANY_GRANTS
+        if reason:
+            self.denial_reasons[key] = reason
+            return
+        self.denial_reasons.pop(key, None)
+        for other in attempts:
+            granted[other.job_id, other.task, other.attempt] = False
+        disruptions.record(int(job.kind == "gang"), request.lost_work_s, now)
+        if job.kind == "service":
+            unavailable_per_team[team] += 1
+        self.teams_with_unwritten_grants.add(team)
+
+    def _team_unavailable(self, team: str) -> int:
+        """Return how many replicas of a team's services are unavailable, once they all ran."""
+        return sum(
+            self._unavailable_replicas(job_state)
+            for job_state in self.jobs.values()
+            if job_state.team == team and job_state.fully_ran
+        )
 
     def _unavailable_replicas(self, job_state: JobState) -> int:
-        """Replicas of a service that do not serve, or will not in a moment."""
+        """Return how many of a service's replicas don't run or will stop; 0 for other jobs."""
         return (
             job_state.task_count - self._available_replicas(job_state)
             if job_state.job is not None and job_state.job.kind == "service"
@@ -147,97 +172,112 @@
         )
 
     def _eviction_request(
-        self, job_state: JobState, allocation: Allocation, team_down: int, now: float
+        self, job_state: JobState, allocation: Allocation, team_unavailable: int, now: float
     ) -> EvictionRequest:
         job = job_state.job
         assert job is not None
-        ran = now - allocation.running_since if allocation.running_since is not None else 0.0
-        size = job_state.task_count if job.kind == "gang" else 1
-        lost = 0.0 if job.checkpoint_s > 0 or job.kind == "service" else ran * size
-        left = max(0.0, job.estimate_s - ran) if job.kind != "service" else float("inf")
+        ran_s = now - allocation.running_since if allocation.running_since is not None else 0.0
+        stopped_tasks = job_state.task_count if job.kind == "gang" else 1
+        is_service = job.kind == "service"
+        lost_work_s = 0.0 if job.checkpoint_s > 0 or is_service else ran_s * stopped_tasks
+        remaining_s = float("inf") if is_service else max(0.0, job.estimate_s - ran_s)
         return EvictionRequest(
             job.kind,
             job_state.task_count,
             self._available_replicas(job_state),
-            team_down,
-            lost,
-            left,
+            team_unavailable,
+            lost_work_s,
+            remaining_s,
             now - self.requested_since[allocation.job_id, allocation.task, allocation.attempt],
         )
 
     def _stop_granted(self, job_state: JobState, allocation: Allocation) -> None:
-        """A grant is written: stop it, saving where it can; a gang's tasks all with the same time to save."""
+        """Stop an attempt whose grant is written, with time to save where its job can."""
         job = job_state.job
         if not allocation.finished and allocation.stop_grace_s is None and allocation.committed:
-            self._request_stop(
-                allocation, job.save_s + 1.0 if job is not None and job.checkpoint_s > 0 else 0.0
-            )
+            self._request_stop(allocation, save_grace_s(job) if job is not None else 0.0)
 
     # -- writing -----------------------------------------------------------------------------
 
     def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
-        """The next write, with the grants that wait for one."""
+        """Return the next transaction with the grants that wait for one; None: nothing waits."""
         txn = super().next_write(max_operations)
         if not self.teams_with_unwritten_grants or self.chunks_to_fence:
             return txn
         if txn is None:
-            txn = PendingWrite({f"{SHARD_PREFIX}{self.shard}": self.epoch}, {}, [])
+            txn = self._empty_write()
         for team in sorted(self.teams_with_unwritten_grants):
-            granted, key = self.grants_by_team[team], grants_key(team)
-            size = GRANT_BYTES * len(granted) + 100
-            if (
-                txn.operation_count + 1 > self.write_operation_limit
-                or len(txn.compare) + 1 > self._max_comparisons
-                or txn.size_bytes + size > MAX_TRANSACTION_BYTES
-            ):
+            if not self._add_grants(txn, team):
                 break
-            for attempt_id in [
-                attempt_id for attempt_id in granted if not self._is_outstanding(attempt_id)
-            ]:
-                del granted[attempt_id]
-            if not granted and not self.grant_versions[team]:
-                self.teams_with_unwritten_grants.discard(
-                    team
-                )  # nothing is written, and nothing has to be
-                continue
-            txn.compare[key] = self.grant_versions[team]
-            if granted:
-                txn.puts[key] = [list(attempt_id) for attempt_id in sorted(granted)]
-            elif self.grant_versions[team]:
-                txn.deletes.append(key)
-            txn.eviction_grants[team] = sorted(granted)
-            txn.size_bytes += size
         return txn if txn.operation_count else None
 
-    def _is_outstanding(self, key: AttemptId) -> bool:
-        job_state = self.jobs.get(key[0])
-        allocation = job_state.allocations.get(key[1]) if job_state is not None else None
-        return allocation is not None and allocation.attempt == key[2] and not allocation.finished
+    def _add_grants(self, txn: PendingWrite, team: str) -> bool:
+        """Add a team's grants, without those that are over; False when they don't fit."""
+        granted = self.grants_by_team[team]
+        key = grants_key(team)
+        size_bytes = GRANT_BYTES * len(granted) + GRANTS_OVERHEAD_BYTES
+        if (
+            txn.operation_count + 1 > self.write_operation_limit
+            or len(txn.compare) + 1 > self._max_comparisons
+            or txn.size_bytes + size_bytes > MAX_TRANSACTION_BYTES
+        ):
+            return False
+        ended = [
+            attempt_id for attempt_id in granted if self._outstanding_allocation(attempt_id) is None
+        ]
+        for attempt_id in ended:
+            del granted[attempt_id]
+        if not granted and not self.grant_versions[team]:
+            self.teams_with_unwritten_grants.discard(team)  # nothing is stored either
+            return True
+        txn.compare[key] = self.grant_versions[team]
+        if granted:
+            txn.puts[key] = [list(attempt_id) for attempt_id in sorted(granted)]
+        else:
+            txn.deletes.append(key)
+        txn.eviction_grants[team] = sorted(granted)
+        txn.size_bytes += size_bytes
+        return True
+
+    def _known_allocation(self, attempt_id: AttemptId) -> Allocation | None:
+        """Return the allocation of an attempt, finished or not; None if there is none."""
+        job_id, task, attempt = attempt_id
+        job_state = self.jobs.get(job_id)
+        allocation = job_state.allocations.get(task) if job_state is not None else None
+        return allocation if allocation is not None and allocation.attempt == attempt else None
+
+    def _outstanding_allocation(self, attempt_id: AttemptId) -> Allocation | None:
+        """Return the allocation of an attempt that has not finished."""
+        allocation = self._known_allocation(attempt_id)
+        return allocation if allocation is not None and not allocation.finished else None
 
     def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
-        """The write is in: what was granted may be stopped."""
+        """A transaction has landed: stop the attempts whose grants it holds."""
         super().on_committed(txn, revision, now)
-        for team, keys in txn.eviction_grants.items():
+        for team, attempt_ids in txn.eviction_grants.items():
             self.grant_versions[team] = revision if grants_key(team) in txn.puts else 0
-            if sorted(self.grants_by_team[team]) == keys:
+            if sorted(self.grants_by_team[team]) == attempt_ids:
                 self.teams_with_unwritten_grants.discard(team)
-            self._apply_grants(team, keys)
+            self._apply_grants(team, attempt_ids)
 
-    def _apply_grants(self, team: str, keys: list[AttemptId]) -> None:
-        for key in keys:
-            job_state = self.jobs.get(key[0])
-            allocation = job_state.allocations.get(key[1]) if job_state is not None else None
-            if job_state is not None and allocation is not None and allocation.attempt == key[2]:
-                self.grants_by_team[team][key] = True
-                self._stop_granted(job_state, allocation)
+    def _apply_grants(self, team: str, attempt_ids: list[AttemptId]) -> None:
+        for attempt_id in attempt_ids:
+            allocation = self._known_allocation(attempt_id)
+            if allocation is not None:
+                self.grants_by_team[team][attempt_id] = True
+                self._stop_granted(self.jobs[allocation.job_id], allocation)
 
     def install_grants(self, team: str, value: Any, version: int) -> None:
-        """What is written of a team's grants, as read: at the start, and after a write of unknown outcome. Its cell must be known."""
+        """Take in a team's grants as read, at the start and after a write of unknown outcome.
+
+        The team's allocations must have been read before.
+        """
         self.grant_versions[team] = version
-        for key in [
-            attempt_id for attempt_id, written in self.grants_by_team[team].items() if written
-        ]:
-            del self.grants_by_team[team][key]
-        self._apply_grants(team, [(str(j), int(t), int(a)) for j, t, a in value or []])
-        if self.grants_by_team[team] or value:
+        granted = self.grants_by_team[team]
+        for attempt_id in [attempt_id for attempt_id, written in granted.items() if written]:
+            del granted[attempt_id]
+        self._apply_grants(
+            team, [(str(job_id), int(task), int(attempt)) for job_id, task, attempt in value or []]
+        )
+        if granted or value:
             self.teams_with_unwritten_grants.add(team)
--- a/ploverhall/scheduling/job_state.py
+++ b/ploverhall/scheduling/job_state.py
@@ -17,6 +17,8 @@
 # A task that has run for this long is healthy: one with a fault of its own fails as soon as it has
 # its image
 HEALTHY_RUN_S = 5.0
+SAVE_MARGIN_S = 1.0  # beyond the time that a job says its tasks need to save
+SAVE_OVERHEAD_S = 15.0  # what stopping, moving and restoring a task takes besides two saves
 
 
 @dataclass(slots=True, eq=False)
@@ -141,3 +143,16 @@
             and now - allocation.running_since > HEALTHY_RUN_S
             for allocation in self.allocations.values()
         )
+
+
+def save_grace_s(job: Job, min_checkpoint_s: float = 0.0) -> float:
+    """Return the seconds that a task gets to save before it is stopped.
+
+    0 where its job makes no checkpoints, or none for at least `min_checkpoint_s` of work.
+    """
+    return job.save_s + SAVE_MARGIN_S if job.checkpoint_s > min_checkpoint_s else 0.0
+
+
+def min_worthwhile_checkpoint_s(job: Job) -> float:
+    """Return the checkpoint interval in seconds above which a preempted task should save first."""
+    return 2.0 * job.save_s + SAVE_OVERHEAD_S
--- /dev/null
+++ b/ploverhall/scheduling/quota.py
@@ -0,0 +1,199 @@
+"""Limits and guarantees of teams: how many tasks of a job may be permitted now, and where.
+
+A team's limit bounds what all of its jobs use together; within it, replicas of services go before
+arrays. Its guarantee puts the team's earliest jobs ahead of other teams' work. `JobSource` calls
+this before it permits tasks.
+"""
+
+from __future__ import annotations
+
+from ploverhall.scheduling.allocations import AllocationStore
+from ploverhall.scheduling.inventory import (
+    EPSILON,
+    NO_RESOURCES,
+    UNBOUNDED,
+    ResourceVector,
+    add_scaled,
+    max_count,
+)
+from ploverhall.scheduling.job_state import (
+    JobState,
+    min_worthwhile_checkpoint_s,
+    save_grace_s,
+)
+from ploverhall.scheduling.record_chunks import Allocation
+from ploverhall.settings import Team
+
+UNLIMITED = 1e18  # of a resource for which a team has no limit
+
+
+class TeamQuotas(AllocationStore):
+    """Limits, guarantees and zone limits of the jobs of one shard's teams."""
+
+    def quota_headroom(self, job_state: JobState) -> int:
+        """Return how many more tasks of this job the team's limit allows."""
+        team = self.teams[job_state.team]
+        used = self.used[job_state.team]
+        if job_state.job is not None and job_state.job.kind != "service":
+            used = add_scaled(used, self.reserved_for_services.get(job_state.team, NO_RESOURCES))
+        count = UNBOUNDED
+        for limit, used_amount, needed in (
+            (team.max_cpus, used[0], job_state.resources[0]),
+            (team.max_gpus, used[1], job_state.resources[1]),
+        ):
+            if limit > 0:
+                count = min(count, max_count(needed, limit - used_amount + EPSILON))
+        return count
+
+    def zone_limits(self, job_state: JobState) -> dict[str, int] | None:
+        """Return how many more tasks each zone may take; None: no limit."""
+        job = job_state.job
+        if job is None or not (job.spread_zones or job.single_zone or job.zone):
+            return None
+        occupied_zones = job_state.allocations_per_zone
+        limits = {}
+        for zone in self.zones:
+            count = (
+                job.max_tasks_per_zone - occupied_zones.get(zone, 0)
+                if job.spread_zones
+                else job.task_count
+            )
+            if (job.single_zone and occupied_zones and zone not in occupied_zones) or (
+                job.zone and zone != job.zone
+            ):
+                count = 0
+            limits[zone] = max(0, count)
+        return limits
+
+    def candidate_count(self, job_state: JobState, now: float) -> int:
+        """Return how many tasks of this job may be permitted now, and so need offers."""
+        job = job_state.job
+        if job is None or job_state.blocked or job_state.complete or now < job_state.retry_at:
+            return 0
+        tasks_in_backoff = sum(
+            1 for task in job_state.task_retry_at if task not in job_state.allocations
+        )
+        count = min(
+            job_state.waiting_count() - tasks_in_backoff,
+            self.quota_headroom(job_state),
+        )
+        if job_state.overdue and not job_state.started and job.kind == "array":
+            count = min(count, 1)  # only the first task goes ahead of other jobs
+        if job_state.failing_everywhere and job.kind != "gang":
+            count = min(count, 0 if job_state.allocations else 1)
+        if job.kind == "gang" and (job_state.allocations or count < job_state.task_count):
+            return 0  # all or nothing, and not before the last attempt's tasks are gone
+        return max(0, count)
+
+    # -- guarantees --------------------------------------------------------------------------
+
+    def _update_guarantees(self) -> None:
+        """Decide for the changed teams which of their jobs are within the guarantee."""
+        for team_name in sorted(self.teams_to_reorder):
+            within = self._jobs_that_fit_guarantee(self.teams[team_name])
+            for job_id in sorted(within ^ self.jobs_within_guarantee[team_name]):
+                if (job_state := self.jobs.get(job_id)) is not None:
+                    job_state.within_guarantee = job_id in within
+                    self.changed_jobs.add(job_id)
+            self.jobs_within_guarantee[team_name] = within
+        self.teams_to_reorder.clear()
+
+    def _jobs_that_fit_guarantee(self, team: Team) -> set[str]:
+        """Return the oldest unfinished jobs of a team that fit its guarantee together."""
+        within: set[str] = set()
+        if team.guaranteed_cpus <= 0 and team.guaranteed_gpus <= 0:
+            return within
+        total = NO_RESOURCES
+        for _, job_id in self.jobs_by_age[team.name]:
+            job_state = self.jobs[job_id]
+            self.visit_count += 1
+            if job_state.failing_everywhere:
+                continue  # else a broken job would use up the guarantee of the others
+            unfinished = job_state.task_count - job_state.done_count
+            total = add_scaled(total, job_state.resources, unfinished)
+            if (team.guaranteed_cpus > 0 and total[0] > team.guaranteed_cpus + EPSILON) or (
+                team.guaranteed_gpus > 0 and total[1] > team.guaranteed_gpus + EPSILON
+            ):
+                break  # and so are all later ones
+            within.add(job_id)
+        return within
+
+    # -- services within a limit -------------------------------------------------------------
+
+    def _free_quota_for_services(self, now: float) -> None:
+        """Stop arrays of teams whose replicas wait for the team's limit, least lost work first.
+
+        The freed share of the limit is reserved for the replicas. Else a replica would wait for as
+        long as an array of its own team, which arrived a moment earlier, holds the limit's rest.
+        """
+        for team_name, team in self.teams.items():
+            reserved_before = self.reserved_for_services.pop(team_name, NO_RESOURCES)
+            if team.max_cpus <= 0 and team.max_gpus <= 0:
+                continue
+            needed = self._resources_of_waiting_replicas(team_name, now)
+            if needed == NO_RESOURCES:
+                if reserved_before != NO_RESOURCES:
+                    self.teams_with_changed_usage.add(team_name)
+                continue
+            used = add_scaled(self.used[team_name], needed)
+            limit = (team.max_cpus or UNLIMITED, team.max_gpus or UNLIMITED, UNLIMITED)
+            if within_limit(used, limit):
+                continue
+            self.reserved_for_services[team_name] = needed
+            self._stop_array_tasks(team_name, used, limit, now)
+
+    def _resources_of_waiting_replicas(self, team_name: str, now: float) -> ResourceVector:
+        needed = NO_RESOURCES
+        for job_state in self.waiting_jobs[team_name].values():
+            if (
+                job_state.job is not None
+                and job_state.job.kind == "service"
+                and not job_state.failing_everywhere
+                and not job_state.blocked
+                and job_state.retry_at <= now
+            ):
+                needed = add_scaled(needed, job_state.resources, job_state.waiting_count())
+        return needed
+
+    def _stop_array_tasks(
+        self, team_name: str, used: ResourceVector, limit: ResourceVector, now: float
+    ) -> None:
+        """Stop tasks of a team's arrays until the rest of `used` is within the limit."""
+        stopping, candidates = self._stoppable_array_tasks(team_name, now)
+        for _, _, allocation, job_state in sorted(candidates, key=lambda task: task[:2]):
+            if within_limit(add_scaled(used, stopping, -1), limit):
+                break
+            job = job_state.job
+            assert job is not None
+            self._request_stop(allocation, save_grace_s(job, min_worthwhile_checkpoint_s(job)))
+            stopping = add_scaled(stopping, job_state.resources)
+
+    def _stoppable_array_tasks(
+        self, team_name: str, now: float
+    ) -> tuple[ResourceVector, list[tuple[float, int, Allocation, JobState]]]:
+        """Return what a team's stopping array tasks use, and those that may be stopped.
+
+        The latter as (seconds run, task, allocation, job).
+        """
+        stopping = NO_RESOURCES
+        candidates: list[tuple[float, int, Allocation, JobState]] = []
+        for job_state in self.jobs.values():
+            job = job_state.job
+            if job_state.team != team_name or job is None or job.kind != "array":
+                continue
+            for allocation in job_state.allocations.values():
+                self.visit_count += 1
+                if allocation.finished or not allocation.committed:
+                    continue
+                if allocation.stop_grace_s is not None:
+                    stopping = add_scaled(stopping, job_state.resources)
+                elif job.priority > 0:
+                    since = allocation.running_since
+                    ran_s = now - since if since is not None else 0.0
+                    candidates.append((ran_s, allocation.task, allocation, job_state))
+        return stopping, candidates
+
+
+def within_limit(used: ResourceVector, limit: ResourceVector) -> bool:
+    """Whether no resource exceeds its limit."""
+    return all(amount <= most + EPSILON for amount, most in zip(used, limit, strict=True))
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -1,6 +1,8 @@
-"""What a source writes: the next transaction, and what follows when it lands, is refused, or may have done either.
+"""Plans the transactions of one shard's teams, and takes in their outcomes.
 
-Permits go out only after the write that lists them has landed; where changes run short the most important go first.
+A permit is sent only after the transaction that lists it has landed. Where a transaction can't take
+all that waits, the most important jobs' changes go first. The controller's write loop sends what
+`next_write` returns and calls `on_committed`, `on_compare_failed` or `on_outcome_unknown`. No I/O.
 """
 
 from __future__ import annotations
@@ -22,73 +24,100 @@
     progress_prefix,
 )
 
+# Sizes in a transaction besides keys and values; the first is an upper bound for a chunk
+MAX_CHUNK_OVERHEAD_BYTES = 300
+CHUNK_OVERHEAD_BYTES = 100
+KEY_OVERHEAD_BYTES = 40
+JOB_END_BYTES = 150
+MIN_OPERATIONS = 2
+COMPARISONS_PER_OPERATION = 4  # a transaction may have so many times more conditions than changes
+# One in so many overfull transactions takes the changes in the order in which they came
+FAIR_WRITE_INTERVAL = 4
+LAST_IN_QUEUE = (9.0,)  # behind every `queue_order`
+BYTES_PER_PROGRESS_VALUE = TASKS_PER_PROGRESS_VALUE // 8
+
 
 class StoreWriter(AllocationStore):
-    """Plans the writes of one shard's teams."""
+    """Plans the transactions of one shard's teams."""
 
     def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
-        """The next write: permits first, then ends, then exits; as many as one transaction takes, or `most` changes.
+        """Return the next transaction, of at most `max_operations` changes; None: nothing waits.
 
-        Where more waits than that, the most important jobs' changes go first: permits of replicas stood behind those of
-        a guest's many tiny tasks. Every fourth such write takes what has waited longest, so that the rest goes on, too.
+        Permits go first, then ends of jobs, then exits. Where more waits than fits, the changes of
+        the most important jobs go first; every fourth such transaction takes the oldest changes, so
+        that the others land as well.
         """
-        txn = PendingWrite({f"{SHARD_PREFIX}{self.shard}": self.epoch}, {}, [])
+        txn = self._empty_write()
         if self.chunks_to_fence:
             return self._fencing_write(txn)
         self.write_operation_limit = (
             self.max_transaction_ops
             if max_operations is None
-            else max(2, min(self.max_transaction_ops, max_operations))
+            else max(MIN_OPERATIONS, min(self.max_transaction_ops, max_operations))
         )
-        work: list[RecordChunk | JobState] = [
-            chunk for chunk, permits in self.dirty_chunks.items() if permits
-        ]
-        work += self.jobs_to_end.values()
-        work += [chunk for chunk, permits in self.dirty_chunks.items() if not permits]
-        if len(work) > self.write_operation_limit:
-            self.crowded_writes += 1
-            if self.crowded_writes % 4:
-                work.sort(key=self._urgency)
-        for item in work:
+        for item in self._pending_changes():
             if not (
                 self._add_chunk(txn, item)
                 if isinstance(item, RecordChunk)
                 else self._add_job_end(txn, item)
             ):
                 break
-        while (
-            self.obsolete_keys
-            and txn.operation_count < self.write_operation_limit
-            and txn.operation_count > 0
-            and txn.size_bytes < MAX_TRANSACTION_BYTES
-        ):
-            key = self.obsolete_keys.pop()
-            if key not in txn.puts:
-                txn.deletes.append(
-                    key
-                )  # of no use to anybody: if this write fails, the next source finds it
-                txn.size_bytes += len(key) + 40
+        self._add_deletions(txn)
         return txn if txn.operation_count else None
 
-    def _urgency(self, item: RecordChunk | JobState) -> tuple[float, ...]:
-        """Whose change is the more important one; of one job first its permits, then its end, then its exits."""
+    def _empty_write(self) -> PendingWrite:
+        """Return a transaction that lands only while this source's epoch is the shard's."""
+        return PendingWrite({f"{SHARD_PREFIX}{self.shard}": self.epoch}, {}, [])
+
+    def _pending_changes(self) -> list[RecordChunk | JobState]:
+        """Return the chunks and ends of jobs to be written, in the order of their writing."""
+        changes: list[RecordChunk | JobState] = [
+            chunk for chunk, has_permits in self.dirty_chunks.items() if has_permits
+        ]
+        changes += self.jobs_to_end.values()
+        changes += [chunk for chunk, has_permits in self.dirty_chunks.items() if not has_permits]
+        if len(changes) > self.write_operation_limit:
+            self.crowded_writes += 1
+            if self.crowded_writes % FAIR_WRITE_INTERVAL:
+                changes.sort(key=self._write_order)
+        return changes
+
+    def _write_order(self, item: RecordChunk | JobState) -> tuple[float, ...]:
+        """Return a change's place: by its job's, then permits before ends before exits."""
         if isinstance(item, JobState):
-            return (*self.queue_order(item)[:3], 1.0) if item.job is not None else (9.0,)
-        permits = self.dirty_chunks[item]
+            return (*self.queue_order(item)[:3], 1.0) if item.job is not None else LAST_IN_QUEUE
+        has_permits = self.dirty_chunks[item]
         jobs = [
             job_state
             for job_id in item.allocations_per_job
             if (job_state := self.jobs[job_id]).job is not None
-            and (not permits or job_state.uncommitted_per_shard)
+            and (not has_permits or job_state.uncommitted_per_shard)
         ]
         return (
-            *min((self.queue_order(job_state)[:3] for job_state in jobs), default=(9.0,)),
-            0.0 if permits else 2.0,
+            *min((self.queue_order(job_state)[:3] for job_state in jobs), default=LAST_IN_QUEUE),
+            0.0 if has_permits else 2.0,
         )
 
+    def _add_deletions(self, txn: PendingWrite) -> None:
+        """Fill a transaction that has other changes up with deletions of obsolete keys.
+
+        They are not kept for a retry: if the transaction fails, the next source finds the keys.
+        """
+        while (
+            self.obsolete_keys
+            and txn.operation_count < self.write_operation_limit
+            and txn.operation_count > 0
+            and txn.size_bytes < MAX_TRANSACTION_BYTES
+        ):
+            key = self.obsolete_keys.pop()
+            if key not in txn.puts:
+                txn.deletes.append(key)
+                txn.size_bytes += len(key) + KEY_OVERHEAD_BYTES
+
     def _add_job_end(self, txn: PendingWrite, job_state: JobState) -> bool:
-        """Add a job's end to a write; False when there was no room for it."""
-        if job_state.blocked or job_state.job is None or JOB_PREFIX + job_state.id in txn.compare:
+        """Add a complete job's end; False when it does not fit."""
+        key = JOB_PREFIX + job_state.id
+        if job_state.blocked or job_state.job is None or key in txn.compare:
             return True
         if (
             txn.operation_count + 1 > self.write_operation_limit
@@ -96,115 +125,136 @@
             or txn.size_bytes > MAX_TRANSACTION_BYTES
         ):
             return False
-        txn.compare[JOB_PREFIX + job_state.id] = job_state.version
-        txn.puts[JOB_PREFIX + job_state.id] = end_record(DONE, job_state.task_count)
+        txn.compare[key] = job_state.version
+        txn.puts[key] = end_record(DONE, job_state.task_count)
         txn.ended_jobs.append(job_state)
-        txn.size_bytes += 150
+        txn.size_bytes += JOB_END_BYTES
         return True
 
-    def on_outcome_unknown(self, txn: PendingWrite) -> None:
-        """A write's outcome is not known: it may land at any later time, until its chunks have been written anew.
-
-        Reading the cell again is not enough. A permit that has not landed may be given anew in another chunk; if the
-        late write lands after that, one task has two permits (kazi-bodi-grown rough, state service slow: ran_twice).
-        """
-        self.chunks_to_fence.update((write.chunk.team, write.chunk.index) for write in txn.chunks)
-
-    def _fencing_write(self, txn: PendingWrite) -> PendingWrite:
-        """Write chunks again as they were read, alone and before all else: the late write fails their guards."""
-        for team, index in sorted(self.chunks_to_fence):
-            chunk = self.chunks[team].setdefault(index, RecordChunk(team, index))
-            if txn.operation_count >= self.max_transaction_ops or (
-                txn.operation_count
-                and txn.size_bytes + chunk.size_bytes + 300 > MAX_TRANSACTION_BYTES
-            ):
-                break
-            value: dict[str, Any] = {}
-            for _, allocation in sorted(chunk.allocations.items()):
-                if allocation.committed:
-                    append_allocation(value, self.jobs[allocation.job_id].resources, allocation)
-            txn.compare[chunk.key] = chunk.version
-            txn.puts[chunk.key] = value
-            txn.chunks.append(ChunkWrite(chunk))
-            txn.size_bytes += chunk.size_bytes + 2 * len(chunk.key) + 100
-        return txn
-
     @property
     def _max_comparisons(self) -> int:
-        return 4 * self.max_transaction_ops
+        return COMPARISONS_PER_OPERATION * self.max_transaction_ops
 
     def _add_chunk(self, txn: PendingWrite, chunk: RecordChunk) -> bool:
-        """Add one chunk's value to a write, with what it depends on; False when there was no room for it."""
+        """Add a chunk's value with the conditions for it; False when it does not fit."""
         if (
             txn.operation_count + 1 > self.write_operation_limit
             or len(txn.compare) + 2 > self._max_comparisons
-            or txn.size_bytes + chunk.size_bytes + 300 > MAX_TRANSACTION_BYTES
+            or txn.size_bytes + chunk.size_bytes + MAX_CHUNK_OVERHEAD_BYTES > MAX_TRANSACTION_BYTES
         ):
             return False
         value: dict[str, Any] = {}
         write = ChunkWrite(chunk)
-        spare = self.write_operation_limit - txn.operation_count - 1
         for (job_id, task), allocation in sorted(chunk.allocations.items()):
             self.visit_count += 1
             job_state = self.jobs[job_id]
-            if allocation.finished and allocation.committed:
-                part = task // TASKS_PER_PROGRESS_VALUE
-                if (
-                    job_state.job is not None
-                    and not job_state.complete
-                    and part in job_state.dirty_progress
-                ):
-                    key = f"{progress_prefix(chunk.team)}{job_id}/{part}"
-                    if key not in txn.puts:
-                        if spare <= 0 or txn.size_bytes + chunk.size_bytes > MAX_TRANSACTION_BYTES:
-                            append_allocation(value, job_state.resources, allocation)
-                            continue
-                        spare -= 1
-                        first_byte = part * TASKS_PER_PROGRESS_VALUE // 8
-                        txn.puts[key] = base64.b64encode(
-                            bytes(
-                                job_state.done_bits[
-                                    first_byte : first_byte + TASKS_PER_PROGRESS_VALUE // 8
-                                ]
-                            )
-                        ).decode()
-                        txn.progress_parts.append((job_state, part))
-                        txn.size_bytes += len(txn.puts[key]) + len(key) + 40
-                write.removed.append(allocation)
-                continue
             if not allocation.committed:
-                key = JOB_PREFIX + job_id
-                if job_state.job is None or job_state.blocked or key in txn.puts:
-                    write.removed.append(allocation)  # never written: it just goes
+                job_key = JOB_PREFIX + job_id
+                if job_state.job is None or job_state.blocked or job_key in txn.puts:
+                    write.removed.append(allocation)  # it was never written
+                    continue
+                if not self._add_job_condition(txn, job_key, job_state):
                     continue
-                if key not in txn.compare:
-                    if len(txn.compare) + 2 > self._max_comparisons:
-                        continue
-                    txn.compare[key] = job_state.version
-                    txn.size_bytes += len(key) + 40
                 write.added.append(allocation)
+            elif allocation.finished and self._add_progress(txn, chunk, job_state, task):
+                write.removed.append(allocation)
+                continue
             append_allocation(value, job_state.resources, allocation)
         txn.compare[chunk.key] = chunk.version
         if value or chunk.version:
             txn.puts[chunk.key] = value
         txn.chunks.append(write)
-        txn.size_bytes += chunk.size_bytes + 2 * len(chunk.key) + 100
+        txn.size_bytes += chunk.size_bytes + 2 * len(chunk.key) + CHUNK_OVERHEAD_BYTES
         return True
 
+    def _add_job_condition(self, txn: PendingWrite, key: str, job_state: JobState) -> bool:
+        """Let a transaction land only if the job is unchanged; False when that does not fit."""
+        if key not in txn.compare:
+            if len(txn.compare) + 2 > self._max_comparisons:
+                return False
+            txn.compare[key] = job_state.version
+            txn.size_bytes += len(key) + KEY_OVERHEAD_BYTES
+        return True
+
+    def _add_progress(
+        self, txn: PendingWrite, chunk: RecordChunk, job_state: JobState, task: int
+    ) -> bool:
+        """Add the progress value with a finished task's result, if it has changed.
+
+        False when it does not fit: the task's allocation must then stay in its chunk.
+        """
+        value_index = task // TASKS_PER_PROGRESS_VALUE
+        if (
+            job_state.job is None
+            or job_state.complete
+            or value_index not in job_state.dirty_progress
+        ):
+            return True
+        key = f"{progress_prefix(chunk.team)}{job_state.id}/{value_index}"
+        if key in txn.puts:
+            return True
+        if (
+            txn.operation_count + 1 >= self.write_operation_limit
+            or txn.size_bytes + chunk.size_bytes > MAX_TRANSACTION_BYTES
+        ):
+            return False
+        first_byte = value_index * BYTES_PER_PROGRESS_VALUE
+        done_bits = job_state.done_bits[first_byte : first_byte + BYTES_PER_PROGRESS_VALUE]
+        txn.puts[key] = base64.b64encode(bytes(done_bits)).decode()
+        txn.progress_parts.append((job_state, value_index))
+        txn.size_bytes += len(txn.puts[key]) + len(key) + KEY_OVERHEAD_BYTES
+        return True
+
+    # -- fencing -----------------------------------------------------------------------------
+
+    def on_outcome_unknown(self, txn: PendingWrite) -> None:
+        """Fence a transaction that may land at any later time, until its chunks are written again.
+
+        Reading the record again is not enough. A permit that has not landed may be given anew in
+        another chunk; if the delayed write lands after that, one task has two permits.
+        """
+        self.chunks_to_fence.update((write.chunk.team, write.chunk.index) for write in txn.chunks)
+
+    def _fencing_write(self, txn: PendingWrite) -> PendingWrite:
+        """Write chunks again as they were read, so that the delayed write's conditions fail.
+
+        This goes alone and before all other changes.
+        """
+        for team, index in sorted(self.chunks_to_fence):
+            chunk = self.chunks[team].setdefault(index, RecordChunk(team, index))
+            if txn.operation_count >= self.max_transaction_ops or (
+                txn.operation_count
+                and txn.size_bytes + chunk.size_bytes + MAX_CHUNK_OVERHEAD_BYTES
+                > MAX_TRANSACTION_BYTES
+            ):
+                break
+            value: dict[str, Any] = {}
+            for _, allocation in sorted(chunk.allocations.items()):
+                if allocation.committed:
+                    resources = self.jobs[allocation.job_id].resources
+                    append_allocation(value, resources, allocation)
+            txn.compare[chunk.key] = chunk.version
+            txn.puts[chunk.key] = value
+            txn.chunks.append(ChunkWrite(chunk))
+            txn.size_bytes += chunk.size_bytes + 2 * len(chunk.key) + CHUNK_OVERHEAD_BYTES
+        return txn
+
+    # -- outcomes ----------------------------------------------------------------------------
+
     def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
-        """The write is in: permits go out, exits may be forgotten by the workers."""
-        for job_state, part in txn.progress_parts:
-            job_state.dirty_progress.discard(part)
-            job_state.stored_progress.add(part)
+        """A transaction has landed: send its permits, and forget the exits that it removes."""
+        for job_state, value_index in txn.progress_parts:
+            job_state.dirty_progress.discard(value_index)
+            job_state.stored_progress.add(value_index)
         for write in txn.chunks:
             chunk = write.chunk
             self.chunks_to_fence.discard((chunk.team, chunk.index))
             if chunk.key in txn.puts:
                 chunk.version = revision
             for allocation in write.added:
-                known = self.jobs.get(allocation.job_id)
-                if known is not None:
-                    self._mark_committed(known, allocation)
+                permitted_job = self.jobs.get(allocation.job_id)
+                if permitted_job is not None:
+                    self._mark_committed(permitted_job, allocation)
                 self.log_debug(
                     "permit",
                     job=allocation.job_id,
@@ -219,8 +269,8 @@
             self.log_debug("done", job=job_state.id)
             self.on_job(None, job_state.id, 0, now)
 
-    def _remove_allocations(self, entries: Iterable[Allocation]) -> None:
-        for allocation in entries:
+    def _remove_allocations(self, allocations: Iterable[Allocation]) -> None:
+        for allocation in allocations:
             job_state = self.jobs.get(allocation.job_id)
             if job_state is not None and job_state.allocations.get(allocation.task) is allocation:
                 self._remove(job_state, allocation)
@@ -228,7 +278,7 @@
                     job_state.requeue(allocation.task)
 
     def _mark_still_dirty(self, chunk: RecordChunk) -> None:
-        """What became over or was added while the write was on its way still has to be written."""
+        """Keep a written chunk dirty if it has changed while the write was in flight."""
         self.dirty_chunks.pop(chunk, None)
         for allocation in chunk.allocations.values():
             self.visit_count += 1
@@ -240,26 +290,28 @@
             self.chunks[chunk.team].pop(chunk.index, None)
 
     def on_compare_failed(self, txn: PendingWrite, failed: list[str]) -> list[str]:
-        """A guard did not hold. Returns the teams whose cells must be read again."""
+        """Conditions on these keys failed; return the teams whose record must be read again."""
         for key in failed:
             if key.startswith(JOB_PREFIX):
                 job_state = self.jobs.get(key[len(JOB_PREFIX) :])
                 if job_state is not None:
                     job_state.blocked = True
                     self.changed_jobs.add(job_state.id)
-                    for allocation in [
-                        allocation
-                        for allocation in job_state.allocations.values()
-                        if not allocation.committed
-                    ]:
-                        self._remove(job_state, allocation)
-                        job_state.requeue(allocation.task)
+                    self._remove_uncommitted(job_state)
         return [
             team
             for team in self.teams
-            if any(entry_key.startswith(allocation_prefix(team)) for entry_key in failed)
+            if any(key.startswith(allocation_prefix(team)) for key in failed)
+        ]
+
+    def _remove_uncommitted(self, job_state: JobState) -> None:
+        uncommitted = [
+            allocation for allocation in job_state.allocations.values() if not allocation.committed
         ]
+        for allocation in uncommitted:
+            self._remove(job_state, allocation)
+            job_state.requeue(allocation.task)
 
     def teams_of(self, txn: PendingWrite) -> list[str]:
-        """The teams whose cells a write touches."""
+        """Return the teams whose allocation records a transaction changes."""
         return sorted({write.chunk.team for write in txn.chunks})
--- a/tests/test_renter.py
+++ b/tests/test_renter.py
@@ -5,7 +5,8 @@
 from random import Random
 from typing import Any
 
-from ploverhall.autoscaling.autoscaler import Autoscaler, FreeSlots
+from ploverhall.autoscaling.autoscaler import Autoscaler
+from ploverhall.autoscaling.bin_packing import FreeSlots
 from ploverhall.protocol.cloud import CloudMachine, MachineType
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import DemandUpdate, MachineUpdate
