--- /dev/null
+++ b/ploverhall/controller/allocation_writer.py
@@ -0,0 +1,215 @@
+"""Writes what the job source of a held shard decides: allocations, progress, grants, job ends.
+
+`controller` runs one `AllocationWriter.run` per held shard. It loads the stored allocations of the
+shard's teams, makes the `JobSource`, and then commits its decisions, one transaction at a time.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import Any
+
+import anyio
+
+from ploverhall import log
+from ploverhall.controller.context import ControllerContext, HeldShard
+from ploverhall.controller.routing import Routing
+from ploverhall.controller.store_reader import StoreReader
+from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
+from ploverhall.maintenance.disruption_budget import DisruptionBudgets
+from ploverhall.scheduling.allocations import PendingWrite
+from ploverhall.scheduling.permitting import JobSource
+from ploverhall.settings import Team
+from ploverhall.storage.store_cache import (
+    JOB_PREFIX,
+    SHARD_PREFIX,
+    allocation_prefix,
+    grants_key,
+    progress_prefix,
+)
+
+# A write leaves one change for the next submission, unless it has waited for so long
+SUBMISSION_RESERVE = 1.0
+RESERVE_PATIENCE_S = 0.5
+FRESH_READ_RETRY_S = 0.2
+IDLE_WRITE_INTERVAL_S = 0.5  # the source is asked for writes at least this often
+# Pause after a refused write: drawn from this base up to twice as long
+REFUSED_WRITE_PAUSE_S = 0.15
+
+
+@dataclass
+class StoredTeam:
+    """What the store holds of one team: values with their versions."""
+
+    allocations: dict[str, tuple[Any, int]]
+    progress: dict[str, tuple[Any, int]]
+    eviction_grants: tuple[Any, int]
+
+
+class AllocationWriter:
+    """Loads and commits the state of job sources."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        routing: Routing,
+        reader: StoreReader,
+        *,
+        is_current: Callable[[], Awaitable[bool]],
+        on_store_changed: Callable[[], None],
+        on_superseded: Callable[[int], None],
+    ) -> None:
+        """Compose the writer.
+
+        `is_current`: reads the store afresh into the cache, false when it can't;
+        `on_store_changed`: called after the cache has changed;
+        `on_superseded`: called with a shard whose write shows that another controller holds it.
+        """
+        self.context = context
+        self.routing = routing
+        self.reader = reader
+        self.is_current = is_current
+        self.on_store_changed = on_store_changed
+        self.on_superseded = on_superseded
+        self.budgets = DisruptionBudgets(context.settings.options.budget)
+
+    async def run(self, held: HeldShard) -> None:
+        """Load the shard's source and commit its writes until the shard is released.
+
+        The source permits nothing before it knows every allocation that may be running.
+        """
+        with held.write_scope:
+            source = self._new_source(held)
+            stored = {name: await self._load_team(name) for name in self._team_names(held)}
+            while not await self.is_current():
+                await anyio.sleep(FRESH_READ_RETRY_S)
+            now = self.context.clock()
+            self._add_live_jobs(held, source, now)
+            for team_name, stored_team in stored.items():
+                source.install_allocations(team_name, stored_team.allocations, now)
+                source.install_progress(team_name, stored_team.progress)
+                source.install_grants(team_name, *stored_team.eviction_grants)
+            self._publish_source(held, source, now)
+            await self._write_loop(held, source)
+
+    def _team_names(self, held: HeldShard) -> list[str]:
+        return list(self.context.shard_map.teams_of(held.shard))
+
+    def _new_source(self, held: HeldShard) -> JobSource:
+        settings = self.context.settings
+        teams: list[Team] = [self.context.teams[name] for name in self._team_names(held)]
+        source = JobSource(
+            held.shard,
+            held.epoch,
+            teams,
+            settings.zones,
+            settings.max_value_bytes,
+            settings.max_transaction_ops,
+        )
+        source.log_debug = log.debug
+        source.log_info = log.info
+        source.budgets = self.budgets
+        source.objectives = self.context.objectives
+        source.machine_types = self.context.machine_types or {}
+        return source
+
+    async def _load_team(self, team_name: str) -> StoredTeam:
+        return StoredTeam(
+            allocations=await self.reader.list_prefix(allocation_prefix(team_name)),
+            progress=await self.reader.list_prefix(progress_prefix(team_name)),
+            eviction_grants=await self.reader.read_key(grants_key(team_name)),
+        )
+
+    def _add_live_jobs(self, held: HeldShard, source: JobSource, now: float) -> None:
+        """Give the source the live jobs of its teams, with the seconds since their submission."""
+        team_shard = self.context.shard_map.team_shard
+        for job_id, (job, version) in self.context.store_cache.live_jobs.items():
+            if team_shard.get(job.team) == held.shard:
+                age_s = max(0.0, self.context.wall_clock() - job.submitted_at)
+                source.on_job(job, job_id, version, now, age_s)
+
+    def _publish_source(self, held: HeldShard, source: JobSource, now: float) -> None:
+        """Make the loaded source the shard's: from now on it decides and hears the owners."""
+        held.source = source
+        self.routing.update_owners(held, source, now)
+        self._replay_owner_updates(held)
+        log.info("source ready", shard=held.shard, epoch=held.epoch, jobs=len(source.jobs))
+        self.context.wake_scheduling()
+
+    def _replay_owner_updates(self, held: HeldShard) -> None:
+        """Repeat what owners sent: the source may not have known the allocations it was about."""
+        self.routing.replay(held.shard, ("o",))
+
+    async def _write_loop(self, held: HeldShard, source: JobSource) -> None:
+        """Commit what the source has decided, one transaction at a time."""
+        while not held.released:
+            available = self.context.store.writes.available()
+            write = source.next_write(int(available - SUBMISSION_RESERVE))
+            if write is None:
+                await self._wait_for_decisions(held)
+                continue
+            try:
+                revision, failed = await self.context.store.compare_and_swap(
+                    write.compare,
+                    write.puts,
+                    write.deletes,
+                    reserve=SUBMISSION_RESERVE,
+                    patience=RESERVE_PATIENCE_S,
+                )
+            except RequestRefusedError:
+                jitter = self.context.random.random()
+                await anyio.sleep(REFUSED_WRITE_PAUSE_S + REFUSED_WRITE_PAUSE_S * jitter)
+                continue
+            except OutcomeUnknownError:
+                source.on_outcome_unknown(write)
+                await self._reload(held, source, write, source.teams_of(write))
+                continue
+            if not failed:
+                self._on_committed(source, write, revision)
+            elif not await self._on_compare_failed(held, source, write, failed):
+                return
+            self.on_store_changed()
+            self.context.wake_scheduling()
+            await anyio.sleep(self.context.settings.options.write_every_s)
+
+    async def _wait_for_decisions(self, held: HeldShard) -> None:
+        held.write_wake = anyio.Event()
+        with anyio.move_on_after(IDLE_WRITE_INTERVAL_S):
+            await held.write_wake.wait()
+
+    def _on_committed(self, source: JobSource, write: PendingWrite, revision: int) -> None:
+        now = self.context.clock()
+        for key, value in write.puts.items():
+            if key.startswith(JOB_PREFIX):
+                self.context.store_cache.apply_own_write(key, value, revision)
+        source.on_committed(write, revision, now)
+
+    async def _on_compare_failed(
+        self, held: HeldShard, source: JobSource, write: PendingWrite, failed: list[str]
+    ) -> bool:
+        """Reload what the write was based on; return false if the shard is another's now."""
+        log.info("write refused", shard=held.shard, failed=",".join(failed))
+        if f"{SHARD_PREFIX}{held.shard}" in failed:
+            self.on_superseded(held.shard)
+            return False
+        await self._reload(held, source, write, source.on_compare_failed(write, failed))
+        return True
+
+    async def _reload(
+        self, held: HeldShard, source: JobSource, write: PendingWrite, teams: list[str]
+    ) -> None:
+        """Load again what a write of failed comparison or unknown outcome was about.
+
+        What the store holds counts; if the write is executed later, its comparisons fail.
+        """
+        for team_name in teams:
+            found = await self.reader.list_prefix(allocation_prefix(team_name))
+            source.install_allocations(team_name, found, self.context.clock())
+        for team_name in write.eviction_grants:
+            source.install_grants(team_name, *await self.reader.read_key(grants_key(team_name)))
+        self._replay_owner_updates(held)
+        if write.ended_jobs:
+            await self.is_current()
+        self.on_store_changed()
+        self.context.wake_scheduling()
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -11,10 +11,13 @@
 from ploverhall import log
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
+from ploverhall.controller.allocation_writer import AllocationWriter
+from ploverhall.controller.archiver import Archiver
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
 from ploverhall.controller.context import STORE_LIMIT_SHARE, ControllerContext, HeldShard
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
 from ploverhall.controller.http_routes import HttpRoutes, is_report
+from ploverhall.controller.image_writer import ImageWriter
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.controller.maintenance_requests import MaintenanceRequests
 from ploverhall.controller.outbound import OutsideService
@@ -27,8 +30,8 @@
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.controller.shard_status import ShardStatus
 from ploverhall.controller.status_report import StatusReport
+from ploverhall.controller.store_reader import StoreReader
 from ploverhall.controller.store_watch import StoreWatch
-from ploverhall.controller.store_writing import StoreWriting
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.job_answers import JobAnswers
 from ploverhall.log import raised_at
@@ -115,14 +118,17 @@
             self.agent_commands,
             lambda: len(self.peer_links.connected()) == len(settings.peers),
         )
-        self.store_writing = StoreWriting(
+        store_reader = StoreReader(shared.store)
+        self.allocation_writer = AllocationWriter(
             shared,
             self.routing,
+            store_reader,
             is_current=self.store_watch.is_current,
             on_store_changed=self.on_store_changed,
-            may_archive=self.shard_leases.may_archive,
             on_superseded=self._on_superseded,
         )
+        self.image_writer = ImageWriter(shared, store_reader)
+        self.archiver = Archiver(shared, may_archive=self.shard_leases.may_archive)
         self.autoscaling_loop = AutoscalingLoop(
             shared, self.routing, lambda: self.shard_leases.lease_id, self.cloud_service
         )
@@ -219,7 +225,7 @@
                 self.scheduling_loop.loop,
                 self.autoscaling_loop.loop,
                 self.status_report.loop,
-                self.store_writing.archive_loop,
+                self.archiver.loop,
                 self.store_service.loop,
                 self.cloud_service.loop,
                 self.agent_commands.probe_loop,
@@ -245,8 +251,8 @@
 
     def _start_shard_tasks(self, held: HeldShard) -> None:
         """A shard has just been taken: read its cells and images, then write."""
-        self.tasks.start_soon(self.store_writing.run_source, held)
-        self.tasks.start_soon(self.store_writing.run_image_index, held)
+        self.tasks.start_soon(self.allocation_writer.run, held)
+        self.tasks.start_soon(self.image_writer.run, held)
 
     def _on_superseded(self, shard: int) -> None:
         """A write was refused because another controller holds the shard."""
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -145,13 +145,14 @@
                 node.context.outbound.collect("c1", 1, lambda shard: "c1")
             )  # the link may be quicker than the engine
 
-        node.store_writing._read_one = read_one  # type: ignore[method-assign]
+        writer = node.allocation_writer
+        writer.reader.read_key = read_one  # type: ignore[method-assign]
         (
-            node.store_writing._list_prefix,
-            node.store_writing.is_current,
-            node.store_writing._write_loop,
+            writer.reader.list_prefix,
+            writer.is_current,
+            writer._write_loop,
         ) = read, current, first_write  # type: ignore[method-assign]
-        await node.store_writing.run_source(held)
+        await writer.run(held)
 
     anyio.run(play)
     (to_part_1,) = [m for m in sent if m[0] == "s" and m[3] == 1]
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -15,7 +15,7 @@
 
 from ploverhall import settings
 from ploverhall.cli import main
-from ploverhall.controller.store_writing import StoreWriting
+from ploverhall.controller.store_reader import StoreReader
 from ploverhall.errors import InvalidOrderError, SettingsError
 from ploverhall.maintenance import command, orders
 from ploverhall.maintenance.disruption_budget import (
@@ -289,10 +289,10 @@
     """The owner can't be heard for a while: the stop that was granted still runs when the next source looks."""
     if not guarded:
 
-        async def forgets(self: StoreWriting, key: str) -> tuple[Any, int]:
+        async def forgets(self: StoreReader, key: str) -> tuple[Any, int]:
             return None, 0
 
-        monkeypatch.setattr(StoreWriting, "_read_one", forgets)
+        monkeypatch.setattr(StoreReader, "read_key", forgets)
         real = EvictionGrants.next_write
 
         def plan(self: EvictionGrants, most: int | None = None) -> Any:
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -17,9 +17,9 @@
 
 from ploverhall import settings
 from ploverhall.controller import job_requests
+from ploverhall.controller.archiver import Archiver
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.controller.store_watch import StoreWatch
-from ploverhall.controller.store_writing import StoreWriting
 from ploverhall.coordination.job_answers import FreshRead, JobAnswers
 from ploverhall.protocol import jobs
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
@@ -172,10 +172,10 @@
 
 
 def never_archived(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def idle(self: StoreWriting) -> None:
+    async def idle(self: Archiver) -> None:
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(StoreWriting, "archive_loop", idle)
+    monkeypatch.setattr(Archiver, "loop", idle)
 
 
 def remembered(monkeypatch: pytest.MonkeyPatch) -> None:
