--- a/ploverhall/controller/__init__.py
+++ b/ploverhall/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: the loops that carry the decisions out, one module a purpose."""
+"""One controller process: its loops, its request handlers, and the class that composes them."""
--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -1,9 +1,14 @@
-"""The renter's role: held by lease, played by calls to the cloud."""
+"""Runs the autoscaler where this controller holds that role, and calls the cloud for it.
+
+Owns the claim of the role in the key-value store and all requests to the cloud: reading machine
+types and machines, renting and returning. `controller` runs `AutoscalingLoop.loop`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import replace
+from http import HTTPStatus
 
 import anyio
 import anyio.abc
@@ -24,14 +29,23 @@
 )
 from ploverhall.transport.http_client import Caller
 
+STEP_INTERVAL_S = 0.25
+PLAN_INTERVAL_S = 1.0
 MACHINE_TYPES_INTERVAL_S = 60.0
 MACHINE_TYPES_RETRY_S = 2.0
 LIST_EVERY_S = 2.0  # between two reads of the machine list, or longer where it has many pages
-LIST_SHARE = 0.5  # of the cloud's limit of requests that reading the list may use
+LIST_SHARE = 0.5  # of the cloud's request limit that reading the list may use
+LIST_PAGE_SIZE = 500
+MAX_RETURNS_PER_REQUEST = 100
+CLOUD_TIMEOUT_S = 3
+CLOUD_PAUSE_REQUESTS = 1.2  # pause after a change, in requests at the cloud's limit
+CLAIM_DELAY_S = 0.1  # a role without holder is claimed after this, and a step per controller
+CLAIM_DELAY_STEP_S = 0.5
+NO_CAPACITY = "no capacity"  # the cloud's error where a pool has no machines left
 
 
 class AutoscalingLoop:
-    """The renter's role: held by lease, played by calls to the cloud."""
+    """Holds the autoscaler's role by lease, and executes the autoscaler's plans."""
 
     def __init__(
         self,
@@ -40,124 +54,159 @@
         current_lease: Callable[[], int | None],
         cloud: Caller,
     ) -> None:
+        """`current_lease`: id of this controller's lease, None while it has none."""
         self.context = context
         self.routing = routing
         self.cloud = cloud
-        self.current_lease = current_lease  # this controller's, while it has one
+        self.current_lease = current_lease
         self.unheld_since = 0.0
+        # Rental requests to be made, each with the name under which it is repeated
         self.pending: list[tuple[str, RentalRequest]] = []
         self.list_every_s = LIST_EVERY_S
+        # When the machine list and the machine types were read last, and when was planned last
+        self.listed_at = 0.0
+        self.types_read_at = 0.0
+        self.planned_at = 0.0
 
     def on_event_loop_stall(self) -> None:
-        """What was to be rented was wanted then; others may rent by now."""
+        """Drop requests not yet made: demand is old, and another autoscaler may rent by now."""
         self.pending.clear()
 
     async def loop(self) -> None:
-        """Hold the renter's role if nobody does, and play it."""
-        pending = self.pending
-        last_list = last_types = last_plan = 0.0
+        """Acquire the autoscaler's role if nobody holds it, and run it while it is held here."""
+        self.listed_at = self.types_read_at = self.planned_at = 0.0
         while True:
-            await anyio.sleep(0.25)
+            await anyio.sleep(STEP_INTERVAL_S)
             now = self.context.clock()
             if not self.context.store_cache.ready or self.current_lease() is None:
                 continue
-            holder, version = self.context.store_cache.autoscaler()
-            if self.context.autoscaler is not None and version > self.context.autoscaler.epoch:
-                self.context.autoscaler = None
-            if self.context.autoscaler is None:
-                self.context.outbound.drop(("r",), state_channel.AUTOSCALER_ENDPOINT)
-                pending.clear()
-                if holder is None:
-                    self.unheld_since = self.unheld_since or now
-                    if now - self.unheld_since < 0.1 + 0.5 * (
-                        (self.context.controller_index + version)
-                        % len(self.context.shard_map.controllers)
-                    ):
-                        continue
-                elif holder != self.context.settings.name:
-                    self.unheld_since = 0.0
-                    continue
-                if not await self._claim(version, now):
-                    continue
-                last_list = last_types = 0.0
+            if not await self._hold_role(now):
+                continue
             autoscaler = self.context.autoscaler
             if autoscaler is None:
                 continue
             try:
-                if now - last_types > MACHINE_TYPES_INTERVAL_S or not autoscaler.machine_types:
-                    status, answer = await self.cloud.call("GET", "/flavors", timeout=3)
-                    if status == 200:
-                        autoscaler.machine_types = cloud.decode_machine_types(answer)
-                        # until all are written nobody can take a job: what is not known to have landed is written again soon
-                        last_types = (
-                            now
-                            if await self._store_machine_types(autoscaler.machine_types)
-                            else now - MACHINE_TYPES_INTERVAL_S + MACHINE_TYPES_RETRY_S
-                        )
-                    elif self.context.machine_types and not autoscaler.machine_types:
-                        autoscaler.machine_types = self.context.machine_types
-                if now - last_list > self.list_every_s:
-                    last_list = now
-                    await self._list_machines(autoscaler, now)
-                if now - last_plan > 1.0:
-                    last_plan = now
-                    autoscaler.orders = [
-                        order
-                        for order in orders.orders_in(self.context.store_cache.entries)
-                        if not order.finished
-                    ]
-                    await self._finish_orders(autoscaler, now)
-                    plan = autoscaler.plan(now, self.context.wall_clock())
-                    if not pending:
-                        pending += [
-                            (autoscaler.next_request_id(), rental) for rental in plan.scale_out
-                        ]
-                    for i in range(0, len(plan.scale_in), 100):
-                        await self._delete_machines(autoscaler, plan.scale_in[i : i + 100])
-                while pending and self.context.autoscaler is autoscaler:
-                    request_id, rental = pending[0]
-                    status, answer = await self.cloud.call(
-                        "POST",
-                        "/hosts",
-                        cloud.rental_request(request_id, *rental.pool, rental.count),
-                        timeout=3,
-                    )
-                    if status == 200:
-                        names = list(answer["perches"])  # type: ignore[index]
-                        log.info(
-                            "rented",
-                            type=rental.pool[0],
-                            zone=rental.pool[1],
-                            spot=int(rental.pool[2]),
-                            asked=rental.count,
-                            got=len(names),
-                        )
-                        autoscaler.on_rented(names, rental.pool, rental.count, self.context.clock())
-                    elif (
-                        status == 503
-                        and isinstance(answer, dict)
-                        and answer.get("error") == "no capacity"
-                    ):
-                        log.info(
-                            "no capacity",
-                            type=rental.pool[0],
-                            zone=rental.pool[1],
-                            spot=int(rental.pool[2]),
-                        )
-                        autoscaler.on_refused(rental.pool, self.context.clock())
-                    elif status in (429, 503):
-                        break
-                    if pending and pending[0][0] == request_id:
-                        pending.pop(0)
-                    await anyio.sleep(1.2 / self.context.settings.cloud_rps)
+                await self._step(autoscaler, now)
             except UnreachableError:
-                continue  # asked again under the same name: it gives the same answer
+                continue  # repeated under the same request id: the cloud gives the same answer
+
+    async def _hold_role(self, now: float) -> bool:
+        """Keep the role or claim it; return whether it is held here."""
+        holder, version = self.context.store_cache.autoscaler()
+        if self.context.autoscaler is not None and version > self.context.autoscaler.epoch:
+            self.context.autoscaler = None
+        if self.context.autoscaler is not None:
+            return True
+        self.context.outbound.drop(("r",), state_channel.AUTOSCALER_ENDPOINT)
+        self.pending.clear()
+        if not self._claim_due(holder, version, now):
+            return False
+        if not await self._claim(version, now):
+            return False
+        self.listed_at = self.types_read_at = 0.0
+        return True
+
+    def _claim_due(self, holder: str | None, version: int, now: float) -> bool:
+        """Return whether to claim the role now; the delay spreads the controllers' claims."""
+        if holder is None:
+            self.unheld_since = self.unheld_since or now
+            controller_count = len(self.context.shard_map.controllers)
+            position = (self.context.controller_index + version) % controller_count
+            return now - self.unheld_since >= CLAIM_DELAY_S + CLAIM_DELAY_STEP_S * position
+        if holder != self.context.settings.name:
+            self.unheld_since = 0.0
+            return False
+        return True  # claimed by an earlier process
+
+    async def _step(self, autoscaler: Autoscaler, now: float) -> None:
+        """Do what is due; raises UnreachableError if the cloud does not answer."""
+        if now - self.types_read_at > MACHINE_TYPES_INTERVAL_S or not autoscaler.machine_types:
+            await self._read_machine_types(autoscaler, now)
+        if now - self.listed_at > self.list_every_s:
+            self.listed_at = now
+            await self._list_machines(autoscaler, now)
+        if now - self.planned_at > PLAN_INTERVAL_S:
+            self.planned_at = now
+            await self._plan(autoscaler, now)
+        while self.pending and self.context.autoscaler is autoscaler:
+            if not await self._request_next_rental(autoscaler):
+                break
+
+    async def _read_machine_types(self, autoscaler: Autoscaler, now: float) -> None:
+        status, answer = await self.cloud.call("GET", "/flavors", timeout=CLOUD_TIMEOUT_S)
+        if status == HTTPStatus.OK:
+            autoscaler.machine_types = cloud.decode_machine_types(answer)
+            if await self._store_machine_types(autoscaler.machine_types):
+                self.types_read_at = now
+            else:
+                # no job is accepted before all types are stored: soon written again
+                self.types_read_at = now - MACHINE_TYPES_INTERVAL_S + MACHINE_TYPES_RETRY_S
+        elif self.context.machine_types and not autoscaler.machine_types:
+            autoscaler.machine_types = self.context.machine_types
+
+    async def _plan(self, autoscaler: Autoscaler, now: float) -> None:
+        """Update maintenance orders, plan, queue the rentals, and return surplus machines."""
+        autoscaler.orders = [
+            order
+            for order in orders.orders_in(self.context.store_cache.entries)
+            if not order.finished
+        ]
+        await self._finish_orders(autoscaler, now)
+        plan = autoscaler.plan(now, self.context.wall_clock())
+        if not self.pending:
+            self.pending += [(autoscaler.next_request_id(), rental) for rental in plan.scale_out]
+        for start in range(0, len(plan.scale_in), MAX_RETURNS_PER_REQUEST):
+            names = plan.scale_in[start : start + MAX_RETURNS_PER_REQUEST]
+            await self._delete_machines(autoscaler, names)
+
+    async def _request_next_rental(self, autoscaler: Autoscaler) -> bool:
+        """Make the first pending request; return false if the cloud is over its limit or down."""
+        request_id, rental = self.pending[0]
+        body = cloud.rental_request(request_id, *rental.pool, rental.count)
+        status, answer = await self.cloud.call("POST", "/hosts", body, timeout=CLOUD_TIMEOUT_S)
+        if status == HTTPStatus.OK:
+            self._on_rented(autoscaler, rental, list(answer["perches"]))  # type: ignore[index]
+        elif (
+            status == HTTPStatus.SERVICE_UNAVAILABLE
+            and isinstance(answer, dict)
+            and answer.get("error") == NO_CAPACITY
+        ):
+            self._on_no_capacity(autoscaler, rental)
+        elif status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
+            return False
+        # the list may have been cleared meanwhile
+        if self.pending and self.pending[0][0] == request_id:
+            self.pending.pop(0)
+        await self._pause_after_change()
+        return True
+
+    def _on_rented(self, autoscaler: Autoscaler, rental: RentalRequest, names: list[str]) -> None:
+        machine_type, zone, spot = rental.pool
+        log.info(
+            "rented",
+            type=machine_type,
+            zone=zone,
+            spot=int(spot),
+            asked=rental.count,
+            got=len(names),
+        )
+        autoscaler.on_rented(names, rental.pool, rental.count, self.context.clock())
+
+    def _on_no_capacity(self, autoscaler: Autoscaler, rental: RentalRequest) -> None:
+        machine_type, zone, spot = rental.pool
+        log.info("no capacity", type=machine_type, zone=zone, spot=int(spot))
+        autoscaler.on_refused(rental.pool, self.context.clock())
+
+    async def _pause_after_change(self) -> None:
+        await anyio.sleep(CLOUD_PAUSE_REQUESTS / self.context.settings.cloud_rps)
 
     async def _claim(self, version: int, now: float) -> bool:
+        """Try to acquire the role whose key has this version; return whether it was acquired."""
+        value = {"node": self.context.settings.name}
         try:
             epoch, failed = await self.context.store.compare_and_swap(
                 {AUTOSCALER_KEY: version},
-                {AUTOSCALER_KEY: {"node": self.context.settings.name}},
+                {AUTOSCALER_KEY: value},
                 [],
                 self.current_lease(),
                 frozenset({AUTOSCALER_KEY}),
@@ -167,9 +216,19 @@
             return False
         if failed:
             return False
+        self.context.store_cache.apply_own_write(AUTOSCALER_KEY, value, epoch)
+        self.context.autoscaler = self._new_autoscaler(epoch, now)
+        self.unheld_since = 0.0
+        log.info("renter", epoch=epoch)
+        self.routing.update_routes()
+        self.routing.replay(state_channel.AUTOSCALER_ENDPOINT, ("d", "m"))
+        self.context.wake_scheduling()
+        return True
+
+    def _new_autoscaler(self, epoch: int, now: float) -> Autoscaler:
+        """Return an autoscaler that knows the machine types and the live jobs."""
         settings = self.context.settings
-        self.context.store_cache.apply_own_write(AUTOSCALER_KEY, {"node": settings.name}, epoch)
-        self.context.autoscaler = Autoscaler(
+        autoscaler = Autoscaler(
             epoch,
             settings.options.idle_return_s,
             settings.options.spare,
@@ -177,51 +236,42 @@
             settings.lease_s,
             now,
         )
-        self.context.autoscaler.machine_types = self.context.machine_types or {}
-        self.context.autoscaler.objectives = self.context.objectives
-        self.unheld_since = 0.0
+        autoscaler.machine_types = self.context.machine_types or {}
+        autoscaler.objectives = self.context.objectives
         for job, _ in self.context.store_cache.live_jobs.values():
-            self.context.autoscaler.on_job(
-                job, now - max(0.0, self.context.wall_clock() - job.submitted_at)
-            )
-        log.info("renter", epoch=epoch)
-        self.routing.update_routes()
-        self.routing.replay(state_channel.AUTOSCALER_ENDPOINT, ("d", "m"))
-        self.context.wake_scheduling()
-        return True
+            age_s = max(0.0, self.context.wall_clock() - job.submitted_at)
+            autoscaler.on_job(job, now - age_s)
+        return autoscaler
 
     async def _finish_orders(self, autoscaler: Autoscaler, now: float) -> None:
-        """Write which orders are done, one a round, and forget those that were over long ago."""
-        wall = self.context.wall_clock()
-        over = [
+        """Mark one finished maintenance order as done, and delete one that is past retention."""
+        wall_time = self.context.wall_clock()
+        expired = [
             order
             for order in orders.orders_in(self.context.store_cache.entries)
-            if order.finished and wall - order.created_at > orders.RETENTION_S
+            if order.finished and wall_time - order.created_at > orders.RETENTION_S
         ]
         try:
             for order in autoscaler.finished_orders(now)[:1]:
-                done = replace(order, state=orders.DONE, created_at=wall)
+                done = replace(order, state=orders.DONE, created_at=wall_time)
+                key = orders.ORDER_PREFIX + order.id
                 await self.context.store.compare_and_swap(
-                    {orders.ORDER_PREFIX + order.id: order.version},
-                    {orders.ORDER_PREFIX + order.id: done.record()},
-                    [],
+                    {key: order.version}, {key: done.record()}, []
                 )
                 log.info("order done", order=order.id)
-            for order in over[:1]:
-                await self.context.store.compare_and_swap(
-                    {orders.ORDER_PREFIX + order.id: order.version},
-                    {},
-                    [orders.ORDER_PREFIX + order.id],
-                )
+            for order in expired[:1]:
+                key = orders.ORDER_PREFIX + order.id
+                await self.context.store.compare_and_swap({key: order.version}, {}, [key])
         except (RequestRefusedError, OutcomeUnknownError):
-            pass  # the next round looks again at what is there
+            pass  # the next plan looks again at what is stored
 
     async def _store_machine_types(self, types: dict[str, MachineType]) -> bool:
-        """Keep the machine types for starts while the cloud is down; whether they are known to be there."""
+        """Store the machine types for a start while the cloud is down.
+
+        Returns whether they are known to be stored.
+        """
         stored = self.context.store_cache.machine_types()
-        if stored is not None and {
-            name: machine_type.resources for name, machine_type in stored.items()
-        } == {name: machine_type.resources for name, machine_type in types.items()}:
+        if stored is not None and _resources_by_type(stored) == _resources_by_type(types):
             return True
         try:
             for machine_type in types.values():
@@ -236,35 +286,43 @@
         return True
 
     async def _list_machines(self, autoscaler: Autoscaler, now: float) -> None:
-        items: list[cloud.CloudMachine] = []
-        after = ""
-        pages = 0
-        rps = self.context.settings.cloud_rps
+        """Give the autoscaler the cloud's whole machine list; nothing if a page is missing."""
+        machines: list[cloud.CloudMachine] = []
+        page_count = 0
+        requests_per_s = self.context.settings.cloud_rps
+        last_name = ""
         while True:
+            after = f"&from={last_name}" if last_name else ""
             status, answer = await self.cloud.call(
-                "GET", f"/hosts?limit=500{'&from=' + after if after else ''}", timeout=3
+                "GET", f"/hosts?limit={LIST_PAGE_SIZE}{after}", timeout=CLOUD_TIMEOUT_S
             )
-            if status != 200:
+            if status != HTTPStatus.OK:
                 return
             page, more = cloud.decode_machine_page(answer)
-            items += page
-            pages += 1
+            machines += page
+            page_count += 1
             if not more or not page:
                 break
-            after = page[-1].name
-            if pages >= rps:
-                await anyio.sleep(
-                    1.0 / rps
-                )  # the cloud refuses more, and a list that breaks off is of no use
-        self.list_every_s = max(LIST_EVERY_S, pages / (LIST_SHARE * rps))
-        autoscaler.on_cloud_list(items, now, self.context.clock())
+            last_name = page[-1].name
+            if page_count >= requests_per_s:
+                # the cloud refuses requests over its limit, and an incomplete list is of no use
+                await anyio.sleep(1.0 / requests_per_s)
+        self.list_every_s = max(LIST_EVERY_S, page_count / (LIST_SHARE * requests_per_s))
+        autoscaler.on_cloud_list(machines, now, self.context.clock())
 
     async def _delete_machines(self, autoscaler: Autoscaler, names: list[str]) -> None:
+        """Return machines to the cloud; raises UnreachableError if it does not answer."""
         for name in names:
             if name in autoscaler.machines:
                 autoscaler.machines[name].returning = True
-        status, _ = await self.cloud.call("POST", "/hosts/return", {"perches": names}, timeout=3)
-        if status == 200:
+        status, _ = await self.cloud.call(
+            "POST", "/hosts/return", {"perches": names}, timeout=CLOUD_TIMEOUT_S
+        )
+        if status == HTTPStatus.OK:
             log.info("returned", machines=",".join(names))
             autoscaler.on_deleted(names, self.context.clock())
-        await anyio.sleep(1.2 / self.context.settings.cloud_rps)
+        await self._pause_after_change()
+
+
+def _resources_by_type(types: dict[str, MachineType]) -> dict[str, tuple[float, float, float]]:
+    return {name: machine_type.resources for name, machine_type in types.items()}
--- a/ploverhall/controller/context.py
+++ b/ploverhall/controller/context.py
@@ -1,6 +1,7 @@
-"""What the parts of one controller have in common: settings, surroundings, the copy of the store, what is held here.
+"""State that several parts of one controller share: settings, runtime, store cache, held shards.
 
-Data, and no decisions. A part is given this and whatever else it uses; only `control.node` knows all parts.
+Data without decisions. `controller` makes the one `ControllerContext` of the process and gives it
+to each part, together with the other parts that it uses.
 """
 
 from __future__ import annotations
@@ -22,18 +23,20 @@
 from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http_client import Client
 
-STORE_LIMIT_SHARE = 0.92  # of the state service's limits that the controllers use together
+STORE_LIMIT_SHARE = 0.92  # of the key-value store's limits that the controllers use together
+STORE_CONNECTIONS = 12  # idle connections to the store that are kept
+NEVER = -1e9  # a time before the start of any process
 
 
 @dataclass
 class HeldShard:
-    """A shard held here: the owner of its part, and the source of its teams once the cells are read."""
+    """A shard held here: its owner, and the source of its teams once their records are loaded."""
 
     shard: int
     epoch: int
     owner: ShardOwner
     source: JobSource | None = None
-    write_wake: anyio.Event = field(default_factory=anyio.Event)
+    write_wake: anyio.Event = field(default_factory=anyio.Event)  # the source has something new
     write_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     image_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     released: bool = False
@@ -43,44 +46,46 @@
     """One process's state that more than one part reads."""
 
     def __init__(self, settings: Settings, runtime: Runtime) -> None:
-        config = self.settings = settings
+        """Make the state of a process that holds nothing yet."""
+        self.settings = settings
         self.runtime = runtime
-        self.clock = runtime.clock
-        self.wall_clock = runtime.wall_clock
+        self.clock = runtime.clock  # monotonic, in seconds
+        self.wall_clock = runtime.wall_clock  # Unix time in seconds
         self.random = runtime.random
-        self.shard_map = ShardMap(config.controllers, [team.name for team in config.teams])
-        self.teams = {team.name: team for team in config.teams}
-        self.objectives = Objectives(config.objectives)
-        self.controller_index = self.shard_map.controller_indices[config.name]
-        share = STORE_LIMIT_SHARE / len(config.controllers)
+        self.shard_map = ShardMap(settings.controllers, [team.name for team in settings.teams])
+        self.teams = {team.name: team for team in settings.teams}
+        self.objectives = Objectives(settings.objectives)
+        self.controller_index = self.shard_map.controller_indices[settings.name]
+        limit_share = STORE_LIMIT_SHARE / len(settings.controllers)
         self.store = KeyValueStore(
-            self.client(*config.store, keep=12),
-            config.store_rps * share,
-            config.store_write_rps * share,
+            self.client(*settings.store, keep=STORE_CONNECTIONS),
+            settings.store_rps * limit_share,
+            settings.store_write_rps * limit_share,
             runtime.clock,
         )
         self.store_cache = StoreCache()
-        self.outbound, self.inbound = OutboundChannels(), InboundChannels()
+        self.outbound = OutboundChannels()
+        self.inbound = InboundChannels()
         self.held_shards: dict[int, HeldShard] = {}
-        self.autoscaler: Autoscaler | None = None
-        self.machine_types: dict[str, MachineType] | None = None
+        self.autoscaler: Autoscaler | None = None  # while the role is held here
+        self.machine_types: dict[str, MachineType] | None = None  # as stored; None: not read yet
         # The newest revision at which a job was cancelled, as far as is known here
         self.cancelled_revision = 0
-        self.scheduling_wake = anyio.Event()  # of the engine
+        self.scheduling_wake = anyio.Event()
         self.started_at = self.clock()
-        # When this process last stood still, and for how long
-        self.stalled_at = -1000000000.0
+        # When the newest event-loop stall ended, and its length
+        self.stalled_at = NEVER
         self.stall_s = 0.0
 
     def client(self, host: str, port: int, keep: int = 8) -> Client:
-        """Calls to one address."""
+        """Return an HTTP client of one address that keeps up to `keep` idle connections."""
         return Client(host, port, keep, self.runtime.network, self.runtime.clock)
 
     def wake_scheduling(self) -> None:
-        """There is something to decide."""
+        """Make the scheduling loop step now: there is something to decide."""
         self.scheduling_wake.set()
 
     def resources_of_job(self, job_id: str) -> tuple[float, float, float] | None:
-        """What a task of a live job takes."""
+        """Return CPUs, GPUs and memory of one task of a live job; None if it isn't live."""
         known = self.store_cache.live_jobs.get(job_id)
         return known[0].resources if known else None
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -1,4 +1,8 @@
-"""One controller: the only place that knows all its parts, and gives each what it uses."""
+"""Composes one controller process: makes its parts, connects them, and runs their loops.
+
+`cli` makes a `Controller` and runs it. No other module imports this one: a part gets what it uses
+through its constructor.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,12 @@
 from ploverhall.controller.allocation_writer import AllocationWriter
 from ploverhall.controller.archiver import Archiver
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
-from ploverhall.controller.context import STORE_LIMIT_SHARE, ControllerContext, HeldShard
+from ploverhall.controller.context import (
+    STORE_CONNECTIONS,
+    STORE_LIMIT_SHARE,
+    ControllerContext,
+    HeldShard,
+)
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
 from ploverhall.controller.http_routes import HttpRoutes, is_report
 from ploverhall.controller.image_writer import ImageWriter
@@ -47,69 +56,99 @@
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http_server import Server
 
+CLOUD_CONNECTIONS = 2  # idle connections to the cloud that are kept
+LOOP_RESTART_DELAY_S = 0.5
+
 
 class Controller:
-    """The process's parts and loops."""
+    """One controller process: its parts, and the events that concern several of them."""
 
     def __init__(self, settings: Settings, runtime: Runtime | None = None) -> None:
-        settings, shared = settings, ControllerContext(settings, runtime or Runtime())
+        """Compose the parts; `runtime` defaults to the real clock, randomness and network."""
         self.settings = settings
-        self.context = shared
+        self.context = ControllerContext(settings, runtime or Runtime())
         self.tasks: anyio.abc.TaskGroup
-        # Jobs whose records can't be read, and that the log has named
+        # Jobs with unreadable records that have been logged
         self.logged_unreadable_jobs: set[str] = set()
-        self.peer_liveness = PeerLiveness(shared)
-        self.routing = Routing(shared, self.peer_liveness)
-        self.relay_routes = RelayRoutes([peer.name for peer in settings.peers])
+        self._compose_relay()
+        self._compose_outside_services()
+        self._compose_agent_links()
+        self._compose_coordination()
+        self._compose_store_writers()
+        self._compose_status()
+        self._compose_peer_links()
+        self._compose_scheduling()
+        self._compose_request_handlers()
+        self._connect_relay()
+
+    def _compose_relay(self) -> None:
+        context = self.context
+        self.peer_liveness = PeerLiveness(context)
+        self.routing = Routing(context, self.peer_liveness)
+        self.relay_routes = RelayRoutes([peer.name for peer in self.settings.peers])
         self.relay = Relay(
-            shared,
+            context,
             self.peer_liveness,
             self.relay_routes,
             lambda name: self.peer_links.notify(name),
             self._is_connected,
             self._serve_relay,
         )
+
+    def _compose_outside_services(self) -> None:
+        """Make the ways to the key-value store and to the cloud, direct or through a peer."""
+        settings, context = self.settings, self.context
         self.store_service = OutsideService(
-            shared,
+            context,
             self.relay,
             relay_messages.STORE,
-            shared.client(*settings.store, keep=12),
+            context.client(*settings.store, keep=STORE_CONNECTIONS),
             probe_target=f"/kv/{AUTOSCALER_KEY}",
             rate=settings.store_rps * STORE_LIMIT_SHARE / len(settings.controllers),
             refuses_with_503=True,
             repeatable=("/grants",),
         )
-        shared.store.caller = self.store_service
+        context.store.caller = self.store_service
         self.cloud_service = OutsideService(
-            shared,
+            context,
             self.relay,
             relay_messages.CLOUD,
-            shared.client(*settings.cloud, keep=2),
+            context.client(*settings.cloud, keep=CLOUD_CONNECTIONS),
             probe_target="/flavors",
             rate=settings.cloud_rps,
             refuses_with_503=False,
             repeatable=("/hosts",),
         )
+
+    def _compose_agent_links(self) -> None:
         self.limiter = ConnectionLimiter(
-            SocketLimits.of_platform(settings.max_sockets), is_report, stale_s=settings.lease_s
+            SocketLimits.of_platform(self.settings.max_sockets),
+            is_report,
+            stale_s=self.settings.lease_s,
         )
         self.agent_commands = AgentCommands(
-            shared, self.relay, self._probe_agent, self.limiter.room_for_outgoing
+            self.context, self.relay, self._probe_agent, self.limiter.room_for_outgoing
         )
+
+    def _compose_coordination(self) -> None:
+        """Make what decides which shards are held here, and who may be told of cancellations."""
+        settings, context = self.settings, self.context
         self.cancellation_barrier = CancellationBarrier(
             [peer.name for peer in settings.peers],
             settings.cancel_s,
             settings.lease_s,
             settings.options.cut_off_s,
-            shared.clock(),
+            context.clock(),
             self.relay.pending.incarnation,
         )
         self.store_watch = StoreWatch(
-            shared, self.on_store_changed, lambda begun: self.shard_roles.confirm_epochs(begun)
+            context,
+            self.on_store_changed,
+            lambda read_started_at: self.shard_roles.confirm_epochs(read_started_at),
         )
-        self.shard_roles = ShardRoles(shared, self.routing, self._start_shard_tasks)
+        self.shard_roles = ShardRoles(context, self.routing, self._start_shard_tasks)
         self.shard_leases = ShardLeases(
-            shared,
+            context,
             self.peer_liveness,
             self.store_watch,
             self.shard_roles,
@@ -118,34 +157,38 @@
             self.agent_commands,
             lambda: len(self.peer_links.connected()) == len(settings.peers),
         )
-        store_reader = StoreReader(shared.store)
+
+    def _compose_store_writers(self) -> None:
+        context = self.context
+        store_reader = StoreReader(context.store)
         self.allocation_writer = AllocationWriter(
-            shared,
+            context,
             self.routing,
             store_reader,
             is_current=self.store_watch.is_current,
             on_store_changed=self.on_store_changed,
             on_superseded=self._on_superseded,
         )
-        self.image_writer = ImageWriter(shared, store_reader)
-        self.archiver = Archiver(shared, may_archive=self.shard_leases.may_archive)
-        self.autoscaling_loop = AutoscalingLoop(
-            shared, self.routing, lambda: self.shard_leases.lease_id, self.cloud_service
-        )
+        self.image_writer = ImageWriter(context, store_reader)
+        self.archiver = Archiver(context, may_archive=self.shard_leases.may_archive)
+
+    def _compose_status(self) -> None:
         self.shard_status = ShardStatus(
-            shared,
+            self.context,
             self.peer_liveness,
             lambda: self.scheduling_loop.capacity_shortages(),
             self._connectivity_status,
         )
         self.status_report = StatusReport(
-            shared,
+            self.context,
             self.shard_status,
             lambda: self.peer_links.connected(),
             lambda name: self.peer_links.notify(name),
         )
+
+    def _compose_peer_links(self) -> None:
         self.peer_links = PeerLinks(
-            shared,
+            self.context,
             self.peer_liveness,
             self.routing,
             self.shard_roles,
@@ -154,8 +197,13 @@
             self.relay,
             self._on_cancellations,
         )
+
+    def _compose_scheduling(self) -> None:
+        self.autoscaling_loop = AutoscalingLoop(
+            self.context, self.routing, lambda: self.shard_leases.lease_id, self.cloud_service
+        )
         self.scheduling_loop = SchedulingLoop(
-            shared,
+            self.context,
             self.peer_liveness,
             self.routing,
             notify_peers=self.peer_links.notify,
@@ -164,12 +212,16 @@
             renewal_grant=self.shard_leases.renewal_grant,
             send_direct_command=self._send_direct_command,
         )
+
+    def _compose_request_handlers(self) -> None:
+        """Make what answers the requests of users, operators and agents."""
+        context = self.context
         answers = JobAnswers(
-            shared.store_cache, self.shard_leases.may_acknowledge, self.routing.task_counts
+            context.store_cache, self.shard_leases.may_acknowledge, self.routing.task_counts
         )
-        self.job_requests = JobRequests(shared, self.store_watch, answers, self.on_store_changed)
+        self.job_requests = JobRequests(context, self.store_watch, answers, self.on_store_changed)
         self.heartbeat_requests = HeartbeatRequests(
-            shared,
+            context,
             self.peer_liveness,
             self.routing,
             self.shard_leases,
@@ -177,21 +229,23 @@
             self.relay,
             self.agent_commands,
         )
+        maintenance_requests = MaintenanceRequests(
+            context, self.store_watch, self.status_report, self.on_store_changed
+        )
         self.http_routes = HttpRoutes(
-            shared,
+            context,
             self.peer_liveness,
             self.shard_leases,
             self.status_report,
             self.job_requests,
             self.heartbeat_requests,
-            MaintenanceRequests(
-                shared, self.store_watch, self.status_report, self.on_store_changed
-            ),
-        )
-        self.relay.own_connectivity, self.relay.scheduling_lag = (
-            self._connectivity_gossip,
-            lambda: self.scheduling_loop.last_step_lag_s,
+            maintenance_requests,
         )
+
+    def _connect_relay(self) -> None:
+        """Give the relay what it tells peers, and what executes relayed requests."""
+        self.relay.own_connectivity = self._connectivity_gossip
+        self.relay.scheduling_lag = lambda: self.scheduling_loop.last_step_lag_s
         self.relay.handlers = {
             relay_messages.STORE: self.store_service.serve_relayed,
             relay_messages.CLOUD: self.cloud_service.serve_relayed,
@@ -200,43 +254,48 @@
         }
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Serve and run all loops until cancelled."""
         settings = self.settings
-        seams = self.context.runtime
         async with anyio.create_task_group() as task_group:
             self.tasks = task_group
-            cap = self.limiter.limits.accepted
-            server = Server(
-                self.http_routes.handle,
-                cap,
-                network=seams.network,
-                clock=seams.clock,
-                limiter=self.limiter,
-            )
-            task_group.start_soon(server.run, *settings.bind)
+            task_group.start_soon(self._http_server().run, *settings.bind)
             task_group.start_soon(self.peer_links.listener.run, *settings.peer_listen)
             for link in self.peer_links.links.values():
                 task_group.start_soon(link.run)
-            for loop in (
-                self.shard_leases.lease_loop,
-                self.store_watch.watch_loop,
-                self.store_watch.fresh_read_loop,
-                self.shard_leases.shard_loop,
-                self.scheduling_loop.loop,
-                self.autoscaling_loop.loop,
-                self.status_report.loop,
-                self.archiver.loop,
-                self.store_service.loop,
-                self.cloud_service.loop,
-                self.agent_commands.probe_loop,
-            ):
+            for loop in self._loops():
                 task_group.start_soon(self._run_restarting, loop)
             log.info(
                 "started", node=settings.name, zone=settings.zone, shards=len(settings.controllers)
             )
 
+    def _http_server(self) -> Server:
+        runtime = self.context.runtime
+        return Server(
+            self.http_routes.handle,
+            self.limiter.limits.accepted,
+            network=runtime.network,
+            clock=runtime.clock,
+            limiter=self.limiter,
+        )
+
+    def _loops(self) -> list[Callable[[], Awaitable[None]]]:
+        """Return what runs for as long as the process does."""
+        return [
+            self.shard_leases.lease_loop,
+            self.store_watch.watch_loop,
+            self.store_watch.fresh_read_loop,
+            self.shard_leases.shard_loop,
+            self.scheduling_loop.loop,
+            self.autoscaling_loop.loop,
+            self.status_report.loop,
+            self.archiver.loop,
+            self.store_service.loop,
+            self.cloud_service.loop,
+            self.agent_commands.probe_loop,
+        ]
+
     async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """A fault in one loop must not end the others; it is logged and the loop begins again."""
+        """Run a loop, and run it anew after any exception: a fault in one must not end the rest."""
         while True:
             try:
                 await loop()
@@ -247,18 +306,15 @@
                     error=repr(error),
                     at=raised_at(error),
                 )
-                await anyio.sleep(0.5)
+                await anyio.sleep(LOOP_RESTART_DELAY_S)
+
+    # Tasks that parts start
 
     def _start_shard_tasks(self, held: HeldShard) -> None:
-        """A shard has just been taken: read its cells and images, then write."""
+        """Load and write the allocations and the image index of a shard that was acquired."""
         self.tasks.start_soon(self.allocation_writer.run, held)
         self.tasks.start_soon(self.image_writer.run, held)
 
-    def _on_superseded(self, shard: int) -> None:
-        """A write was refused because another controller holds the shard."""
-        self.shard_roles.release(shard, "write refused")
-        self.shard_leases.wake.set()
-
     def _send_direct_command(
         self, owner: ShardOwner, machine: Machine, body: dict[str, Any]
     ) -> None:
@@ -267,87 +323,107 @@
     def _probe_agent(self, name: str, addr: str) -> None:
         self.tasks.start_soon(self.agent_commands.probe, name, addr)
 
-    def _on_cancellations(self, named: list[Cancellation]) -> None:
-        """Another controller has named jobs that are cancelled: they are over here, too, before the store has been read."""
-        replica = self.context.store_cache
-        new = [
-            cancellation
-            for cancellation in named
-            if cancellation.revision > replica.revision
-            and cancellation.job_id not in replica.ended_jobs
-        ]
-        for cancellation in new:
-            replica.apply_own_write(
-                JOB_PREFIX + cancellation.job_id, end_record(CANCELLED, 0), cancellation.revision
-            )
-        if new:
-            log.info(
-                "cancelled jobs named by another controller", jobs=len(new), to=new[-1].revision
-            )
-            self.on_store_changed()
+    def _serve_relay(self, peer: str, request: RelayRequest) -> None:
+        self.tasks.start_soon(self.relay.serve, peer, request)
+
+    # Connectivity
 
     def _is_connected(self, name: str) -> bool:
         return self.peer_links.links[name].connected
 
-    def _serve_relay(self, peer: str, request: RelayRequest) -> None:
-        self.tasks.start_soon(self.relay.serve, peer, request)
-
-    def _connectivity_status(self) -> dict[str, Any]:
-        """What people are told of this controller's links."""
-        through = {
-            service.service: via
+    def _service_relays(self) -> dict[str, str]:
+        """Return through which peer each service is reached; without those reached directly."""
+        return {
+            service.service: relay_peer
             for service in (self.store_service, self.cloud_service)
-            if (via := service.current_relay()) is not None
+            if (relay_peer := service.current_relay()) is not None
         }
-        calls = self.relay.pending
+
+    def _connectivity_status(self) -> dict[str, Any]:
+        """Return this controller's links for the status report."""
+        relays = self._service_relays()
+        pending = self.relay.pending
         return {
-            "through": through,
+            "through": relays,
             "away": len(self.agent_commands.failback.relayed_agents),
-            "carried": calls.relayed_count,
-            "not_carried": calls.refused_count,
+            "carried": pending.relayed_count,
+            "not_carried": pending.refused_count,
         }
 
     def _connectivity_gossip(self) -> dict[str, Any]:
-        """What this controller tells the others of its links."""
-        wires = (self.store_service, self.cloud_service)
-        through = {
-            service.service: via
-            for service in wires
-            if (via := service.current_relay()) is not None
-        }
+        """Return this controller's links as they are told to its peers."""
+        relays = self._service_relays()
+        services = (self.store_service, self.cloud_service)
         return {
-            "good": [service.service for service in wires if service.health.healthy],
-            "through": through,
+            "good": [service.service for service in services if service.health.healthy],
+            "through": relays,
             "cut": self.agent_commands.unreachable_shards(self.context.clock()),
         }
 
+    # Events that concern several parts
+
+    def _on_superseded(self, shard: int) -> None:
+        """A write failed because another controller holds the shard."""
+        self.shard_roles.release(shard, "write refused")
+        self.shard_leases.wake.set()
+
     def _on_event_loop_stall(self, seconds: float, now: float) -> None:
         self.shard_roles.on_event_loop_stall(seconds, now)
         self.autoscaling_loop.on_event_loop_stall()
         self.store_watch.request_read()
 
+    def _on_cancellations(self, named: list[Cancellation]) -> None:
+        """A peer has named cancelled jobs: they end here, too, before the store has been read."""
+        store_cache = self.context.store_cache
+        new = [
+            cancellation
+            for cancellation in named
+            if cancellation.revision > store_cache.revision
+            and cancellation.job_id not in store_cache.ended_jobs
+        ]
+        for cancellation in new:
+            store_cache.apply_own_write(
+                JOB_PREFIX + cancellation.job_id, end_record(CANCELLED, 0), cancellation.revision
+            )
+        if new:
+            log.info(
+                "cancelled jobs named by another controller", jobs=len(new), to=new[-1].revision
+            )
+            self.on_store_changed()
+
     def on_store_changed(self) -> None:
-        """The copy of the store has changed: hand on what is new."""
-        shared, now = self.context, self.context.clock()
-        ended = shared.store_cache.ended_jobs
-        changed = shared.store_cache.changed_jobs
+        """Pass on what is new in the store cache."""
+        now = self.context.clock()
         self.shard_leases.update_peers(now)
-        cancelled = 0
-        for job_id in changed:
-            if (ended_job := ended.get(job_id)) is not None and ended_job.outcome == CANCELLED:
-                self.cancellation_barrier.record_cancellation(job_id, ended_job.version)
-                log.debug(
-                    "withdrawn", job=job_id
-                )  # whoever wrote it may not know that it has landed
-                cancelled = max(cancelled, ended_job.version)
-        if cancelled > shared.cancelled_revision:
-            # The users' answers wait for everybody's word that it has been read
-            shared.cancelled_revision = cancelled
-            self.peer_links.notify(*self.peer_links.links)
-        for other_id in sorted(shared.store_cache.unreadable_jobs - self.logged_unreadable_jobs):
-            self.logged_unreadable_jobs.add(other_id)
-            log.error("job's record can't be read", job=other_id)
+        self._record_cancellations()
+        self._log_unreadable_jobs()
         self.shard_roles.on_store_changed(now)
         self.routing.update_routes()
         self.shard_leases.wake.set()
-        shared.wake_scheduling()
+        self.context.wake_scheduling()
+
+    def _record_cancellations(self) -> None:
+        """Give new cancellations to the barrier, and tell peers that they have been read here.
+
+        Answers to users wait until every controller has told that.
+        """
+        ended_jobs = self.context.store_cache.ended_jobs
+        newest_revision = 0
+        for job_id in self.context.store_cache.changed_jobs:
+            ended = ended_jobs.get(job_id)
+            if ended is None or ended.outcome != CANCELLED:
+                continue
+            self.cancellation_barrier.record_cancellation(job_id, ended.version)
+            # logged here as well: the writer may not know that its write was committed
+            log.debug("withdrawn", job=job_id)
+            newest_revision = max(newest_revision, ended.version)
+        if newest_revision > self.context.cancelled_revision:
+            self.context.cancelled_revision = newest_revision
+            self.peer_links.notify(*self.peer_links.links)
+
+    def _log_unreadable_jobs(self) -> None:
+        """Log each job whose record can't be read, once."""
+        unreadable_jobs = self.context.store_cache.unreadable_jobs
+        for job_id in sorted(unreadable_jobs - self.logged_unreadable_jobs):
+            self.logged_unreadable_jobs.add(job_id)
+            log.error("job's record can't be read", job=job_id)
--- a/ploverhall/controller/routing.py
+++ b/ploverhall/controller/routing.py
@@ -1,148 +1,165 @@
-"""Who holds which role, and the boards that roles here and elsewhere tell one another with."""
+"""Routes state channels: which controller holds each endpoint, and which role a message is for.
+
+An endpoint is a shard's index or `state_channel.AUTOSCALER_ENDPOINT`. `scheduling_loop` and
+`peer_links` collect and accept messages here; `heartbeat_requests` asks who holds a shard.
+"""
 
 from __future__ import annotations
 
+from typing import Any
+
 from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import SHARD_CLAIM_MAX_AGE_S, PeerLiveness
 from ploverhall.coordination import state_channel
 from ploverhall.coordination.state_channel import Message
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.permitting import JobSource
+from ploverhall.scheduling.shard_owner import ShardOwner
 
-# A worker that is sent to a holder that it can't reach waits for 4 s there, and 1 s more
+# An agent redirected to a holder that it can't reach waits there for 4 s, and retries 1 s later
 SETTLED_AFTER_S = 4.5
+UNKNOWN_EPOCH = -1
 
 
 class Routing:
-    """Where boards go, and what is done with those that come."""
+    """Holders of all endpoints, and the dispatch of messages to the roles held here."""
 
     def __init__(self, context: ControllerContext, peer_liveness: PeerLiveness) -> None:
+        """Make a routing without routes; `update_routes` fills it."""
         self.context = context
         self.peer_liveness = peer_liveness
-        # By role, as of the last event that may have changed it
+        # By endpoint, as of the last event that may have changed it
         self.holders: dict[int, str | None] = {}
-        # Per shard: its epoch in the store, and since when it is known here
+        # Per shard: its epoch in the store, and since when that is known here
         self.epochs: dict[int, tuple[int, float]] = {}
-        self.version = 0  # rises with every change of `holders`
+        self.version = 0  # increased with every change of `holders`
 
     def update_routes(self) -> None:
-        """Who holds what may have changed.
+        """Determine all holders anew.
 
-        Asked anew for every board, every link and every step of the engine, it was called 330,000 times in 240 s of a calm day.
+        Called on events that may change them. Called per message, connection and step it would be
+        executed more than a thousand times a second.
         """
         now = self.context.clock()
-        for shard in range(len(self.context.shard_map.controllers)):
+        shards = range(len(self.context.shard_map.controllers))
+        for shard in shards:
             epoch = self.context.store_cache.holder(shard)[1]
-            if self.epochs.get(shard, (-1, 0.0))[0] != epoch:
+            if self.epochs.get(shard, (UNKNOWN_EPOCH, 0.0))[0] != epoch:
                 self.epochs[shard] = (epoch, now)
-        holders = {
-            role: self.holder(role)
-            for role in (
-                *range(len(self.context.shard_map.controllers)),
-                state_channel.AUTOSCALER_ENDPOINT,
-            )
-        }
+        endpoints = (*shards, state_channel.AUTOSCALER_ENDPOINT)
+        holders = {endpoint: self.holder(endpoint) for endpoint in endpoints}
         if holders != self.holders:
             self.holders = holders
             self.version += 1
 
     def settled(self, shard: int, now: float) -> bool:
-        """Whether a shard's holder has had it for so long that its workers should have found it."""
+        """Return whether a shard has had its holder so long that agents should have found it."""
         return now - self.epochs.get(shard, (0, now))[1] > SETTLED_AFTER_S
 
     def holder(self, endpoint: int) -> str | None:
-        """The node that holds a role, as far as is known here."""
+        """Return the controller that holds an endpoint, as far as known here; None for nobody."""
         if endpoint == state_channel.AUTOSCALER_ENDPOINT:
             return self.context.store_cache.autoscaler()[0]
         if endpoint in self.context.held_shards:
             return self.context.settings.name
-        node, epoch = self.context.store_cache.holder(endpoint)
-        for name, (heard, news) in self.peer_liveness.peer_status.items():
+        controller, epoch = self.context.store_cache.holder(endpoint)
+        for peer, (received_at, status) in self.peer_liveness.peer_status.items():
             if (
-                news.epochs.get(endpoint, 0) > epoch
-                and self.context.clock() - heard < SHARD_CLAIM_MAX_AGE_S
+                status.epochs.get(endpoint, 0) > epoch
+                and self.context.clock() - received_at < SHARD_CLAIM_MAX_AGE_S
             ):
-                node, epoch = name, news.epochs[endpoint]
-        return node
+                controller, epoch = peer, status.epochs[endpoint]
+        return controller
 
     def collect(self, controller: str, generation: int) -> list[Message]:
-        """The boards that go to a node now."""
+        """Return the messages due to a controller.
+
+        `generation` numbers the connections to it: on a new one all channels are sent in full.
+        """
         return self.context.outbound.collect(controller, generation, self.holders.get, self.version)
 
     def accept(self, message: Message) -> bool:
-        """A board's message has come; False when it says nothing new."""
+        """Take in a received message; return false if it says nothing new."""
         if not self.context.inbound.accept(message):
             return False
         self.dispatch(message)
         return True
 
     def dispatch(self, message: Message) -> None:
-        """Give a board's news to the role it is meant for, if it is held here."""
+        """Give a message's changes to the role that it is for, if that is held here."""
         kind, source, epoch, destination, full, changes = message[:6]
-        shared = self.context
-        now = shared.clock()
-        if source >= 0 and epoch < shared.store_cache.holder(source)[1]:
-            return  # from a holder that has been deposed
+        if source >= 0 and epoch < self.context.store_cache.holder(source)[1]:
+            return  # from a superseded holder
         if destination == state_channel.AUTOSCALER_ENDPOINT:
-            if shared.autoscaler is not None:
-                if kind == "d":
-                    shared.autoscaler.on_source_update(source, full, changes)
-                else:
-                    shared.autoscaler.on_owner_update(source, full, changes, now)
+            self._dispatch_to_autoscaler(kind, source, full, changes)
             return
-        held = shared.held_shards.get(destination)
+        held = self.context.held_shards.get(destination)
         if held is None:
             return
+        now = self.context.clock()
         if kind == "s":
             held.owner.on_source_update(source, full, changes, now)
         elif kind == "o" and held.source is not None:
             held.source.on_owner_update(source, epoch, full, changes, now)
             held.write_wake.set()
         elif kind == "r":
-            state = (
-                shared.inbound.channels[kind, source, destination][1]
-                if (kind, source, destination) in shared.inbound.channels
-                else changes
-            )
-            held.owner.set_draining(state.get("drain") or [])
-            if (
-                "empty" in state
-            ):  # a renter that has just begun does not know yet which machines were being emptied
-                held.owner.set_cordoned(state["empty"])
-            held.owner.on_machines_deleted(state.get("gone") or [])
+            channel = self.context.inbound.channels.get((kind, source, destination))
+            self._apply_autoscaler_state(held.owner, channel[1] if channel else changes)
+
+    def _dispatch_to_autoscaler(
+        self, kind: str, source: int, full: bool, changes: dict[str, Any]
+    ) -> None:
+        autoscaler = self.context.autoscaler
+        if autoscaler is None:
+            return
+        if kind == "d":
+            autoscaler.on_source_update(source, full, changes)
+        else:
+            autoscaler.on_owner_update(source, full, changes, self.context.clock())
+
+    def _apply_autoscaler_state(self, owner: ShardOwner, state: dict[str, Any]) -> None:
+        """Tell an owner which machines the autoscaler drains, cordons, and has deleted."""
+        owner.set_draining(state.get("drain") or [])
+        # without the field the autoscaler is new and does not know yet what was cordoned
+        if "empty" in state:
+            owner.set_cordoned(state["empty"])
+        owner.on_machines_deleted(state.get("gone") or [])
 
     def task_counts(self, job: Job) -> tuple[int, int]:
-        """A live job's tasks done and running, as far as they are known here: from its source, or from what that one tells."""
+        """Return how many tasks of a live job are done and running, as far as known here.
+
+        From the job's source if it is held here, else from what that source sent.
+        """
         shard = self.context.shard_map.team_shard.get(job.team, -1)
         held = self.context.held_shards.get(shard)
         if held is not None and held.source is not None:
             return held.source.task_counts(job.id)
-        for dst in (
-            self.context.held_shards
-        ):  # what was said to a shard that is not held here any more is as old as that
-            counts = self.context.inbound.channels.get(("c", shard, dst))
+        # only endpoints still held here: what was sent to a released shard is outdated
+        for destination in self.context.held_shards:
+            counts = self.context.inbound.channels.get(("c", shard, destination))
             if counts is not None and job.id in counts[1]:
                 done, running = counts[1][job.id]
                 return done, running
         return 0, 0
 
     def replay(self, endpoint: int, kinds: tuple[str, ...]) -> None:
-        """Hand a role all that it has been told so far."""
-        for (kind, src, dst), (epoch, state) in list(self.context.inbound.channels.items()):
-            if dst == endpoint and kind in kinds:
-                self.dispatch([kind, src, epoch, dst, True, dict(state)])
+        """Dispatch again, in full, all that an endpoint has received in channels of these kinds."""
+        channels = list(self.context.inbound.channels.items())
+        for (kind, source, destination), (epoch, state) in channels:
+            if destination == endpoint and kind in kinds:
+                self.dispatch([kind, source, epoch, destination, True, dict(state)])
 
     def update_owners(self, held: HeldShard, source: JobSource, now: float) -> None:
-        """What owners must hear goes on their boards.
+        """Queue what a source has to tell the shards' owners.
 
-        A new source's boards are filled in the same breath in which they are made: an owner that got an empty one
-        first took every permit as taken back, forgot which runs it had sent, and refused the permits when they came
-        again as if it had never started them (kazi-bodi-grown rough: ran_twice).
+        A new source's channels are made and filled without an await between: an owner that got an
+        empty one first would take its permits as revoked, and run their tasks a second time.
         """
-        parts, outbox = len(self.context.shard_map.controllers), self.context.outbound
-        news = source.take_owner_updates(parts, now)
-        for part in range(parts):
-            # a board that is empty still has to be sent once, so that the owner knows this source is heard
-            outbox.channel("s", held.shard, part, held.epoch)
-        for (part, key), value in news.items():
-            outbox.channel("s", held.shard, part, held.epoch).put(key, value)
+        shard_count = len(self.context.shard_map.controllers)
+        outbound = self.context.outbound
+        updates = source.take_owner_updates(shard_count, now)
+        for shard in range(shard_count):
+            # an empty channel is sent once, too: it shows the owner that this source is connected
+            outbound.channel("s", held.shard, shard, held.epoch)
+        for (shard, key), value in updates.items():
+            outbound.channel("s", held.shard, shard, held.epoch).put(key, value)
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -1,4 +1,8 @@
-"""The shards held here: taken, lost, and told what has changed in the store."""
+"""Starts and ends the roles of held shards, and tells them what has changed in the store.
+
+`shard_leases` acquires and releases shards through it; `controller` and `peer_links` pass on store
+changes, event-loop stalls, and what other controllers say that they hold.
+"""
 
 from __future__ import annotations
 
@@ -7,73 +11,86 @@
 from ploverhall import log
 from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.routing import Routing
+from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.storage.store_cache import MACHINE_TYPE_COUNT_KEY
 
+# Kinds of state channels (coordination.state_channel) that a role of a shard sends
+SHARD_CHANNEL_KINDS = ("s", "o", "d", "m", "c")
+OWNER_CHANNEL_KINDS = ("s", "r")  # and those that a shard's owner receives
+
 
 class ShardRoles:
-    """Owners and sources, from the claim to the loss."""
+    """Owners and sources of the shards held here."""
 
     def __init__(
         self, context: ControllerContext, routing: Routing, start_tasks: Callable[[HeldShard], None]
     ) -> None:
+        """`start_tasks`: starts what loads and writes the records of an acquired shard."""
         self.context = context
         self.routing = routing
-        # Starts what reads and writes for a shard that has just been taken
         self.start_tasks = start_tasks
 
     def acquire(self, shard: int, epoch: int) -> None:
-        """A shard is held from now on: serve its workers at once, its teams when their cells are read."""
-        shared = self.context
-        settings = self.context.settings
+        """Hold a shard: its agents are served at once, its teams when their records are loaded."""
+        held = HeldShard(shard, epoch, self._new_owner(shard, epoch))
+        self.context.held_shards[shard] = held
+        log.info("shard taken", shard=shard, epoch=epoch)
+        self.routing.update_routes()
+        self.routing.replay(shard, OWNER_CHANNEL_KINDS)
+        self.start_tasks(held)
+        self.context.wake_scheduling()
+
+    def _new_owner(self, shard: int, epoch: int) -> ShardOwner:
+        context = self.context
+        settings = context.settings
         owner = ShardOwner(
             shard,
             epoch,
-            len(shared.shard_map.controllers),
+            len(context.shard_map.controllers),
             settings.lease_s,
             settings.heartbeat_interval_s,
             settings.options.hold_s,
             settings.options.sample,
-            shared.random,
-            shared.clock(),
-            shared.controller_index,
+            context.random,
+            context.clock(),
+            context.controller_index,
         )
-        owner.machine_types = shared.machine_types or {}
-        owner.inventory.resources_of_job = shared.resources_of_job
-        owner.job_ended_in_store = shared.store_cache.ended_jobs.__contains__
-        held = shared.held_shards[shard] = HeldShard(shard, epoch, owner)
-        log.info("shard taken", shard=shard, epoch=epoch)
-        self.routing.update_routes()
-        self.routing.replay(shard, ("s", "r"))
-        self.start_tasks(held)
-        shared.wake_scheduling()
+        owner.machine_types = context.machine_types or {}
+        owner.inventory.resources_of_job = context.resources_of_job
+        owner.job_ended_in_store = context.store_cache.ended_jobs.__contains__
+        return owner
 
     def release(self, shard: int, reason: str) -> None:
-        """A shard is not held any more."""
+        """Stop holding a shard, if it is held; `reason` is logged."""
         held = self.context.held_shards.pop(shard, None)
-        if held is not None:
-            held.released = True
-            held.write_scope.cancel()
-            held.image_scope.cancel()
-            self.context.outbound.drop(("s", "o", "d", "m", "c"), shard)
-            self.routing.update_routes()
-            log.info("shard lost", shard=shard, epoch=held.epoch, why=reason)
+        if held is None:
+            return
+        held.released = True
+        held.write_scope.cancel()
+        held.image_scope.cancel()
+        self.context.outbound.drop(SHARD_CHANNEL_KINDS, shard)
+        self.routing.update_routes()
+        log.info("shard lost", shard=shard, epoch=held.epoch, why=reason)
 
     def release_superseded(self, epochs: dict[int, int], peer: str) -> None:
-        """Another controller says what it holds: the state service may not be reached from here."""
+        """Release the shards that a peer holds with a newer epoch.
+
+        The store, which would show the same, may not be reachable from here.
+        """
         for shard, epoch in epochs.items():
             held = self.context.held_shards.get(shard)
             if held is not None and epoch > held.epoch:
                 self.release(shard, f"{peer} holds it")
 
     def confirm_epochs(self, read_started_at: float) -> None:
-        """A read of the store begun then has shown who holds what."""
+        """Note that a fresh read of the store, begun then, has shown who holds each shard."""
         for held in self.context.held_shards.values():
             if self.context.store_cache.holder(held.shard)[1] == held.epoch:
                 held.owner.epoch_confirmed_at = max(held.owner.epoch_confirmed_at, read_started_at)
 
     def on_event_loop_stall(self, seconds: float, now: float) -> None:
-        """A step came far later than it was due: what was believed before is old, and what came meanwhile is unread."""
+        """Note a stall: what was known before is old, and messages that came meanwhile unread."""
         log.warn(
             "stood still",
             seconds=round(seconds, 1),
@@ -85,35 +102,53 @@
             held.owner.on_event_loop_stall(seconds, now)
 
     def on_store_changed(self, now: float) -> None:
-        """The copy of the store has changed: types, jobs that came, jobs that are over."""
-        shared = self.context
+        """Pass on machine types, new jobs and ended jobs from the store cache."""
         store_cache = self.context.store_cache
-        if shared.machine_types is None or MACHINE_TYPE_COUNT_KEY in store_cache.entries:
-            types = store_cache.machine_types()
-            if types is not None and types != shared.machine_types:
-                shared.machine_types = types
-                for held_shard in shared.held_shards.values():
-                    held_shard.owner.machine_types = types
-                    if held_shard.source is not None:
-                        held_shard.source.machine_types = types
-        changed = store_cache.changed_jobs
+        self._update_machine_types()
+        changed_jobs = store_cache.changed_jobs
         store_cache.changed_jobs = []
-        for job_id in changed:
+        for job_id in changed_jobs:
             known = store_cache.live_jobs.get(job_id)
             if known is not None:
-                if shared.autoscaler is not None and job_id not in shared.autoscaler.arrivals:
-                    shared.autoscaler.on_job(known[0], now)
-                held = shared.held_shards.get(shared.shard_map.team_shard.get(known[0].team, -1))
-                if held is not None and held.source is not None:
-                    held.source.on_job(known[0], job_id, known[1], now)
-                    held.write_wake.set()
+                job, version = known
+                self._on_live_job(job_id, job, version, now)
             else:
-                for held in shared.held_shards.values():
-                    held.owner.job_ended(job_id)
-                    if (
-                        held.source is not None
-                        and job_id in held.source.jobs
-                        and held.source.jobs[job_id].job is not None
-                    ):
-                        held.source.on_job(None, job_id, 0, now)
-                        held.write_wake.set()
+                self._on_ended_job(job_id, now)
+
+    def _update_machine_types(self) -> None:
+        """Pass on the machine types if the store has others, and all of them."""
+        context = self.context
+        if (
+            context.machine_types is not None
+            and MACHINE_TYPE_COUNT_KEY not in context.store_cache.entries
+        ):
+            return
+        machine_types = context.store_cache.machine_types()
+        if machine_types is None or machine_types == context.machine_types:
+            return
+        context.machine_types = machine_types
+        for held in context.held_shards.values():
+            held.owner.machine_types = machine_types
+            if held.source is not None:
+                held.source.machine_types = machine_types
+
+    def _on_live_job(self, job_id: str, job: Job, version: int, now: float) -> None:
+        """Tell the autoscaler and the source of the job's team of a new or changed job."""
+        context = self.context
+        if context.autoscaler is not None and job_id not in context.autoscaler.arrivals:
+            context.autoscaler.on_job(job, now)
+        held = context.held_shards.get(context.shard_map.team_shard.get(job.team, -1))
+        if held is not None and held.source is not None:
+            held.source.on_job(job, job_id, version, now)
+            held.write_wake.set()
+
+    def _on_ended_job(self, job_id: str, now: float) -> None:
+        """Tell every owner, and a source that has the job, that it ended."""
+        for held in self.context.held_shards.values():
+            held.owner.job_ended(job_id)
+            source = held.source
+            if source is None or job_id not in source.jobs:
+                continue
+            if source.jobs[job_id].job is not None:
+                source.on_job(None, job_id, 0, now)
+                held.write_wake.set()
--- a/ploverhall/controller/store_watch.py
+++ b/ploverhall/controller/store_watch.py
@@ -1,11 +1,14 @@
-"""This node's copy of the store: kept by watch, and proven current for those who must know."""
+"""Keeps this controller's store cache up to date, and reads the store afresh on request.
+
+`controller` runs `watch_loop` and `fresh_read_loop`. Whoever must know that the cache is current
+(answers to users, a new source, maintenance) awaits `fresh_read` or `is_current`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 import anyio
-import anyio.abc
 
 from ploverhall import log
 from ploverhall.controller.context import ControllerContext
@@ -14,11 +17,18 @@
 from ploverhall.protocol.key_value_store import WatchEvent
 from ploverhall.storage.store_cache import WATCHED_PREFIX
 
-FRESH_READ_TIMEOUT_S = 1.5  # how long a question waits for the read that proves its answer
+FRESH_READ_TIMEOUT_S = 1.5  # how long a caller waits for a fresh read
+WATCH_HOLD_MS = 5_000  # how long the store holds a watch without events
+REFUSED_PAUSE_S = 0.2
+# Least pauses between two reads, so that changes that come together are read together
+WATCH_PAUSE_S = 0.03
+WATCH_RETRY_PAUSE_S = 0.05
+FRESH_READ_PAUSE_S = 0.04
+PAUSE_REQUESTS = 4.0  # pause when the request allowance is half used, in requests at its rate
 
 
 class StoreWatch:
-    """This node's copy of the store: kept by watch, and proven current for those who must know."""
+    """The store cache's readers: a continuous watch, and fresh reads shared by all who wait."""
 
     def __init__(
         self,
@@ -26,75 +36,84 @@
         on_changed: Callable[[], None],
         on_fresh_read: Callable[[float], None],
     ) -> None:
+        """Compose the readers.
+
+        `on_changed`: called after the cache has changed;
+        `on_fresh_read`: called with the time at which a fresh read began, once it is in the cache.
+        """
         self.context = context
-        self.on_changed = on_changed  # the copy has changed
-        self.on_fresh_read = on_fresh_read  # a read begun then has shown who holds what
+        self.on_changed = on_changed
+        self.on_fresh_read = on_fresh_read
+        # Callers that wait for a fresh read: set when it is over, with its result if it succeeded
         self.waiters: list[tuple[anyio.Event, list[FreshRead]]] = []
         self.fresh_read_wake = anyio.Event()
-        self.read_at = 0.0  # when the newest read began that brought the copy up to date
+        self.read_at = 0.0  # when the newest read began that is in the cache
 
     async def watch_loop(self) -> None:
-        """Follow everything under the prefix."""
+        """Load everything under the watched prefix, then follow its changes."""
         while True:
             try:
-                if not self.context.store_cache.ready or self.context.store_cache.revision == 0:
-                    await self._load()
-                started_at = self.context.clock()
-                answer = await self.context.store.watch(
-                    WATCHED_PREFIX, self.context.store_cache.revision, 5_000
-                )
+                await self._watch_once()
             except RequestRefusedError:
-                await anyio.sleep(0.2)
-                continue
+                await anyio.sleep(REFUSED_PAUSE_S)
             except OutcomeUnknownError:
-                await anyio.sleep(self._read_pause(0.05))
-                continue
-            if answer is None:
-                self.context.store_cache.ready = False
-                continue
-            self._apply_events(started_at, *answer)
-            await anyio.sleep(
-                self._read_pause(0.03)
-            )  # changes that come together are read together
-
-    def _read_pause(self, minimum_s: float) -> float:
-        """Between two reads: longer when requests run short, so that leases and permits never wait for those who ask."""
+                await anyio.sleep(self._read_pause_s(WATCH_RETRY_PAUSE_S))
+
+    async def _watch_once(self) -> None:
+        """Apply the next events; raises RequestRefusedError or OutcomeUnknownError."""
+        store_cache = self.context.store_cache
+        if not store_cache.ready or store_cache.revision == 0:
+            await self._load()
+        started_at = self.context.clock()
+        answer = await self.context.store.watch(WATCHED_PREFIX, store_cache.revision, WATCH_HOLD_MS)
+        if answer is None:
+            store_cache.ready = False  # the store no longer has the events: all is loaded again
+            return
+        self._apply_events(started_at, *answer)
+        await anyio.sleep(self._read_pause_s(WATCH_PAUSE_S))
+
+    def _read_pause_s(self, minimum_s: float) -> float:
+        """Return the pause between two reads in seconds.
+
+        Longer when the request allowance runs short, so that leases and permits need not wait.
+        """
         requests = self.context.store.requests
-        return (
-            minimum_s
-            if requests.available() > requests.rate / 2
-            else max(minimum_s, 4.0 / requests.rate)
-        )
+        if requests.available() > requests.rate / 2:
+            return minimum_s
+        return max(minimum_s, PAUSE_REQUESTS / requests.rate)
 
     def _apply_events(self, started_at: float, revision: int, events: list[WatchEvent]) -> None:
-        """What a read begun then has brought: the copy is as new as that."""
+        """Apply the events of a read that began then: the cache is as new as that."""
         self.read_at = max(self.read_at, started_at)
         if self.context.store_cache.apply(revision, events):
             self.on_changed()
 
     async def _load(self) -> None:
+        """Replace the cache's content; raises RequestRefusedError or OutcomeUnknownError."""
+        store_cache = self.context.store_cache
         started_at = self.context.clock()
         found, revision = await self.context.store.list_prefix(WATCHED_PREFIX)
         answer = await self.context.store.watch(WATCHED_PREFIX, revision, 0)
         if answer is None:
             raise RequestRefusedError("watch too old")
-        # in one step, and handed on in the same: a copy whose revision says more than what has been handed on from it would have its
-        # words to the other controllers claim cancellations that they do not name
-        self.context.store_cache.load(found, revision)
-        self.context.store_cache.apply(*answer)
-        self.context.store_cache.ready = True
+        # Loaded and passed on without an await between: a cache with a revision above what was
+        # passed on would make the gossip claim cancellations that it does not name
+        store_cache.load(found, revision)
+        store_cache.apply(*answer)
+        store_cache.ready = True
         self.read_at = max(self.read_at, started_at)
         log.info(
             "state read",
-            rev=self.context.store_cache.revision,
-            live=len(self.context.store_cache.live_jobs),
-            ended=len(self.context.store_cache.ended_jobs),
+            rev=store_cache.revision,
+            live=len(store_cache.live_jobs),
+            ended=len(store_cache.ended_jobs),
         )
         self.on_changed()
 
     async def fresh_read(self) -> FreshRead | None:
-        """That the copy has been brought up to date by a read begun after this call; None where there is no such read in time."""
-        done, result = anyio.Event(), list[FreshRead]()
+        """Wait for a read begun after this call to be in the cache; None if it isn't in time."""
+        done = anyio.Event()
+        result: list[FreshRead] = []
         self.waiters.append((done, result))
         self.fresh_read_wake.set()
         with anyio.move_on_after(FRESH_READ_TIMEOUT_S):
@@ -102,40 +121,43 @@
         return result[0] if result else None
 
     async def is_current(self) -> bool:
-        """Whether there is such a proof."""
+        """Read afresh; return whether that succeeded in time."""
         return await self.fresh_read() is not None
 
     def request_read(self) -> None:
-        """A read is wanted soon, by nobody who waits for it."""
+        """Ask for a fresh read soon, without waiting for it."""
         if not self.waiters:
             self.waiters.append((anyio.Event(), []))
         self.fresh_read_wake.set()
 
     async def fresh_read_loop(self) -> None:
-        """One shared read for all polls that wait."""
+        """Make one shared read for all callers that wait."""
         while True:
             if not self.waiters:
                 self.fresh_read_wake = anyio.Event()
                 await self.fresh_read_wake.wait()
             batch = self.waiters
             self.waiters = []
-            fresh_read: FreshRead | None = None
-            started_at = self.context.clock()
-            try:
-                if self.context.store_cache.ready:
-                    answer = await self.context.store.watch(
-                        WATCHED_PREFIX, self.context.store_cache.revision, 0
-                    )
-                    if answer is None:
-                        self.context.store_cache.ready = False
-                    else:
-                        fresh_read = FreshRead(started_at)
-                        self._apply_events(started_at, *answer)
-                        self.on_fresh_read(started_at)
-            except (RequestRefusedError, OutcomeUnknownError):
-                pass
+            fresh_read = await self._read_afresh()
             for done, result in batch:
                 if fresh_read is not None:
                     result.append(fresh_read)
                 done.set()
-            await anyio.sleep(self._read_pause(0.04))
+            await anyio.sleep(self._read_pause_s(FRESH_READ_PAUSE_S))
+
+    async def _read_afresh(self) -> FreshRead | None:
+        """Bring the cache up to date; None if it is not loaded or the store did not answer."""
+        started_at = self.context.clock()
+        store_cache = self.context.store_cache
+        if not store_cache.ready:
+            return None
+        try:
+            answer = await self.context.store.watch(WATCHED_PREFIX, store_cache.revision, 0)
+        except (RequestRefusedError, OutcomeUnknownError):
+            return None
+        if answer is None:
+            store_cache.ready = False
+            return None
+        self._apply_events(started_at, *answer)
+        self.on_fresh_read(started_at)
+        return FreshRead(started_at)
