--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -17,8 +17,8 @@
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.protocol.agents import Heartbeat
-from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.inventory import Permit
+from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.permitting import ATTEMPT_BITS, JobSource
 from ploverhall.scheduling.placement import Placement
 from ploverhall.scheduling.shard_owner import ShardOwner
