--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -17,11 +17,7 @@
 from ploverhall.maintenance import orders
 from ploverhall.protocol import cloud
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.storage.store_cache import (
-    AUTOSCALER_KEY,
-    MACHINE_TYPE_COUNT_KEY,
-    MACHINE_TYPE_PREFIX,
-)
+from ploverhall.storage.schema import AUTOSCALER_KEY, MACHINE_TYPE_COUNT_KEY, MACHINE_TYPE_PREFIX
 from ploverhall.transport.http_client import Caller
 
 MACHINE_TYPES_INTERVAL_S = 60.0
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -40,7 +40,7 @@
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
-from ploverhall.storage.store_cache import AUTOSCALER_KEY, JOB_PREFIX, end_record
+from ploverhall.storage.schema import AUTOSCALER_KEY, JOB_PREFIX, end_record
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http_server import Server
 
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -25,7 +25,7 @@
 from ploverhall.protocol import jobs
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.inventory import fits
-from ploverhall.storage.store_cache import ARCHIVE_PREFIX, JOB_PREFIX, end_record
+from ploverhall.storage.schema import ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.transport.http_server import Reply
 
 # A change whose outcome is not known so soon is written again: its user waits for 5 s
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -16,7 +16,7 @@
 from ploverhall.maintenance import orders
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
 from ploverhall.maintenance.orders import ORDER_PREFIX, STATE_BY_VERB, MaintenanceOrder
-from ploverhall.storage.store_cache import CONTROLLER_PREFIX
+from ploverhall.storage.schema import CONTROLLER_PREFIX
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
--- a/ploverhall/controller/shard_leases.py
+++ b/ploverhall/controller/shard_leases.py
@@ -25,7 +25,7 @@
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance import orders
 from ploverhall.protocol.jobs import DONE
-from ploverhall.storage.store_cache import CONTROLLER_PREFIX, SHARD_PREFIX, EndedJob
+from ploverhall.storage.schema import CONTROLLER_PREFIX, SHARD_PREFIX, EndedJob
 
 CONTACT_READ_INTERVAL_S = 2.5  # the copy is proven current at least this often
 ISOLATION_MARGIN_S = 1.0  # its lease may end so late
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -8,7 +8,7 @@
 from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.routing import Routing
 from ploverhall.scheduling.shard_owner import ShardOwner
-from ploverhall.storage.store_cache import MACHINE_TYPE_COUNT_KEY
+from ploverhall.storage.schema import MACHINE_TYPE_COUNT_KEY
 
 
 class ShardRoles:
--- a/ploverhall/controller/store_watch.py
+++ b/ploverhall/controller/store_watch.py
@@ -12,7 +12,7 @@
 from ploverhall.coordination.job_answers import FreshRead
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.protocol.key_value_store import WatchEvent
-from ploverhall.storage.store_cache import WATCHED_PREFIX
+from ploverhall.storage.schema import WATCHED_PREFIX
 
 FRESH_READ_TIMEOUT_S = 1.5  # how long a question waits for the read that proves its answer
 
--- a/ploverhall/controller/store_writing.py
+++ b/ploverhall/controller/store_writing.py
@@ -18,7 +18,7 @@
 from ploverhall.scheduling.allocations import MAX_TRANSACTION_BYTES, PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage import image_index
-from ploverhall.storage.store_cache import (
+from ploverhall.storage.schema import (
     ARCHIVE_MARKER_KEY,
     ARCHIVE_PREFIX,
     JOB_PREFIX,
--- a/ploverhall/coordination/__init__.py
+++ b/ploverhall/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without I/O: who holds which shard, who may run what, where, and on which machines."""
+"""Decides which controller may act for a shard, and what it may do and answer. No I/O."""
--- a/ploverhall/coordination/cancellation_barrier.py
+++ b/ploverhall/coordination/cancellation_barrier.py
@@ -1,34 +1,16 @@
-"""When users may be told that a job is cancelled, and for how long a controller that reads nothing may answer its workers.
-
-The rule: once a user has been told, every task of the job must be gone within `cancel_s`. A controller that doesn't know of a
-cancellation keeps its workers' leases alive, so the two questions are one, and both are answered here by one statement:
-
-    A controller P confirms a cancellation to a user only when every other controller M knows of it, or when P has owed M nothing
-    for `patience`. P owes M: while P sees M's key in the store, and from each word of M's that P has answered.
-    M answers workers only while, for every other P, its own last sign that P owes it is no older than `fence`: a read of the store
-    and a renewal of its lease (for all of them), or the sending of the newest word that P has answered.
-
-*Known* is a watermark: a revision of the store up to which a controller knows every cancellation, because it has read so far, or
-because another that has read so far has named the cancellations in between. A word carries the sender's watermark, the
-cancellations that the receiver does not know as far as the sender can tell, and an echo of the receiver's newest word. M counts an
-echo only if the word that brings it leaves M with no cancellation to learn that P knew then. So at the time `t` at which M sent the
-word that came back, P owed it, and what P had confirmed before is known to M. P owes for `patience` after that; whatever it confirms
-later without M's knowledge it confirms after `t + patience`. M stops answering at `t + fence`, its workers' leases end `lease_s` later,
-and `patience` is chosen so that this is before `t + patience + cancel_s`. None of this asks whether the state service is up: in an
-outage words alone keep a controller going, a cut-off one stops, and whoever is told first of a cancellation stops its tasks first.
-
-- *A copy of the store that is old* says only what it says: what P knows, M read if M has read later than P.
-- *A pause*: what P forgets to count while it stands still it owes longer; what M forgets it has no echo for.
-- *A restart of P*: the new life owes everybody from its start. Until it has read the store it confirms nothing, so its echo may go on
-  from the earlier life's, if that one ended while it still owed M. Then all that it may have confirmed is known.
-- *A restart of M*: what it knew it has stopped, and its new life holds nothing until it has read (coordination.afterlife).
-- *Drift*: `DRIFT` allows for four times the platform's bound.
-- *A member of a release without words* goes on in an outage for as long as it hears everybody: whatever is heard of it is owed.
-
-Without a sign for longer than `fence` and a lease (`over`) only a read of the store makes a controller answer again (`lapsed`): what
-it does not know by then the others need not keep for it.
-
-No I/O: what members show and say is passed in, times are this process's steady clock.
+"""Decides when users are told of cancellations, and how long isolated controllers answer agents.
+
+Once a user has been told, every task of the job must be gone within `cancel_s`; a controller that
+doesn't know of a cancellation keeps its agents' leases alive. Controllers therefore gossip what
+they know: a revision of the store up to which they know every cancellation, the cancellations that
+the receiver may lack, and an echo of the receiver's newest gossip. A controller acknowledges a
+cancellation only when each peer knows it or has been owed nothing for `ack_delay_s`; it answers
+agents only while every peer's obligation to it is no older than `max_contact_age_s`.
+
+docs/design.md, "Cancellation barrier", defines the terms and shows that the two rules fit together;
+change neither without it. `controller.shard_leases`, `controller.peer_links` and
+`controller.job_requests` call this module. No I/O: what peers show and send is passed in, and times
+are seconds of the process's steady clock.
 """
 
 from __future__ import annotations
@@ -39,35 +21,39 @@
 
 from ploverhall.protocol.peer_messages import Cancellation, CancellationGossip
 
-# The feature in a member's key: it waits with telling, so others may go on for longer
+# A feature in a controller's membership key: it delays acknowledgements, so that its peers may
+# answer agents for longer
 FEATURE_CANCELLATION_ACK = "told"
-CLOCK_DRIFT = 1.002  # steady clocks of two hosts differ by up to 0.05% each; four times that
-IN_FLIGHT_MARGIN_S = 2.0  # answers on their way, steps that come late
-# Nobody waits for longer to be told, whatever the times are; no question goes unanswered for 75 s
+CLOCK_DRIFT = 1.002  # steady clocks of two hosts differ by 0.05% each; four times that
+IN_FLIGHT_MARGIN_S = 2.0  # for answers on their way, and for steps that come late
+# Bounds every wait for an acknowledgement: users must not go without an answer for 75 s
 MAX_ACK_DELAY_S = 60.0
-LEGACY_EARLY_STOP_S = 8.0  # how much earlier than it had to the old rule let go
-MAX_CANCELLATIONS_PER_MESSAGE = 400  # cancellations in one word; the next one goes on from there
+LEGACY_EARLY_STOP_S = 8.0  # the margin of releases that acknowledge at once
+MAX_CANCELLATIONS_PER_MESSAGE = 400  # the next message goes on from there
+NEVER = -1e9  # a time before all others
+AFTER_ALL_JOB_IDS = "~"  # sorts behind every job id, for positions behind a whole revision
 
 
 @dataclass(slots=True)
 class PeerKnowledge:
     """What is known of another controller."""
 
-    supports_ack: bool = False  # it waits with telling
-    known_revision: int = 0  # its watermark; what it has known stays known, by its next life too
-    # Since when its key has been seen to be gone; None: it is there
+    supports_ack: bool = False  # it delays acknowledgements
+    # Up to which it knows every cancellation; its next incarnation does, too
+    known_revision: int = 0
+    # Since when its membership key has been seen to be gone; None: it exists
     absent_since: float | None = None
-    # The revision at which its key went, as far as this controller has seen
+    # The revision at which its key was deleted, as far as this controller has seen
     absent_revision: int = -1
-    acknowledged_at: float = -1e9  # when its newest word came that has been answered
-    confirmed_contact_at: float = -1e9  # when the newest own word left that it has answered
-    # Its newest word, to be answered: its life, and its clock then
+    acknowledged_at: float = NEVER  # when its newest echoed gossip came
+    confirmed_contact_at: float = NEVER  # when the newest own gossip left that it has echoed
+    # Its newest gossip, to be echoed: its incarnation, and its clock then
     last_gossip: tuple[str, float] | None = None
-    last_gossip_at: float = -1e9  # when that came
+    last_gossip_at: float = NEVER  # when that came
 
 
 class CancellationBarrier:
-    """The other controllers, what each knows, and what passes between them."""
+    """One controller's view of its peers: what each knows of cancellations, and what it is owed."""
 
     def __init__(
         self,
@@ -85,29 +71,33 @@
         self.cut_off_s = min(
             cut_off_s, MAX_ACK_DELAY_S + cancel_s - lease_s * CLOCK_DRIFT - IN_FLIGHT_MARGIN_S
         )
-        # a controller that has just started does not know for how long a key has been gone
+        # A controller that has just started does not know for how long a key has been gone
         self.peers = {
             name: PeerKnowledge(absent_since=now, acknowledged_at=now) for name in peer_names
         }
-        # This one's own contact with the store: it had read all, and its key was there
-        self.store_contact_at = -1e9
-        # Cancellations that not all are known to know, by revision
+        # When this controller had last read the whole store, and its key was in it
+        self.store_contact_at = NEVER
+        # Cancellations that some peer may not know, by revision
         self.unconfirmed: list[Cancellation] = []
-        self.informed_revision = 0  # this one's watermark, as far as others have brought it
-        # It was without contact for so long that others may have forgotten what it does not know
+        # Up to which this controller knows every cancellation from its peers' gossip
+        self.informed_revision = 0
+        # It was without contact for so long that peers may have forgotten what it does not know
         self.lapsed = False
 
     # -- what is seen in the store -------------------------------------------------------------
 
     def peer_present(self, name: str, supports_ack: bool, known_revision: int) -> None:
-        """A member's key is in the store, and says this of it."""
+        """Note that a peer's membership key exists, and what it says."""
         if (peer := self.peers.get(name)) is not None:
             peer.supports_ack = supports_ack
             peer.absent_since = None
             peer.known_revision = max(peer.known_revision, known_revision)
 
     def peer_absent(self, name: str, now: float, revision: int = 0) -> None:
-        """A member's key is not in the store; it went at that revision. (Between two looks it may have come and gone again.)"""
+        """Note that a peer's membership key does not exist since that revision.
+
+        Another revision than before means that the key was written and deleted again meanwhile.
+        """
         if (peer := self.peers.get(name)) is not None and (
             peer.absent_since is None or peer.absent_revision != revision
         ):
@@ -115,13 +105,13 @@
             peer.absent_revision = revision
 
     def store_contacted(self, received_at: float) -> None:
-        """At that time this controller had read the whole store, and its key was there."""
+        """Note that at `received_at` this controller had read the whole store, its key included."""
         if received_at > self.store_contact_at:
             self.store_contact_at = received_at
             self.lapsed = False
 
     def record_cancellation(self, job: str, version: int) -> None:
-        """A job has been cancelled."""
+        """Note a job's cancellation, written at the revision `version`, to be named to peers."""
         cancellation = Cancellation(version, job)
         position = bisect_left(self.unconfirmed, cancellation)
         if self.unconfirmed[position : position + 1] != [cancellation] and any(
@@ -129,24 +119,30 @@
         ):
             self.unconfirmed.insert(position, cancellation)
 
-    # -- words ---------------------------------------------------------------------------------
+    # -- gossip --------------------------------------------------------------------------------
 
     def gossip_for(self, name: str, read_revision: int, now: float) -> CancellationGossip:
-        """What a member is told now; `read`: the revision that this controller has read up to, 0 before it has read at all."""
-        peer, known_revision = self.peers[name], max(read_revision, self.informed_revision)
-        cancellations, echo = (
-            self.unconfirmed[
-                bisect_right(self.unconfirmed, Cancellation(peer.known_revision, "~")) :
-            ]
-            if read_revision
-            else [],
-            peer.last_gossip,
-        )
+        """Return what to send to a peer now.
+
+        `read_revision` is what this controller has read up to, 0 before its first read. Raises
+        KeyError for a name that is no peer.
+        """
+        peer = self.peers[name]
+        known_revision = max(read_revision, self.informed_revision)
+        cancellations: list[Cancellation] = []
+        echo = peer.last_gossip
+        if read_revision:
+            first_unknown = bisect_right(
+                self.unconfirmed, Cancellation(peer.known_revision, AFTER_ALL_JOB_IDS)
+            )
+            cancellations = self.unconfirmed[first_unknown:]
         if len(cancellations) > MAX_CANCELLATIONS_PER_MESSAGE:
-            cancellations, echo = cancellations[:MAX_CANCELLATIONS_PER_MESSAGE], None
+            # Only the last portion carries the echo: the peer counts it for all of them
+            cancellations = cancellations[:MAX_CANCELLATIONS_PER_MESSAGE]
+            echo = None
             known_revision = min(known_revision, cancellations[-1].revision)
         if echo is not None:
-            # Not from now on: the same word may come back to its sender many times
+            # Not from now on: the same gossip may be echoed many times
             peer.acknowledged_at = peer.last_gossip_at
         return CancellationGossip(
             known_revision,
@@ -161,7 +157,10 @@
     def receive_gossip(
         self, name: str, gossip: CancellationGossip, now: float
     ) -> list[Cancellation]:
-        """A member's word has come: the cancellations that it names. They are to be acted on before anything else is sent."""
+        """Process a peer's gossip and return the cancellations that it names.
+
+        The caller acts on them before it sends anything else, since an echo says that it has.
+        """
         peer = self.peers.get(name)
         if peer is None:
             return []
@@ -173,24 +172,33 @@
             peer.last_gossip = (gossip.incarnation, gossip.sent_at)
             peer.last_gossip_at = now
         else:
-            # Of a release without words: it may take it for contact that it is heard and hears
+            # A release without echoes may take it for contact that it is heard and hears
             peer.acknowledged_at = now
         if gossip.has_read_store:
             self.informed_revision = max(self.informed_revision, gossip.known_revision)
         if now - self.last_contact(now) > self.all_leases_expired_s / CLOCK_DRIFT:
             self.lapsed = True
-        if gossip.echo is not None and gossip.echo[0] == self.incarnation and gossip.echo[1] <= now:
-            # one that has not read the store has confirmed nothing in this life, nor its last one if that ended while it owed
-            if (
-                gossip.has_read_store
-                or now - gossip.uptime_s
-                <= max(self.store_contact_at, peer.confirmed_contact_at)
-                + self.ack_delay_s / CLOCK_DRIFT
-            ):
-                peer.confirmed_contact_at = max(peer.confirmed_contact_at, gossip.echo[1])
+        self._receive_echo(peer, gossip, now)
         return gossip.cancellations
 
+    def _receive_echo(self, peer: PeerKnowledge, gossip: CancellationGossip, now: float) -> None:
+        if gossip.echo is None:
+            return
+        echoed_incarnation, echoed_at = gossip.echo
+        if echoed_incarnation != self.incarnation or echoed_at > now:
+            return
+        # A peer that has not read the store has acknowledged nothing in this incarnation, nor in
+        # its last one if that ended while it owed this controller
+        last_contact_at = max(self.store_contact_at, peer.confirmed_contact_at)
+        peer_started_at = now - gossip.uptime_s
+        if (
+            gossip.has_read_store
+            or peer_started_at <= last_contact_at + self.ack_delay_s / CLOCK_DRIFT
+        ):
+            peer.confirmed_contact_at = max(peer.confirmed_contact_at, echoed_at)
+
     def _prune(self, now: float) -> None:
+        """Drop the cancellations that nobody needs to be told of any more."""
         lowest_known = min(
             (
                 peer.known_revision
@@ -202,31 +210,35 @@
         if lowest_known is None:
             self.unconfirmed.clear()
         else:
-            del self.unconfirmed[: bisect_right(self.unconfirmed, Cancellation(lowest_known, "~"))]
+            position = bisect_right(self.unconfirmed, Cancellation(lowest_known, AFTER_ALL_JOB_IDS))
+            del self.unconfirmed[:position]
 
-    # -- the answerer's side -------------------------------------------------------------------
+    # -- answering agents ----------------------------------------------------------------------
 
     def last_contact(self, now: float) -> float:
-        """The newest time at which every other controller owed this one."""
+        """Return the newest time at which every peer is known to have owed this controller."""
         return min(
             (max(self.store_contact_at, peer.confirmed_contact_at) for peer in self.peers.values()),
             default=now,
         )
 
     def isolated(self, now: float) -> bool:
-        """Whether others may have told a user of a cancellation that this one does not know: it must not answer workers."""
+        """Return whether this controller must not answer agents.
+
+        Peers may have told a user of a cancellation that it does not know.
+        """
         return self.lapsed or now - self.last_contact(now) >= self.max_contact_age_s
 
     @property
     def legacy_answer_s(self) -> float:
-        """Seconds after its last contact at which a controller had to stop answering by the old rule."""
+        """Seconds from its last contact to its stop, for a controller beside older releases."""
         return max(1.0, self.cancel_s - self.lease_s - LEGACY_EARLY_STOP_S)
 
     @property
     def max_contact_age_s(self) -> float:
-        """Seconds after its last contact at which this controller stops answering workers.
+        """Seconds after its last contact at which this controller stops answering agents.
 
-        The long time only if every other controller waits with telling: during a rolling upgrade the old rule holds.
+        The long time only if every peer delays acknowledgements: not during a rolling upgrade.
         """
         return (
             self.longest_answer_s
@@ -236,35 +248,35 @@
 
     @property
     def longest_answer_s(self) -> float:
-        """What any controller's `fence` can be."""
+        """The largest `max_contact_age_s` of any controller, in seconds."""
         return max(self.legacy_answer_s, self.cut_off_s)
 
     @property
     def all_leases_expired_s(self) -> float:
-        """Seconds after its last contact at which all workers that a controller has answered have given up their tasks."""
+        """Seconds after a controller's last contact at which its agents' leases are over."""
         return (self.longest_answer_s + self.lease_s) * CLOCK_DRIFT + IN_FLIGHT_MARGIN_S
 
-    # -- the teller's side ---------------------------------------------------------------------
+    # -- acknowledging cancellations -----------------------------------------------------------
 
     @property
     def ack_delay_s(self) -> float:
-        """Seconds for which a controller must have been owed nothing before what it does not know may be told.
+        """Seconds for which a peer must have been owed nothing before what it knows is irrelevant.
 
-        It answers for at most `fence` after its last sign of that, a worker's lease runs on from there, and all of that must be over
-        `cancel_s` after the telling.
+        It answers for at most `longest_answer_s` after its last contact, its agents' leases run on
+        from there, and all of that must be over `cancel_s` after the acknowledgement.
         """
         return max(0.0, self.all_leases_expired_s - self.cancel_s)
 
     def may_acknowledge(self, version: int, now: float) -> bool:
-        """Whether a user may be told of a cancellation written at this revision."""
+        """Return whether a user may be told of a cancellation written at this revision."""
         return not self.waiting_for(version, now)
 
     def waiting_for(self, version: int, now: float) -> list[str]:
-        """Whom the telling of a cancellation waits for, for people."""
+        """Return the peers that the acknowledgement of a cancellation waits for, by name."""
         return sorted(
             name
             for name, peer in self.peers.items()
-            # who is there and tells at once itself stops by the old time: nothing has to wait for it
+            # A peer of an older release stops answering early, so nothing has to wait for it
             if peer.known_revision < version
             and (
                 peer.supports_ack
@@ -274,7 +286,7 @@
         )
 
     def may_forget(self, version: int, now: float) -> bool:
-        """Whether nobody can need to be told of a cancellation any more who has not read the store since."""
+        """Return whether each peer knows a cancellation or must read the store before answering."""
         return all(
             peer.known_revision >= version or self._leases_expired(peer, now)
             for peer in self.peers.values()
@@ -287,5 +299,5 @@
         )
 
     def _last_obligation(self, peer: PeerKnowledge) -> float:
-        """When a member whose key is gone was last owed something."""
+        """Return when a peer whose membership key is gone was last owed something."""
         return max(peer.absent_since or 0.0, peer.acknowledged_at)
--- a/ploverhall/coordination/orphaned_machines.py
+++ b/ploverhall/coordination/orphaned_machines.py
@@ -1,43 +1,50 @@
-"""Workers that can't reach the controller that holds their part, though it keeps its lease.
+"""Machines that can't reach the controller that holds their shard, though it keeps its lease.
 
-A controller may lose its workers, or everything but the state service: its lease stays alive, nobody
-takes its shard over, and its workers' leases run out while they are sent back to it (seen on kazi-bodi,
-hunt-13e3-7). Or a survivor beyond a cut takes a crashed controller's shard in the moment before that one is
-back, and can't reach a single worker of it (kazi-bodi-grown rough, 204 s: 179 tasks killed by their lease).
-Whoever the workers come to instead may take the shard: the write is guarded, the epoch fences.
+A controller may lose its machines, or everything but the key-value store: its lease stays alive,
+nobody acquires its shard, and the leases of its agents expire while they are redirected to it.
+Whichever controller the agents come to instead may acquire the shard: the write is a
+compare-and-swap, and the new epoch fences the old holder. `controller.heartbeat_requests` records
+sightings and asks. No I/O; times are seconds of the process's steady clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-RECENT_SIGHTING_S = 4.0  # a worker's own timeout
-RETURNED_AFTER_S = 2.0  # sent to the holder, and here again after at least this
-FORGET_SIGHTING_S = 12.0  # a worker that tries two silent controllers in between is back after 10 s
+RECENT_SIGHTING_S = 4.0  # an agent's own timeout
+RETURNED_AFTER_S = 2.0  # redirected to the holder, and here again after at least this
+# An agent that tries two unresponsive controllers in between is back after 10 s
+FORGET_SIGHTING_S = 12.0
+REQUIRED_MACHINES = 2  # so that one faulty agent moves no shard
+
+
+class Sighting(NamedTuple):
+    """Since when and until when a machine has kept coming, and whether its holder has served it."""
+
+    first_at: float
+    last_at: float
+    served_by_holder: bool
 
 
 @dataclass(slots=True)
 class OrphanedMachines:
-    """Which machines of other controllers' parts came here, and since when they keep coming."""
+    """Which machines of other controllers' shards came here, and since when they keep coming."""
 
-    sightings: dict[int, dict[str, tuple[float, float, bool]]] = field(default_factory=dict)
+    sightings: dict[int, dict[str, Sighting]] = field(default_factory=dict)
 
     def record(self, shard: int, machine: str, served_by_holder: bool, now: float) -> None:
-        """A machine reports here instead; `served`: the holder has answered it before."""
+        """Record a machine's heartbeat here, and whether the holder has answered it before."""
         machines = self.sightings.setdefault(shard, {})
-        first, last, _ = machines.get(machine, (now, now, served_by_holder))
-        machines[machine] = (
-            first if now - last < FORGET_SIGHTING_S else now,
-            now,
-            served_by_holder,
-        )
+        known = machines.get(machine)
+        continues = known is not None and now - known.last_at < FORGET_SIGHTING_S
+        first_at = known.first_at if known is not None and continues else now
+        machines[machine] = Sighting(first_at, now, served_by_holder)
 
     def returned(self, shard: int, machine: str, now: float) -> bool:
-        """Whether a machine has been here a moment ago: it was sent to the holder, and is back."""
-        return (
-            machine in (machines := self.sightings.get(shard, {}))
-            and now - machines[machine][1] < FORGET_SIGHTING_S
-        )
+        """Return whether a machine was here lately, so was redirected and is back."""
+        known = self.sightings.get(shard, {}).get(machine)
+        return known is not None and now - known.last_at < FORGET_SIGHTING_S
 
     def should_acquire(
         self,
@@ -47,30 +54,39 @@
         is_preferred: bool = False,
         holder_without_heartbeats: bool = False,
     ) -> bool:
-        """Two machines, so that one odd worker moves nothing; longer proof while the holder can be heard.
+        """Return whether to acquire a shard from its holder.
 
-        A holder that says itself that none of its workers reports any more (`quiet`) needs no longer proof: sent back
-        to it, each hung there for 4 s, and the leases of 85 tasks ran out (kazi-bodi-ops operations, workers cut off).
+        `holder_heard`: the holder's messages arrive here; `is_preferred`: this controller is the
+        shard's preferred one; `holder_without_heartbeats`: the holder says that none of its agents
+        sends heartbeats any more. Then machines need not return first: redirected to it, each would
+        wait for 4 s while its lease runs out.
 
-        Machines that the holder has never served may just be on their way to it, as after every takeover and
-        every boot: these count only at the part's own home, and only while the holder is silent. (Counting them
-        once they came a second time made two controllers take one shard from each other fifty times a second.)
+        Machines that the holder has never served may just be on their way to it, as after every
+        boot and takeover. They count only at the preferred controller, and only while the holder is
+        not heard: counted elsewhere, they make two controllers acquire a shard from each other in
+        turn.
         """
         machines = self.sightings.get(shard)
         if not machines:
             return False
         recent = [
-            (last - first, served)
-            for first, last, served in machines.values()
-            if now - last < RECENT_SIGHTING_S
+            sighting for sighting in machines.values() if now - sighting.last_at < RECENT_SIGHTING_S
         ]
-        if not recent and all(now - last > FORGET_SIGHTING_S for _, last, _ in machines.values()):
+        if not recent and all(
+            now - sighting.last_at > FORGET_SIGHTING_S for sighting in machines.values()
+        ):
             del self.sightings[shard]
-        # come here again, not merely seen here some time ago: a controller that was back within a second lost its part to two workers
-        # that had met its closed port once and were long served by it again
-        returned_machines = sum(1 for over, served in recent if served and over >= RETURNED_AFTER_S)
-        if holder_without_heartbeats and sum(1 for _, served in recent if served) >= 2:
+        served = [sighting for sighting in recent if sighting.served_by_holder]
+        if holder_without_heartbeats and len(served) >= REQUIRED_MACHINES:
+            return True
+        # Returned, not merely seen lately: a controller that restarts within a second would lose
+        # its shard to machines that met its closed port once and are served by it again
+        returned = [
+            sighting
+            for sighting in served
+            if sighting.last_at - sighting.first_at >= RETURNED_AFTER_S
+        ]
+        if len(returned) >= REQUIRED_MACHINES:
             return True
-        return returned_machines >= 2 or (
-            not holder_heard and sum(1 for _, served in recent if served or is_preferred) >= 2
-        )
+        counted = recent if is_preferred else served
+        return not holder_heard and len(counted) >= REQUIRED_MACHINES
--- a/ploverhall/coordination/shard_map.py
+++ b/ploverhall/coordination/shard_map.py
@@ -1,47 +1,61 @@
-"""Which shard a team and a machine belong to, and which node should hold which shard."""
+"""The fixed division of teams and machines into shards, one shard for each controller.
+
+Every controller computes the same map from the settings. `controller.context` holds it; routing and
+leases ask it.
+"""
 
 from __future__ import annotations
 
 from zlib import crc32
 
+# Before a controller claims a shard that nobody holds, so that claims do not collide
+FIRST_CLAIM_DELAY_S = 0.15
+CLAIM_DELAY_PER_POSITION_S = 0.7
+CLAIM_DELAY_PER_HELD_SHARD_S = 0.3  # for each shard held beyond the first
+
 
 class ShardMap:
-    """The fixed division: one shard a node, in name order; teams by share, machines by hash in their zone."""
+    """Shards in the order of controllers; teams in turn by name, machines by hash in their zone."""
 
     def __init__(self, controllers: list[tuple[str, str]], teams: list[str]) -> None:
         self.controllers = [name for name, _ in controllers]
         self.controller_zones = [zone for _, zone in controllers]
-        self.controller_indices = {name: i for i, name in enumerate(self.controllers)}
-        self.team_shard = {team: i % len(controllers) for i, team in enumerate(sorted(teams))}
+        self.controller_indices = {name: index for index, name in enumerate(self.controllers)}
+        self.team_shard = {
+            team: index % len(controllers) for index, team in enumerate(sorted(teams))
+        }
         self.shards_by_zone: dict[str, list[int]] = {}
-        for i, zone in enumerate(self.controller_zones):
-            self.shards_by_zone.setdefault(zone, []).append(i)
+        for shard, zone in enumerate(self.controller_zones):
+            self.shards_by_zone.setdefault(zone, []).append(shard)
 
     def shard_of_machine(self, zone: str, machine: str) -> int:
-        """A machine's part; it never changes, whoever holds the part."""
-        parts = self.shards_by_zone.get(zone) or list(range(len(self.controllers)))
-        return parts[crc32(machine.encode()) % len(parts)]
+        """Return a machine's shard, which never changes, whoever holds the shard."""
+        shards = self.shards_by_zone.get(zone) or list(range(len(self.controllers)))
+        return shards[crc32(machine.encode()) % len(shards)]
 
     def teams_of(self, shard: int) -> list[str]:
-        """The teams whose jobs have their source in a shard."""
-        return [team for team, s in self.team_shard.items() if s == shard]
+        """Return the teams whose jobs have their source in a shard."""
+        return [team for team, team_shard in self.team_shard.items() if team_shard == shard]
 
     def claim_delay(self, controller: str, shard: int, alive: list[str], load: int) -> float:
-        """How long a node waits before it takes an orphan: same zone first, the least loaded first."""
-        controller_index = self.controller_indices[controller]
-        if controller_index == shard:
+        """Return the seconds that a controller waits before it claims a shard that nobody holds.
+
+        The preferred controller does not wait; of the others those in the shard's zone claim first,
+        and those that hold fewer shards (`load`).
+        """
+        if self.controller_indices[controller] == shard:
             return 0.0
-        same_zone = [
-            name
-            for name in alive
-            if self.controller_zones[self.controller_indices[name]] == self.controller_zones[shard]
-        ]
         order = sorted(
             alive,
             key=lambda name: (
-                name not in same_zone,
+                self.controller_zones[self.controller_indices[name]]
+                != self.controller_zones[shard],
                 (self.controller_indices[name] - shard) % len(self.controllers),
             ),
         )
         position = order.index(controller) if controller in order else len(order)
-        return 0.15 + 0.7 * position + 0.3 * max(0, load - 1)
+        return (
+            FIRST_CLAIM_DELAY_S
+            + CLAIM_DELAY_PER_POSITION_S * position
+            + CLAIM_DELAY_PER_HELD_SHARD_S * max(0, load - 1)
+        )
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -23,7 +23,7 @@
 from ploverhall.scheduling.inventory import ResourceVector, add_scaled
 from ploverhall.scheduling.objectives import Objectives
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import allocation_prefix, progress_prefix
+from ploverhall.storage.schema import allocation_prefix, progress_prefix
 
 TASKS_PER_PROGRESS_VALUE = 8192  # tasks whose bits share one value: about 1.4 KB
 # Of a value's limit that a chunk may take; the rest is room for what json may add
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -24,7 +24,7 @@
 )
 from ploverhall.scheduling.store_writer import StoreWriter
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import SHARD_PREFIX, grants_key
+from ploverhall.storage.schema import SHARD_PREFIX, grants_key
 
 GRANT_INTERVAL_S = 0.5
 MAX_GRANTS_PER_TEAM = 48  # of one team in one value
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -21,7 +21,7 @@
     RecordChunk,
     append_allocation,
 )
-from ploverhall.storage.store_cache import (
+from ploverhall.storage.schema import (
     JOB_PREFIX,
     SHARD_PREFIX,
     allocation_prefix,
--- a/ploverhall/storage/image_index.py
+++ b/ploverhall/storage/image_index.py
@@ -1,8 +1,10 @@
-"""Which machine holds which images, kept in the state service: workers do not report it.
+"""Encoding of the stored index of which machine holds which container images.
 
-An owner learns it from what it starts, and a new owner would begin with nothing: after a crash of all
-controllers every start fetched what stood next door (the grown ardgael-loans, rough). It is only a
-hint for placing, so it is written seldom, and a lost or late write costs no more than a fetch.
+Agents do not report their images. A shard's owner learns them from the tasks it starts, and the
+index hands them on to the next owner: without it every start after a takeover fetches an image that
+a neighbouring machine holds. It is only a hint for placement, so it is written seldom, and a lost
+or late write costs one more fetch. `controller.store_writing` reads and writes it; there is no I/O
+here.
 """
 
 from __future__ import annotations
@@ -11,65 +13,97 @@
 
 import orjson
 
-ENTRY_BYTES = 100  # what a change of one key takes besides its value
-ImagesByMachine = dict[str, dict[str, float]]  # machine -> image -> GB, least recent first
+# A key like all others, and re-exported as part of this module's interface
+from ploverhall.storage.schema import image_prefix as image_prefix
 
+WRITE_OVERHEAD_BYTES = 100  # what a write of one key takes besides key and value
+EMPTY_VALUE_BYTES = 8
+MACHINE_OVERHEAD_BYTES = 4
+IMAGE_REFERENCE_BYTES = 4
+ImagesByMachine = dict[str, dict[str, float]]  # machine -> image -> GB, least recently used first
 
-def image_prefix(shard: int) -> str:
-    """Where a part's images are kept, in values that each stand alone."""
-    return f"i/{shard}/"
+
+class _PackedValue:
+    """One stored value: a table of images, and for each machine the positions in that table."""
+
+    def __init__(self) -> None:
+        self.table: list[list[Any]] = []  # [image, GB]
+        self.machines: dict[str, list[int]] = {}
+        self.positions: dict[str, int] = {}
+        self.size = EMPTY_VALUE_BYTES
+
+    def bytes_for(self, machine: str, machine_images: dict[str, float]) -> int:
+        """Return by how many bytes the value would grow with this machine."""
+        new_rows = sum(
+            len(orjson.dumps([image, gigabytes])) + 1
+            for image, gigabytes in machine_images.items()
+            if image not in self.positions
+        )
+        references = IMAGE_REFERENCE_BYTES * len(machine_images)
+        return len(orjson.dumps(machine)) + MACHINE_OVERHEAD_BYTES + references + new_rows
+
+    def add(self, machine: str, machine_images: dict[str, float]) -> None:
+        """Add a machine."""
+        self.size += self.bytes_for(machine, machine_images)
+        for image, gigabytes in machine_images.items():
+            if image not in self.positions:
+                self.positions[image] = len(self.positions)
+                self.table.append([image, gigabytes])
+        self.machines[machine] = [self.positions[image] for image in machine_images]
+
+    def record(self) -> list[Any]:
+        """Return the stored form."""
+        return [self.table, self.machines]
 
 
 def pack(images: ImagesByMachine, max_bytes: int) -> list[Any]:
-    """Values of at most `limit` bytes: names of images once a value, machines by places in that list."""
+    """Return the index as values of at most `max_bytes` bytes, each of which can be decoded alone.
+
+    A machine whose images do not fit into one value is left out.
+    """
     values: list[Any] = []
-    names: dict[str, int] = {}
-    value: list[Any] = [[], {}]
-    size = 8
+    current = _PackedValue()
     for machine, machine_images in sorted(images.items()):
         if not machine_images:
             continue
-        entry = len(orjson.dumps(machine)) + 4 + 4 * len(machine_images)
-        table = sum(
-            len(orjson.dumps([i, gb])) + 1 for i, gb in machine_images.items() if i not in names
-        )
-        if value[1] and size + entry + table > max_bytes:
-            values.append(value)
-            names = {}
-            value = [[], {}]
-            size = 8
-            table = sum(len(orjson.dumps([i, gb])) + 1 for i, gb in machine_images.items())
-        if size + entry + table > max_bytes:
+        added_bytes = current.bytes_for(machine, machine_images)
+        if current.machines and current.size + added_bytes > max_bytes:
+            values.append(current.record())
+            current = _PackedValue()
+            added_bytes = current.bytes_for(machine, machine_images)
+        if current.size + added_bytes > max_bytes:
             continue
-        for image, gb in machine_images.items():
-            if image not in names:
-                names[image] = len(names)
-                value[0].append([image, gb])
-        value[1][machine] = [names[i] for i in machine_images]
-        size += entry + table
-    if value[1]:
-        values.append(value)
+        current.add(machine, machine_images)
+    if current.machines:
+        values.append(current.record())
     return values
 
 
-def batches(values: dict[str, Any], most_ops: int, most_bytes: int) -> list[dict[str, Any]]:
-    """Keys and values in groups that each fit into one transaction."""
-    out: list[dict[str, Any]] = [{}]
-    size = 0
-    for key, value in values.items():
-        entry = len(orjson.dumps(value)) + 2 * len(key) + ENTRY_BYTES
-        if out[-1] and (len(out[-1]) >= most_ops or size + entry > most_bytes):
-            out.append({})
-            size = 0
-        out[-1][key] = value
-        size += entry
-    return out
-
-
 def unpack(values: list[Any]) -> ImagesByMachine:
-    """The inverse of pack."""
+    """Decode values that `pack` returned; raises TypeError, ValueError or IndexError for others."""
     images: ImagesByMachine = {}
     for table, machines in values:
-        for machine, places in machines.items():
-            images[machine] = {table[i][0]: float(table[i][1]) for i in places}
+        for machine, positions in machines.items():
+            images[machine] = {
+                table[position][0]: float(table[position][1]) for position in positions
+            }
     return images
+
+
+def batches(values: dict[str, Any], max_operations: int, max_bytes: int) -> list[dict[str, Any]]:
+    """Return keys and values in groups, each of which fits into one transaction.
+
+    There is always one group, which is empty when there are no values. A value that is larger than
+    `max_bytes` by itself gets a group of its own.
+    """
+    groups: list[dict[str, Any]] = [{}]
+    group_bytes = 0
+    for key, value in values.items():
+        write_bytes = len(orjson.dumps(value)) + 2 * len(key) + WRITE_OVERHEAD_BYTES
+        is_full = len(groups[-1]) >= max_operations or group_bytes + write_bytes > max_bytes
+        if groups[-1] and is_full:
+            groups.append({})
+            group_bytes = 0
+        groups[-1][key] = value
+        group_bytes += write_bytes
+    return groups
--- a/ploverhall/storage/store_cache.py
+++ b/ploverhall/storage/store_cache.py
@@ -1,101 +1,48 @@
-"""This node's copy of the watched keys: live and ended jobs, who holds what, machine types.
+"""One controller's cached view of the watched keys: jobs, holders, members and machine types.
 
-Everything under `p/` is followed by watch. Cells and progress lie outside it: only the holder of a
-team's shard reads those.
+`controller.store_watch` fills it from listings and watch responses and says whether it is current;
+every other part of a controller reads it. It does no I/O.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import Any
 
 from ploverhall.protocol import cloud, jobs
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.key_value_store import WatchEvent
+from ploverhall.storage import schema
+from ploverhall.storage.schema import EndedJob, Holder
 
-WATCHED_PREFIX = "p/"
-JOB_PREFIX = "p/job/"
-SHARD_PREFIX = "p/shard/"
-CONTROLLER_PREFIX = "p/node/"
-AUTOSCALER_KEY = "p/renter"
-MACHINE_TYPE_COUNT_KEY = "p/types"
-MACHINE_TYPE_PREFIX = "p/type/"
-ARCHIVE_MARKER_KEY = "p/archived"  # there is something under ARCHIVE
-ARCHIVE_PREFIX = "e/"  # jobs that ended long ago: followed by nobody, read when somebody asks
-
-
-def allocation_prefix(team: str) -> str:
-    """Where a team's outstanding permits are kept, in chunks."""
-    return f"c/{_escape_key_part(team)}/"
-
-
-def progress_prefix(team: str) -> str:
-    """Where the finished tasks of a team's live arrays are kept, in chunks."""
-    return f"d/{_escape_key_part(team)}/"
-
-
-def grants_key(team: str) -> str:
-    """Where the stops by choice are kept that a team's source has granted."""
-    return f"u/{_escape_key_part(team)}"
-
-
-def _escape_key_part(name: str) -> str:
-    """Key-safe and injective: the state service's keys hold no spaces and 200 bytes at most."""
-    out = "".join(c if c.isalnum() and c.isascii() or c in "-_." else f"%{ord(c):x}," for c in name)
-    return (
-        out
-        if len(out) <= 120
-        else f"{out[:100]}~{len(out)}~{sum((i + 1) * ord(c) for i, c in enumerate(out)):x}"
-    )
-
-
-class EndedJob(NamedTuple):
-    """How a job ended, the number of its tasks done, and the version of its key."""
-
-    outcome: str
-    tasks_done: int
-    version: int
-
-
-def end_record(outcome: str, tasks_done: int) -> dict[str, Any]:
-    """What takes the place of a job's description when it is over: one change, and no moment without either."""
-    return {"s": outcome, "n": tasks_done}
-
-
-def ended_from_record(value: dict[str, Any], version: int) -> EndedJob:
-    """The inverse of end_record."""
-    return EndedJob(
-        jobs.DONE if value.get("s") == jobs.DONE else jobs.CANCELLED,
-        int(value.get("n") or 0),
-        version,
-    )
+NO_ENTRY: tuple[Any, int] = (None, 0)
 
 
 @dataclass(slots=True)
 class StoreCache:
-    """Applies events once and in order of revision, from whichever watch brings them first."""
+    """The watched keys as of `revision`; each change is applied once, whichever watch brings it."""
 
     revision: int = 0
-    ready: bool = False
-    live_jobs: dict[str, tuple[jobs.Job, int]] = field(default_factory=dict)
+    ready: bool = False  # whether a whole listing has been loaded and may be followed by watch
+    live_jobs: dict[str, tuple[jobs.Job, int]] = field(default_factory=dict)  # with key versions
     ended_jobs: dict[str, EndedJob] = field(default_factory=dict)  # the oldest first
-    entries: dict[str, tuple[Any, int]] = field(default_factory=dict)  # everything else, small
+    # All other watched keys: value and version
+    entries: dict[str, tuple[Any, int]] = field(default_factory=dict)
+    # Jobs with a change that the controller has not looked at; the reader empties it
     changed_jobs: list[str] = field(default_factory=list)
-    # Accepted jobs whose record says nothing to this release
+    # Accepted jobs whose record this release can't decode
     unreadable_jobs: set[str] = field(default_factory=set)
-    # Members' keys that are gone: the revision at which they went
+    # Membership keys that are gone, with the revision of their deletion
     departed_controllers: dict[str, int] = field(default_factory=dict)
-    loaded_revision: int = 0  # what went before this revision, and came again, was not seen
+    # Of the last listing: a key that was deleted before it and written again was not noticed
+    loaded_revision: int = 0
 
     def load(self, listing: dict[str, tuple[Any, int]], revision: int) -> None:
-        """Start over from a listing whose first page had this revision. What is known to be newer than that stays."""
-        versions = {
-            JOB_PREFIX + job_id: version for job_id, (_, version) in self.live_jobs.items()
-        } | {JOB_PREFIX + job_id: ended.version for job_id, ended in self.ended_jobs.items()}
-        versions |= {JOB_PREFIX + job_id: 0 for job_id in self.unreadable_jobs} | {
-            entry_key: version for entry_key, (_, version) in self.entries.items()
-        }
-        for key, version in versions.items():
+        """Replace the content by a listing (key to value and version); changes newer than it stay.
+
+        `revision` is that of the listing's first page.
+        """
+        for key, version in self._known_versions().items():
             if key not in listing and version <= revision:
                 self._apply_change(key, None, revision)
         for key, (value, version) in listing.items():
@@ -103,88 +50,110 @@
         self.revision = self.loaded_revision = revision
         self.departed_controllers.clear()
 
+    def _known_versions(self) -> dict[str, int]:
+        versions = {
+            schema.job_key(job_id): version for job_id, (_, version) in self.live_jobs.items()
+        }
+        for job_id, ended in self.ended_jobs.items():
+            versions[schema.job_key(job_id)] = ended.version
+        for job_id in self.unreadable_jobs:
+            versions[schema.job_key(job_id)] = 0
+        for key, (_, version) in self.entries.items():
+            versions[key] = version
+        return versions
+
     def apply(self, revision: int, events: list[WatchEvent]) -> bool:
-        """Apply a watch's answer; True when something was new."""
+        """Apply a watch response, complete up to `revision`; return whether anything was new."""
         changed = False
         for event in events:
-            # two watches run at once: one may bring what the other has brought already, and
-            # an old put must not bring back what a later delete has removed
+            # Two watches run at once and may bring the same change: without this check an old
+            # put would bring back what a later delete has removed
             if event.version > self.revision:
                 self._apply_change(event.key, event.value, event.version)
                 changed = True
         self.revision = max(self.revision, revision)
         return changed
 
+    def apply_own_write(self, key: str, value: Any, revision: int) -> None:
+        """Apply a write of this controller that landed, unless the watch is past it already."""
+        if revision > self.revision:
+            self._apply_change(key, value, revision)
+
     def _apply_change(self, key: str, value: Any, version: int) -> None:
-        if key.startswith(JOB_PREFIX):
-            job_id = key[len(JOB_PREFIX) :]
+        if key.startswith(schema.JOB_PREFIX):
+            job_id = key[len(schema.JOB_PREFIX) :]
             self.unreadable_jobs.discard(job_id)
-            if value is None:  # it was over and has been archived
-                self.ended_jobs.pop(job_id, None)
-                if self.live_jobs.pop(job_id, None) is None:
-                    return
-            elif isinstance(value, dict):
-                self.ended_jobs[job_id] = ended_from_record(value, version)
-                self.live_jobs.pop(job_id, None)
-            elif job_id in self.ended_jobs:
-                return  # this node's own write, known before the watch brings what came before it
-            elif job_id not in self.live_jobs or self.live_jobs[job_id][1] != version:
-                try:
-                    self.live_jobs[job_id] = (jobs.from_record(value), version)
-                except (TypeError, ValueError, IndexError, KeyError):
-                    # one job's record must not keep all others from being followed: it stays known, and is not run from here
-                    self.live_jobs.pop(job_id, None)
-                    self.unreadable_jobs.add(job_id)
-            else:
-                return
-            self.changed_jobs.append(job_id)
-        elif self.entries.get(key, (None, 0))[1] > version:
-            return  # the same
-        elif value is None:
-            self.entries.pop(key, None)
-            if key.startswith(CONTROLLER_PREFIX):
-                self.departed_controllers[key] = version
+            if self._apply_job_change(job_id, value, version):
+                self.changed_jobs.append(job_id)
         else:
+            self._apply_entry_change(key, value, version)
+
+    def _apply_job_change(self, job_id: str, value: Any, version: int) -> bool:
+        """Return whether the job is now known differently."""
+        if value is None:  # archived after its end
+            self.ended_jobs.pop(job_id, None)
+            return self.live_jobs.pop(job_id, None) is not None
+        if isinstance(value, dict):
+            self.ended_jobs[job_id] = schema.ended_from_record(value, version)
+            self.live_jobs.pop(job_id, None)
+            return True
+        if job_id in self.ended_jobs:
+            # The end was this controller's own write; the watch now brings what came before it
+            return False
+        if job_id in self.live_jobs and self.live_jobs[job_id][1] == version:
+            return False
+        try:
+            self.live_jobs[job_id] = (jobs.from_record(value), version)
+        except (TypeError, ValueError, IndexError, KeyError):
+            # An error raised here would keep all other jobs from being followed. The job stays
+            # known, and is not run by this controller
+            self.live_jobs.pop(job_id, None)
+            self.unreadable_jobs.add(job_id)
+        return True
+
+    def _apply_entry_change(self, key: str, value: Any, version: int) -> None:
+        if self.entries.get(key, NO_ENTRY)[1] > version:
+            return
+        if value is not None:
             self.entries[key] = (value, version)
+            return
+        self.entries.pop(key, None)
+        if key.startswith(schema.CONTROLLER_PREFIX):
+            self.departed_controllers[key] = version
 
-    def holder(self, shard: int) -> tuple[str | None, int]:
-        """Who holds a shard, and its epoch."""
-        value, version = self.entries.get(f"{SHARD_PREFIX}{shard}", (None, 0))
-        return (value["node"], version) if value else (None, 0)
+    def holder(self, shard: int) -> Holder:
+        """Return who holds a shard, and its epoch; (None, 0) when nobody does."""
+        return schema.holder_from_record(*self.entries.get(schema.shard_key(shard), NO_ENTRY))
 
-    def autoscaler(self) -> tuple[str | None, int]:
-        """Who rents."""
-        value, version = self.entries.get(AUTOSCALER_KEY, (None, 0))
-        return (value["node"], version) if value else (None, 0)
-
-    def apply_own_write(self, key: str, value: Any, revision: int) -> None:
-        """A write of this node landed: known at once, unless the watch has already been past it."""
-        if revision > self.revision:
-            self._apply_change(key, value, revision)
+    def autoscaler(self) -> Holder:
+        """Return who runs the autoscaler, and its epoch; (None, 0) when nobody does."""
+        return schema.holder_from_record(*self.entries.get(schema.AUTOSCALER_KEY, NO_ENTRY))
 
     def machine_types(self) -> dict[str, MachineType] | None:
-        """The machine types, once all of them are written; None before."""
-        marker = self.entries.get(MACHINE_TYPE_COUNT_KEY)
+        """Return the machine types by name; None until all of them are stored."""
+        marker = self.entries.get(schema.MACHINE_TYPE_COUNT_KEY)
         if marker is None:
             return None
         found = [
             cloud.type_from_record(value)
             for key, (value, _) in self.entries.items()
-            if key.startswith(MACHINE_TYPE_PREFIX)
+            if key.startswith(schema.MACHINE_TYPE_PREFIX)
         ]
-        return (
-            {machine_type.name: machine_type for machine_type in found}
-            if len(found) >= marker[0]["n"]
-            else None
-        )
+        if len(found) < schema.machine_type_count(marker[0]):
+            return None
+        return {machine_type.name: machine_type for machine_type in found}
 
     def controller_entry(self, controller: str) -> tuple[Any, int]:
-        """What a member's key says, and 0; or None, and since which revision it has surely been gone."""
-        value, _ = self.entries.get(CONTROLLER_PREFIX + controller, (None, 0))
-        return value, 0 if value is not None else self.departed_controllers.get(
-            CONTROLLER_PREFIX + controller, self.loaded_revision
-        )
+        """Return the value of a controller's membership key, and 0.
+
+        When there is no such key: None, and the revision since which it has certainly been absent.
+        """
+        key = schema.controller_key(controller)
+        value, _ = self.entries.get(key, NO_ENTRY)
+        if value is not None:
+            return value, 0
+        return None, self.departed_controllers.get(key, self.loaded_revision)
 
     def holds_lease(self, controller: str) -> bool:
-        """Whether a node holds its lease."""
-        return f"{CONTROLLER_PREFIX}{controller}" in self.entries
+        """Return whether a controller's membership key exists, which its lease keeps alive."""
+        return schema.controller_key(controller) in self.entries
--- a/scripts/cost.py
+++ b/scripts/cost.py
@@ -398,7 +398,7 @@
     """State service, cloud and one user, for `users_cost`; a line on standard output where a stretch begins or ends."""
     import anyio
 
-    from ploverhall.storage.store_cache import JOB_PREFIX, end_record
+    from ploverhall.storage.schema import JOB_PREFIX, end_record
     from ploverhall.transport.http_client import Client
     from ploverhall.transport.http_parser import Request
     from ploverhall.transport.http_server import Reply, Server
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -42,7 +42,7 @@
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
 from ploverhall.protocol import agents, cloud, jobs, peer_messages, relay_messages
 from ploverhall.protocol.key_value_store import KeyValueStore
-from ploverhall.storage import image_index, store_cache
+from ploverhall.storage import image_index, schema
 
 from . import inputs
 
@@ -429,9 +429,9 @@
         "keys": [
             f(t)
             for f in (
-                store_cache.allocation_prefix,
-                store_cache.progress_prefix,
-                store_cache.grants_key,
+                schema.allocation_prefix,
+                schema.progress_prefix,
+                schema.grants_key,
             )
             for t in ("t", "a b", team)
         ]
@@ -445,8 +445,8 @@
         "jobs": plain([job.record(), jobs.from_record([*job.record(), "later"]), job]),
         "ends": plain(
             [
-                [list(store_cache.ended_from_record(e, 4)) for e in ends],
-                store_cache.end_record("done", 3),
+                [list(schema.ended_from_record(e, 4)) for e in ends],
+                schema.end_record("done", 3),
             ]
         ),
         "orders": plain([[o, o.record()] for o in orders.orders_in(listed)]),
--- a/tests/played.py
+++ b/tests/played.py
@@ -27,7 +27,7 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol import jobs
 from ploverhall.runtime import Runtime
-from ploverhall.storage.store_cache import SHARD_PREFIX
+from ploverhall.storage.schema import SHARD_PREFIX
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply, Server
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -20,13 +20,8 @@
 )
 from ploverhall.protocol import jobs
 from ploverhall.protocol.key_value_store import WatchEvent
-from ploverhall.storage.store_cache import (
-    ARCHIVE_MARKER_KEY,
-    ARCHIVE_PREFIX,
-    JOB_PREFIX,
-    StoreCache,
-    end_record,
-)
+from ploverhall.storage.schema import ARCHIVE_MARKER_KEY, ARCHIVE_PREFIX, JOB_PREFIX, end_record
+from ploverhall.storage.store_cache import StoreCache
 
 from . import world
 from .meetings import CANCEL, KNOWN_S, LEASE
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -16,7 +16,8 @@
 from ploverhall import settings
 from ploverhall.controller import job_requests
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
-from ploverhall.storage.store_cache import JOB_PREFIX, StoreCache
+from ploverhall.storage.schema import JOB_PREFIX
+from ploverhall.storage.store_cache import StoreCache
 
 from .played import HOLD, RESET, Played, play
 from .test_carry import busy
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 
-from ploverhall.storage.store_cache import CONTROLLER_PREFIX, SHARD_PREFIX
+from ploverhall.storage.schema import CONTROLLER_PREFIX, SHARD_PREFIX
 
 from .played import Played, play
 from .standins import unguarded
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from ploverhall.storage.store_cache import SHARD_PREFIX
+from ploverhall.storage.schema import SHARD_PREFIX
 
 from .played import Played, play
 from .test_carry import busy
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,12 +17,7 @@
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
-from ploverhall.storage.store_cache import (
-    CONTROLLER_PREFIX,
-    SHARD_PREFIX,
-    EndedJob,
-    allocation_prefix,
-)
+from ploverhall.storage.schema import CONTROLLER_PREFIX, SHARD_PREFIX, EndedJob, allocation_prefix
 
 from .test_loopback import config
 
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -10,7 +10,7 @@
 from ploverhall.scheduling.allocations import PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import JOB_PREFIX, SHARD_PREFIX
+from ploverhall.storage.schema import JOB_PREFIX, SHARD_PREFIX
 
 from .world import Store
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -26,7 +26,7 @@
 )
 from ploverhall.scheduling.eviction_grants import EvictionGrants
 from ploverhall.scheduling.permitting import JobSource
-from ploverhall.storage.store_cache import CONTROLLER_PREFIX
+from ploverhall.storage.schema import CONTROLLER_PREFIX
 
 from .played import HOLD, Played, play
 from .test_source import source
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -24,13 +24,8 @@
 from ploverhall.protocol import jobs
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
 from ploverhall.scheduling.allocations import AllocationStore
-from ploverhall.storage.store_cache import (
-    JOB_PREFIX,
-    SHARD_PREFIX,
-    WATCHED_PREFIX,
-    StoreCache,
-    end_record,
-)
+from ploverhall.storage.schema import JOB_PREFIX, SHARD_PREFIX, WATCHED_PREFIX, end_record
+from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http_server import Reply
 
 from . import world
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,15 +20,15 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import (
+from ploverhall.storage.schema import (
     JOB_PREFIX,
     SHARD_PREFIX,
     WATCHED_PREFIX,
-    StoreCache,
     allocation_prefix,
     end_record,
     progress_prefix,
 )
+from ploverhall.storage.store_cache import StoreCache
 
 LEASE, REPORT, GANG_WAIT, GANG_PEER, CANCEL = 10.0, 1.0, 30.0, 4.0, 35.0
 TYPE = MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a", "b"))
