--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -21,7 +21,7 @@
 from ploverhall.scheduling.pending_write import PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import (
+from ploverhall.storage.schema import (
     JOB_PREFIX,
     SHARD_PREFIX,
     allocation_prefix,
--- a/ploverhall/controller/archiver.py
+++ b/ploverhall/controller/archiver.py
@@ -15,7 +15,7 @@
 
 from ploverhall.controller.context import ControllerContext
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
-from ploverhall.storage.store_cache import (
+from ploverhall.storage.schema import (
     ARCHIVE_MARKER_KEY,
     ARCHIVE_PREFIX,
     JOB_PREFIX,
--- a/ploverhall/controller/image_writer.py
+++ b/ploverhall/controller/image_writer.py
@@ -15,7 +15,7 @@
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES
 from ploverhall.storage import image_index
-from ploverhall.storage.store_cache import SHARD_PREFIX
+from ploverhall.storage.schema import SHARD_PREFIX
 
 IMAGE_WRITE_INTERVAL_S = 4.0
 MAX_DELETES_PER_WRITE = 2  # stale image records removed together with one batch
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -13,7 +13,7 @@
 from ploverhall.controller.routing import Routing
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.shard_owner import ShardOwner
-from ploverhall.storage.store_cache import MACHINE_TYPE_COUNT_KEY
+from ploverhall.storage.schema import MACHINE_TYPE_COUNT_KEY
 
 # Kinds of state channels (coordination.state_channel) that a role of a shard sends
 SHARD_CHANNEL_KINDS = ("s", "o", "d", "m", "c")
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -25,7 +25,7 @@
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES
 from ploverhall.scheduling.record_chunks import Allocation, RecordChunk
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import progress_prefix
+from ploverhall.storage.schema import progress_prefix
 
 # Share of a value's limit that a chunk may fill; the rest is for what JSON may add
 CHUNK_FILL_FACTOR = 0.92
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -23,7 +23,7 @@
 from ploverhall.scheduling.record_chunks import Allocation
 from ploverhall.scheduling.store_writer import StoreWriter
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import grants_key
+from ploverhall.storage.schema import grants_key
 
 GRANT_INTERVAL_S = 0.5
 MAX_GRANTS_PER_TEAM = 48  # in the one value that holds a team's grants
--- a/ploverhall/scheduling/record_chunks.py
+++ b/ploverhall/scheduling/record_chunks.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ploverhall.scheduling.inventory import ResourceVector
-from ploverhall.storage.store_cache import allocation_prefix
+from ploverhall.storage.schema import allocation_prefix
 
 
 @dataclass(slots=True, eq=False)
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -16,7 +16,7 @@
 from ploverhall.scheduling.job_state import TASKS_PER_PROGRESS_VALUE, JobState
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES, ChunkWrite, PendingWrite
 from ploverhall.scheduling.record_chunks import Allocation, RecordChunk, append_allocation
-from ploverhall.storage.store_cache import (
+from ploverhall.storage.schema import (
     JOB_PREFIX,
     SHARD_PREFIX,
     allocation_prefix,
--- a/scripts/benchmark_hot_paths.py
+++ b/scripts/benchmark_hot_paths.py
@@ -51,7 +51,7 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 from ploverhall.settings import Team
-from ploverhall.storage.store_cache import JOB_PREFIX, end_record
+from ploverhall.storage.schema import JOB_PREFIX, end_record
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply, Server
