--- a/ploverhall/protocol/agents.py
+++ b/ploverhall/protocol/agents.py
@@ -1,4 +1,9 @@
-"""The workers' words: reports in, commands out."""
+"""The interface of the agents: heartbeats in, commands out.
+
+Owns the names of that interface. `controller.heartbeat_requests` decodes the heartbeats,
+`scheduling.shard_owner` and `coordination.restart_recovery` build the commands, and
+`controller.agent_commands` sends those that cannot wait for a heartbeat.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,7 @@
 
 from ploverhall.errors import InvalidHeartbeatError
 
-# task states as they are called inside
+# Task states: published name to the name used in this package
 TASK_STATES = {
     "pulling": "fetching",
     "waiting": "waiting",
@@ -18,23 +23,22 @@
     "flushing": "saving",
     "ended": "exited",
 }
+RUNNING = "running"
 EXITED = "exited"
-TASK_NAMES = 65_536  # names kept as parsed: 16 tasks on each of 4,000 machines
+TASK_NAMES = 65_536  # parsed task names that are cached: 16 tasks on each of 4,000 machines
+MAX_TASK_INDEX_DIGITS = 9
+COUNT_LIMIT = 1 << 64  # counters on the wire are unsigned 64-bit integers
 AttemptId = tuple[str, int, int]  # job, task, attempt
 
-
-@dataclass(slots=True)
-class TaskStatus:
-    """One task as a machine reports it."""
-
-    state: str
-    reason: str
-    checkpoint_saved: bool
-
+# Published field names that stand in more than one message
+TASK_NAME_FIELD = "chick"
+ATTEMPT_FIELD = "hatch"
+INCARNATION_FIELD = "tide"
+TOKEN_FIELD = "crest"
 
 LISTED_TASK_WIRE_NAMES = {
-    "task_name": "chick",
-    "attempt": "hatch",
+    "task_name": TASK_NAME_FIELD,
+    "attempt": ATTEMPT_FIELD,
     "state": "stance",
     "exit_reason": "cause",
     "checkpoint_saved": "kept",
@@ -44,17 +48,37 @@
     "address": "endpoint",
     "machine_type": "breed",
     "zone": "marsh",
-    "incarnation": "tide",
+    "incarnation": INCARNATION_FIELD,
     "sequence": "peep",
-    "token": "crest",
+    "token": TOKEN_FIELD,
     "spot": "driftwood",
     "termination_notice_s": "warningS",
     "tasks": "chicks",
 }
 
+# Fields and verbs of the commands
+COMMANDS_FIELD = "calls"
+COMMAND_FIELD = "call"
+GRACE_FIELD = "settleS"  # seconds
+RUN_COMMAND = "run"
+KILL_COMMAND = "kill"
+REAP_COMMAND = "reap"
+REDIRECT_FIELD = "homing"  # the controller to send heartbeats to
+
+AgentCommand = dict[str, Any]  # one command as JSON
+
+
+@dataclass(slots=True)
+class TaskStatus:
+    """One task as its agent describes it."""
+
+    state: str  # a value of TASK_STATES
+    reason: str  # why it exited, empty while it has not
+    checkpoint_saved: bool
+
 
 class ListedTask(msgspec.Struct, gc=False, rename=LISTED_TASK_WIRE_NAMES):
-    """One task as it stands in a heartbeat."""
+    """One task as it stands in a heartbeat, not yet translated."""
 
     task_name: str
     attempt: Annotated[int, msgspec.Meta(ge=0)]
@@ -84,9 +108,10 @@
 
 @dataclass(slots=True)
 class Heartbeat:
-    """One worker's report, from its own mouth or as the body of a /do answer.
+    """One agent's heartbeat: sent by itself, or the body of its answer to a direct request.
 
-    Most reports list what the one before listed: `listed` is compared with that one, and only what differs is taken apart.
+    Most heartbeats list the same tasks as the one before: callers compare `listed_tasks` with the
+    last one, and call `tasks` only where they differ.
     """
 
     machine: str
@@ -101,12 +126,12 @@
     listed_tasks: list[ListedTask]
 
     def tasks(self) -> dict[AttemptId, TaskStatus]:
-        """The listed tasks by key."""
+        """Return the listed tasks by attempt. A state of a later release counts as running."""
         tasks: dict[AttemptId, TaskStatus] = {}
         for listed in self.listed_tasks:
             job, index = split_task(listed.task_name)
             tasks[job, index, listed.attempt] = TaskStatus(
-                TASK_STATES.get(listed.state, "running"),
+                TASK_STATES.get(listed.state, RUNNING),
                 listed.exit_reason or "",
                 bool(listed.checkpoint_saved),
             )
@@ -115,10 +140,14 @@
 
 @lru_cache(maxsize=TASK_NAMES)
 def split_task(name: str) -> tuple[str, int]:
-    """`j-000412/3` -> ("j-000412", 3)."""
+    """Split a task's name into job and index: `j-000412/3` gives ("j-000412", 3).
+
+    Raises InvalidHeartbeatError for any other form.
+    """
     job, _, index = name.rpartition("/")
-    if not job or not index.isascii() or not index.isdigit() or len(index) > 9:
-        raise InvalidHeartbeatError("chick")
+    is_number = index.isascii() and index.isdigit() and len(index) <= MAX_TASK_INDEX_DIGITS
+    if not job or not is_number:
+        raise InvalidHeartbeatError(TASK_NAME_FIELD)
     return job, int(index)
 
 
@@ -129,9 +158,9 @@
     listed_tasks = body.tasks or []
     for listed in listed_tasks:
         split_task(listed.task_name)
-        if listed.attempt >= 1 << 64:
-            raise InvalidHeartbeatError("hatch")
-    if body.incarnation >= 1 << 64 or body.sequence >= 1 << 64 or body.token >= 1 << 64:
+        if listed.attempt >= COUNT_LIMIT:
+            raise InvalidHeartbeatError(ATTEMPT_FIELD)
+    if max(body.incarnation, body.sequence, body.token) >= COUNT_LIMIT:
         raise InvalidHeartbeatError(problem="a count of 2^64 or more")
     return Heartbeat(
         body.machine,
@@ -148,7 +177,7 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """Check a report as it came. Raises Malformed, naming the field."""
+    """Decode a heartbeat from JSON. Raises InvalidHeartbeatError, which names the problem."""
     try:
         return _validated(_decoder.decode(body))
     except msgspec.MsgspecError as error:
@@ -157,44 +186,44 @@
         raise InvalidHeartbeatError(problem="not UTF-8") from error
 
 
-def heartbeat_from_json(d: Any) -> Heartbeat:
-    """Check a report that is JSON already."""
+def heartbeat_from_json(value: Any) -> Heartbeat:
+    """Check a heartbeat that is parsed JSON already. Raises InvalidHeartbeatError."""
     try:
-        return _validated(msgspec.convert(d, _HeartbeatBody))
+        return _validated(msgspec.convert(value, _HeartbeatBody))
     except msgspec.MsgspecError as error:
         raise InvalidHeartbeatError(problem=str(error)) from error
 
 
-def run_command(attempt_id: AttemptId) -> dict[str, Any]:
-    """Start a task."""
-    return {"call": "run", "chick": f"{attempt_id[0]}/{attempt_id[1]}", "hatch": attempt_id[2]}
+def _task_command(command: str, attempt_id: AttemptId) -> AgentCommand:
+    job, task, attempt = attempt_id
+    return {COMMAND_FIELD: command, TASK_NAME_FIELD: f"{job}/{task}", ATTEMPT_FIELD: attempt}
+
+
+def run_command(attempt_id: AttemptId) -> AgentCommand:
+    """Return the command that starts a task."""
+    return _task_command(RUN_COMMAND, attempt_id)
 
 
-def kill_command(attempt_id: AttemptId, grace: float) -> dict[str, Any]:
-    """Stop a task, giving it time to save."""
-    return {
-        "call": "kill",
-        "chick": f"{attempt_id[0]}/{attempt_id[1]}",
-        "hatch": attempt_id[2],
-        "settleS": grace,
-    }
+def kill_command(attempt_id: AttemptId, grace: float) -> AgentCommand:
+    """Return the command that stops a task, with `grace` seconds to save its checkpoint."""
+    return {**_task_command(KILL_COMMAND, attempt_id), GRACE_FIELD: grace}
 
 
-def reap_command(attempt_id: AttemptId) -> dict[str, Any]:
-    """Forget an exited task."""
-    return {"call": "reap", "chick": f"{attempt_id[0]}/{attempt_id[1]}", "hatch": attempt_id[2]}
+def reap_command(attempt_id: AttemptId) -> AgentCommand:
+    """Return the command to stop listing a task that has exited."""
+    return _task_command(REAP_COMMAND, attempt_id)
 
 
-def heartbeat_answer(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    """The answer to a report."""
-    return {"crest": token, "calls": commands}
+def heartbeat_answer(token: int, commands: list[AgentCommand]) -> dict[str, Any]:
+    """Return the answer to a heartbeat; agents obey the highest fencing token they have seen."""
+    return {TOKEN_FIELD: token, COMMANDS_FIELD: commands}
 
 
-def direct_request(token: int, incarnation: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    """The body of /do."""
-    return {"crest": token, "tide": incarnation, "calls": commands}
+def direct_request(token: int, incarnation: int, commands: list[AgentCommand]) -> dict[str, Any]:
+    """Return the body of a direct request (POST /do), meant for one incarnation of the agent."""
+    return {TOKEN_FIELD: token, INCARNATION_FIELD: incarnation, COMMANDS_FIELD: commands}
 
 
 def redirect(controller: str | None) -> dict[str, Any]:
-    """The body of a 421."""
-    return {"homing": controller} if controller else {}
+    """Return the body of a 421: which controller to send heartbeats to, empty if none is known."""
+    return {REDIRECT_FIELD: controller} if controller else {}
--- a/ploverhall/protocol/cloud.py
+++ b/ploverhall/protocol/cloud.py
@@ -1,33 +1,70 @@
-"""The cloud's words."""
+"""The cloud's interface: machine types, the list of rented machines, and rentals.
+
+Owns the names of that interface. Called by `controller.autoscaling_loop`; the record of a machine
+type is kept in the key-value store.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
+# Published field names
+MACHINE_TYPES_FIELD = "breeds"
+MACHINES_FIELD = "perches"
+MORE_PAGES_FIELD = "hasNext"
+MACHINE_TYPE_FIELD = "breed"
+ZONE_FIELD = "marsh"
+SPOT_FIELD = "driftwood"
+REQUEST_ID_FIELD = "plea"  # makes a rental idempotent
+COUNT_FIELD = "count"
+
+MACHINE_TYPE_WIRE_NAMES = {
+    "name": "name",
+    "cpus": "cores",
+    "gpus": "gpus",
+    "memory_gb": "ramGb",
+    "image_cache_gb": "localGb",
+    "fetch_gb_s": "pullGbPerS",
+    "price": "price",
+    "spot_price": "lowPrice",
+    "boot_s": "startupS",
+    "zones": "marshes",
+}
+CLOUD_MACHINE_WIRE_NAMES = {
+    "name": "id",
+    "address": "endpoint",
+    "type": MACHINE_TYPE_FIELD,
+    "zone": ZONE_FIELD,
+    "spot": SPOT_FIELD,
+    "state": "stance",
+    "age_s": "heldS",
+}
+DEFAULT_FETCH_GB_S = 1.0
+
 
 @dataclass(slots=True, frozen=True)
 class MachineType:
-    """What the cloud sells under one name."""
+    """A machine type of the cloud: what one machine has, and what it costs."""
 
     name: str
     cpus: float
     gpus: float
     memory_gb: float
     image_cache_gb: float
-    fetch_gb_s: float
+    fetch_gb_s: float  # at which images are fetched
     price: float
     spot_price: float
-    boot_s: float
+    boot_s: float  # from the rental to the first heartbeat
     zones: tuple[str, ...]
 
     @property
     def resources(self) -> tuple[float, float, float]:
-        """What tasks can take."""
+        """Return the CPUs, GPUs and memory in GB that tasks can take."""
         return (self.cpus, self.gpus, self.memory_gb)
 
     def record(self) -> list[Any]:
-        """The form kept in the state service, for starts while the cloud is down."""
+        """Return the form kept in the key-value store, for starts while the cloud is down."""
         return [
             self.name,
             self.cpus,
@@ -43,28 +80,36 @@
 
 
 def type_from_record(record: list[Any]) -> MachineType:
-    """The inverse of MachineType.record."""
-    name, cpus, gpus, mem, cache, fetch, price, spot_price, boot, zones = record[:10]
-    return MachineType(name, cpus, gpus, mem, cache, fetch, price, spot_price, boot, tuple(zones))
+    """Return the type of a record made by `MachineType.record`; later fields are ignored."""
+    name, cpus, gpus, memory, cache, fetch, price, spot_price, boot, zones = record[:10]
+    return MachineType(
+        name, cpus, gpus, memory, cache, fetch, price, spot_price, boot, tuple(zones)
+    )
 
 
 def decode_machine_types(body: Any) -> dict[str, MachineType]:
-    """GET /flavors."""
-    out = {}
-    for flavor in body["breeds"]:
-        out[flavor["name"]] = MachineType(
-            flavor["name"],
-            float(flavor["cores"]),
-            float(flavor["gpus"]),
-            float(flavor["ramGb"]),
-            float(flavor.get("localGb") or 0),
-            float(flavor.get("pullGbPerS") or 1),
-            float(flavor.get("price") or 0),
-            float(flavor.get("lowPrice") or 0),
-            float(flavor.get("startupS") or 0),
-            tuple(flavor.get("marshes") or ()),
-        )
-    return out
+    """Return the machine types by name from the answer to GET /flavors.
+
+    Raises KeyError, TypeError or ValueError for another form.
+    """
+    machine_types = [_decode_machine_type(fields) for fields in body[MACHINE_TYPES_FIELD]]
+    return {machine_type.name: machine_type for machine_type in machine_types}
+
+
+def _decode_machine_type(fields: dict[str, Any]) -> MachineType:
+    wire = MACHINE_TYPE_WIRE_NAMES
+    return MachineType(
+        name=fields[wire["name"]],
+        cpus=float(fields[wire["cpus"]]),
+        gpus=float(fields[wire["gpus"]]),
+        memory_gb=float(fields[wire["memory_gb"]]),
+        image_cache_gb=float(fields.get(wire["image_cache_gb"]) or 0),
+        fetch_gb_s=float(fields.get(wire["fetch_gb_s"]) or DEFAULT_FETCH_GB_S),
+        price=float(fields.get(wire["price"]) or 0),
+        spot_price=float(fields.get(wire["spot_price"]) or 0),
+        boot_s=float(fields.get(wire["boot_s"]) or 0),
+        zones=tuple(fields.get(wire["zones"]) or ()),
+    )
 
 
 @dataclass(slots=True)
@@ -72,39 +117,44 @@
     """A machine as the cloud lists it."""
 
     name: str
-    address: str
+    address: str  # empty while it has none
     type: str
     zone: str
     spot: bool
     state: str
-    age_s: float
+    age_s: float  # since it was rented
 
 
 def decode_machine_page(body: Any) -> tuple[list[CloudMachine], bool]:
-    """One page of GET /hosts."""
-    items = [
-        CloudMachine(
-            p["id"],
-            p.get("endpoint") or "",
-            p["breed"],
-            p["marsh"],
-            bool(p.get("driftwood")),
-            p["stance"],
-            float(p.get("heldS") or 0),
-        )
-        for p in body["perches"]
-    ]
-    return items, bool(body.get("hasNext"))
+    """Return the machines on one page of GET /hosts, and whether there are more pages.
+
+    Raises KeyError, TypeError or ValueError for another form.
+    """
+    machines = [_decode_machine(fields) for fields in body[MACHINES_FIELD]]
+    return machines, bool(body.get(MORE_PAGES_FIELD))
+
+
+def _decode_machine(fields: dict[str, Any]) -> CloudMachine:
+    wire = CLOUD_MACHINE_WIRE_NAMES
+    return CloudMachine(
+        name=fields[wire["name"]],
+        address=fields.get(wire["address"]) or "",
+        type=fields[wire["type"]],
+        zone=fields[wire["zone"]],
+        spot=bool(fields.get(wire["spot"])),
+        state=fields[wire["state"]],
+        age_s=float(fields.get(wire["age_s"]) or 0),
+    )
 
 
 def rental_request(
     request_id: str, machine_type: str, zone: str, spot: bool, count: int
 ) -> dict[str, Any]:
-    """POST /hosts."""
+    """Return the body of POST /hosts; repeated with the same id it rents nothing more."""
     return {
-        "plea": request_id,
-        "breed": machine_type,
-        "marsh": zone,
-        "driftwood": spot,
-        "count": count,
+        REQUEST_ID_FIELD: request_id,
+        MACHINE_TYPE_FIELD: machine_type,
+        ZONE_FIELD: zone,
+        SPOT_FIELD: spot,
+        COUNT_FIELD: count,
     }
--- a/ploverhall/protocol/jobs.py
+++ b/ploverhall/protocol/jobs.py
@@ -1,14 +1,19 @@
-"""The users' words: a submitted job checked field by field, and its compact record form."""
+"""The users' interface: job submissions, checked field by field, and answers about jobs.
+
+Owns the names of that interface. `controller.job_requests` decodes submissions; the record of a job
+is what the key-value store keeps and what controllers send one another.
+"""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from ploverhall.errors import InvalidJobError
 
 JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,18}\Z")
+# Kinds and priorities: published name to the value used in this package
 KINDS = {"array": "array", "group": "gang", "daemon": "service"}
 PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "best_effort": 3}
 QUEUED = "queued"
@@ -16,11 +21,40 @@
 DONE = "done"
 CANCELLED = "withdrawn"
 MAX_TASKS = 100_000
+MAX_NAME_LENGTH = 500
+AMOUNT_LIMIT = 1e12  # amounts are below this
+
+# Published names of a submission's fields
+ID_FIELD = "id"
+JOB_CLASS_FIELD = "flock"
+TEAM_FIELD = "keeper"
+KIND_FIELD = "gait"
+PRIORITY_FIELD = "rank"
+TASK_COUNT_FIELD = "chicks"
+CPUS_FIELD = "cores"
+GPUS_FIELD = "gpus"
+MEMORY_FIELD = "ramGb"
+IMAGE_FIELD = "plumage"
+IMAGE_SIZE_FIELD = "pullGb"
+MACHINE_TYPES_FIELD = "breeds"
+ZONE_FIELD = "marsh"
+SINGLE_ZONE_FIELD = "together"
+SPREAD_ZONES_FIELD = "scatter"
+SPOT_FIELD = "driftwood"
+ESTIMATE_FIELD = "flightS"
+CHECKPOINT_FIELD = "nestS"
+SAVE_FIELD = "tuckS"
+DEADLINE_FIELD = "duskS"
+
+# Published names of an answer's fields
+STATE_FIELD = "stance"
+DONE_FIELD = "done"
+RUNNING_FIELD = "running"
 
 
 @dataclass(slots=True)
 class Job:
-    """A job as its user described it, in standard words."""
+    """A job as its user described it."""
 
     id: str
     job_class: str
@@ -28,34 +62,34 @@
     kind: str
     priority: int
     task_count: int
-    cpus: float
+    cpus: float  # of each task, as are gpus and memory_gb
     gpus: float
     memory_gb: float
     image: str
     image_gb: float
-    machine_types: tuple[str, ...] | None
-    zone: str | None
+    machine_types: tuple[str, ...] | None  # sorted; None: any
+    zone: str | None  # None: any
     single_zone: bool
     spread_zones: bool
-    spot: bool
-    estimate_s: float
-    checkpoint_s: float
-    save_s: float
-    deadline_s: float | None
+    spot: bool  # may run on spot machines
+    estimate_s: float  # how long a task runs
+    checkpoint_s: float  # between two checkpoints
+    save_s: float  # that saving a checkpoint takes
+    deadline_s: float | None  # after the submission
     submitted_at: float  # wall clock when accepted
 
     @property
     def resources(self) -> tuple[float, float, float]:
-        """What each task takes."""
+        """Return the CPUs, GPUs and memory in GB that each task takes."""
         return (self.cpus, self.gpus, self.memory_gb)
 
     @property
     def max_tasks_per_zone(self) -> int:
-        """How many tasks may be in one zone."""
+        """Return how many tasks may be in one zone."""
         return (self.task_count + 1) // 2 if self.spread_zones else self.task_count
 
     def record(self) -> list[Any]:
-        """The compact form kept in the state service and sent between controllers."""
+        """Return the compact form that is stored and sent between controllers."""
         return [
             self.id,
             self.job_class,
@@ -82,7 +116,7 @@
 
 
 def from_record(record: list[Any]) -> Job:
-    """The inverse of Job.record; later fields are ignored."""
+    """Return the job of a record made by `Job.record`; fields of later releases are ignored."""
     return Job(
         record[0],
         record[1],
@@ -108,85 +142,134 @@
     )
 
 
-def _amount(fields: dict[str, Any], key: str, positive: bool = False) -> float:
-    value = fields.get(key)
-    if (
-        isinstance(value, bool)
-        or not isinstance(value, (int, float))
-        or not 0 <= value < 1e12
-        or (positive and value <= 0)
-    ):
-        raise InvalidJobError(key, "must be an amount")
+def _amount(fields: dict[str, Any], field: str) -> float:
+    value = fields.get(field)
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        raise InvalidJobError(field, "must be an amount")
+    if not 0 <= value < AMOUNT_LIMIT:
+        raise InvalidJobError(field, "must be an amount")
     return float(value)
 
 
-def _text(fields: dict[str, Any], key: str) -> str:
-    value = fields.get(key)
-    if not isinstance(value, str) or not value or len(value) > 500:
-        raise InvalidJobError(key, "must be a name")
+def _text(fields: dict[str, Any], field: str) -> str:
+    value = fields.get(field)
+    if not isinstance(value, str) or not value or len(value) > MAX_NAME_LENGTH:
+        raise InvalidJobError(field, "must be a name")
     return value
 
 
-def _flag(fields: dict[str, Any], key: str) -> bool:
-    value = fields.get(key)
+def _flag(fields: dict[str, Any], field: str) -> bool:
+    value = fields.get(field)
     if not isinstance(value, bool):
-        raise InvalidJobError(key, "must be true or false")
+        raise InvalidJobError(field, "must be true or false")
     return value
 
 
-def parse_submission(fields: Any, submitted_at: float) -> Job:
-    """Check a submission; Malformed names the field."""
-    if not isinstance(fields, dict):
-        raise InvalidJobError(problem="not an object")
-    job_id = fields.get("id")
+def _job_id(fields: dict[str, Any]) -> str:
+    job_id = fields.get(ID_FIELD)
     if not isinstance(job_id, str) or not JOB_ID_PATTERN.match(job_id):
-        raise InvalidJobError("id", "must be like j-000412")
-    kind, priority, task_count = fields.get("gait"), fields.get("rank"), fields.get("chicks")
+        raise InvalidJobError(ID_FIELD, "must be like j-000412")
+    return job_id
+
+
+def _kind(fields: dict[str, Any]) -> str:
+    kind = fields.get(KIND_FIELD)
     if not isinstance(kind, str) or kind not in KINDS:
-        raise InvalidJobError("gait", "must be array, group or daemon")
+        raise InvalidJobError(KIND_FIELD, "must be array, group or daemon")
+    return KINDS[kind]
+
+
+def _priority(fields: dict[str, Any]) -> int:
+    priority = fields.get(PRIORITY_FIELD)
     if not isinstance(priority, str) or priority not in PRIORITIES:
-        raise InvalidJobError("rank", "unknown")
-    if (
-        isinstance(task_count, bool)
-        or not isinstance(task_count, int)
-        or not 1 <= task_count <= MAX_TASKS
-    ):
-        raise InvalidJobError("chicks", "must be 1 to 100000")
-    machine_types = fields.get("breeds")
-    if machine_types is not None and not (
-        isinstance(machine_types, list)
-        and all(isinstance(t, str) and len(t) <= 500 for t in machine_types)
+        raise InvalidJobError(PRIORITY_FIELD, "unknown")
+    return PRIORITIES[priority]
+
+
+def _task_count(fields: dict[str, Any]) -> int:
+    count = fields.get(TASK_COUNT_FIELD)
+    if isinstance(count, bool) or not isinstance(count, int) or not 1 <= count <= MAX_TASKS:
+        raise InvalidJobError(TASK_COUNT_FIELD, "must be 1 to 100000")
+    return count
+
+
+def _machine_types(fields: dict[str, Any]) -> tuple[str, ...] | None:
+    names = fields.get(MACHINE_TYPES_FIELD)
+    if names is None:
+        return None
+    if not isinstance(names, list) or not all(
+        isinstance(name, str) and len(name) <= MAX_NAME_LENGTH for name in names
     ):
-        raise InvalidJobError("breeds", "must be null or a list of names")
-    zone = fields.get("marsh")
-    if zone is not None and (not isinstance(zone, str) or len(zone) > 500):
-        raise InvalidJobError("marsh", "must be null or a name")
-    deadline = _amount(fields, "duskS") if fields.get("duskS") is not None else None
+        raise InvalidJobError(MACHINE_TYPES_FIELD, "must be null or a list of names")
+    return tuple(sorted(set(names)))
+
+
+def _zone(fields: dict[str, Any]) -> str | None:
+    zone = fields.get(ZONE_FIELD)
+    if zone is not None and (not isinstance(zone, str) or len(zone) > MAX_NAME_LENGTH):
+        raise InvalidJobError(ZONE_FIELD, "must be null or a name")
+    return zone
+
+
+class _Shape(NamedTuple):
+    """The fields that are checked first: a submission with several faults names one of these."""
+
+    job_id: str
+    kind: str
+    priority: int
+    task_count: int
+    machine_types: tuple[str, ...] | None
+    zone: str | None
+    deadline_s: float | None
+
+
+def _parse_shape(fields: dict[str, Any]) -> _Shape:
+    return _Shape(
+        job_id=_job_id(fields),
+        kind=_kind(fields),
+        priority=_priority(fields),
+        task_count=_task_count(fields),
+        machine_types=_machine_types(fields),
+        zone=_zone(fields),
+        deadline_s=(
+            _amount(fields, DEADLINE_FIELD) if fields.get(DEADLINE_FIELD) is not None else None
+        ),
+    )
+
+
+def parse_submission(fields: Any, submitted_at: float) -> Job:
+    """Return the job of a submission, accepted at the wall clock time `submitted_at`.
+
+    Raises InvalidJobError, which names the first field that is not in the published form.
+    """
+    if not isinstance(fields, dict):
+        raise InvalidJobError(problem="not an object")
+    shape = _parse_shape(fields)
     return Job(
-        id=job_id,
-        job_class=_text(fields, "flock"),
-        team=_text(fields, "keeper"),
-        kind=KINDS[kind],
-        priority=PRIORITIES[priority],
-        task_count=task_count,
-        cpus=_amount(fields, "cores"),
-        gpus=_amount(fields, "gpus"),
-        memory_gb=_amount(fields, "ramGb"),
-        image=_text(fields, "plumage"),
-        image_gb=_amount(fields, "pullGb"),
-        machine_types=tuple(sorted(set(machine_types))) if machine_types is not None else None,
-        zone=zone,
-        single_zone=_flag(fields, "together"),
-        spread_zones=_flag(fields, "scatter"),
-        spot=_flag(fields, "driftwood"),
-        estimate_s=_amount(fields, "flightS"),
-        checkpoint_s=_amount(fields, "nestS"),
-        save_s=_amount(fields, "tuckS"),
-        deadline_s=deadline,
+        id=shape.job_id,
+        job_class=_text(fields, JOB_CLASS_FIELD),
+        team=_text(fields, TEAM_FIELD),
+        kind=shape.kind,
+        priority=shape.priority,
+        task_count=shape.task_count,
+        cpus=_amount(fields, CPUS_FIELD),
+        gpus=_amount(fields, GPUS_FIELD),
+        memory_gb=_amount(fields, MEMORY_FIELD),
+        image=_text(fields, IMAGE_FIELD),
+        image_gb=_amount(fields, IMAGE_SIZE_FIELD),
+        machine_types=shape.machine_types,
+        zone=shape.zone,
+        single_zone=_flag(fields, SINGLE_ZONE_FIELD),
+        spread_zones=_flag(fields, SPREAD_ZONES_FIELD),
+        spot=_flag(fields, SPOT_FIELD),
+        estimate_s=_amount(fields, ESTIMATE_FIELD),
+        checkpoint_s=_amount(fields, CHECKPOINT_FIELD),
+        save_s=_amount(fields, SAVE_FIELD),
+        deadline_s=shape.deadline_s,
         submitted_at=round(submitted_at, 3),
     )
 
 
 def status_body(job_id: str, state: str, done: int = 0, running: int = 0) -> dict[str, Any]:
-    """What users are answered."""
-    return {"id": job_id, "stance": state, "done": done, "running": running}
+    """Return what users are answered about a job: its state, and numbers of tasks."""
+    return {ID_FIELD: job_id, STATE_FIELD: state, DONE_FIELD: done, RUNNING_FIELD: running}
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -1,4 +1,8 @@
-"""The state service's words, with this node's share of its limits."""
+"""Client of the consensus-backed key-value store, within this controller's share of its limits.
+
+Owns the published names of the store's interface. Reads, watches and leases for
+`controller.store_watch` and `controller.shard_leases`, writes for the controller's writers.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +19,39 @@
 from ploverhall.protocol.rate_limiter import RateLimiter
 from ploverhall.transport.http_client import Caller
 
-# Answers in no published form are worth a line so often at most
-INVALID_RESPONSE_LOG_INTERVAL_S = 10.0
+INVALID_RESPONSE_LOG_INTERVAL_S = 10.0  # least time between two log lines about invalid responses
+
+# Seconds until a request counts as lost; a renewal is repeated well within the lease's time
+REQUEST_TIMEOUT_S = 2.0
+LIST_TIMEOUT_S = 5.0
+RENEWAL_TIMEOUT_S = 1.0
+PAGE_SIZE = 1000  # keys on one page of a list
+
+# Published field names
+KEY_FIELD = "path"
+VALUE_FIELD = "v"
+VERSION_FIELD = "feather"
+REVISION_FIELD = "moult"
+LEASE_FIELD = "tether"
+LEASE_TIME_FIELD = "lifeMs"
+ITEMS_FIELD = "items"
+MORE_PAGES_FIELD = "hasNext"
+COMPARE_FIELD = "guards"
+OPERATIONS_FIELD = "apply"
+PUT_FIELD = "put"
+DELETE_FIELD = "delete"
+FAILED_KEYS_FIELD = "failed"
+EVENTS_FIELD = "news"
+ERROR_FIELD = "error"
+
+# Stand in place of the keys whose comparison failed where the store names none
+UNNAMED_KEY = "?"
+NO_SUCH_LEASE = "no such lease"
 
 
 @dataclass(slots=True)
 class WatchEvent:
-    """One change: value None means deleted."""
+    """One change of a key; a value of None means deleted."""
 
     key: str
     value: Any
@@ -29,7 +59,12 @@
 
 
 class KeyValueStore:
-    """Typed calls to the state service."""
+    """Typed calls to the key-value store.
+
+    All calls raise RequestRefusedError when the request was certainly not executed, now or later,
+    and OutcomeUnknownError when that is unknown: no response, one of an unexpected status (a
+    gateway's 502 or 504 says nothing about what the store has done), or one of no published form.
+    """
 
     def __init__(
         self,
@@ -38,12 +73,13 @@
         write_rps: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """`rps`, `write_rps`: this controller's share of requests and of changed keys a second."""
         self.caller = caller
         self.clock = clock
         self.requests = RateLimiter(rps, clock)
         self.writes = RateLimiter(write_rps, clock)
-        self.last_answer_at = 0.0
-        # Answers in no published form since the last line about them, and when that was
+        self.last_answer_at = 0.0  # by the clock
+        # Invalid responses since the last log line about them, and when that was written
         self.invalid_responses = 0
         self.invalid_logged_at = -math.inf
 
@@ -52,69 +88,76 @@
         method: str,
         target: str,
         body: Any = None,
-        timeout: float = 2.0,
+        timeout: float = REQUEST_TIMEOUT_S,
         urgent: bool = False,
         hold: float = 0.0,
     ) -> tuple[int, Any]:
         await self.requests.acquire(1, urgent)
         try:
-            status, out = await self.caller.call(method, target, body, timeout, hold)
+            status, response = await self.caller.call(method, target, body, timeout, hold)
         except UnreachableError as error:
             raise OutcomeUnknownError(str(error)) from error
         if status in (429, 503):
             raise RequestRefusedError(f"{method} {target}: {status}")
-        return status, out
+        return status, response
 
     @contextlib.contextmanager
-    def _expecting_valid_response(self, what: str, status: int, out: Any) -> Iterator[None]:
-        """Take an answer apart: whatever is not in the published form says nothing, neither "landed" nor "not executed"."""
+    def _expecting_valid_response(self, request: str, status: int, response: Any) -> Iterator[None]:
+        """Decode a response in this context: one of no published form has an unknown outcome."""
         try:
             yield
         except (TypeError, KeyError, ValueError) as error:
-            self.invalid_responses += 1
-            now = self.clock()
-            if now - self.invalid_logged_at > INVALID_RESPONSE_LOG_INTERVAL_S:
-                log.warn(
-                    "state service: odd answer",
-                    request=what[:80],
-                    status=status,
-                    answer=repr(out)[:120],
-                    times=self.invalid_responses,
-                )
-                self.invalid_responses = 0
-                self.invalid_logged_at = now
-            raise OutcomeUnknownError(f"{what}: {status}, {error!r}") from error
+            self._count_invalid_response(request, status, response)
+            raise OutcomeUnknownError(f"{request}: {status}, {error!r}") from error
         self.last_answer_at = self.clock()
 
+    def _count_invalid_response(self, request: str, status: int, response: Any) -> None:
+        self.invalid_responses += 1
+        now = self.clock()
+        if now - self.invalid_logged_at <= INVALID_RESPONSE_LOG_INTERVAL_S:
+            return
+        log.warn(
+            "state service: odd answer",
+            request=request[:80],
+            status=status,
+            answer=repr(response)[:120],
+            times=self.invalid_responses,
+        )
+        self.invalid_responses = 0
+        self.invalid_logged_at = now
+
     async def get(self, key: str) -> tuple[Any, int]:
-        """Value and version; (None, 0) when there is none: only 404 says so."""
-        status, out = await self._call("GET", f"/kv/{quote(key, safe='/')}")
-        with self._expecting_valid_response(f"get {key}", status, out):
+        """Return a key's value and version, (None, 0) if it is absent. Only a 404 means absent."""
+        status, response = await self._call("GET", f"/kv/{quote(key, safe='/')}")
+        with self._expecting_valid_response(f"get {key}", status, response):
             if status == 404:
                 return None, 0
             _require_status(status, 200)
-            return out["v"], _checked_count(out["feather"])
+            return response[VALUE_FIELD], _checked_count(response[VERSION_FIELD])
 
     async def list_prefix(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
-        """All keys with a prefix, and the revision of the first page."""
-        found: dict[str, tuple[Any, int]] = {}
-        after = ""
-        first = -1
+        """Return values and versions of all keys with a prefix, and the first page's revision.
+
+        Later pages may be newer: watch from that revision on to see all changes.
+        """
+        entries: dict[str, tuple[Any, int]] = {}
+        last_key = ""
+        first_revision = -1
         while True:
-            target = f"/kv?starts={quote(prefix, safe='/')}&limit=1000" + (
-                f"&from={quote(after, safe='/')}" if after else ""
-            )
-            status, out = await self._call("GET", target, timeout=5.0)
-            with self._expecting_valid_response(f"list {prefix}", status, out):
+            target = _list_target(prefix, last_key)
+            status, response = await self._call("GET", target, timeout=LIST_TIMEOUT_S)
+            with self._expecting_valid_response(f"list {prefix}", status, response):
                 _require_status(status, 200)
-                for item in out["items"]:
-                    found[_checked_key(item["path"])] = (item["v"], _checked_count(item["feather"]))
-                    after = item["path"]
-                if first < 0:
-                    first = _checked_count(out["moult"])
-                if not out.get("hasNext"):
-                    return found, first
-                if not out["items"]:
+                page = response[ITEMS_FIELD]
+                for item in page:
+                    entry = item[VALUE_FIELD], _checked_count(item[VERSION_FIELD])
+                    last_key = _checked_key(item[KEY_FIELD])
+                    entries[last_key] = entry
+                if first_revision < 0:
+                    first_revision = _checked_count(response[REVISION_FIELD])
+                if not response.get(MORE_PAGES_FIELD):
+                    return entries, first_revision
+                if not page:
                     raise ValueError("more to come, and nothing listed")
 
     async def compare_and_swap(
@@ -128,83 +171,113 @@
         reserve: float = 0.0,
         patience: float = math.inf,
     ) -> tuple[int, list[str]]:
-        """(new revision, []) when it landed, (0, failed keys) when a guard did not hold.
+        """Write all of `puts` and `deletes` if every key of `compare` has the version given there.
 
-        Refused: surely not executed, now or later. Unknown: anything else, an answer of another status included (a gateway's 502
-        or 504 says nothing of what the service has done).
+        Returns (new revision, []) when written, and (0, keys that have another version) when not.
+        Keys of `leased` are deleted by the store once `lease` has expired. `urgent`, `reserve` and
+        `patience` (seconds): see RateLimiter.acquire.
         """
-        apply: list[dict[str, Any]] = []
-        for key, value in puts.items():
-            operation = {"put": key, "v": value}
-            if key in leased:
-                operation["tether"] = lease
-            apply.append(operation)
-        apply += [{"delete": entry_key} for entry_key in deletes]
+        operations = _put_operations(puts, lease, leased)
+        operations += [{DELETE_FIELD: key} for key in deletes]
         body = {
-            "guards": [{"path": entry_key, "feather": item} for entry_key, item in compare.items()],
-            "apply": apply,
+            COMPARE_FIELD: [
+                {KEY_FIELD: key, VERSION_FIELD: version} for key, version in compare.items()
+            ],
+            OPERATIONS_FIELD: operations,
         }
-        await self.writes.acquire(len(apply), urgent, reserve, patience)
-        status, out = await self._call("POST", "/multi", body, urgent=urgent)
-        with self._expecting_valid_response(f"multi {', '.join([*puts, *deletes])}", status, out):
+        await self.writes.acquire(len(operations), urgent, reserve, patience)
+        status, response = await self._call("POST", "/multi", body, urgent=urgent)
+        request = f"multi {', '.join([*puts, *deletes])}"
+        with self._expecting_valid_response(request, status, response):
             if status == 409:
-                return 0, [_checked_key(k) for k in out["failed"]] or ["?"]
-            if status == 400 and isinstance(out, dict) and "lease" in str(out.get("error")):
-                return 0, ["no such lease"]
+                failed = [_checked_key(key) for key in response[FAILED_KEYS_FIELD]]
+                return 0, failed or [UNNAMED_KEY]
+            if status == 400 and _names_lease(response):
+                return 0, [NO_SUCH_LEASE]
             _require_status(status, 200)
-            return _checked_count(out["moult"]), []
+            return _checked_count(response[REVISION_FIELD]), []
 
     async def watch(
         self, prefix: str, since: int, hold_ms: int, urgent: bool = False
     ) -> tuple[int, list[WatchEvent]] | None:
-        """Changes after a revision; None when that is too old and the keys must be read again."""
+        """Return the newest revision and the changes after revision `since`.
+
+        The store answers at the first change, after `hold_ms` milliseconds at the latest. None:
+        `since` is too old, and the keys must be listed again.
+        """
         target = f"/watch?starts={quote(prefix, safe='/')}&from={since}&holdMs={hold_ms}"
-        status, out = await self._call("GET", target, urgent=urgent, hold=hold_ms / 1000)
-        with self._expecting_valid_response(f"watch {prefix}", status, out):
+        status, response = await self._call("GET", target, urgent=urgent, hold=hold_ms / 1000)
+        with self._expecting_valid_response(f"watch {prefix}", status, response):
             if status == 410:
                 return None
             _require_status(status, 200)
-            return _checked_count(out["moult"]), [
-                WatchEvent(_checked_key(e["put"]), e["v"], _checked_count(e["feather"]))
-                if "put" in e
-                else WatchEvent(_checked_key(e["delete"]), None, _checked_count(e["feather"]))
-                for e in out["news"]
-            ]
+            revision = _checked_count(response[REVISION_FIELD])
+            return revision, [_decode_event(event) for event in response[EVENTS_FIELD]]
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """A new lease."""
-        status, out = await self._call(
-            "POST", "/grants", {"lifeMs": int(ttl_s * 1000)}, urgent=True
-        )
-        with self._expecting_valid_response("grants", status, out):
+        """Return a new lease, which expires unless it is renewed every `ttl_s` seconds."""
+        body = {LEASE_TIME_FIELD: int(ttl_s * 1000)}
+        status, response = await self._call("POST", "/grants", body, urgent=True)
+        with self._expecting_valid_response("grants", status, response):
             _require_status(status, 200)
-            return _checked_count(out["tether"])
+            return _checked_count(response[LEASE_FIELD])
 
     async def renew_lease(self, lease: int) -> bool:
-        """False when the lease has ended: only 404 says so."""
-        status, out = await self._call(
-            "POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True
+        """Return whether the lease still held and is renewed. Only a 404 means that it expired."""
+        status, response = await self._call(
+            "POST", f"/grants/{lease}/extend", {}, timeout=RENEWAL_TIMEOUT_S, urgent=True
         )
-        with self._expecting_valid_response(f"extend {lease}", status, out):
+        with self._expecting_valid_response(f"extend {lease}", status, response):
             if status == 404:
                 return False
             _require_status(status, 200)
             return True
 
 
+def _list_target(prefix: str, last_key: str) -> str:
+    """Return the target of the page after `last_key`, of the first page if that is empty."""
+    target = f"/kv?starts={quote(prefix, safe='/')}&limit={PAGE_SIZE}"
+    return f"{target}&from={quote(last_key, safe='/')}" if last_key else target
+
+
+def _put_operations(
+    puts: dict[str, Any], lease: int | None, leased: frozenset[str]
+) -> list[dict[str, Any]]:
+    operations: list[dict[str, Any]] = []
+    for key, value in puts.items():
+        operation = {PUT_FIELD: key, VALUE_FIELD: value}
+        if key in leased:
+            operation[LEASE_FIELD] = lease
+        operations.append(operation)
+    return operations
+
+
+def _decode_event(event: dict[str, Any]) -> WatchEvent:
+    if PUT_FIELD in event:
+        key, value = _checked_key(event[PUT_FIELD]), event[VALUE_FIELD]
+    else:
+        key, value = _checked_key(event[DELETE_FIELD]), None
+    return WatchEvent(key, value, _checked_count(event[VERSION_FIELD]))
+
+
+def _names_lease(response: Any) -> bool:
+    return isinstance(response, dict) and "lease" in str(response.get(ERROR_FIELD))
+
+
 def _require_status(status: int, expected: int) -> None:
     if status != expected:
         raise ValueError(f"status {status}")
 
 
 def _checked_count(value: Any) -> int:
-    """A version, revision or lease."""
+    """Return a version, revision or lease. Raises TypeError for anything else."""
     if type(value) is not int or value < 0:
         raise TypeError(f"not a count: {value!r}"[:60])
     return value
 
 
 def _checked_key(value: Any) -> str:
+    """Return a key. Raises TypeError for anything else."""
     if not isinstance(value, str):
         raise TypeError(f"not a key: {value!r}"[:60])
     return value
