--- a/ploverhall/transport/client_pool.py
+++ b/ploverhall/transport/client_pool.py
@@ -1,7 +1,7 @@
-"""Clients of many addresses, each with one kept connection, within a number of open sockets.
+"""HTTP clients of many addresses, each with one kept connection, within a number of open sockets.
 
-Used for the commands to workers. Without a bound the kept connections of all workers that were ever
-sent a command, gone ones included, fill the process's sockets.
+Used by `controller.agent_commands`. Without a bound the kept connections of all agents that were
+ever sent a command, gone ones included, fill the process's sockets.
 """
 
 from __future__ import annotations
@@ -14,25 +14,31 @@
 
 @dataclass(slots=True)
 class PooledClient:
-    """A client, and how many calls use it now."""
+    """A client, and the number of calls that use it now."""
 
     client: Client
     calls: int = 0
 
 
 class ClientPool:
-    """Makes clients as they are needed, and closes the longest unused ones when there are too many."""
+    """Makes clients as they are needed, and closes the least recently used ones over the limit."""
 
     def __init__(self, make: Callable[[str, int], Client], room: Callable[[], int]) -> None:
-        """`room` says how many connections may be kept at the moment."""
+        """`make` returns a client of a host and port.
+
+        `room` returns how many connections may be kept at the moment.
+        """
         self.make = make
         self.room = room
-        self.clients: dict[tuple[str, int], PooledClient] = {}  # the longest unused first
+        self.clients: dict[tuple[str, int], PooledClient] = {}  # least recently used first
 
     async def call(
         self, host: str, port: int, method: str, target: str, body: object, timeout: float
     ) -> tuple[int, object]:
-        """One request; status and JSON. Raises UnreachableError as `Client.call` does."""
+        """Send one request and return status and JSON. Raises UnreachableError like `Client.call`.
+
+        `timeout` is in seconds.
+        """
         key = (host, port)
         pooled = self.clients.pop(key, None)
         if pooled is None:
@@ -46,12 +52,12 @@
             pooled.calls -= 1
 
     async def trim(self) -> None:
-        """Close the longest unused connections beyond the room that there is."""
+        """Close the least recently used connections over the limit, but none that is in use."""
         excess = len(self.clients) - self.room()
         if excess <= 0:
             return
         unused = [key for key, pooled in self.clients.items() if pooled.calls == 0][:excess]
-        # Before any wait: nobody takes them now
+        # All are removed before the first wait: else a call could take one that is being closed
         removed = [self.clients.pop(key) for key in unused]
         for pooled in removed:
             await pooled.client.aclose()
--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -1,14 +1,14 @@
 """How one controller's sockets are shared between users, agents and its own calls.
 
-Agents (the workers' report clients) keep their connections open. Where there are more agents than
-sockets, the connections are shared in time: once agents hold `shared` connections, an agent that is
-answered on top of them is told to close (`Connection: close`) and connects again for its next
-report. The reconnects are thus spread over the report interval, as the reports are. Idle connections
-of agents that have gone elsewhere are closed, the longest idle first. Near the limit of accepted
+Agents keep their connections open between two heartbeats. Where there are more agents than sockets,
+the connections are shared in time: once agents hold `shared` connections, an agent that is answered
+on top of them is told to close (`Connection: close`) and connects again for its next heartbeat. The
+reconnects are thus spread over the heartbeat interval, as the heartbeats are. Idle connections of
+agents that have gone elsewhere are closed, the longest idle first. Near the limit of accepted
 connections users' connections are closed after their answers, too.
 
 Used by `transport.http_server.Server` for the connections that it accepts, and by
-`transport.client_pool.ClientPool` for the connections to workers. Nothing is done before a limit is
+`transport.client_pool.ClientPool` for the connections to agents. Nothing is done before a limit is
 reached.
 """
 
@@ -21,17 +21,18 @@
 
 from ploverhall.transport.http_parser import Request
 
-ACCEPTED_SHARE = 0.8  # of all sockets: accepted connections; beyond that they are told 503
-CROWDED_SHARE = 0.75  # accepted connections; beyond that all are closed after their answers
-AGENTS_SHARE = 0.7  # agents' connections; beyond that they are told 503, so users find a socket
-SHARED_SHARE = 0.6  # agents' connections that are kept open between two reports
-TOTAL_SHARE = 0.9  # accepted and kept outgoing ones; the rest is for state, cloud and peers
-LEAST_ACCEPTED = 8
+# Shares of all sockets of the process
+ACCEPTED_SHARE = 0.8  # accepted connections; any more are answered 503
+CROWDED_SHARE = 0.75  # accepted connections; over that, all are closed after their answers
+AGENTS_SHARE = 0.7  # agents' connections; any more are answered 503, so that users find a socket
+SHARED_SHARE = 0.6  # agents' connections that are kept open between two heartbeats
+TOTAL_SHARE = 0.9  # accepted and kept outgoing ones; the rest is for store, cloud and peers
+LEAST_ACCEPTED = 8  # connections, also where the platform allows very few sockets
 
 
 @dataclass(slots=True, frozen=True)
 class SocketLimits:
-    """Numbers of open connections."""
+    """Numbers of open connections; the shares above say what holds beyond each of them."""
 
     accepted: int
     crowded: int
@@ -41,7 +42,7 @@
 
     @classmethod
     def of_platform(cls, max_sockets: int) -> SocketLimits:
-        """Shares of the sockets that the platform allows a process."""
+        """Return the limits where the platform allows a process `max_sockets` sockets."""
         accepted = max(LEAST_ACCEPTED, int(max_sockets * ACCEPTED_SHARE))
         return cls(
             accepted=accepted,
@@ -54,19 +55,19 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """An accepted connection: when it is closed unless something comes, and what closes it."""
+    """An accepted connection."""
 
-    due: float
-    scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+    due: float  # time at which it is closed unless something comes
+    scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancelled to close it
 
 
 class ConnectionLimiter:
-    """Counts the accepted connections, and says which agents' connections are to be closed."""
+    """Counts the accepted connections, and decides which of them are closed."""
 
     def __init__(
         self, limits: SocketLimits, is_agent: Callable[[Request], bool], stale_s: float
     ) -> None:
-        """`is_agent` classifies a connection by its first request.
+        """`is_agent` tells whose a connection is by its first request.
 
         An agent that has sent nothing for `stale_s` seconds does not use its connection any more.
         """
@@ -78,17 +79,17 @@
         self.idle: dict[Connection, float] = {}  # agents' connections, the longest idle first
 
     def opened(self, connection: Connection) -> None:
-        """A connection has been accepted."""
+        """Count a connection that has been accepted."""
         self.accepted[connection] = False
 
     def closed(self, connection: Connection) -> None:
-        """A connection has ended, whoever closed it."""
+        """Forget a connection that has ended, whoever closed it."""
         self.accepted.pop(connection, None)
         self.agents.pop(connection, None)
         self.idle.pop(connection, None)
 
     def admit(self, connection: Connection, request: Request) -> bool:
-        """Whether a request is handled; False when it comes from an agent that is over the limit."""
+        """Return whether a request is handled: False from an agent that is over the limit."""
         self.idle.pop(connection, None)
         if not self.accepted.get(connection, True):
             self.accepted[connection] = True
@@ -97,9 +98,9 @@
         return connection not in self.agents or len(self.agents) <= self.limits.agents
 
     def must_close(self, connection: Connection, now: float) -> bool:
-        """Whether a connection is closed after the answer that is about to be sent on it.
+        """Return whether a connection is closed after the answer that is about to be sent on it.
 
-        An agent that reports takes the place of one that does not any more.
+        An agent that sends heartbeats takes the place of one that does not any more.
         """
         if len(self.accepted) > self.limits.crowded:
             return True
@@ -109,7 +110,7 @@
         return len(self.agents) > self.limits.shared
 
     def answered(self, connection: Connection, now: float) -> None:
-        """An answer has been sent, and the connection stays open."""
+        """Record that an answer was sent at `now`, and that the connection stays open."""
         if connection in self.agents:
             self.idle[connection] = now
 
@@ -132,5 +133,5 @@
         return evicted
 
     def room_for_outgoing(self) -> int:
-        """How many connections to workers may be kept open beside the accepted ones."""
+        """Return how many connections to agents may be kept open beside the accepted ones."""
         return max(1, self.limits.total - len(self.accepted))
--- a/ploverhall/transport/http_parser.py
+++ b/ploverhall/transport/http_parser.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 messages from bytes, without I/O: httptools (llhttp) reads them, the limits are kept here.
+"""HTTP/1.1 messages from bytes, without I/O: httptools (llhttp) parses, the limits are kept here.
 
-The house's library for HTTP is h11. On the short requests of workers it cost more than all decisions together: one
-request and its answer took six times the processor time with h11 and a time limit for every read than it takes with httptools
-and uvloop below anyio (`python -m scripts.cost --base a7ed42e --part request`, docs/measurements.md), and a controller of 180
-workers answers ninety a second. So its nearest kin that is written in C took its place.
+Used by `http_server` and `http_client`. httptools rather than h11: on agents' short requests h11,
+with a time limit for every read, took six times the processor time (docs/measurements.md, `python
+-m scripts.cost --base a7ed42e --part request`), and a controller of 180 agents answers ninety
+requests a second.
 """
 
 from __future__ import annotations
@@ -16,35 +16,42 @@
 
 from ploverhall.errors import InvalidHttpError
 
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024
-MAX_PIPELINED_REQUESTS = 16  # requests read ahead of their answers; the protocol has none
+MAX_BODY = 64 * 1024  # bytes of a request's body
+MAX_HEAD = 16 * 1024  # bytes of a message's head
+MAX_PIPELINED_REQUESTS = 16  # requests read ahead of their answers; no client of ours sends any
+# A watch's answer has no limit of its own; this one bounds what a broken service can use up
+MAX_RESPONSE_BODY = 256 * 1024 * 1024
+HEADER_OVERHEAD_BYTES = 4  # colon, space and line end
 
 
 @dataclass(slots=True)
 class Request:
-    """One request, its body read. `close`: the client wants the connection closed after the answer."""
+    """One complete request."""
 
     method: str
     path: str
     query: dict[str, str]
     body: bytes
-    close: bool = False
+    close: bool = False  # the client wants the connection closed after the answer
 
 
 class _Reader:
-    """What both directions share: the sizes of head and body."""
+    """Collects one message after another, and bounds the sizes of head and body.
+
+    The `on_` methods are called by the parser. Errors that they raise come out of `feed`.
+    """
 
     max_body_bytes: int
 
     def __init__(self) -> None:
         self.body = bytearray()
-        self.head = 0  # bytes of the message's head in its whole lines
-        self.bytes_fed = 0  # bytes that came while the head was not complete
+        self.head = 0  # bytes of the head's complete lines
+        self.bytes_fed = 0  # bytes received while the head was not complete
         self.in_head = True
         self.message_begun = False  # a message has begun and is not complete
 
     def on_message_begin(self) -> None:
+        """Start with a new message."""
         self.body.clear()
         self.head = 0
         self.bytes_fed = 0
@@ -52,12 +59,15 @@
         self.message_begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grow(len(name) + len(value) + 4)
+        """Count the bytes of a header."""
+        self._grow(len(name) + len(value) + HEADER_OVERHEAD_BYTES)
 
     def on_headers_complete(self) -> None:
+        """Note that the body follows."""
         self.in_head = False
 
     def on_body(self, data: bytes) -> None:
+        """Collect a part of the body."""
         if len(self.body) + len(data) > self.max_body_bytes:
             raise InvalidHttpError(413, "body too large")
         self.body += data
@@ -78,32 +88,40 @@
                 cause if isinstance(cause, InvalidHttpError) else InvalidHttpError(400, "bad http")
             ) from error
         except httptools.HttpParserUpgrade:
-            pass  # not taken up: the request is answered as it stands, and the connection closed
+            pass  # not accepted: the request is answered as it is, and the connection closed
         except httptools.HttpParserError as error:
             raise InvalidHttpError(400, "bad http") from error
-        if self.message_begun and self.in_head:
-            self.bytes_fed += len(data)  # the parser does not tell of a line until it is complete
-            if (
-                self.bytes_fed > MAX_HEAD + MAX_BODY
-            ):  # (what a body before it may have brought along is allowed for)
-                raise InvalidHttpError(431, "head too large")
+        self._check_unfinished_head(len(data))
+
+    def _check_unfinished_head(self, count: int) -> None:
+        """Bound a head whose line does not end: the parser reports a line once it is complete."""
+        if not self.message_begun or not self.in_head:
+            return
+        self.bytes_fed += count
+        # The first bytes may belong to the message before it, so its body is allowed for
+        if self.bytes_fed > MAX_HEAD + MAX_BODY:
+            raise InvalidHttpError(431, "head too large")
 
 
 class RequestReader(_Reader):
-    """Requests in the order they came. Raises Bad where the stream can't be trusted any more."""
+    """Reads requests, and keeps the complete ones in `ready` in the order they came."""
 
     max_body_bytes = MAX_BODY
 
     def __init__(self) -> None:
         super().__init__()
         self.ready: deque[Request] = deque()
-        self.expects = False  # the client waits to be told to go on (100-continue)
+        self.expects = False  # the client waits for "100 Continue" before it sends the body
         self._url = b""
         self._host = False
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; whole requests stand in `ready`."""
+        """Parse received bytes; complete requests are in `ready` afterwards.
+
+        Raises InvalidHttpError for bytes that are no HTTP or over a limit. Nothing more can be read
+        then, but requests that were complete before are still in `ready`.
+        """
         self._feed(self._parser, data)
         if len(self.ready) > MAX_PIPELINED_REQUESTS:
             raise InvalidHttpError(400, "too many requests at once")
@@ -152,33 +170,32 @@
 
 
 class ResponseReader(_Reader):
-    """One response after the other, each asked for by one request."""
+    """Reads the response to one request after another."""
 
-    # A watch's answer has no limit of its own; this one only bounds what a broken service can do
-    max_body_bytes = 256 * 1024 * 1024
+    max_body_bytes = MAX_RESPONSE_BODY
 
     def __init__(self) -> None:
         super().__init__()
-        self.done = False
+        self.done = False  # the response is complete: `status` and `body` hold
         self.keep = False  # the connection may be used again
-        self._sized = False
+        self._sized = False  # the head says where the body ends
         self._parser = httptools.HttpResponseParser(self)
 
     @property
     def status(self) -> int:
-        """Of the response being read."""
+        """The status of the response that is being read."""
         return int(self._parser.get_status_code())
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; `done` once the response is whole."""
+        """Parse received bytes. Raises InvalidHttpError when they are no HTTP or over a limit."""
         self._feed(self._parser, data)
 
     def eof(self) -> bool:
-        """The other side has closed: whether that completes the response."""
+        """Return whether the response is complete now that the other side has closed."""
         return self.message_begun and not self.in_head and not self._sized
 
     def next(self) -> None:
-        """Another request goes out on this connection."""
+        """Prepare for the response to another request on the same connection."""
         self.done = False
 
     def on_message_begin(self) -> None:
@@ -195,5 +212,6 @@
     def on_message_complete(self) -> None:
         """Called by the parser."""
         self.message_begun = False
-        if self._parser.get_status_code() >= 200:
-            self.done, self.keep = True, self._parser.should_keep_alive()
+        if self._parser.get_status_code() >= 200:  # below: informational, the response follows
+            self.done = True
+            self.keep = self._parser.should_keep_alive()
--- a/ploverhall/transport/http_server.py
+++ b/ploverhall/transport/http_server.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import math
 import time
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -20,6 +21,8 @@
 from ploverhall.transport.network import CONNECTION_ERRORS, READ_BYTES, TCP_NETWORK, Network
 
 SWEEP_INTERVAL_S = 0.1  # how often connections are checked for passed deadlines
+BUSY_RETRY_S = 1.0  # told to clients that are over a limit
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 REASON_PHRASES = {
     200: "OK",
@@ -38,22 +41,26 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What the handler answers: a JSON value, and when to come back if it says no."""
+    """What a handler answers."""
 
     status: int
-    body: object = None
-    retry_after: float | None = None
-    close: bool = False
-    sent: Callable[[], None] | None = None
+    body: object = None  # JSON; None is sent as an empty object
+    retry_after: float | None = None  # seconds, sent as Retry-After
+    close: bool = False  # close the connection after it
+    sent: Callable[[], None] | None = None  # called once it has been sent
 
 
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
 def encode(reply: Reply, head_only: bool = False) -> bytes:
-    """A reply as it goes out."""
+    """Return a reply's bytes; `head_only` for a HEAD request, whose answer has no body."""
     body = orjson.dumps(reply.body) if reply.body is not None else b"{}"
-    head = f"HTTP/1.1 {reply.status} {REASON_PHRASES.get(reply.status, '')}\r\ncontent-type: application/json\r\ncontent-length: {len(body)}\r\n"
+    head = (
+        f"HTTP/1.1 {reply.status} {REASON_PHRASES.get(reply.status, '')}\r\n"
+        "content-type: application/json\r\n"
+        f"content-length: {len(body)}\r\n"
+    )
     if reply.retry_after is not None:
         head += f"retry-after: {max(1, round(reply.retry_after))}\r\n"
     if reply.close:
@@ -61,11 +68,12 @@
     return head.encode() + b"\r\n" + (b"" if head_only else body)
 
 
-class Server:
-    """Serves one listener. Connections over the cap are told 503 and closed, so others keep their sockets.
+def _busy() -> Reply:
+    return Reply(503, {"error": "busy"}, BUSY_RETRY_S, True)
+
 
-    A `limiter` shares the connections in time where agents hold too many of them.
-    """
+class Server:
+    """Serves one listener."""
 
     def __init__(
         self,
@@ -77,6 +85,13 @@
         clock: Callable[[], float] = time.monotonic,
         limiter: ConnectionLimiter | None = None,
     ) -> None:
+        """`handler` answers the requests, one at a time for each connection.
+
+        More than `cap` connections are answered 503 and closed. A connection is closed after
+        `idle_s` seconds between two requests, and after `slow_s` seconds in which a client did not
+        finish sending a request or receiving an answer. A `limiter` shares the connections in time
+        where agents hold too many of them.
+        """
         self.network = network
         self.clock = clock
         self.handler = handler
@@ -84,17 +99,17 @@
         self.idle_s = idle_s
         self.slow_s = slow_s
         self.limiter = limiter
-        # In the order they came: a set's would be that of their addresses in memory
+        # By time of acceptance. No set: its order would differ from run to run
         self.connections: dict[Connection, None] = {}
 
     async def run(self, host: str, port: int) -> None:
-        """Listen and serve until cancelled."""
+        """Listen and serve until cancelled. Raises OSError if the address can't be listened on."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._sweep)
             await self.network.serve(host, port, self._serve)
 
     async def _sweep(self) -> None:
-        """End the connections that are too slow: one look at all of them instead of a time limit for every read."""
+        """Close connections that are past their time; cheaper than a time limit for every read."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_S)
             now = self.clock()
@@ -112,11 +127,10 @@
         try:
             with connection.scope:
                 async with stream:
-                    if len(self.connections) > self.cap and not self._evict():
-                        connection.due = self.clock() + self.slow_s
-                        await stream.send(encode(Reply(503, {"error": "busy"}, 1.0, True)))
-                        return
-                    await self._serve_requests(stream, connection)
+                    if len(self.connections) <= self.cap or self._evict():
+                        await self._serve_requests(stream, connection)
+                    else:
+                        await self._send(stream, connection, _busy())
         except CONNECTION_ERRORS:
             pass
         finally:
@@ -125,53 +139,71 @@
                 self.limiter.closed(connection)
 
     def _evict(self) -> bool:
-        """Make room for a new connection; False where there is none to be made."""
+        """Close unused connections of agents; False where there is none."""
         return self.limiter is not None and self.limiter.evict(self.clock()) > 0
 
     async def _answer(self, request: Request, connection: Connection) -> Reply:
-        """What a request is answered, and whether its connection is closed after that."""
+        """Return the answer to a request, with `close` as the limiter decides."""
         if self.limiter is None:
             return await self.handler(request)
         if not self.limiter.admit(connection, request):
-            return Reply(503, {"error": "busy"}, 1.0, True)
+            return _busy()
         reply = await self.handler(request)
         reply.close = reply.close or self.limiter.must_close(connection, self.clock())
         return reply
 
     async def _serve_requests(self, stream: anyio.abc.ByteStream, connection: Connection) -> None:
+        """Answer one request after another until one side wants the connection closed."""
         reader = RequestReader()
         while True:
-            invalid: InvalidHttpError | None = None
-            message_begun = reader.message_begun
-            data = await stream.receive(READ_BYTES)
-            try:
-                reader.feed(data)
-            except InvalidHttpError as error:
-                invalid = error
+            in_message = reader.message_begun
+            error = _feed(reader, await stream.receive(READ_BYTES))
             while reader.ready:
-                request = reader.ready.popleft()
-                connection.due = float("inf")  # the handler keeps its own time
-                reply = await self._answer(request, connection)
-                reply.close = reply.close or request.close
-                connection.due = self.clock() + self.slow_s
-                await stream.send(encode(reply, request.method == "HEAD"))
-                if reply.sent is not None:
-                    reply.sent()
+                reply = await self._serve_request(stream, connection, reader.ready.popleft())
                 if reply.close:
                     return
-                message_begun = False
-                connection.due = self.clock() + self.idle_s
-                if self.limiter is not None:
-                    self.limiter.answered(connection, self.clock())
-            if invalid is not None:
-                connection.due = self.clock() + self.slow_s
-                await stream.send(
-                    encode(Reply(invalid.status, {"error": str(invalid)}, None, True))
-                )
+                in_message = False
+            if error is not None:
+                reply = Reply(error.status, {"error": str(error)}, close=True)
+                await self._send(stream, connection, reply)
                 return
-            if reader.message_begun and not message_begun:
-                # A slow client gets this long for the rest of it
-                connection.due = self.clock() + self.slow_s
+            if reader.message_begun and not in_message:
+                connection.due = self.clock() + self.slow_s  # for the rest of this request
             if reader.expects and not reader.in_head:
                 reader.expects = False
-                await stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
+                await stream.send(CONTINUE)
+
+    async def _serve_request(
+        self, stream: anyio.abc.ByteStream, connection: Connection, request: Request
+    ) -> Reply:
+        """Answer one request, and return the reply that was sent."""
+        connection.due = math.inf  # the handler sets its own time limits
+        reply = await self._answer(request, connection)
+        reply.close = reply.close or request.close
+        await self._send(stream, connection, reply, request.method == "HEAD")
+        if reply.sent is not None:
+            reply.sent()
+        if not reply.close:
+            connection.due = self.clock() + self.idle_s
+            if self.limiter is not None:
+                self.limiter.answered(connection, self.clock())
+        return reply
+
+    async def _send(
+        self,
+        stream: anyio.abc.ByteStream,
+        connection: Connection,
+        reply: Reply,
+        head_only: bool = False,
+    ) -> None:
+        connection.due = self.clock() + self.slow_s
+        await stream.send(encode(reply, head_only))
+
+
+def _feed(reader: RequestReader, data: bytes) -> InvalidHttpError | None:
+    """Parse bytes; an error is returned, to be answered after the requests that came before it."""
+    try:
+        reader.feed(data)
+    except InvalidHttpError as error:
+        return error
+    return None
--- a/ploverhall/transport/network.py
+++ b/ploverhall/transport/network.py
@@ -1,7 +1,7 @@
-"""What carries bytes: the one seam between a controller and the network.
+"""The interface between a controller and the network, and its implementation with TCP.
 
-Everything above (HTTP, the links between controllers) is written against `Net`. The real one is TCP; the tests play the
-whole composition over one of their own, in virtual time, where every directed link has a state (tests/played.py).
+HTTP and the links between controllers are written against `Network`. Tests run whole clusters over
+a simulated one in virtual time, where every directed link has a state (tests/played.py).
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 from anyio.abc import ByteStream
 
 BACKLOG = 4096  # connections that wait to be accepted: every agent comes at once after a pause
-READ_BYTES = 65_536  # read from a stream at once
+READ_BYTES = 65_536  # most bytes read from a stream at once
+# What reading from and writing to a stream raise when the connection is lost
 CONNECTION_ERRORS = (
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -27,23 +28,29 @@
     """Connections to addresses, and listeners on them."""
 
     async def connect(self, host: str, port: int) -> ByteStream:
-        """A new connection; OSError when it is refused or reset. It may hang: the caller keeps the time."""
+        """Return a new connection. Raises OSError when it is refused or reset.
+
+        It may hang for ever: callers set a time limit.
+        """
         ...
 
     async def serve(self, host: str, port: int, handler: Handler, backlog: int = BACKLOG) -> None:
-        """Accept connections until cancelled, each with a handler of its own."""
+        """Accept connections until cancelled, and call `handler` with each, concurrently.
+
+        Raises OSError when the address cannot be listened on.
+        """
         ...
 
 
 class TcpNetwork:
-    """The machine's own TCP."""
+    """TCP sockets of this host."""
 
     async def connect(self, host: str, port: int) -> ByteStream:
-        """See Net."""
+        """See Network."""
         return await anyio.connect_tcp(host, port)
 
     async def serve(self, host: str, port: int, handler: Handler, backlog: int = BACKLOG) -> None:
-        """See Net."""
+        """See Network."""
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=backlog
         )
