--- a/ploverhall/connectivity/__init__.py
+++ b/ploverhall/connectivity/__init__.py
@@ -1,4 +1,5 @@
-"""What this controller reaches, how it knows, and what it does where it doesn't: asks through another (docs/reach.md).
+"""Which services and peers this controller reaches, and relaying through peers where it does not.
 
-No I/O: clocks are passed in, measurements come in, ways and waits come out. `control.carrying` does the sending.
+No I/O: times and measurements are passed in, routes and decisions come out. `controller.relay` does
+the sending. See docs/reach.md.
 """
--- a/ploverhall/connectivity/failback_backoff.py
+++ b/ploverhall/connectivity/failback_backoff.py
@@ -1,41 +1,42 @@
-"""When a shard goes back to its home: late enough, and ever later for a home that comes and goes.
+"""When a shard fails back to its preferred controller: later after each recent loss.
 
-Six partial cuts moved a third of the fleet 17 to 19 times: whoever lost a link lost its part, got it back 6 s later, and lost
-it again. Every move stops what places and permits in that part for a moment.
+Without that, a controller whose link comes and goes loses its shard and gets it back over and over,
+and every move interrupts scheduling in that shard. Used by `controller.shard_leases`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-LOSS_WINDOW_S = 180.0
+LOSS_WINDOW_S = 180.0  # losses longer ago are forgotten
 MAX_FAILBACK_DELAY_S = 90.0
 
 
 @dataclass
 class FailbackBackoff:
-    """What each shard has been through lately."""
+    """Recent losses of shards by their preferred controllers."""
 
     base_delay_s: float
-    losses: dict[int, list[float]] = field(default_factory=dict)  # per shard: when its home lost it
-    # Since when its home has been well
+    losses: dict[int, list[float]] = field(default_factory=dict)  # times, by shard
+    # By shard: since when its preferred controller has been healthy
     healthy_since: dict[int, float] = field(default_factory=dict)
 
     def record_loss(self, shard: int, now: float) -> None:
-        """A shard has gone from its home to another."""
+        """Record that a shard has moved from its preferred controller to another."""
         recent_losses = [at for at in self.losses.get(shard, []) if now - at < LOSS_WINDOW_S]
         self.losses[shard] = [*recent_losses, now]
 
     def delay_s(self, shard: int, now: float) -> float:
-        """Seconds for which the home must have been well: the first time as set, twice as long for every further loss."""
+        """Return the seconds for which the preferred controller must have been healthy.
+
+        `base_delay_s` after one recent loss, and twice as long for every further one.
+        """
         loss_count = sum(1 for at in self.losses.get(shard, ()) if now - at < LOSS_WINDOW_S)
-        return max(
-            self.base_delay_s,
-            min(MAX_FAILBACK_DELAY_S, self.base_delay_s * 2.0 ** max(0, loss_count - 1)),
-        )
+        delay_s = self.base_delay_s * 2.0 ** max(0, loss_count - 1)
+        return max(self.base_delay_s, min(MAX_FAILBACK_DELAY_S, delay_s))
 
     def should_fail_back(self, shard: int, healthy: bool, now: float) -> bool:
-        """How the home of a shard held here is; True when it should get it back."""
+        """Record the health of the preferred controller; return whether to hand the shard back."""
         if not healthy:
             self.healthy_since.pop(shard, None)
             return False
--- a/ploverhall/connectivity/heartbeat_failback.py
+++ b/ploverhall/connectivity/heartbeat_failback.py
@@ -1,57 +1,81 @@
-"""Workers whose reports come through another member: when are they sent home again?
+"""Agents whose heartbeats come through a peer: when they are told to send them here directly again.
 
-Sent home while its link is still cut, a worker hangs for 4 s and then waits 1 s more, and nothing starts there meanwhile. So the
-owner tries the link itself (a question to the worker; a connection needs both directions), and sends a worker home only when
-that was answered. One that comes back all the same (a filter that lets the owner through but not the worker) is tried ever
-more seldom.
+An agent that is redirected while its link is still cut waits for seconds until it turns elsewhere,
+and nothing starts on its machine meanwhile. So the shard's owner first probes the agent directly (a
+connection needs both directions), and redirects it only once it has answered. An agent that comes
+back through a peer all the same (a filter that blocks one side's connections only) is probed ever
+more seldom. Used by `controller.heartbeat_requests` and `controller.agent_commands`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-PROBE_INTERVAL_S = 2.0  # between two questions to one worker
-MAX_CONCURRENT_PROBES = 8  # questions open at once
-# Sent home, and through another again so soon: it could not reach this controller
+PROBE_INTERVAL_S = 2.0  # between two probes of one agent
+MAX_CONCURRENT_PROBES = 8
+# An agent that comes through a peer so soon after a redirect could not reach this controller
 FAILED_FAILBACK_S = 20.0
 INITIAL_BACKOFF_S = 10.0
 MAX_BACKOFF_S = 120.0
 FORGET_AGENT_S = 60.0
+NEVER = -1e9  # before any time of the clock
 
 
 @dataclass(slots=True)
 class RelayedAgent:
-    """A worker that reports through another member."""
+    """An agent whose heartbeats come through a peer."""
 
-    via: str
-    last_heartbeat_at: float  # its last report that way
-    next_probe_at: float = -1e9  # when it may be asked next
+    via: str  # name of the peer
+    last_heartbeat_at: float  # of the last relayed one
+    next_probe_at: float = NEVER
     probing: bool = False
-    failback_due: bool = False  # it answered: its next report sends it home
-    redirected_at: float = -1e9  # when it was sent home
+    failback_due: bool = False  # it answered a probe: its next heartbeat is answered by a redirect
+    redirected_at: float = NEVER
     backoff_s: float = 0.0
 
+    @property
+    def redirected(self) -> bool:
+        """Whether it was told to come directly, and has not come through a peer soon after."""
+        return self.redirected_at > NEVER
+
+    def redirect_failed(self, now: float) -> bool:
+        """Return whether a relayed heartbeat now means that it could not come directly."""
+        return (
+            self.redirected
+            and not self.failback_due
+            and now - self.redirected_at < FAILED_FAILBACK_S
+        )
+
+    def back_off(self, now: float) -> None:
+        """Delay the next probe, twice as long as the last time."""
+        self.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2 * self.backoff_s))
+        self.next_probe_at = now + self.backoff_s
+        self.redirected_at = NEVER
+
+    def probe_due(self, now: float) -> bool:
+        """Return whether it may be probed now."""
+        return (
+            not self.probing
+            and not self.failback_due
+            and not self.redirected
+            and now >= self.next_probe_at
+        )
+
 
 @dataclass
 class HeartbeatFailback:
-    """The workers of this controller's shards that are away."""
+    """The agents of this controller's shards whose heartbeats come through peers."""
 
-    relayed_agents: dict[str, RelayedAgent] = field(default_factory=dict)
+    relayed_agents: dict[str, RelayedAgent] = field(default_factory=dict)  # by machine
     open_probes: int = 0
 
     def heartbeat_relayed(self, machine: str, via: str, now: float) -> bool:
-        """A report came through a member; True when the worker should be sent home with the answer."""
+        """Record a heartbeat through a peer; return whether to answer it by a redirect."""
         agent = self.relayed_agents.get(machine)
         if agent is None:
             agent = self.relayed_agents[machine] = RelayedAgent(via, now)
-        if (
-            agent.redirected_at > -1e9
-            and not agent.failback_due
-            and now - agent.redirected_at < FAILED_FAILBACK_S
-        ):
-            agent.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2 * agent.backoff_s))
-            agent.next_probe_at = now + agent.backoff_s
-            agent.redirected_at = -1000000000.0
+        if agent.redirect_failed(now):
+            agent.back_off(now)
         agent.via = via
         agent.last_heartbeat_at = now
         if agent.failback_due:
@@ -61,45 +85,39 @@
         return False
 
     def heartbeat_direct(self, machine: str, now: float) -> None:
-        """A worker has reported here itself."""
+        """Record a heartbeat that came directly."""
         agent = self.relayed_agents.get(machine)
-        if agent is not None and (
-            agent.backoff_s == 0.0 or now - agent.redirected_at > FAILED_FAILBACK_S
-        ):
+        if agent is None:
+            return
+        # An agent that has failed before is remembered for a while: it may be about to fail again
+        if agent.backoff_s == 0.0 or now - agent.redirected_at > FAILED_FAILBACK_S:
             del self.relayed_agents[machine]
 
     def relay_for(self, machine: str, now: float, max_age_s: float) -> str | None:
-        """Through whom a worker was last heard, if it is away."""
+        """Return the peer through which an agent's heartbeats come, None if they come directly.
+
+        A heartbeat that is older than `max_age_s` seconds does not count.
+        """
         agent = self.relayed_agents.get(machine)
-        return (
-            agent.via
-            if agent is not None
-            and now - agent.last_heartbeat_at < max_age_s
-            and agent.redirected_at == -1e9
-            else None
-        )
+        if agent is None or agent.redirected or now - agent.last_heartbeat_at >= max_age_s:
+            return None
+        return agent.via
 
     def due_probes(self, now: float) -> list[str]:
-        """Workers to be asked now."""
-        out = []
-        for name, agent in list(self.relayed_agents.items()):
+        """Return the machines whose agents are to be probed now; each counts as an open probe."""
+        due = []
+        for machine, agent in list(self.relayed_agents.items()):
             if now - max(agent.last_heartbeat_at, agent.redirected_at) > FORGET_AGENT_S:
-                del self.relayed_agents[name]
-            elif (
-                self.open_probes < MAX_CONCURRENT_PROBES
-                and not agent.probing
-                and not agent.failback_due
-                and agent.redirected_at == -1e9
-                and now >= agent.next_probe_at
-            ):
+                del self.relayed_agents[machine]
+            elif self.open_probes < MAX_CONCURRENT_PROBES and agent.probe_due(now):
                 agent.probing = True
                 agent.next_probe_at = now + PROBE_INTERVAL_S
                 self.open_probes += 1
-                out.append(name)
-        return out
+                due.append(machine)
+        return due
 
     def probe_finished(self, machine: str, answered: bool, now: float) -> None:
-        """A worker has answered, or not."""
+        """Record the result of a probe."""
         self.open_probes -= 1
         agent = self.relayed_agents.get(machine)
         if agent is not None:
--- a/ploverhall/connectivity/link_health.py
+++ b/ploverhall/connectivity/link_health.py
@@ -1,45 +1,46 @@
-"""One link as this process measures it: good, or bad, with hysteresis.
+"""Health of one link as this process measures it, with hysteresis.
 
-Going bad is quick, since what is asked meanwhile hangs; becoming good again takes answers for a while, and longer for a
-link that keeps failing, since every return costs those who trust it.
+A link turns unhealthy quickly, since requests hang meanwhile. To turn healthy again it must answer
+for a while, and for longer if it keeps failing, since each return costs those who trust it. Used by
+`controller.outbound` for each outside service.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# An answer takes tens of milliseconds, now and then a few hundred; nothing at all for so long is
-# a cut
+# Failures or silence for so long make a link unhealthy; an answer takes a few hundred ms at most
 MIN_FAILURE_S = 0.6
-# And for so many times what an answer usually takes: a slow service is no cut
-FAILURE_RTT_MULTIPLE = 4.0
-# Answers for so long, and nothing else, before a link that was bad is trusted
-INITIAL_RECOVERY_S = 1.5
-FLAP_WINDOW_S = 30.0  # bad again so soon after it was good: the next return takes twice as long
-MAX_RECOVERY_S = 24.0  # at most
+FAILURE_RTT_MULTIPLE = 4.0  # and so many times the usual latency: a slow service is no partition
+INITIAL_RECOVERY_S = 1.5  # answers, and no failures, for so long make it healthy again
+FLAP_WINDOW_S = 30.0  # failing again so soon after it recovered doubles that time
+MAX_RECOVERY_S = 24.0
+MAX_LATENCY_SAMPLE_S = 2.0
+LATENCY_WEIGHT = 0.1  # of a new sample in the average
 
 
 @dataclass(slots=True)
 class LinkHealth:
-    """Fed with what was asked and answered; `good` is what is believed."""
+    """State of a link, from the requests sent on it and their answers; all times by one clock."""
 
-    typical_latency_s: float = 0.02  # seconds from a question to its answer
+    typical_latency_s: float = 0.02  # moving average
     healthy: bool = True
-    changed_at: float = -1e9  # of the present state
-    last_answer_at: float = -1e9  # newest answer
-    failing_since: float | None = None  # since when nothing but failures came, or silence
-    answering_since: float | None = None  # since when nothing but answers came
-    recovery_s: float = INITIAL_RECOVERY_S  # answers for so long make it good again
-    failure_count: int = 0  # how often it went bad
+    changed_at: float = -1e9  # when `healthy` last changed
+    last_answer_at: float = -1e9
+    failing_since: float | None = None  # beginning of the present failures or silence
+    answering_since: float | None = None  # first answer since the last failure
+    recovery_s: float = INITIAL_RECOVERY_S  # what it now takes to become healthy again
+    failure_count: int = 0  # how often it became unhealthy
 
     @property
     def failure_threshold_s(self) -> float:
-        """Seconds of nothing but failures or silence that make it bad."""
+        """Seconds of failures or silence that make the link unhealthy."""
         return max(MIN_FAILURE_S, FAILURE_RTT_MULTIPLE * self.typical_latency_s)
 
     def record_answer(self, latency_s: float, now: float) -> None:
-        """A question was answered after so long."""
-        self.typical_latency_s += (min(latency_s, 2.0) - self.typical_latency_s) * 0.1
+        """Record that a request was answered after `latency_s` seconds."""
+        sample_s = min(latency_s, MAX_LATENCY_SAMPLE_S)
+        self.typical_latency_s += (sample_s - self.typical_latency_s) * LATENCY_WEIGHT
         self.failing_since = None
         self.last_answer_at = now
         if self.answering_since is None:
@@ -49,32 +50,31 @@
             self.changed_at = now
 
     def record_failure(self, started_at: float, now: float) -> None:
-        """A question asked then was refused, or got no answer in time."""
+        """Record that a request sent at `started_at` failed or timed out."""
         self.answering_since = None
         self._extend_failure(started_at, now)
 
     def record_overdue(self, oldest_due_at: float, now: float) -> None:
-        """The oldest question that should have been answered by now was asked then."""
+        """Record that the oldest request that should be answered by now was sent at that time."""
         if now - max(oldest_due_at, self.last_answer_at) > self.failure_threshold_s:
             self.answering_since = None
             self._extend_failure(oldest_due_at, now)
 
     def _extend_failure(self, started_at: float, now: float) -> None:
-        # An answer to another question, later than this one, says that the link was up
+        # A later answer to another request shows that the link was up until then
         since = max(started_at, self.last_answer_at)
         self.failing_since = since if self.failing_since is None else min(self.failing_since, since)
         self._update_state(now)
 
     def _update_state(self, now: float) -> None:
-        if (
-            self.healthy
-            and self.failing_since is not None
-            and now - self.failing_since >= self.failure_threshold_s
-        ):
-            flapping = now - self.changed_at < FLAP_WINDOW_S and self.failure_count > 0
-            self.recovery_s = (
-                min(MAX_RECOVERY_S, self.recovery_s * 2) if flapping else INITIAL_RECOVERY_S
-            )
-            self.healthy = False
-            self.changed_at = now
-            self.failure_count += 1
+        if not self.healthy or self.failing_since is None:
+            return
+        if now - self.failing_since < self.failure_threshold_s:
+            return
+        if now - self.changed_at < FLAP_WINDOW_S and self.failure_count > 0:
+            self.recovery_s = min(MAX_RECOVERY_S, self.recovery_s * 2)
+        else:
+            self.recovery_s = INITIAL_RECOVERY_S
+        self.healthy = False
+        self.changed_at = now
+        self.failure_count += 1
--- a/ploverhall/connectivity/relay_routes.py
+++ b/ploverhall/connectivity/relay_routes.py
@@ -1,7 +1,8 @@
-"""What each member says that it reaches, and so: through whom something can be reached that this one can't reach itself.
+"""What each peer reaches by its own account, and the routes that follow for this controller.
 
-A way is worth trying only while the one it leads through says that its own link is good, has said so just now, and has
-not just failed. Over two members where no single one has both links: the first then asks the second.
+A route through a peer is worth trying only while that peer says that its own link is healthy, has
+said so just now, and has not just failed. Where no single peer has both links, a route leads over
+two: the first relays to the second. Used by `controller.relay` and those that relay through it.
 """
 
 from __future__ import annotations
@@ -9,72 +10,66 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-REPORT_MAX_AGE_S = 1.6  # members speak twice a second; what is older may be over
-# A way that has just failed is left alone for so long, and twice as long each time
+REPORT_MAX_AGE_S = 1.6  # peers report twice a second; an older report may not hold any more
+# Time for which a route that has just failed is not used, doubled with every further failure
 INITIAL_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
-OUTSIDE_SERVICES = frozenset(("state", "cloud"))
+NEVER = -1e9  # before any time of the clock
+MAX_INCARNATION_LENGTH = 40
+OUTSIDE_SERVICES = frozenset(("state", "cloud"))  # as relay_messages.STORE and CLOUD
+
+# Field names of a connectivity report
+INCARNATION_FIELD = "life"
+RELAY_KINDS_FIELD = "can"
+REACHABLE_SERVICES_FIELD = "good"
+HEARD_PEERS_FIELD = "hears"
+RELAYS_IN_USE_FIELD = "through"
+UNREACHABLE_SHARDS_FIELD = "cut"
 
 
 @dataclass(slots=True)
 class PeerConnectivity:
-    """One member's newest word on its links."""
-
-    received_at: float = -1e9  # when it was heard
-    incarnation: str = ""  # changes when its process starts anew
-    # What it carries; nothing if it is of a release that doesn't
-    relay_kinds: frozenset[str] = frozenset()
-    reachable_services: frozenset[str] = frozenset()  # which outside services it reaches by itself
-    # Others: through whom it reaches them now
-    relays_in_use: dict[str, str] = field(default_factory=dict)
-    heard_peers: frozenset[str] = frozenset()  # members that it hears
-    # Shards held whose workers don't reach it, and their epochs
+    """One peer's newest report on its links."""
+
+    received_at: float = NEVER
+    incarnation: str = ""  # of the peer's process
+    relay_kinds: frozenset[str] = frozenset()  # kinds of requests that it relays
+    reachable_services: frozenset[str] = frozenset()  # outside services that it reaches directly
+    relays_in_use: dict[str, str] = field(default_factory=dict)  # by service: its relay to it
+    heard_peers: frozenset[str] = frozenset()  # peers whose messages reach it
+    # Epochs by shard held whose agents don't reach it
     unreachable_shards: dict[int, int] = field(default_factory=dict)
-    backoff_until: float = -1e9  # until when it is left alone
+    backoff_until: float = NEVER  # no route leads through it before
     backoff_s: float = INITIAL_BACKOFF_S
 
 
 class RelayRoutes:
-    """What the other members say, and the ways that follow from it."""
+    """The newest report of every peer, and the routes that follow from them."""
 
     def __init__(self, peer_names: list[str]) -> None:
         self.peers = {name: PeerConnectivity() for name in sorted(peer_names)}
-        # Per service: the member that was asked last; kept while it serves
+        # Peer that relays to each service; kept while it can, so that routes don't alternate
         self.chosen_relays: dict[str, str] = {}
 
     def update(self, name: str, report: dict[str, Any], now: float) -> None:
-        """A member has spoken. What is not in the known form counts as not said."""
+        """Record a peer's report. Whatever in it is not in the known form counts as missing."""
         peer = self.peers.get(name)
         if peer is None:
             return
-        through, cut = report.get("through"), report.get("cut")
-        peer.received_at, peer.incarnation = now, str(report.get("life"))[:40]
-        peer.relay_kinds, peer.reachable_services, peer.heard_peers = (
-            _string_set(report.get("can")),
-            _string_set(report.get("good")),
-            _string_set(report.get("hears")),
-        )
-        peer.relays_in_use = (
-            {
-                k: value
-                for k, value in through.items()
-                if isinstance(k, str) and isinstance(value, str)
-            }
-            if isinstance(through, dict)
-            else {}
-        )
-        peer.unreachable_shards = (
-            {k: value for k, value in cut.items() if isinstance(k, int) and isinstance(value, int)}
-            if isinstance(cut, dict)
-            else {}
-        )
+        peer.received_at = now
+        peer.incarnation = str(report.get(INCARNATION_FIELD))[:MAX_INCARNATION_LENGTH]
+        peer.relay_kinds = _string_set(report.get(RELAY_KINDS_FIELD))
+        peer.reachable_services = _string_set(report.get(REACHABLE_SERVICES_FIELD))
+        peer.heard_peers = _string_set(report.get(HEARD_PEERS_FIELD))
+        peer.relays_in_use = _string_table(report.get(RELAYS_IN_USE_FIELD))
+        peer.unreachable_shards = _integer_table(report.get(UNREACHABLE_SHARDS_FIELD))
 
     def is_fresh(self, name: str, now: float) -> bool:
-        """Whether a member has spoken just now."""
+        """Return whether a peer's report is recent enough to be relied on."""
         return name in self.peers and now - self.peers[name].received_at < REPORT_MAX_AGE_S
 
     def can_relay_now(self, name: str, kind: str, now: float) -> bool:
-        """Whether a member can be asked to carry something of that kind."""
+        """Return whether a peer can be asked now to relay a request of that kind."""
         return (
             self.is_fresh(name, now)
             and kind in self.peers[name].relay_kinds
@@ -82,7 +77,7 @@
         )
 
     def supports_relay(self, name: str, kind: str) -> bool:
-        """Whether a member has ever said, in its present life, that it carries that kind."""
+        """Return whether a peer's last report, of whatever age, says that it relays that kind."""
         return name in self.peers and kind in self.peers[name].relay_kinds
 
     def route_to_service(
@@ -93,21 +88,18 @@
         avoid: frozenset[str] = frozenset(),
         hops: int = 2,
     ) -> str | None:
-        """Through whom an outside service is reached: one that reaches it by itself, else (two hops) one that hears such a one."""
-        relays = [
-            name
-            for name in self.peers
-            if name not in avoid
-            and self.can_relay_now(name, kind, now)
-            and service in self.peers[name].reachable_services
+        """Return the peer to relay requests to an outside service through, None if there is none.
+
+        A peer that reaches the service directly, else (with two `hops`) one that hears such a peer.
+        Peers of `avoid` are left out, also as the second hop.
+        """
+        candidates = [
+            name for name in self.peers if name not in avoid and self.can_relay_now(name, kind, now)
         ]
+        relays = [name for name in candidates if service in self.peers[name].reachable_services]
         if not relays and hops > 1:
             relays = [
-                name
-                for name in self.peers
-                if name not in avoid
-                and self.can_relay_now(name, kind, now)
-                and self._hears_direct_relay(name, service, kind, avoid)
+                name for name in candidates if self._hears_direct_relay(name, service, kind, avoid)
             ]
         if not relays:
             return None
@@ -118,65 +110,80 @@
     def _hears_direct_relay(
         self, name: str, service: str, kind: str, avoid: frozenset[str]
     ) -> bool:
-        """Whether a member hears another that reaches the service, by what both say."""
+        """Whether a peer hears another that reaches the service, by the reports of both."""
         return any(
-            controller_name not in avoid
-            and controller_name != name
-            and controller_name in self.peers[name].heard_peers
-            and kind in said.relay_kinds
-            and service in said.reachable_services
-            for controller_name, said in self.peers.items()
+            other not in avoid
+            and other != name
+            and other in self.peers[name].heard_peers
+            and kind in connectivity.relay_kinds
+            and service in connectivity.reachable_services
+            for other, connectivity in self.peers.items()
         )
 
     def route_to_peer(
         self, name: str, kind: str, now: float, avoid: frozenset[str] = frozenset(), hops: int = 2
     ) -> str | None:
-        """Whom to hand something for a member: itself if it is heard, else one that hears it."""
+        """Return the peer to send a request for `name` to, None if there is no route.
+
+        That peer itself if it can be heard, else (with two `hops`) one that hears it and is not in
+        `avoid`.
+        """
         if self.can_relay_now(name, kind, now):
             return name
-        if hops > 1:
-            for controller_name, said in self.peers.items():
-                if (
-                    controller_name != name
-                    and controller_name not in avoid
-                    and self.can_relay_now(controller_name, kind, now)
-                    and name in said.heard_peers
-                ):
-                    return controller_name
+        if hops <= 1:
+            return None
+        for other, connectivity in self.peers.items():
+            if other == name or other in avoid or name not in connectivity.heard_peers:
+                continue
+            if self.can_relay_now(other, kind, now):
+                return other
         return None
 
     def reports_unreachable_shard(self, name: str, shard: int) -> bool:
-        """Whether a member says that no worker of a shard it holds reaches it."""
+        """Return whether a peer reports that no agent of a shard that it holds reaches it."""
         return name in self.peers and shard in self.peers[name].unreachable_shards
 
     def all_services_reachable(self, name: str, now: float) -> bool:
-        """Whether a member says that it reaches all outside services by itself. One of a release that says nothing counts as well."""
+        """Return whether a peer reaches all outside services directly.
+
+        One that has never reported counts as well: it may be of a release that sends no reports.
+        """
         peer = self.peers.get(name)
-        return (
-            peer is None
-            or peer.received_at < 0
-            or (self.is_fresh(name, now) and peer.reachable_services >= OUTSIDE_SERVICES)
-        )
+        if peer is None or peer.received_at < 0:
+            return True
+        return self.is_fresh(name, now) and peer.reachable_services >= OUTSIDE_SERVICES
 
     def record_success(self, name: str) -> None:
-        """A way has served."""
+        """Record that a route through a peer worked."""
         peer = self.peers[name]
         peer.backoff_s = INITIAL_BACKOFF_S
-        peer.backoff_until = -1000000000.0
+        peer.backoff_until = NEVER
 
     def record_failure(self, name: str, now: float) -> None:
-        """A way has not served: the next one, or none, for a while."""
+        """Record that a route through a peer failed: it is not used for a while."""
         peer = self.peers[name]
-        if now >= peer.backoff_until:
-            peer.backoff_until, peer.backoff_s = (
-                now + peer.backoff_s,
-                min(MAX_BACKOFF_S, 2 * peer.backoff_s),
-            )
+        if now >= peer.backoff_until:  # else a request that was sent before the last failure
+            peer.backoff_until = now + peer.backoff_s
+            peer.backoff_s = min(MAX_BACKOFF_S, 2 * peer.backoff_s)
 
 
 def _string_set(value: Any) -> frozenset[str]:
-    return (
-        frozenset(item for item in value if isinstance(item, str))
-        if isinstance(value, (list, tuple))
-        else frozenset()
-    )
+    if not isinstance(value, (list, tuple)):
+        return frozenset()
+    return frozenset(item for item in value if isinstance(item, str))
+
+
+def _string_table(value: Any) -> dict[str, str]:
+    if not isinstance(value, dict):
+        return {}
+    return {
+        key: item for key, item in value.items() if isinstance(key, str) and isinstance(item, str)
+    }
+
+
+def _integer_table(value: Any) -> dict[int, int]:
+    if not isinstance(value, dict):
+        return {}
+    return {
+        key: item for key, item in value.items() if isinstance(key, int) and isinstance(item, int)
+    }
