--- a/ploverhall/maintenance/__init__.py
+++ b/ploverhall/maintenance/__init__.py
@@ -1,5 +1,6 @@
-"""Taking machines out of service by order, within a budget of disruption for each team (docs/upkeep.md).
+"""Taking machines out of service by order, within a disruption budget for each team.
 
-Orders and budgets are values, times are passed in; only `command`, the operators' side, does any I/O. Who asks is the owner,
-who grants the team's source, who picks the machines the renter.
+Orders and budgets are values, and times are passed in; only `command`, the operators' command line,
+does any I/O. The machines' owner requests evictions, the source of the team's jobs grants them, and
+the autoscaler chooses the machines and deletes them once they are empty. See docs/upkeep.md.
 """
--- a/ploverhall/maintenance/disruption_budget.py
+++ b/ploverhall/maintenance/disruption_budget.py
@@ -1,7 +1,9 @@
-"""How much of a team may be stopped by choice, and what counts against it.
+"""Disruption budgets: how many evictions are granted, and what counts against that.
 
-Losses by failure count: a drain stops while machines die, since what is down is down, whoever did it. Notices, cancellations and
-preemption for a guarantee aren't bound by it, but what they take down counts against it like a failure.
+Losses by failure count: evictions stop while machines fail, since a replica that is down is down
+whatever the cause. Termination notices, cancellations and preemption for a guaranteed quota are not
+bound by a budget, but what they take down counts against it like a failure. Used by
+`scheduling.eviction_grants`.
 """
 
 from __future__ import annotations
@@ -12,27 +14,29 @@
 from typing import Any
 
 MINUTE_S = 60.0
-RULES_KEPT = 16_384  # jobs whose rules are kept as looked up
+RULES_KEPT = 16_384  # jobs whose budgets are cached
+MINUTES_PER_DAY = 1440
 
 
 @dataclass(frozen=True, slots=True)
 class DisruptionBudget:
-    """What holds for a job: the defaults, and what its team, its class or it itself has instead."""
+    """The budget of one job."""
 
-    max_unavailable: int = 2  # replicas of one job that are down at once, whatever the cause
+    max_unavailable: int = 2  # replicas of the job that are down at once, whatever the cause
     max_unavailable_share: float = 0.34  # and at most this share of them, but always one
-    min_available: int = 0  # replicas of one job that serve at any time
-    team_max_unavailable: int = 12  # replicas of a team that are down at once
-    gangs_per_min: float = 4.0  # gangs of a team stopped in a minute
-    # Task seconds of a team lost in a minute; one stop is granted whatever it loses
+    min_available: int = 0  # replicas of the job that must stay available
+    team_max_unavailable: int = 12  # replicas of its team that are down at once
+    gangs_per_min: float = 4.0  # gangs of its team evicted in a minute
+    # Task seconds of its team lost in a minute; the first eviction is granted whatever it loses
     lost_s_per_min: float = 1800.0
-    # A task that should end within this is let finish, and for no longer
+    # A task that should end within so many seconds is not evicted, but for no longer than that
     let_finish_s: float = 120.0
-    # Minutes of the day (UTC) from and to which nothing is stopped
+    # From and to which minute of the day (UTC) nothing is evicted
     quiet_hours: tuple[tuple[int, int], ...] = ()
 
 
-# Names in the operators' options file.
+# Names in the operators' options file
+QUIET_HOURS_OPTION = "quiet"
 OPTION_NAMES = {
     "down": "max_unavailable",
     "share": "max_unavailable_share",
@@ -45,9 +49,13 @@
 
 
 class DisruptionBudgets:
-    """Operators' budgets: `default`, `teams`, `classes` and `jobs`, the more particular one first."""
+    """All budgets: a job's own option goes before its class's, its team's and the default."""
 
     def __init__(self, given: dict[str, Any] | None = None) -> None:
+        """`given`: the options file's tables `default`, `teams`, `classes` and `jobs`.
+
+        `for_job` returns the budget of a team, job class and job id.
+        """
         given = given or {}
         self.default = _with_overrides(DisruptionBudget(), given.get("default", {}))
         self.overrides = given
@@ -61,79 +69,100 @@
 
 
 def _with_overrides(budget: DisruptionBudget, overrides: dict[str, Any]) -> DisruptionBudget:
-    out = replace(
-        budget,
-        **{OPTION_NAMES[key]: value for key, value in overrides.items() if key in OPTION_NAMES},
-    )
-    if "quiet" in overrides:
-        out = replace(
-            out, quiet_hours=tuple((_minute(a), _minute(b)) for a, b in overrides["quiet"])
+    changes: dict[str, Any] = {
+        OPTION_NAMES[option]: value for option, value in overrides.items() if option in OPTION_NAMES
+    }
+    if QUIET_HOURS_OPTION in overrides:
+        changes["quiet_hours"] = tuple(
+            (_minute(start), _minute(end)) for start, end in overrides[QUIET_HOURS_OPTION]
         )
-    return out
+    return replace(budget, **changes)
 
 
 def _minute(text: str) -> int:
-    """A time of day like 22:30, in minutes."""
+    """Return a time of day like 22:30 in minutes."""
     return int(text[:2]) * 60 + int(text[3:])
 
 
 @dataclass(slots=True)
 class RecentDisruptions:
-    """What one team has had stopped by choice in the last minute."""
+    """What one team has lost by evictions in the last minute."""
 
-    # When, gangs, task seconds lost
+    # Time, gangs, task seconds lost
     evictions: deque[tuple[float, int, float]] = field(default_factory=deque)
 
     def last_minute(self, now: float) -> tuple[int, float]:
-        """Gangs and task seconds of the last minute."""
+        """Return the gangs and the task seconds lost in the last minute."""
         while self.evictions and now - self.evictions[0][0] > MINUTE_S:
             self.evictions.popleft()
-        return sum(g for _, g, _ in self.evictions), sum(
-            seconds for _, _, seconds in self.evictions
-        )
+        gangs = sum(eviction_gangs for _, eviction_gangs, _ in self.evictions)
+        return gangs, sum(lost_s for _, _, lost_s in self.evictions)
 
     def record(self, gangs: int, lost_s: float, now: float) -> None:
-        """A stop was granted."""
+        """Record a granted eviction."""
         if gangs or lost_s > 0:
             self.evictions.append((now, gangs, lost_s))
 
 
 @dataclass(frozen=True, slots=True)
 class EvictionRequest:
-    """One stop that is asked for, as the team's source sees it."""
+    """A requested eviction, as the source of the team's jobs sees it."""
 
     kind: str  # array, gang, service
     task_count: int  # tasks of the job
     available: int  # replicas of the job that run and are not to be stopped
     team_unavailable: int  # replicas of the team that are down
     lost_work_s: float  # task seconds lost by it
-    remaining_s: float  # seconds until it should end by itself
-    requested_for_s: float  # seconds since it was first asked for
+    remaining_s: float  # seconds until the task should end by itself
+    requested_for_s: float  # seconds since the eviction was first requested
 
 
 def denial_reason(
     budget: DisruptionBudget, request: EvictionRequest, recent: tuple[int, float], wall_time: float
 ) -> str:
-    """Why a stop is not granted now; nothing if it is."""
-    minute = int(wall_time // 60) % 1440
-    for a, b in budget.quiet_hours:
-        if (a <= minute < b) if a <= b else (minute >= a or minute < b):
-            return "nothing is stopped at this hour"
+    """Return why an eviction is not granted now, shown to operators; empty if it is granted.
+
+    `recent`: the team's `RecentDisruptions.last_minute`.
+    """
+    if _in_quiet_hours(budget, wall_time):
+        return "nothing is stopped at this hour"
     if request.kind == "service":
-        if request.available - 1 < budget.min_available:
-            return "its floor of replicas that serve"
-        if request.task_count - request.available + 1 > max(
-            1, min(budget.max_unavailable, int(budget.max_unavailable_share * request.task_count))
-        ):
-            return "too many of its replicas are down"
-        if request.team_unavailable + 1 > budget.team_max_unavailable:
-            return "too many of its team's replicas are down"
-        return ""
+        return _service_denial_reason(budget, request)
+    return _batch_denial_reason(budget, request, recent)
+
+
+def _in_quiet_hours(budget: DisruptionBudget, wall_time: float) -> bool:
+    minute = int(wall_time // MINUTE_S) % MINUTES_PER_DAY
+    for start, end in budget.quiet_hours:
+        over_midnight = start > end
+        if over_midnight and (minute >= start or minute < end):
+            return True
+        if start <= minute < end:
+            return True
+    return False
+
+
+def _service_denial_reason(budget: DisruptionBudget, request: EvictionRequest) -> str:
+    if request.available - 1 < budget.min_available:
+        return "its floor of replicas that serve"
+    share = int(budget.max_unavailable_share * request.task_count)
+    max_unavailable = max(1, min(budget.max_unavailable, share))
+    if request.task_count - request.available + 1 > max_unavailable:
+        return "too many of its replicas are down"
+    if request.team_unavailable + 1 > budget.team_max_unavailable:
+        return "too many of its team's replicas are down"
+    return ""
+
+
+def _batch_denial_reason(
+    budget: DisruptionBudget, request: EvictionRequest, recent: tuple[int, float]
+) -> str:
     if request.remaining_s <= budget.let_finish_s and request.requested_for_s < budget.let_finish_s:
         return "it ends by itself soon"
-    gangs, lost = recent
+    gangs, lost_s = recent
     if request.kind == "gang" and gangs + 1 > budget.gangs_per_min:
         return "its team's gangs a minute"
-    if request.lost_work_s > 0 and lost > 0 and lost + request.lost_work_s > budget.lost_s_per_min:
+    total_lost_s = lost_s + request.lost_work_s
+    if request.lost_work_s > 0 and lost_s > 0 and total_lost_s > budget.lost_s_per_min:
         return "its team's lost work a minute"
     return ""
--- a/ploverhall/maintenance/orders.py
+++ b/ploverhall/maintenance/orders.py
@@ -1,4 +1,8 @@
-"""Orders to take machines out of service: what they say, which machines they are about, and their form in the state service."""
+"""Maintenance orders: what they say, which machines they match, and their stored form.
+
+Owns the names of that form, which operators send and see as well. `controller.maintenance_requests`
+parses operators' orders; the autoscaler reads stored ones.
+"""
 
 from __future__ import annotations
 
@@ -8,23 +12,44 @@
 
 from ploverhall.errors import InvalidOrderError
 
-ORDER_PREFIX = "p/upkeep/"  # followed by every controller
-# A member's word: it knows orders, and asks and grants within budgets
-FEATURE_MAINTENANCE = "upkeep"
-MAX_ACTIVE_ORDERS = 32  # orders that are not over
-MAX_MACHINES_PER_ORDER = 100  # machines in one order
-RETENTION_S = 3600.0  # an order that is over can be looked at for so long
+ORDER_PREFIX = "p/upkeep/"  # of the keys of orders in the key-value store
+FEATURE_MAINTENANCE = "upkeep"  # announced by controllers that request and grant evictions
+MAX_ACTIVE_ORDERS = 32  # orders that are not finished
+MAX_MACHINES_PER_ORDER = 100
+MAX_CONCURRENT_LIMIT = 1000  # machines evicted at the same time by one order
+DEFAULT_MAX_CONCURRENT = 4
+MAX_TEXT_LENGTH = 200
+MAX_MACHINE_NAME_LENGTH = 100
+RETENTION_S = 3600.0  # for which a finished order is kept
+
+# States, as they are stored
 RUNNING = "running"
 PAUSED = "paused"
 STOPPED = "stopped"
 DONE = "done"
+STATES = (RUNNING, PAUSED, STOPPED, DONE)
 STATE_BY_VERB = {"pause": PAUSED, "resume": RUNNING, "stop": STOPPED}
 ORDER_ID_PATTERN = re.compile(r"u-[0-9a-z-]{1,40}\Z")
 
+# Field names, as they are stored
+ID_FIELD = "id"
+MACHINES_FIELD = "machines"
+ZONE_FIELD = "zone"
+MACHINE_TYPE_FIELD = "type"
+SPOT_FIELD = "spot"
+SHARD_FIELD = "part"
+MAX_CONCURRENT_FIELD = "at_once"
+STATE_FIELD = "state"
+CREATED_AT_FIELD = "at"
+NOTE_FIELD = "note"
+
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceOrder:
-    """Empty these machines and give them back. Everything that is set must match; None: any."""
+    """An order to evict the tasks of machines and delete them.
+
+    A machine is meant if it matches all fields; a field that is None matches any.
+    """
 
     id: str
     machines: frozenset[str] | None = None
@@ -32,14 +57,14 @@
     machine_type: str | None = None
     spot: bool | None = None
     shard: int | None = None
-    max_concurrent: int = 4  # machines being emptied at the same time
+    max_concurrent: int = DEFAULT_MAX_CONCURRENT  # machines being evicted at the same time
     state: str = RUNNING
     created_at: float = 0.0  # wall clock
     note: str = ""
-    version: int = 0
+    version: int = 0  # of its key in the key-value store
 
     def matches(self, name: str, pool: tuple[str, str, bool], shard: int) -> bool:
-        """Whether a machine of that type, zone and kind is meant."""
+        """Return whether a machine is meant; `pool`: its type, zone and whether it is spot."""
         return (
             (self.machines is None or name in self.machines)
             and self.machine_type in (None, pool[0])
@@ -49,7 +74,7 @@
         )
 
     def blocks_rental(self, pool: tuple[str, str, bool]) -> bool:
-        """Whether nothing of that kind is to be rented meanwhile."""
+        """Return whether no machine of a pool (type, zone, spot) is to be rented meanwhile."""
         return (
             self.state == RUNNING
             and self.machines is None
@@ -63,98 +88,128 @@
         return self.state in (STOPPED, DONE)
 
     def record(self) -> dict[str, Any]:
-        """The form kept in the state service and shown to people."""
+        """Return the form that is stored, and shown to operators."""
         return {
-            "machines": sorted(self.machines) if self.machines is not None else None,
-            "zone": self.zone,
-            "type": self.machine_type,
-            "spot": self.spot,
-            "part": self.shard,
-            "at_once": self.max_concurrent,
-            "state": self.state,
-            "at": round(self.created_at, 1),
-            "note": self.note or None,
+            MACHINES_FIELD: sorted(self.machines) if self.machines is not None else None,
+            ZONE_FIELD: self.zone,
+            MACHINE_TYPE_FIELD: self.machine_type,
+            SPOT_FIELD: self.spot,
+            SHARD_FIELD: self.shard,
+            MAX_CONCURRENT_FIELD: self.max_concurrent,
+            STATE_FIELD: self.state,
+            CREATED_AT_FIELD: round(self.created_at, 1),
+            NOTE_FIELD: self.note or None,
         }
 
 
-def _text(fields: dict[str, Any], key: str) -> str | None:
-    value = fields.get(key)
-    if value is not None and (
-        not isinstance(value, str) or not 0 < len(value) <= 200 or not value.isprintable()
-    ):
-        raise InvalidOrderError(key, "must be a name")
-    return value
-
-
 def parse_order(order_id: Any, fields: Any, version: int = 0) -> MaintenanceOrder:
-    """Check an order as a person sends it, or as it is kept. Raises Malformed."""
+    """Check an order in the form that operators send and that is stored, and return it.
+
+    `version`: of its key in the key-value store. Raises InvalidOrderError, which names the field.
+    """
     if not isinstance(order_id, str) or not ORDER_ID_PATTERN.match(order_id):
-        raise InvalidOrderError("id", "must be like u-7f3a")
+        raise InvalidOrderError(ID_FIELD, "must be like u-7f3a")
     if not isinstance(fields, dict):
         raise InvalidOrderError(problem="not an object")
-    names, spot, shard, max_concurrent, state = (
-        fields.get("machines"),
-        fields.get("spot"),
-        fields.get("part"),
-        fields.get("at_once", 4),
-        fields.get("state", RUNNING),
-    )
-    if names is not None and not (
-        isinstance(names, list)
-        and 0 < len(names) <= MAX_MACHINES_PER_ORDER
-        and all(isinstance(n, str) and 0 < len(n) <= 100 for n in names)
-    ):
-        raise InvalidOrderError(
-            "machines", f"must be a list of 1 to {MAX_MACHINES_PER_ORDER} names"
-        )
-    if spot is not None and not isinstance(spot, bool):
-        raise InvalidOrderError("spot", "must be true or false")
-    if shard is not None and (isinstance(shard, bool) or not isinstance(shard, int) or shard < 0):
-        raise InvalidOrderError("part", "must be a number")
-    if (
-        isinstance(max_concurrent, bool)
-        or not isinstance(max_concurrent, int)
-        or not 1 <= max_concurrent <= 1000
-    ):
-        raise InvalidOrderError("at_once", "must be 1 to 1000")
-    if state not in (RUNNING, PAUSED, STOPPED, DONE):
-        raise InvalidOrderError("state", "unknown")
-    at = fields.get("at", 0.0)
-    if isinstance(at, bool) or not isinstance(at, (int, float)):
-        raise InvalidOrderError("at", "must be a time")
     order = MaintenanceOrder(
         order_id,
-        frozenset(names) if names is not None else None,
-        _text(fields, "zone"),
-        _text(fields, "type"),
-        spot,
-        shard,
-        max_concurrent,
-        state,
-        float(at),
-        _text(fields, "note") or "",
-        version,
+        machines=_machines(fields),
+        spot=_spot(fields),
+        shard=_shard(fields),
+        max_concurrent=_max_concurrent(fields),
+        state=_state(fields),
+        created_at=_created_at(fields),
+        zone=_text(fields, ZONE_FIELD),
+        machine_type=_text(fields, MACHINE_TYPE_FIELD),
+        note=_text(fields, NOTE_FIELD) or "",
+        version=version,
     )
-    if (
-        names is None
-        and order.zone is None
-        and order.machine_type is None
-        and spot is None
-        and shard is None
-    ):
+    if _matches_all(order):
         raise InvalidOrderError(
             problem="it would empty every machine: name a machine, zone, type, kind or part"
         )
     return order
 
 
+def _matches_all(order: MaintenanceOrder) -> bool:
+    conditions = (order.machines, order.zone, order.machine_type, order.spot, order.shard)
+    return all(condition is None for condition in conditions)
+
+
+def _machines(fields: dict[str, Any]) -> frozenset[str] | None:
+    names = fields.get(MACHINES_FIELD)
+    if names is None:
+        return None
+    is_bounded_list = isinstance(names, list) and 0 < len(names) <= MAX_MACHINES_PER_ORDER
+    if not is_bounded_list or not all(_is_machine_name(name) for name in names):
+        raise InvalidOrderError(
+            MACHINES_FIELD, f"must be a list of 1 to {MAX_MACHINES_PER_ORDER} names"
+        )
+    return frozenset(names)
+
+
+def _is_machine_name(value: Any) -> bool:
+    return isinstance(value, str) and 0 < len(value) <= MAX_MACHINE_NAME_LENGTH
+
+
+def _spot(fields: dict[str, Any]) -> bool | None:
+    spot = fields.get(SPOT_FIELD)
+    if spot is not None and not isinstance(spot, bool):
+        raise InvalidOrderError(SPOT_FIELD, "must be true or false")
+    return spot
+
+
+def _shard(fields: dict[str, Any]) -> int | None:
+    shard = fields.get(SHARD_FIELD)
+    if shard is None:
+        return None
+    if isinstance(shard, bool) or not isinstance(shard, int) or shard < 0:
+        raise InvalidOrderError(SHARD_FIELD, "must be a number")
+    return shard
+
+
+def _max_concurrent(fields: dict[str, Any]) -> int:
+    count = fields.get(MAX_CONCURRENT_FIELD, DEFAULT_MAX_CONCURRENT)
+    is_integer = isinstance(count, int) and not isinstance(count, bool)
+    if not is_integer or not 1 <= count <= MAX_CONCURRENT_LIMIT:
+        raise InvalidOrderError(MAX_CONCURRENT_FIELD, f"must be 1 to {MAX_CONCURRENT_LIMIT}")
+    return int(count)
+
+
+def _state(fields: dict[str, Any]) -> str:
+    state = fields.get(STATE_FIELD, RUNNING)
+    if state not in STATES:
+        raise InvalidOrderError(STATE_FIELD, "unknown")
+    return str(state)
+
+
+def _created_at(fields: dict[str, Any]) -> float:
+    created_at = fields.get(CREATED_AT_FIELD, 0.0)
+    if isinstance(created_at, bool) or not isinstance(created_at, (int, float)):
+        raise InvalidOrderError(CREATED_AT_FIELD, "must be a time")
+    return float(created_at)
+
+
+def _text(fields: dict[str, Any], field: str) -> str | None:
+    value = fields.get(field)
+    if value is None:
+        return None
+    is_bounded_text = isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH
+    if not is_bounded_text or not value.isprintable():
+        raise InvalidOrderError(field, "must be a name")
+    return str(value)
+
+
 def orders_in(entries: dict[str, tuple[Any, int]]) -> list[MaintenanceOrder]:
-    """The orders among a copy's keys, the oldest first; what is not in the form is passed over."""
-    out = []
+    """Return the orders among a store's entries (value and version by key), the oldest first.
+
+    Entries that are not in an order's form are left out.
+    """
+    orders = []
     for key, (value, version) in entries.items():
         if key.startswith(ORDER_PREFIX):
             try:
-                out.append(parse_order(key[len(ORDER_PREFIX) :], value, version))
+                orders.append(parse_order(key.removeprefix(ORDER_PREFIX), value, version))
             except InvalidOrderError:
                 continue
-    return sorted(out, key=lambda order: (order.created_at, order.id))
+    return sorted(orders, key=lambda order: (order.created_at, order.id))
