--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -1,4 +1,8 @@
-"""What workers report: answered by the owner of their part, or put through to it."""
+"""Heartbeats of agents: answered by the owner of their shard, redirected, or relayed to it.
+
+`HeartbeatRequests` owns the answer to `POST` heartbeats. `http_routes` calls `receive` for an
+agent's own request, and `relay` calls `serve_relayed` for one that came through a peer.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import PeerLiveness
-from ploverhall.controller.relay import Relay
+from ploverhall.controller.relay import MAX_HOPS, Relay
 from ploverhall.controller.routing import Routing
 from ploverhall.controller.shard_leases import ShardLeases
 from ploverhall.coordination import fencing_tokens
@@ -19,16 +23,20 @@
 from ploverhall.protocol import agents
 from ploverhall.protocol.agents import Heartbeat
 from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
+from ploverhall.runtime import NEVER
 from ploverhall.scheduling.inventory import Machine
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
-RECOVERY_LOG_INTERVAL_S = 10.0  # answering for an earlier life is worth a word when it begins
-RELAY_TIMEOUT_S = 2.4  # a worker waits for 4 s, and has to hear within them that there is no answer
+RECOVERY_LOG_INTERVAL_S = 10.0  # one log line when restart recovery begins, not one per heartbeat
+# An agent waits 4 s for an answer, and has to learn within them that there is none
+RELAY_TIMEOUT_S = 2.4
+ANSWER_TOKEN_FIELD = "crest"  # wire name of the fencing token in an answer to an agent
+RELAYED_STATUSES = (200, 421)  # the only answers that a shard's holder gives to a heartbeat
 
 
 class HeartbeatRequests:
-    """What workers report."""
+    """Answers agents' heartbeats."""
 
     def __init__(
         self,
@@ -47,11 +55,11 @@
         self.relay_routes = relay_routes
         self.relay = relay
         self.agent_commands = agent_commands
-        # When a worker of this controller's earlier life was last answered
-        self.recovered_answer_at = -1e9
+        # When restart recovery last answered an agent (steady clock, seconds)
+        self.recovered_answer_at = NEVER
 
     async def receive(self, request: Request) -> Reply:
-        """A worker's report."""
+        """Answer an agent's own heartbeat: 200, 421 (ask elsewhere), or 400 if it is malformed."""
         try:
             heartbeat = agents.decode_heartbeat(request.body)
         except InvalidHeartbeatError as error:
@@ -62,125 +70,168 @@
             return await self._answer_not_held(request.body, heartbeat, shard)
         reply, machine = self._answer_held(held, heartbeat)
         if machine is not None:
-            self.agent_commands.heartbeat_received(shard, heartbeat.machine, self.context.clock())
+            self._record_direct_heartbeat(shard, machine, reply, heartbeat)
+        return reply
 
-            def sent() -> None:
-                machine.last_answer_at = self.context.clock()
+    def _record_direct_heartbeat(
+        self, shard: int, machine: Machine, reply: Reply, heartbeat: Heartbeat
+    ) -> None:
+        """Note that the agent reaches this controller, and when its answer has been sent."""
+        self.agent_commands.heartbeat_received(shard, heartbeat.machine, self.context.clock())
 
-            reply.sent = sent
-        return reply
+        def on_sent() -> None:
+            machine.last_answer_at = self.context.clock()
+
+        reply.sent = on_sent
+
+    # -- shards held here ----------------------------------------------------------------------
 
     def _answer_held(
         self, held: HeldShard, heartbeat: Heartbeat, relayed: bool = False
     ) -> tuple[Reply, Machine | None]:
-        """What the owner of a worker's part answers; and the machine, if the worker is there to be answered by this one."""
-        now, own_name = self.context.clock(), self.context.settings.name
+        """Return the shard owner's answer, and the machine if the answer renews its lease."""
+        now = self.context.clock()
         if self.shard_leases.isolated(now):
             return Reply(421, {}), None
         if (other := self._isolation_redirect(heartbeat, held, now)) is not None:
             return Reply(421, agents.redirect(other)), None
         machine = held.owner.on_heartbeat(heartbeat, now, relayed=relayed)
         if machine is None:
-            log.info(
-                "superseded", shard=held.shard, epoch=held.epoch, by_epoch=held.owner.superseded_by
-            )
-            controller = self.context.store_cache.holder(held.shard)[0]
-            return Reply(421, agents.redirect(controller if controller != own_name else None)), None
+            return self._superseded_reply(held), None
         if machine.stale_heartbeat:
-            return Reply(
-                200, agents.heartbeat_answer(machine.token, [])
-            ), None  # nobody waits for it
+            # An old copy of a heartbeat: nobody waits for its answer
+            return Reply(200, agents.heartbeat_answer(machine.token, [])), None
         held.owner.renewal_grant = self.shard_leases.renewal_grant(now)
         commands = held.owner.commands_for(machine, now)
-        # what a worker's lease counts from is when it sent the report, which was before now, whichever way the answer takes
+        # The agent's lease counts from when it sent the heartbeat, which was before now,
+        # whichever way the answer takes
         machine.last_answer_at = now
         if held.owner.needs_step or held.owner.changed_attempts:
             self.context.wake_scheduling()
         return Reply(200, agents.heartbeat_answer(machine.token, commands)), machine
 
-    async def _answer_not_held(self, body: bytes, heartbeat: Heartbeat, shard: int) -> Reply:
-        """A worker of a part that another controller holds: it is sent there, or, if it comes from there, answered through here."""
-        own_name, now = self.context.settings.name, self.context.clock()
-        controller = self.routing.holder(shard)
-        if (
-            controller in (None, own_name)
-            and (answer := self._recovered_answer(heartbeat, shard, now)) is not None
-        ):
-            other = self._isolation_redirect(heartbeat, None, now)
-            return Reply(200, answer) if other is None else Reply(421, agents.redirect(other))
-        holder, epoch = self.context.store_cache.holder(shard)
-        # It has left that holder: its answers did not come
-        served = fencing_tokens.epoch_of(heartbeat.token) == epoch
-        # or it has been sent there, by this controller or another, and could not reach it
-        overdue = 0 < fencing_tokens.epoch_of(heartbeat.token) < epoch and self.routing.settled(
-            shard, now
+    def _superseded_reply(self, held: HeldShard) -> Reply:
+        """The agent has a token of a later epoch: send it to the holder of that epoch."""
+        log.info(
+            "superseded",
+            shard=held.shard,
+            epoch=held.epoch,
+            by_epoch=held.owner.superseded_by,
         )
-        returned = overdue or self.shard_leases.orphaned_machines.returned(
-            shard, heartbeat.machine, now
-        )
-        if (
-            controller is not None
-            and controller != own_name
-            and (
-                served or returned or self.relay_routes.reports_unreachable_shard(controller, shard)
-            )
-        ):
-            reply = await self._relay(body, heartbeat, shard, controller)
-            if reply is not None:
-                return reply
-            now = self.context.clock()
-        if (
-            holder is not None
-            and holder != own_name
-            and fencing_tokens.epoch_of(heartbeat.token) <= epoch
-        ):
-            self.shard_leases.orphaned_machines.record(shard, heartbeat.machine, served, now)
-            self.shard_leases.wake.set()
-            if self.peer_liveness.holder_without_heartbeats(holder, shard, now):
-                return Reply(
-                    421, {}
-                )  # sent back there it would hang; somebody takes the shard in a moment
+        return self._redirect_reply(self.context.store_cache.holder(held.shard)[0])
+
+    def _redirect_reply(self, controller: str | None) -> Reply:
+        """Send the agent to a controller; to none if that is unknown or this one."""
+        own_name = self.context.settings.name
         return Reply(421, agents.redirect(controller if controller != own_name else None))
 
     def _isolation_redirect(
         self, heartbeat: Heartbeat, held: HeldShard | None, now: float
     ) -> str | None:
-        """To whom a worker is sent by a controller that has nobody but its workers (coordination.alone)."""
-        if self.shard_leases.isolated_redirects.isolated_since is None:
+        """The controller an isolated one sends this agent to; None: answer it here.
+
+        See `coordination.isolation`.
+        """
+        redirects = self.shard_leases.isolated_redirects
+        if redirects.isolated_since is None:
             return None
         known = held.owner.machines.get(heartbeat.machine) if held is not None else None
-        answered = known.last_answer_at if known is not None else 0.0
-        return self.shard_leases.isolated_redirects.redirect_target(
-            heartbeat.machine, now - answered if heartbeat.listed_tasks else None, now
+        answered_at = known.last_answer_at if known is not None else 0.0
+        return redirects.redirect_target(
+            heartbeat.machine, now - answered_at if heartbeat.listed_tasks else None, now
         )
 
+    # -- shards held elsewhere -----------------------------------------------------------------
+
+    async def _answer_not_held(self, body: bytes, heartbeat: Heartbeat, shard: int) -> Reply:
+        """Redirect an agent of another controller's shard, or relay if it cannot reach that one."""
+        own_name = self.context.settings.name
+        now = self.context.clock()
+        controller = self.routing.holder(shard)
+        if controller in (None, own_name):
+            reply = self._recovery_reply(heartbeat, shard, now)
+            if reply is not None:
+                return reply
+        holder, epoch = self.context.store_cache.holder(shard)
+        token_epoch = fencing_tokens.epoch_of(heartbeat.token)
+        # A token of the holder's epoch: the agent has left it because its answers did not come
+        served = token_epoch == epoch
+        cannot_reach_holder = served or self._returned(heartbeat, shard, epoch, now)
+        if controller is not None and controller != own_name:
+            if cannot_reach_holder or self.relay_routes.reports_unreachable_shard(
+                controller, shard
+            ):
+                relayed = await self._relay(body, heartbeat, shard, controller)
+                if relayed is not None:
+                    return relayed
+                now = self.context.clock()
+        if holder is not None and holder != own_name and token_epoch <= epoch:
+            self.shard_leases.orphaned_machines.record(shard, heartbeat.machine, served, now)
+            self.shard_leases.wake.set()
+            if self.peer_liveness.holder_without_heartbeats(holder, shard, now):
+                # Sent back to that holder it would hang; the shard is about to be acquired
+                return Reply(421, {})
+        return self._redirect_reply(controller)
+
+    def _returned(self, heartbeat: Heartbeat, shard: int, epoch: int, now: float) -> bool:
+        """Whether the agent was redirected to the holder of this epoch and could not reach it."""
+        older_token = 0 < fencing_tokens.epoch_of(heartbeat.token) < epoch
+        if older_token and self.routing.settled(shard, now):
+            return True
+        return self.shard_leases.orphaned_machines.returned(shard, heartbeat.machine, now)
+
+    # -- restart recovery ----------------------------------------------------------------------
+
+    def _recovery_reply(self, heartbeat: Heartbeat, shard: int, now: float) -> Reply | None:
+        """Answer an agent that this controller served before its restart; None: not one of those.
+
+        See `coordination.restart_recovery`.
+        """
+        answer = self._recovered_answer(heartbeat, shard, now)
+        if answer is None:
+            return None
+        other = self._isolation_redirect(heartbeat, None, now)
+        return Reply(200, answer) if other is None else Reply(421, agents.redirect(other))
+
     def _recovered_answer(
         self, heartbeat: Heartbeat, shard: int, now: float
     ) -> dict[str, Any] | None:
-        """What a worker is answered whose part this controller held in an earlier life, before it holds it again; None: nothing."""
-        replica = self.context.store_cache
-        # what another controller has named as cancelled is over before the store has been read, too
-        ended_jobs = {
-            key[0]
-            for key in heartbeat.tasks()
-            if (key[0] in replica.ended_jobs or (replica.ready and key[0] not in replica.live_jobs))
-        }
+        """The body of a recovery answer, before the shard is held again; None if none is due."""
         answer = self.shard_leases.renewal_grants.answer_heartbeat(
             heartbeat,
             self.context.controller_index,
-            replica.holder(shard)[1],
-            ended_jobs,
+            self.context.store_cache.holder(shard)[1],
+            self._ended_jobs(heartbeat),
             self.context.wall_clock(),
         )
-        if answer is not None and now - self.recovered_answer_at > RECOVERY_LOG_INTERVAL_S:
+        if answer is None:
+            return None
+        if now - self.recovered_answer_at > RECOVERY_LOG_INTERVAL_S:
             log.info(
                 "restart recovery answering",
                 shard=shard,
                 epoch=fencing_tokens.epoch_of(heartbeat.token),
             )
-        self.recovered_answer_at = now if answer is not None else self.recovered_answer_at
+        self.recovered_answer_at = now
         return answer
 
+    def _ended_jobs(self, heartbeat: Heartbeat) -> set[str]:
+        """Those of the listed tasks' jobs that are known to be over.
+
+        What a peer named as cancelled is over before the store has been read, too; that a job is
+        missing from the store cache means something only once the cache is ready.
+        """
+        store_cache = self.context.store_cache
+        job_ids = {attempt_id[0] for attempt_id in heartbeat.tasks()}
+        return {
+            job_id
+            for job_id in job_ids
+            if job_id in store_cache.ended_jobs
+            or (store_cache.ready and job_id not in store_cache.live_jobs)
+        }
+
+    # -- relaying ------------------------------------------------------------------------------
+
     async def _relay(
         self,
         body: bytes,
@@ -188,15 +239,16 @@
         shard: int,
         controller: str,
         avoided_relays: frozenset[str] = frozenset(),
-        hops: int = 2,
+        hops: int = MAX_HOPS,
     ) -> Reply | None:
-        """Put a report through to the holder of its part, and answer what that one answers; None where there is no way."""
-        via = (
-            self.relay_routes.route_to_peer(
-                controller, HEARTBEAT, self.context.clock(), avoided_relays, hops
-            )
-            if self.context.settings.options.carry
-            else None
+        """Relay a heartbeat to its shard's holder; return that one's answer, None if there is none.
+
+        `avoided_relays`: peers that it must not go through; `hops`: how many relays it may take.
+        """
+        if not self.context.settings.options.carry:
+            return None
+        via = self.relay_routes.route_to_peer(
+            controller, HEARTBEAT, self.context.clock(), avoided_relays, hops
         )
         if via is None:
             return None
@@ -204,7 +256,7 @@
             status, raw = await self.relay.send(
                 via,
                 HEARTBEAT,
-                timeout=RELAY_TIMEOUT_S * hops / 2,
+                timeout=RELAY_TIMEOUT_S * hops / MAX_HOPS,
                 destination=controller,
                 body=body,
                 hops=hops,
@@ -212,18 +264,26 @@
             answer = orjson.loads(raw)
         except (RelayRefusedError, UnreachableError, orjson.JSONDecodeError):
             return None
-        if status not in (200, 421) or not isinstance(answer, dict):
+        if status not in RELAYED_STATUSES or not isinstance(answer, dict):
+            return None
+        if status == 200 and self._answer_superseded(answer, shard):
             return None
-        if (
-            status == 200
-            and fencing_tokens.epoch_of(answer.get("crest", 0))
-            < self.context.store_cache.holder(shard)[1]
-        ):
-            return None  # from a holder that has been deposed meanwhile: the worker would drop it, and stay while its lease runs out
         return Reply(status, answer)
 
+    def _answer_superseded(self, answer: dict[str, Any], shard: int) -> bool:
+        """Whether a relayed answer came from a holder that has been superseded meanwhile.
+
+        The agent would drop such an answer, and stay here while its lease runs out.
+        """
+        token = answer.get(ANSWER_TOKEN_FIELD, 0)
+        return fencing_tokens.epoch_of(token) < self.context.store_cache.holder(shard)[1]
+
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
-        """A member has a report of a worker that can't reach this controller, or one that only this one can pass on."""
+        """Answer a heartbeat that a peer relays: the HTTP status and the body for the agent.
+
+        Raises `RelayRefusedError` if the heartbeat is malformed, or if its shard is not held here
+        and cannot be relayed further.
+        """
         try:
             heartbeat = agents.decode_heartbeat(request.body)
         except InvalidHeartbeatError as error:
@@ -231,23 +291,30 @@
         shard = self.context.shard_map.shard_of_machine(heartbeat.zone, heartbeat.machine)
         held = self.context.held_shards.get(shard)
         if held is None:
-            if request.hops < 2 or request.destination in ("", self.context.settings.name):
-                raise RelayRefusedError("not held here")
-            reply = await self._relay(
-                request.body,
-                heartbeat,
-                shard,
-                request.destination,
-                frozenset((peer,)),
-                request.hops - 1,
-            )
-            if reply is None:
-                raise RelayRefusedError("no way from here either")
+            reply = await self._relay_further(peer, request, heartbeat, shard)
             return reply.status, orjson.dumps(reply.body)
         reply, machine = self._answer_held(held, heartbeat, relayed=True)
         if machine is not None and self.agent_commands.failback.heartbeat_relayed(
             heartbeat.machine, peer, self.context.clock()
         ):
-            # it has been listened to; but what it is to do it will be told by itself
+            # Its heartbeat has been taken in; its commands it gets when it reports here directly
             return 421, orjson.dumps(agents.redirect(self.context.settings.name))
         return reply.status, orjson.dumps(reply.body)
+
+    async def _relay_further(
+        self, peer: str, request: RelayRequest, heartbeat: Heartbeat, shard: int
+    ) -> Reply:
+        """Relay a peer's heartbeat by one more hop; raises `RelayRefusedError` if it cannot be."""
+        if request.hops < 2 or request.destination in ("", self.context.settings.name):
+            raise RelayRefusedError("not held here")
+        reply = await self._relay(
+            request.body,
+            heartbeat,
+            shard,
+            request.destination,
+            frozenset((peer,)),
+            request.hops - 1,
+        )
+        if reply is None:
+            raise RelayRefusedError("no way from here either")
+        return reply
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -1,4 +1,8 @@
-"""What users ask of their jobs. What they are told is decided in `coordination.answers`, and nowhere else."""
+"""Users' requests about jobs: submit, poll, cancel.
+
+`http_routes` calls `JobRequests`, which validates, writes to the key-value store and replies. What
+a user may be told of a job is decided in `coordination.job_answers`, and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -28,38 +32,54 @@
 from ploverhall.storage.store_cache import ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.transport.http_server import Reply
 
-# A change whose outcome is not known so soon is written again: its user waits for 5 s
+# A write of unknown outcome is repeated only within this: its user waits for 5 s
 WRITE_RETRY_S = 1.5
-# How long a cancellation's answer waits for the other controllers' word before its user is sent
-# away
+# How long the answer to a cancellation waits for the other controllers to acknowledge it
 ACK_WAIT_S = 1.0
-# a question is sent away for so long at most
+ACK_POLL_INTERVAL_S = 0.03
+MAX_CANCEL_ATTEMPTS = 3  # compare-and-swap attempts of one cancellation
+RETRY_AFTER_S = 1.0
+# Lookups in the archive are put off while the store is busy, each for so long at most
 MAX_LOOKUP_DELAY_S = 20.0
 MAX_DELAYED_LOOKUPS = 1000
-# A submission that would wait for longer is refused at once, and told when to come back
+# A submission that would wait for longer is refused at once, with the time to come back
 MAX_SUBMISSION_WAIT_S = 1.5
 MAX_UNGUARANTEED_WAIT_S = 0.5
+RECORD_OVERHEAD_BYTES = 64  # of the store's limit for a value, kept free
+LIMIT_TOLERANCE = 1e-6  # for sums of floating-point amounts
 
 
 def _reply(answer: JobAnswer) -> Reply:
-    """An answer as it goes out."""
+    """The HTTP reply for an answer about a job."""
     if isinstance(answer, JobStatus):
         return Reply(200, answer.body)
-    return (
-        Reply(503, {"error": answer.reason}, 1.0)
-        if isinstance(answer, Unavailable)
-        else Reply(404, {"error": "no such job"})
-    )
+    if isinstance(answer, Unavailable):
+        return Reply(503, {"error": answer.reason}, RETRY_AFTER_S)
+    return Reply(404, {"error": "no such job"})
+
+
+def _not_stored() -> Reply:
+    """The reply when the key-value store did not take a write, or may not have taken it."""
+    return Reply(503, {"error": "not stored"}, RETRY_AFTER_S)
 
 
 def _rejected(status: int, reason: str, **known: str) -> Reply:
-    """A submission that is not retried. Nothing of what was sent is shown or told, but an id that is well formed."""
+    """The reply to an invalid submission.
+
+    `known`: fields for the log line. Only a well-formed id may be among them: a submission holds
+    whatever its sender likes.
+    """
     log.info("submission rejected", status=status, **known, reason=reason)
     return Reply(status, {"error": reason})
 
 
+def _exceeds(limit: float, amount: float) -> bool:
+    """Whether an amount is above a team's limit; 0 stands for no limit."""
+    return limit > 0 and amount > limit + LIMIT_TOLERANCE
+
+
 class JobRequests:
-    """What users ask."""
+    """Serves users' requests about jobs."""
 
     def __init__(
         self,
@@ -72,44 +92,46 @@
         self.store_watch = store_watch
         self.answers = answers
         self.on_store_changed = on_store_changed
-        # Old or unknown jobs that were not looked up, and since when
+        # Job ids whose archive lookup is put off, and since when (steady clock, seconds)
         self.delayed_lookups: dict[str, float] = {}
-        self.pending_submissions = 0  # submissions that wait to be written
+        self.pending_submissions = 0  # submissions being written
+
+    # -- submitting ----------------------------------------------------------------------------
 
     def rejection_reason(self, job: Job) -> str | None:
         """Why a job can never run; None if it can."""
         team = self.context.teams.get(job.team)
         if team is None:
             return "unknown team"
+        zones = self._feasible_zones(job)
+        if not zones:
+            return "no machine type fits a task"
+        # Of an array the other tasks run later, of a service half the replicas do
+        if job.kind == "gang":
+            zone_count = 1 if job.single_zone else len(zones)
+            if job.task_count > job.max_tasks_per_zone * zone_count:
+                return (
+                    "no machine type fits a task in a zone that the gang's other tasks leave to it"
+                )
+        count = 1 if job.kind == "array" else job.task_count
+        if _exceeds(team.max_cpus, count * job.cpus) or _exceeds(team.max_gpus, count * job.gpus):
+            return "more than the team's limit"
+        return None
+
+    def _feasible_zones(self, job: Job) -> set[str]:
+        """The zones that sell a machine type on which a task of this job fits."""
         types = self.context.machine_types or {}
-        allowed = [
-            machine_type
+        return {
+            zone
             for machine_type in types.values()
             if fits(job.resources, machine_type.resources)
             and (job.machine_types is None or machine_type.name in job.machine_types)
-        ]
-        zones = {
-            zone
-            for machine_type in allowed
             for zone in machine_type.zones
             if job.zone in (None, zone)
         }
-        if not zones:
-            return "no machine type fits a task"
-        if job.kind == "gang" and job.task_count > job.max_tasks_per_zone * (
-            1 if job.single_zone else len(zones)
-        ):
-            # of an array the others run after these, of a service half the replicas do
-            return "no machine type fits a task in a zone that the gang's other tasks leave to it"
-        count = 1 if job.kind == "array" else job.task_count
-        if (team.max_cpus > 0 and count * job.cpus > team.max_cpus + 1e-6) or (
-            team.max_gpus > 0 and count * job.gpus > team.max_gpus + 1e-6
-        ):
-            return "more than the team's limit"
-        return None
 
     async def submit(self, body: bytes) -> Reply:
-        """POST /api/jobs."""
+        """POST /api/jobs: 201 if accepted now, 200 if known, 400 or 422 if invalid, 429 or 503."""
         try:
             job = jobs.parse_submission(orjson.loads(body), self.context.wall_clock())
         except (orjson.JSONDecodeError, InvalidJobError) as error:
@@ -117,32 +139,42 @@
         if (end := self.answers.final(job.id)) is not None:
             return _reply(end)
         if not self.context.store_cache.ready or self.context.machine_types is None:
-            return Reply(503, {"error": "not ready"}, 1.0)
+            return Reply(503, {"error": "not ready"}, RETRY_AFTER_S)
         if self.answers.is_live(job.id):
             return _reply(await self.answer_for(job.id))
         if (reason := self.rejection_reason(job)) is not None:
-            # what was accepted once stays accepted, whatever the cloud sells by now
-            known = await self.answer_for(job.id)
-            return (
-                _rejected(422, reason, job=job.id)
-                if isinstance(known, UnknownJob)
-                else _reply(known)
-            )
+            return await self._reply_infeasible(job, reason)
         record = job.record()
-        if len(orjson.dumps(record)) > self.context.settings.max_value_bytes - 64:
+        max_bytes = self.context.settings.max_value_bytes - RECORD_OVERHEAD_BYTES
+        if len(orjson.dumps(record)) > max_bytes:
             return _rejected(400, "description too long to be kept", job=job.id)
+        if (wait_s := self._excessive_wait_s(job)) is not None:
+            return Reply(429, {"error": "busy"}, wait_s + 1)
+        return await self._store_submission(job, record)
+
+    async def _reply_infeasible(self, job: Job, reason: str) -> Reply:
+        """Reject a job that can never run; once accepted it stays so, whatever the cloud sells."""
+        known = await self.answer_for(job.id)
+        if isinstance(known, UnknownJob):
+            return _rejected(422, reason, job=job.id)
+        return _reply(known)
+
+    def _excessive_wait_s(self, job: Job) -> float | None:
+        """How long the write of a submission would wait, if that is too long; None if it is not."""
         writes, team = self.context.store.writes, self.context.teams[job.team]
         unguaranteed = team.guaranteed_cpus <= 0 and team.guaranteed_gpus <= 0
-        wait = writes.delay(1) + self.pending_submissions / writes.rate
-        if wait > (MAX_UNGUARANTEED_WAIT_S if unguaranteed else MAX_SUBMISSION_WAIT_S):
-            return Reply(429, {"error": "busy"}, wait + 1)
+        wait_s = writes.delay(1) + self.pending_submissions / writes.rate
+        max_wait_s = MAX_UNGUARANTEED_WAIT_S if unguaranteed else MAX_SUBMISSION_WAIT_S
+        return wait_s if wait_s > max_wait_s else None
+
+    async def _store_submission(self, job: Job, record: Any) -> Reply:
+        """Write a new job's record, unless another controller has written one."""
+        key = JOB_PREFIX + job.id
         self.pending_submissions += 1
         try:
-            revision, failed = await self._write(
-                {JOB_PREFIX + job.id: 0, ARCHIVE_PREFIX + job.id: 0}, JOB_PREFIX + job.id, record
-            )
+            revision, failed = await self._write({key: 0, ARCHIVE_PREFIX + job.id: 0}, key, record)
         except (RequestRefusedError, OutcomeUnknownError):
-            return Reply(503, {"error": "not stored"}, 1.0)
+            return _not_stored()
         finally:
             self.pending_submissions -= 1
         if failed:
@@ -156,14 +188,17 @@
             tasks=job.task_count,
             **{"class": job.job_class},
         )
-        self.context.store_cache.apply_own_write(JOB_PREFIX + job.id, record, revision)
+        self.context.store_cache.apply_own_write(key, record, revision)
         self.on_store_changed()
         return Reply(201, self.answers.accepted(job.id).body)
 
     async def _write(self, compare: dict[str, int], key: str, record: Any) -> tuple[int, list[str]]:
-        """One guarded change. Of unknown outcome it is written again, once: if it landed after all, its guard fails now.
+        """Write one key on conditions: the revision, and the keys whose versions did not match.
 
-        A link that is cut takes the request that finds it out with it; its user would come again after a second at the soonest.
+        A write of unknown outcome is repeated once: if the first one landed after all, the
+        comparison fails now. A link that is cut takes the request that notices it with it, and
+        without the repetition its user would come again after a second at the soonest. Raises
+        `RequestRefusedError` and `OutcomeUnknownError`.
         """
         started_at = self.context.clock()
         try:
@@ -173,31 +208,27 @@
                 raise
             return await self.context.store.compare_and_swap(compare, {key: record}, [])
 
+    # -- polling -------------------------------------------------------------------------------
+
     async def poll(self, job_id: str) -> Reply:
-        """GET /api/jobs/{id}."""
+        """GET /api/jobs/{id}: 200, 404 or 503."""
         if not jobs.JOB_ID_PATTERN.match(job_id):
-            return _reply(
-                UnknownJob()
-            )  # nobody can have submitted it; and it goes into no request of ours
+            # Nobody can have submitted it, and it must not get into a request to the store
+            return _reply(UnknownJob())
         return _reply(await self.answer_for(job_id))
 
     async def answer_for(self, job_id: str) -> JobAnswer:
-        """What may be told of a job, proved where it has to be."""
+        """What a user may be told of a job, verified by a fresh read where that is needed."""
         asked_at = self.context.clock()
         answer = self.answers.final(job_id) or self.answers.verified(
             job_id, asked_at, await self.store_watch.fresh_read()
         )
         if answer is CANCELLATION_NOT_ACKNOWLEDGED:
-            self.store_watch.request_read()  # it may be the copy that is behind
+            self.store_watch.request_read()  # this controller's own store cache may be behind
         if not isinstance(answer, ArchiveLookupNeeded):
             return answer
-        if self.context.store.requests.delay(self.context.store.requests.rate / 2) > 0:
-            # who asks for old or unknown jobs does not delay a lease or a permit; but nobody is sent away for ever
-            now = self.context.clock()
-            if now - self.delayed_lookups.setdefault(job_id, now) < MAX_LOOKUP_DELAY_S:
-                while len(self.delayed_lookups) > MAX_DELAYED_LOOKUPS:
-                    del self.delayed_lookups[next(iter(self.delayed_lookups))]
-                return Unavailable("busy")
+        if self._lookup_delayed(job_id):
+            return Unavailable("busy")
         self.delayed_lookups.pop(job_id, None)
         try:
             return self.answers.archived(
@@ -206,35 +237,61 @@
         except (RequestRefusedError, OutcomeUnknownError):
             return STATE_UNKNOWN
 
-    async def _final_answer(self, job_id: str) -> Reply:
-        """How a job ended, waiting a moment for the other controllers' word."""
-        with anyio.move_on_after(ACK_WAIT_S):
-            while self.answers.final(job_id) is CANCELLATION_NOT_ACKNOWLEDGED:
-                self.store_watch.request_read()
-                await anyio.sleep(0.03)
-        return _reply(await self.answer_for(job_id))
+    def _lookup_delayed(self, job_id: str) -> bool:
+        """Whether an archive lookup is put off, so that it does not delay a lease or a permit.
+
+        Not for ever: after `MAX_LOOKUP_DELAY_S` it is made whatever the load.
+        """
+        requests = self.context.store.requests
+        if requests.delay(requests.rate / 2) <= 0:
+            return False
+        now = self.context.clock()
+        if now - self.delayed_lookups.setdefault(job_id, now) >= MAX_LOOKUP_DELAY_S:
+            return False
+        while len(self.delayed_lookups) > MAX_DELAYED_LOOKUPS:
+            del self.delayed_lookups[next(iter(self.delayed_lookups))]
+        return True
+
+    # -- cancelling ----------------------------------------------------------------------------
 
     async def cancel(self, job_id: str) -> Reply:
-        """POST /api/jobs/{id}/withdraw."""
+        """POST /api/jobs/{id}/withdraw: 200 once the job is over for certain, 404 or 503."""
         if not jobs.JOB_ID_PATTERN.match(job_id):
             return _reply(UnknownJob())
-        for _ in range(3):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             if self.answers.final(job_id) is not None:
                 return await self._final_answer(job_id)
             if (version := self.answers.live_version(job_id)) is not None:
-                record = end_record(jobs.CANCELLED, 0)
                 try:
-                    revision, failed = await self._write(
-                        {JOB_PREFIX + job_id: version}, JOB_PREFIX + job_id, record
-                    )
+                    cancelled = await self._store_cancellation(job_id, version)
                 except (RequestRefusedError, OutcomeUnknownError):
-                    return Reply(503, {"error": "not stored"}, 1.0)
-                if not failed:
-                    log.info("cancelled", job=job_id)
-                    self.context.store_cache.apply_own_write(JOB_PREFIX + job_id, record, revision)
-                    self.on_store_changed()
+                    return _not_stored()
+                if cancelled:
                     return await self._final_answer(job_id)
             answer = await self.answer_for(job_id)
             if not isinstance(answer, JobStatus) or answer.final:
                 return _reply(answer)
         return _reply(STATE_UNKNOWN)
+
+    async def _store_cancellation(self, job_id: str, version: int) -> bool:
+        """Write that a job is cancelled; False if its record has changed from this version.
+
+        Raises `RequestRefusedError` and `OutcomeUnknownError`.
+        """
+        key = JOB_PREFIX + job_id
+        record = end_record(jobs.CANCELLED, 0)
+        revision, failed = await self._write({key: version}, key, record)
+        if failed:
+            return False
+        log.info("cancelled", job=job_id)
+        self.context.store_cache.apply_own_write(key, record, revision)
+        self.on_store_changed()
+        return True
+
+    async def _final_answer(self, job_id: str) -> Reply:
+        """How a job ended, once the other controllers have acknowledged it or a second is over."""
+        with anyio.move_on_after(ACK_WAIT_S):
+            while self.answers.final(job_id) is CANCELLATION_NOT_ACKNOWLEDGED:
+                self.store_watch.request_read()
+                await anyio.sleep(ACK_POLL_INTERVAL_S)
+        return _reply(await self.answer_for(job_id))
--- a/ploverhall/controller/outbound.py
+++ b/ploverhall/controller/outbound.py
@@ -1,8 +1,11 @@
-"""Calls to an outside service: by this controller's own link while it is good, through another member while it isn't.
+"""Calls to an outside service (key-value store, cloud): directly, or relayed through a peer.
 
-Stands where a plain client stood (`call`). What it must keep apart: a request that the service refused was not executed, and
-may be put through another at once; one that got no answer may still be executed, and only reads and repeatable requests are
-asked again, all others end in an unknown outcome, as they did before.
+`OutsideService` has the interface of a plain client (`call`). While this controller's own link is
+healthy it is used; while it is not, requests go through a peer that reaches the service.
+
+Two kinds of failure are kept apart. A request that the service refused was not executed, and may be
+sent again by another way at once. One that got no response may still be executed: only reads and
+repeatable requests are sent again, all others end in an unknown outcome.
 """
 
 from __future__ import annotations
@@ -13,21 +16,25 @@
 from ploverhall import log
 from ploverhall.connectivity.link_health import LinkHealth
 from ploverhall.controller.context import ControllerContext
-from ploverhall.controller.relay import Relay
+from ploverhall.controller.relay import MAX_HOPS, Relay
 from ploverhall.errors import RelayRefusedError, UnreachableError
 from ploverhall.protocol.rate_limiter import RateLimiter
 from ploverhall.protocol.relay_messages import RelayRequest
+from ploverhall.runtime import NEVER
 from ploverhall.transport.http_client import Client
 
 CHECK_INTERVAL_S = 0.1
-STALL_S = 0.5  # a tick so late: this process stood still, and nobody else was silent for that time
+# A check that comes so late means an event-loop stall here, and no silence of the service
+STALL_S = 0.5
 PROBE_INTERVAL_S = 0.5
-MAX_RELAYED_HOLD_S = 1.0  # a watch is held for so long at most where another carries it
-MIN_RELAY_TIMEOUT_S = 0.8  # a request that was given up here has at least so long through another
+MAX_RELAYED_HOLD_S = 1.0  # for which a watch is held at most when it is relayed
+# A request that was given up on the own link has at least so long by a relay
+MIN_RELAY_TIMEOUT_S = 0.8
+MIN_SERVED_TIMEOUT_S = 0.1  # for a peer's request that arrived late
 
 
 class OutsideService:
-    """One outside service."""
+    """One outside service, as this controller and the peers that relay through it reach it."""
 
     def __init__(
         self,
@@ -41,32 +48,39 @@
         refuses_with_503: bool,
         repeatable: tuple[str, ...],
     ) -> None:
+        """`rate`: requests per second that each peer may send through this controller.
+
+        `probe_target`: a cheap read; `repeatable`: prefixes of targets that may be sent twice;
+        `refuses_with_503`: a 503 says that the service executed nothing, and any other 5xx that a
+        gateway in between has failed.
+        """
         self.context = context
         self.relay = relay
         self.service = service
         self.client = client
-        self.probe_target = probe_target  # a cheap read
-        # Its 503 says that it executed nothing, and any other 5xx that something between is in
-        # trouble
+        self.probe_target = probe_target
         self.refuses_with_503 = refuses_with_503
-        self.repeatable = repeatable  # targets that may be asked twice
+        self.repeatable = repeatable
         self.health = LinkHealth()
-        # When each should have been answered, and what gives it up
+        # By number: when the response is due (steady clock, seconds), and what gives it up
         self.in_flight: dict[int, tuple[float, anyio.CancelScope]] = {}
         self.last_number = 0
-        # What each may ask here: its own slice
         self.peer_limiters = {
             peer.name: RateLimiter(rate, context.clock) for peer in context.settings.peers
         }
-        self.probed_at = -1e9
+        self.probed_at = NEVER
+
+    # -- calling -------------------------------------------------------------------------------
 
-    def current_relay(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
-        """Through whom to ask; None: by the own link, there is no better."""
+    def current_relay(
+        self, avoid: frozenset[str] = frozenset(), hops: int = MAX_HOPS
+    ) -> str | None:
+        """The peer to call through; None: the own link is healthy, or no peer is better."""
         if self.health.healthy or not self.context.settings.options.carry:
             return None
         return self._find_relay(avoid, hops)
 
-    def _find_relay(self, avoid: frozenset[str] = frozenset(), hops: int = 2) -> str | None:
+    def _find_relay(self, avoid: frozenset[str] = frozenset(), hops: int = MAX_HOPS) -> str | None:
         if not self.context.settings.options.carry:
             return None
         return self.relay.routes.route_to_service(
@@ -76,34 +90,62 @@
     async def call(
         self, method: str, target: str, body: object = None, timeout: float = 3.0, hold: float = 0.0
     ) -> tuple[int, object]:
-        """One request: (status, JSON). UnreachableError: it may or may not have been executed, now or later."""
-        until = self.context.clock() + timeout + hold
+        """Send one request; return the HTTP status and the decoded JSON.
+
+        `timeout` (seconds) counts besides `hold`, for which a watch may be held. Raises
+        `UnreachableError`: the request may or may not have been executed, now or later.
+        """
+        deadline = self.context.clock() + timeout + hold
         via = self.current_relay()
         if via is None:
             try:
-                status, out = await self._call_directly(method, target, body, timeout, hold)
+                status, response = await self._call_directly(method, target, body, timeout, hold)
             except UnreachableError:
                 via = self.current_relay()
-                if via is None or not (method == "GET" or target.startswith(self.repeatable)):
+                if via is None or not self._is_repeatable(method, target):
                     raise
             else:
-                # refused: surely not executed; another 5xx (a gateway's, say) does not tell, and only reads are put again
-                again = status == 503 or method == "GET" or target.startswith(self.repeatable)
-                via = self._find_relay() if self._indicates_failure(status) and again else None
+                via = self._relay_after_response(status, method, target)
                 if via is None:
-                    return status, out
-        left = max(MIN_RELAY_TIMEOUT_S, until - self.context.clock())
-        hold = min(hold, MAX_RELAYED_HOLD_S)
+                    return status, response
+        return await self._call_through(via, method, target, body, timeout, hold, deadline)
+
+    def _is_repeatable(self, method: str, target: str) -> bool:
+        """Whether a request that may have been executed may be sent again."""
+        return method == "GET" or target.startswith(self.repeatable)
+
+    def _relay_after_response(self, status: int, method: str, target: str) -> str | None:
+        """The peer through which a request that got this response is sent again; None: it is not.
+
+        After a refusal (503) it was certainly not executed. Another 5xx, of a gateway say, leaves
+        that open.
+        """
+        may_repeat = status == 503 or self._is_repeatable(method, target)
+        return self._find_relay() if self._indicates_failure(status) and may_repeat else None
+
+    async def _call_through(
+        self,
+        via: str,
+        method: str,
+        target: str,
+        body: object,
+        timeout: float,
+        hold_s: float,
+        deadline: float,
+    ) -> tuple[int, object]:
+        """Relay one request through a peer; a refusal is returned as the service's own would be."""
+        remaining_s = max(MIN_RELAY_TIMEOUT_S, deadline - self.context.clock())
+        hold_s = min(hold_s, MAX_RELAYED_HOLD_S)
         data = orjson.dumps(body) if body is not None else b""
-        target = target if not hold else _with_hold(target, hold)
+        target = target if not hold_s else _with_hold(target, hold_s)
         try:
             status, raw = await self.relay.send(
                 via,
                 self.service,
-                timeout=min(timeout, left),
+                timeout=min(timeout, remaining_s),
                 method=method,
                 target=target,
-                hold_s=hold,
+                hold_s=hold_s,
                 body=data,
             )
         except RelayRefusedError:
@@ -116,111 +158,149 @@
     async def _call_directly(
         self, method: str, target: str, body: object, timeout: float, hold: float
     ) -> tuple[int, object]:
-        """By the own link, measured; given up when the link turns out to be bad and there is a way."""
-        clock = self.context.clock
-        started_at = clock()
+        """Call on the own link, and record how it went in `health`.
+
+        Raises `UnreachableError`, also when `loop` gives the call up because a relay is better.
+        """
+        started_at = self.context.clock()
         self.last_number += 1
         number, scope = self.last_number, anyio.CancelScope()
         self.in_flight[number] = (started_at + hold, scope)
         try:
             with scope:
-                status, out = await self.client.call(method, target, body, timeout, hold)
-                now = clock()
-                if self._indicates_failure(status):
-                    self.health.record_failure(started_at, now)
-                else:
-                    self.health.record_answer(
-                        max(0.0, now - started_at - hold) if hold else now - started_at, now
-                    )
-                return status, out
+                status, response = await self.client.call(method, target, body, timeout, hold)
+                self._record_response(status, started_at, hold)
+                return status, response
             raise UnreachableError(f"{method} {target}: given up")
         except UnreachableError:
-            self.health.record_failure(started_at + hold, clock())
+            self.health.record_failure(started_at + hold, self.context.clock())
             raise
         finally:
             del self.in_flight[number]
 
+    def _record_response(self, status: int, started_at: float, hold_s: float = 0.0) -> None:
+        """Record in `health` what a response on the own link says of it."""
+        now = self.context.clock()
+        if self._indicates_failure(status):
+            self.health.record_failure(started_at, now)
+            return
+        latency_s = max(0.0, now - started_at - hold_s) if hold_s else now - started_at
+        self.health.record_answer(latency_s, now)
+
     def _indicates_failure(self, status: int) -> bool:
-        """Whether an answer says that the link does not serve: of a service whose 503 is a refusal, every 5xx does."""
+        """Whether a status says that the link cannot be used.
+
+        Every 5xx does, of a service whose 503 is a refusal.
+        """
         return self.refuses_with_503 and status >= 500
 
+    # -- watching the own link -----------------------------------------------------------------
+
     async def loop(self) -> None:
-        """Look at what has no answer yet, and try a link that is bad."""
-        last, good = self.context.clock(), True
+        """Watch overdue calls, and probe an unhealthy link; never returns."""
+        last_check_at = self.context.clock()
+        was_healthy = True
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             now = self.context.clock()
-            if self.health.healthy != good:
-                good = self.health.healthy
-                log.info(
-                    "link healthy" if good else "link unhealthy",
-                    service=self.service,
-                    via=self.current_relay() or "-",
-                    failures=self.health.failure_count,
-                )
-            if now - last > CHECK_INTERVAL_S + STALL_S:
+            if self.health.healthy != was_healthy:
+                was_healthy = self.health.healthy
+                self._log_health()
+            if now - last_check_at > CHECK_INTERVAL_S + STALL_S:
                 self.health.last_answer_at = now
-            last = now
-            if self.in_flight and (oldest := min(due for due, _ in self.in_flight.values())) < now:
-                self.health.record_overdue(oldest, now)
+            last_check_at = now
+            self._record_overdue(now)
             if self.health.healthy:
                 continue
-            if self.current_relay() is not None:
-                for _, scope in self.in_flight.values():
-                    scope.cancel()
+            self._give_up_calls()
             if now - self.probed_at > PROBE_INTERVAL_S:
                 self.probed_at = now
                 await self._probe()
-                last = self.context.clock()
+                last_check_at = self.context.clock()
+
+    def _log_health(self) -> None:
+        log.info(
+            "link healthy" if self.health.healthy else "link unhealthy",
+            service=self.service,
+            via=self.current_relay() or "-",
+            failures=self.health.failure_count,
+        )
+
+    def _record_overdue(self, now: float) -> None:
+        """Tell `health` of the call that has been without a response for longest."""
+        if not self.in_flight:
+            return
+        oldest_due_at = min(due_at for due_at, _ in self.in_flight.values())
+        if oldest_due_at < now:
+            self.health.record_overdue(oldest_due_at, now)
+
+    def _give_up_calls(self) -> None:
+        """Cancel the calls on the own link, if they can be relayed instead."""
+        if self.current_relay() is not None:
+            for _, scope in self.in_flight.values():
+                scope.cancel()
 
     async def _probe(self) -> None:
-        """One cheap read by the own link, which nobody waits for."""
+        """Make one cheap read on the own link, only to learn whether it works."""
         started_at = self.context.clock()
         try:
             status, _ = await self.client.call("GET", self.probe_target, None, PROBE_INTERVAL_S)
         except UnreachableError:
             self.health.record_failure(started_at, self.context.clock())
             return
-        now = self.context.clock()
-        if self._indicates_failure(status):
-            self.health.record_failure(started_at, now)
-        else:
-            self.health.record_answer(now - started_at, now)
+        self._record_response(status, started_at)
+
+    # -- serving peers -------------------------------------------------------------------------
 
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
-        """A member asks through this one. Its requests come out of its own slice, and never before this one's own."""
-        lent = self.peer_limiters.get(peer)
-        if lent is None or lent.delay(1) > 0:
+        """Execute a peer's request, or relay it further; return the HTTP status and the body.
+
+        It counts against the peer's own share of the rate, so that it never delays this
+        controller's requests. Raises `RelayRefusedError` if it was certainly not executed, and
+        `UnreachableError` if that is not known.
+        """
+        limiter = self.peer_limiters.get(peer)
+        if limiter is None or limiter.delay(1) > 0:
             raise RelayRefusedError("more than its share")
-        lent.consume(1)
-        left = request.deadline - self.context.wall_clock() - request.hold_s
+        limiter.consume(1)
+        remaining_s = request.deadline - self.context.wall_clock() - request.hold_s
         if not self.health.healthy:
-            via = self.current_relay(frozenset((peer,)), request.hops - 1)
-            if request.hops < 2 or via is None:
-                raise RelayRefusedError("not reached from here either")
-            return await self.relay.send(
-                via,
-                self.service,
-                timeout=left,
-                method=request.method,
-                target=request.target,
-                hold_s=request.hold_s,
-                body=request.body,
-                hops=request.hops - 1,
-            )
+            return await self._relay_further(peer, request, remaining_s)
         try:
             body = orjson.loads(request.body) if request.body else None
         except orjson.JSONDecodeError as error:
             raise RelayRefusedError("not JSON") from error
-        status, out = await self._call_directly(
-            request.method, request.target, body, max(0.1, left), request.hold_s
+        status, response = await self._call_directly(
+            request.method,
+            request.target,
+            body,
+            max(MIN_SERVED_TIMEOUT_S, remaining_s),
+            request.hold_s,
         )
         if status == 503 and self.refuses_with_503:
             raise RelayRefusedError("refused here, too")
-        return status, orjson.dumps(out)
+        return status, orjson.dumps(response)
+
+    async def _relay_further(
+        self, peer: str, request: RelayRequest, remaining_s: float
+    ) -> tuple[int, bytes]:
+        """Relay a peer's request by one more hop; raises `RelayRefusedError` if it cannot be."""
+        via = self.current_relay(frozenset((peer,)), request.hops - 1)
+        if request.hops < 2 or via is None:
+            raise RelayRefusedError("not reached from here either")
+        return await self.relay.send(
+            via,
+            self.service,
+            timeout=remaining_s,
+            method=request.method,
+            target=request.target,
+            hold_s=request.hold_s,
+            body=request.body,
+            hops=request.hops - 1,
+        )
 
 
 def _with_hold(target: str, hold_s: float) -> str:
-    """A watch's target with a shorter hold."""
+    """The target of a watch, with a hold of `hold_s` seconds in place of its own."""
     head, _, _ = target.partition("&holdMs=")
     return f"{head}&holdMs={int(hold_s * 1000)}"
--- a/ploverhall/controller/peer_links.py
+++ b/ploverhall/controller/peer_links.py
@@ -1,8 +1,14 @@
-"""The links to the other controllers: what goes out on each, and what is done with what comes in."""
+"""The links to the other controllers: what is sent on each, and who handles what is received.
+
+`PeerLinks` owns one outgoing link to each peer and the listener for theirs. The `Controller` starts
+them; every component that has something for a peer calls `notify`, and is asked for it by `collect`
+when the link is ready to send.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
 
 from ploverhall import log
 from ploverhall.controller.context import ControllerContext
@@ -16,14 +22,21 @@
 from ploverhall.errors import InvalidPeerMessageError
 from ploverhall.protocol import relay_messages
 from ploverhall.protocol.peer_messages import Cancellation, PeerStatus, decode_gossip, encode_gossip
+from ploverhall.runtime import NEVER
 from ploverhall.transport.peer_stream import PeerLink, PeerListener
 
 STATUS_INTERVAL_S = 0.5
-REJECTED_LOG_INTERVAL_S = 60.0
+REJECTED_LOG_INTERVAL_S = 60.0  # at most one log line per peer and interval
+
+# Kinds of messages: the first field on the wire
+PEER_STATUS = "n"
+CANCELLATION_GOSSIP = "k"
+RELAY_KINDS = (relay_messages.CONNECTIVITY, relay_messages.REQUEST, relay_messages.RESPONSE)
+STATUS_REPORT_KINDS = ("v", "q", "a")  # report, question, answer
 
 
 class PeerLinks:
-    """One link to each peer, and the listener for theirs."""
+    """Sends and receives all messages between this controller and its peers."""
 
     def __init__(
         self,
@@ -43,9 +56,10 @@
         self.status_report = status_report
         self.cancellation_barrier = cancellation_barrier
         self.relay = relay
-        self.on_cancellations = on_cancellations  # acts on what a peer says has been cancelled
+        # Acts on the cancellations that a peer names
+        self.on_cancellations = on_cancellations
         settings = context.settings
-        seams = context.runtime
+        runtime = context.runtime
         self.links = {
             peer.name: PeerLink(
                 settings.name,
@@ -53,96 +67,112 @@
                 peer.host,
                 peer.port,
                 self.collect,
-                seams.network,
-                seams.clock,
+                runtime.network,
+                runtime.clock,
             )
             for peer in settings.peers
         }
-        self.listener = PeerListener(self.deliver, seams.network, seams.clock)
+        self.listener = PeerListener(self.deliver, runtime.network, runtime.clock)
+        # Per peer, steady clock in seconds
         self.status_sent_at: dict[str, float] = {}
-        self.gossiped_revision: dict[str, int] = {}  # per peer: the watermark that it was told
-        # Per peer: when a word of its that is in no form was last named in the log
         self.rejection_logged_at: dict[str, float] = {}
+        # Per peer: the revision up to which it was told of all cancellations
+        self.gossiped_revision: dict[str, int] = {}
         self.gossip_sequence = 0
 
     def connected(self) -> list[str]:
-        """The peers to which there is a connection."""
+        """The names of the peers to which there is a connection."""
         return [name for name, link in self.links.items() if link.connected]
 
     def notify(self, *names: str | None) -> None:
-        """There is something for these peers."""
+        """Wake the links to these peers: there is something to send. Other names are ignored."""
         for name in names:
             if name is not None and name in self.links:
                 self.links[name].notify()
 
+    # -- sending -------------------------------------------------------------------------------
+
     def collect(self, controller: str, generation: int) -> list[Message]:
-        """What goes to a peer now."""
-        out = self.routing.collect(controller, generation)
-        shared, now = self.context, self.context.clock()
-        status_due = now - self.status_sent_at.get(controller, -1e9) > STATUS_INTERVAL_S
+        """The messages that go to a peer now; `generation` counts the connections to it."""
+        messages = self.routing.collect(controller, generation)
+        now = self.context.clock()
+        status_due = now - self.status_sent_at.get(controller, NEVER) > STATUS_INTERVAL_S
         if status_due:
             self.status_sent_at[controller] = now
-            out.append(
-                ["n", shared.controller_index, 0, 0, True, self.peer_liveness.own_status(now), 0]
-            )
-        if status_due or self.gossiped_revision.get(controller, 0) < min(
-            shared.cancelled_revision,
-            max(shared.store_cache.revision, self.cancellation_barrier.informed_revision),
-        ):
-            # a message of its own, in the form of a board: a release that does not know it takes it for one of nobody's
-            gossip = self.cancellation_barrier.gossip_for(
-                controller, shared.store_cache.revision, now
-            )
-            self.gossiped_revision[controller] = gossip.known_revision
-            self.gossip_sequence += 1
-            out.append(
-                [
-                    "k",
-                    shared.controller_index,
-                    0,
-                    0,
-                    True,
-                    encode_gossip(gossip),
-                    self.gossip_sequence,
-                ]
-            )
+            messages.append(self._message(PEER_STATUS, self.peer_liveness.own_status(now), 0))
+        if status_due or self._gossip_due(controller):
+            messages.append(self._gossip_message(controller, now))
         return (
-            out + self.status_report.collect(controller, now) + self.relay.collect(controller, now)
+            messages
+            + self.status_report.collect(controller, now)
+            + self.relay.collect(controller, now)
         )
 
+    def _message(self, kind: str, value: Any, sequence: int) -> Message:
+        """A message in the state channel's form, which is that of all messages on a link.
+
+        A release that does not know a kind takes it for the state of an endpoint that nobody holds.
+        """
+        return [kind, self.context.controller_index, 0, 0, True, value, sequence]
+
+    def _gossip_due(self, controller: str) -> bool:
+        """Whether there are cancellations that this peer has not been told of."""
+        known_revision = max(
+            self.context.store_cache.revision, self.cancellation_barrier.informed_revision
+        )
+        return self.gossiped_revision.get(controller, 0) < min(
+            self.context.cancelled_revision, known_revision
+        )
+
+    def _gossip_message(self, controller: str, now: float) -> Message:
+        """What this controller knows of cancellations, for one peer."""
+        gossip = self.cancellation_barrier.gossip_for(
+            controller, self.context.store_cache.revision, now
+        )
+        self.gossiped_revision[controller] = gossip.known_revision
+        self.gossip_sequence += 1
+        return self._message(CANCELLATION_GOSSIP, encode_gossip(gossip), self.gossip_sequence)
+
+    # -- receiving -----------------------------------------------------------------------------
+
     def deliver(self, controller: str, batch: list[Message]) -> None:
-        """A peer's messages."""
-        changed = False
+        """Hand a peer's messages to those they are for."""
+        channels_changed = False
         for message in batch:
-            if message[0] == "n":
-                status = PeerStatus(*message[5])
-                self.peer_liveness.record(controller, status)
-                self.shard_roles.release_superseded(status.epochs, controller)
-                self.routing.update_routes()
-            elif message[0] == "k":
+            kind = message[0]
+            if kind == PEER_STATUS:
+                self._receive_status(controller, message[5])
+            elif kind == CANCELLATION_GOSSIP:
                 self._receive_gossip(controller, message[5])
-            elif message[0] in (
-                relay_messages.CONNECTIVITY,
-                relay_messages.REQUEST,
-                relay_messages.RESPONSE,
-            ):
+            elif kind in RELAY_KINDS:
                 self.relay.deliver(controller, message)
-            elif message[0] in ("v", "q", "a"):
+            elif kind in STATUS_REPORT_KINDS:
                 self.status_report.deliver(controller, message)
             elif self.routing.accept(message):
-                changed = True
-        if changed:
+                channels_changed = True
+        if channels_changed:
             self.context.wake_scheduling()
 
+    def _receive_status(self, controller: str, value: Any) -> None:
+        """Take in what a peer says of itself and of the shards it holds."""
+        status = PeerStatus(*value)
+        self.peer_liveness.record(controller, status)
+        self.shard_roles.release_superseded(status.epochs, controller)
+        self.routing.update_routes()
+
     def _receive_gossip(self, controller: str, value: object) -> None:
-        """What a peer knows of cancellations; one that is in no form changes nothing."""
+        """Take in what a peer knows of cancellations; a malformed message changes nothing."""
         now = self.context.clock()
         try:
             gossip = decode_gossip(value)
         except InvalidPeerMessageError as error:
-            if now - self.rejection_logged_at.get(controller, -1e9) > REJECTED_LOG_INTERVAL_S:
-                self.rejection_logged_at[controller] = now
-                log.error("peer message rejected", peer=controller, field=error)
+            self._log_rejection(controller, error, now)
             return
         if named := self.cancellation_barrier.receive_gossip(controller, gossip, now):
             self.on_cancellations(named)
+
+    def _log_rejection(self, controller: str, error: InvalidPeerMessageError, now: float) -> None:
+        """Log a malformed message, seldom: a peer of another release sends them all the time."""
+        if now - self.rejection_logged_at.get(controller, NEVER) > REJECTED_LOG_INTERVAL_S:
+            self.rejection_logged_at[controller] = now
+            log.error("peer message rejected", peer=controller, field=error)
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -1,8 +1,14 @@
-"""Questions put through other members, and theirs worked on here: the sending side of `reach`."""
+"""Requests relayed through other controllers, and theirs served here.
+
+`Relay` owns the pending relayed requests of both directions. `outbound`, `heartbeat_requests` and
+`agent_commands` send through it and register as handlers; `peer_links` moves its messages. Which
+peer can relay what is decided in `connectivity.relay_routes`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
 from typing import Any
 
 import anyio
@@ -17,16 +23,29 @@
 from ploverhall.log import raised_at
 from ploverhall.protocol import relay_messages
 from ploverhall.protocol.relay_messages import RelayRequest, RelayResponse
+from ploverhall.runtime import NEVER
 
 CONNECTIVITY_INTERVAL_S = 0.5
-MAX_LAG_S = 0.5  # its own work comes first: so far behind it carries nothing
-# How soon it is seen that there is no connection any more over which it could be answered
+# A controller whose scheduling is later than this relays nothing: its own work comes first
+MAX_LAG_S = 0.5
+# How often a waiting request looks whether the connection that its response would take is still up
 CONNECTION_CHECK_S = 0.25
+MAX_HOPS = 2  # peers that a request may go through
+REQUEST_OVERHEAD_BYTES = 200  # of an encoded request besides its body and target
+RESPONSE_OVERHEAD_BYTES = 100
 Handler = Callable[[str, RelayRequest], Awaitable[tuple[int, bytes]]]
 
 
+@dataclass(slots=True)
+class ResponseWaiter:
+    """A sent request that waits for its response; `responses` holds one at most."""
+
+    arrived: anyio.Event = field(default_factory=anyio.Event)
+    responses: list[RelayResponse] = field(default_factory=list)
+
+
 class Relay:
-    """Both sides: what is asked of others, and what others ask."""
+    """Sends requests through peers, and serves what peers send."""
 
     def __init__(
         self,
@@ -37,31 +56,23 @@
         is_connected: Callable[[str], bool],
         start_serving: Callable[[str, RelayRequest], None],
     ) -> None:
-        (
-            self.context,
-            self.peer_liveness,
-            self.routes,
-            self.notify_peer,
-            self.is_connected,
-            self.start_serving,
-        ) = (
-            context,
-            peer_liveness,
-            routes,
-            notify_peer,
-            is_connected,
-            start_serving,
-        )
+        """`start_serving`: starts `serve` as a task of its own."""
+        self.context = context
+        self.peer_liveness = peer_liveness
+        self.routes = routes
+        self.notify_peer = notify_peer
+        self.is_connected = is_connected
+        self.start_serving = start_serving
         self.pending = PendingRelays(f"{context.random.getrandbits(64):x}")
-        self.response_waiters: dict[int, tuple[anyio.Event, list[RelayResponse]]] = {}
-        self.handlers: dict[str, Handler] = {}
-        # By how much this controller's own work is behind
+        self.response_waiters: dict[int, ResponseWaiter] = {}
+        self.handlers: dict[str, Handler] = {}  # by the kind of request
+        # By how much this controller's own scheduling is late (seconds)
         self.scheduling_lag: Callable[[], float] = float
-        # What this member reaches, for its word
+        # What this controller reaches, as its connectivity message says it
         self.own_connectivity: Callable[[], dict[str, Any]] = dict
         self.connectivity_sent_at: dict[str, float] = {}
 
-    # -- asking --------------------------------------------------------------------------------
+    # -- sending -------------------------------------------------------------------------------
 
     async def send(
         self,
@@ -74,22 +85,21 @@
         hold_s: float = 0.0,
         body: bytes = b"",
         destination: str = "",
-        hops: int = 2,
+        hops: int = MAX_HOPS,
     ) -> tuple[int, bytes]:
-        """One question to a member: (status, body). NotCarried: surely not executed; UnreachableError: that is not known."""
-        shared = self.context
-        deadline = shared.clock() + timeout + hold_s
-        if not self.is_connected(via):
-            self.routes.record_failure(via, shared.clock())
-            raise RelayRefusedError(f"no connection to {via}")
-        number = self.pending.open_request(via, deadline)
-        if number is None:
-            raise RelayRefusedError("too many open questions")
+        """Send one request through the peer `via`; return the HTTP status and the body.
+
+        `timeout` (seconds) counts besides `hold_s`, for which a watch may be held. Raises
+        `RelayRefusedError` if the request was certainly not executed, `UnreachableError` if that is
+        not known.
+        """
+        deadline = self.context.clock() + timeout + hold_s
+        number = self._open_request(via, deadline)
         request = RelayRequest(
             self.pending.incarnation,
             number,
             kind,
-            shared.wall_clock() + timeout + hold_s,
+            self.context.wall_clock() + timeout + hold_s,
             hops,
             destination,
             method,
@@ -97,50 +107,71 @@
             hold_s,
             body,
         )
-        waiter: tuple[anyio.Event, list[RelayResponse]] = (anyio.Event(), [])
+        waiter = ResponseWaiter()
         self.response_waiters[number] = waiter
         try:
-            if not self.pending.enqueue(
-                via,
-                relay_messages.encode(relay_messages.REQUEST, shared.controller_index, request),
-                len(body) + len(target) + 200,
-                deadline,
-            ):
-                raise RelayRefusedError("too much waits for it")
-            self.notify_peer(via)
-            while (
-                (remaining_s := deadline - shared.clock()) > 0
-                and not waiter[1]
-                and self.is_connected(via)
-            ):
-                with anyio.move_on_after(min(remaining_s, CONNECTION_CHECK_S)):
-                    await waiter[0].wait()
+            self._enqueue_request(via, request, deadline)
+            await self._wait_for_response(via, waiter, deadline)
         finally:
             del self.response_waiters[number]
             self.pending.close(number)
-        if not waiter[1]:
-            self.routes.record_failure(via, shared.clock())
+        return self._result(via, kind, waiter.responses)
+
+    def _open_request(self, via: str, deadline: float) -> int:
+        """Number a new request; raises `RelayRefusedError` if it cannot be sent."""
+        if not self.is_connected(via):
+            self.routes.record_failure(via, self.context.clock())
+            raise RelayRefusedError(f"no connection to {via}")
+        number = self.pending.open_request(via, deadline)
+        if number is None:
+            raise RelayRefusedError("too many open questions")
+        return number
+
+    def _enqueue_request(self, via: str, request: RelayRequest, deadline: float) -> None:
+        """Queue a request for a peer; raises `RelayRefusedError` if the queue is full."""
+        message = relay_messages.encode(
+            relay_messages.REQUEST, self.context.controller_index, request
+        )
+        size_bytes = len(request.body) + len(request.target) + REQUEST_OVERHEAD_BYTES
+        if not self.pending.enqueue(via, message, size_bytes, deadline):
+            raise RelayRefusedError("too much waits for it")
+        self.notify_peer(via)
+
+    async def _wait_for_response(self, via: str, waiter: ResponseWaiter, deadline: float) -> None:
+        """Wait until the response is there, the deadline is over or the connection is lost."""
+        while (
+            (remaining_s := deadline - self.context.clock()) > 0
+            and not waiter.responses
+            and self.is_connected(via)
+        ):
+            with anyio.move_on_after(min(remaining_s, CONNECTION_CHECK_S)):
+                await waiter.arrived.wait()
+
+    def _result(self, via: str, kind: str, responses: list[RelayResponse]) -> tuple[int, bytes]:
+        """The status and body of the response; raises the error that it, or its absence, means."""
+        if not responses:
+            self.routes.record_failure(via, self.context.clock())
             raise UnreachableError(f"{kind} through {via}: no answer")
-        response = waiter[1][0]
+        response = responses[0]
         if response.status == 0:
-            self.routes.record_failure(via, shared.clock())
+            self.routes.record_failure(via, self.context.clock())
             if response.refused:
                 raise RelayRefusedError(f"{kind} through {via}: refused")
             raise UnreachableError(f"{kind} through {via}: outcome not known")
         self.routes.record_success(via)
         return response.status, response.body
 
-    # -- being asked ---------------------------------------------------------------------------
+    # -- serving -------------------------------------------------------------------------------
 
     async def serve(self, peer: str, request: RelayRequest) -> None:
-        """Work on a member's question, and answer."""
+        """Execute a peer's request, and queue the response."""
         status = 0
         refused = True
         body = b""
         try:
             status, body = await self.handlers[request.kind](peer, request)
             if len(body) > relay_messages.MAX_BODY_BYTES:
-                # It has been executed: only its answer can't be carried
+                # It has been executed: only its response cannot be relayed
                 status = 0
                 refused = False
                 body = b""
@@ -148,7 +179,7 @@
             pass
         except UnreachableError:
             refused = False
-        except Exception as error:  # one question must not end the process
+        except Exception as error:  # one faulty request must not end the process
             refused = False
             log.error(
                 "relay failed",
@@ -164,46 +195,49 @@
     def _respond(
         self, peer: str, request: RelayRequest, status: int, refused: bool, body: bytes
     ) -> None:
-        """Put an answer in the member's queue; where there is no room for it, it will have to ask again."""
+        """Queue a response; if there is no room it is dropped, and the request times out."""
         remaining_s = request.deadline - self.context.wall_clock()
         response = RelayResponse(request.incarnation, request.number, status, refused, body)
         self.pending.enqueue(
             peer,
             relay_messages.encode(relay_messages.RESPONSE, self.context.controller_index, response),
-            len(body) + 100,
+            len(body) + RESPONSE_OVERHEAD_BYTES,
             self.context.clock() + remaining_s,
         )
         self.notify_peer(peer)
 
-    # -- on the links --------------------------------------------------------------------------
+    # -- messages on the links -----------------------------------------------------------------
 
     def collect(self, controller: str, now: float) -> list[Message]:
-        """What goes to a peer now."""
-        out = self.pending.drain(controller, now)
-        if now - self.connectivity_sent_at.get(controller, -1e9) > CONNECTIVITY_INTERVAL_S:
+        """The messages that go to a peer now."""
+        messages = self.pending.drain(controller, now)
+        if now - self.connectivity_sent_at.get(controller, NEVER) > CONNECTIVITY_INTERVAL_S:
             self.connectivity_sent_at[controller] = now
-            heard = [name for name in self.routes.peers if self.peer_liveness.is_alive(name, now)]
-            can = list(relay_messages.KINDS) if self.context.settings.options.carry else []
-            out.append(
-                [
-                    relay_messages.CONNECTIVITY,
-                    self.context.controller_index,
-                    0,
-                    0,
-                    True,
-                    {
-                        "life": self.pending.incarnation,
-                        "can": can,
-                        "hears": heard,
-                        **self.own_connectivity(),
-                    },
-                    0,
-                ]
-            )
-        return out
+            messages.append(self._connectivity_message(now))
+        return messages
+
+    def _connectivity_message(self, now: float) -> Message:
+        """What this controller reaches and relays."""
+        heard = [name for name in self.routes.peers if self.peer_liveness.is_alive(name, now)]
+        can = list(relay_messages.KINDS) if self.context.settings.options.carry else []
+        value = {
+            "life": self.pending.incarnation,
+            "can": can,
+            "hears": heard,
+            **self.own_connectivity(),
+        }
+        return [
+            relay_messages.CONNECTIVITY,
+            self.context.controller_index,
+            0,
+            0,
+            True,
+            value,
+            0,
+        ]
 
     def deliver(self, controller: str, message: Message) -> None:
-        """A peer's word, question or answer; one that is not in the form is nobody's."""
+        """Take in a peer's connectivity, request or response; a malformed one is dropped."""
         kind, value = message[0], message[5]
         if controller not in self.routes.peers:
             return
@@ -211,27 +245,30 @@
             if kind == relay_messages.CONNECTIVITY and isinstance(value, dict):
                 self.routes.update(controller, value, self.context.clock())
             elif kind == relay_messages.REQUEST:
-                request = relay_messages.decode_request(value)
-                if deadline_passed(request.deadline, self.context.wall_clock()):
-                    self.pending.refused_count += (
-                        1  # held back on its way: whoever asked has long gone on
-                    )
-                elif (
-                    request.kind not in self.handlers
-                    or self.scheduling_lag() > MAX_LAG_S
-                    or not self.pending.begin_work(controller)
-                ):
-                    self._respond(controller, request, 0, True, b"")
-                else:
-                    self.start_serving(controller, request)
+                self._receive_request(controller, relay_messages.decode_request(value))
             elif kind == relay_messages.RESPONSE:
-                response = relay_messages.decode_response(value)
-                waiting = self.response_waiters.get(response.number)
-                if (
-                    self.pending.complete(response.incarnation, response.number, controller)
-                    and waiting is not None
-                ):
-                    waiting[1].append(response)
-                    waiting[0].set()
+                self._receive_response(controller, relay_messages.decode_response(value))
         except InvalidRelayMessageError:
-            pass
+            pass  # whoever sent it waits no longer than its own deadline
+
+    def _receive_request(self, controller: str, request: RelayRequest) -> None:
+        """Start serving a peer's request, or refuse it."""
+        if deadline_passed(request.deadline, self.context.wall_clock()):
+            # Held up on its way: its sender has given it up, and executing it now would be too late
+            self.pending.refused_count += 1
+        elif (
+            request.kind not in self.handlers
+            or self.scheduling_lag() > MAX_LAG_S
+            or not self.pending.begin_work(controller)
+        ):
+            self._respond(controller, request, 0, True, b"")
+        else:
+            self.start_serving(controller, request)
+
+    def _receive_response(self, controller: str, response: RelayResponse) -> None:
+        """Hand a response to the request that waits for it, if there still is one."""
+        waiter = self.response_waiters.get(response.number)
+        completed = self.pending.complete(response.incarnation, response.number, controller)
+        if completed and waiter is not None:
+            waiter.responses.append(response)
+            waiter.arrived.set()
--- a/ploverhall/runtime.py
+++ b/ploverhall/runtime.py
@@ -1,4 +1,8 @@
-"""What a controller takes from its surroundings besides its settings: clocks, randomness, the network."""
+"""What a controller takes from its surroundings besides its settings: clocks, randomness, network.
+
+`run.py` and the command line use the defaults; the tests put a virtual clock, seeded randomness and
+a simulated network in their place.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +13,14 @@
 
 from ploverhall.transport.network import TCP_NETWORK, Network
 
+NEVER = -1e9  # as a steady-clock time: long before the process started
+
 
 @dataclass(slots=True, frozen=True)
 class Runtime:
-    """The real ones by default; the tests put a virtual clock and a network of their own here."""
+    """The surroundings of one controller; the defaults are the real ones."""
 
-    clock: Callable[[], float] = time.monotonic  # seconds, steady, from any beginning
-    wall_clock: Callable[[], float] = time.time  # seconds, time of day
+    clock: Callable[[], float] = time.monotonic  # seconds, steady, from an arbitrary beginning
+    wall_clock: Callable[[], float] = time.time  # seconds since the epoch, may be set back
     random: Random = field(default_factory=Random)
     network: Network = TCP_NETWORK
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -18,7 +18,7 @@
 from ploverhall import settings
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
-from ploverhall.controller.relay import Relay
+from ploverhall.controller.relay import Relay, ResponseWaiter
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.job_answers import FreshRead
@@ -339,7 +339,7 @@
         c0 = p.nodes["c0"].relay
         number = c0.pending.open_request("c1", p.now + 5.0)
         assert number is not None
-        c0.response_waiters[number] = (anyio.Event(), [])
+        c0.response_waiters[number] = ResponseWaiter()
         mine = relay_messages.RelayResponse(c0.pending.incarnation, number, 200, False, b"{}")
         for wrong, by in (
             (mine._replace(incarnation="before"), "c1"),
@@ -347,10 +347,10 @@
             (mine._replace(number=number + 1), "c1"),
         ):
             c0.deliver(by, relay_messages.encode(relay_messages.RESPONSE, 1, wrong))
-        assert not c0.response_waiters[number][1]
+        assert not c0.response_waiters[number].responses
         c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, mine))
         c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, mine))
-        assert c0.response_waiters[number][1] == [mine]
+        assert c0.response_waiters[number].responses == [mine]
 
     play(scene)
 
