--- a/ploverhall/__init__.py
+++ b/ploverhall/__init__.py
@@ -1,3 +1,3 @@
-"""ploverhall: a cluster scheduler of equal controllers, each owning one part of the fleet."""
+"""ploverhall: a cluster scheduler of equal controllers, each owning one shard of the fleet."""
 
 __version__ = "0.1.0"
--- a/ploverhall/__main__.py
+++ b/ploverhall/__main__.py
@@ -1,4 +1,4 @@
-"""python -m ploverhall"""
+"""Entry point of `python -m ploverhall`: runs the command line."""
 
 import sys
 
--- a/ploverhall/controller/http_routes.py
+++ b/ploverhall/controller/http_routes.py
@@ -1,4 +1,8 @@
-"""Where a request of users, workers, operators or the load balancer goes."""
+"""Routes HTTP requests of users, agents, operators and the load balancer to their handlers.
+
+The HTTP server calls `HttpRoutes.handle` for every request, and `is_report` to tell agents'
+connections from others. `/healthz` is answered here.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +21,20 @@
 from ploverhall.transport.http_server import Reply
 
 REPORT_PATH = "/v1/report"
-STORE_ANSWER_MAX_AGE_S = 2.5  # the state service's last answer, by whichever way, is no older
+JOBS_PATH = "/api/jobs"
+MAINTENANCE_PATH = "/upkeep"
+STATUS_FILTERS = ("job", "team", "machine")
+# A healthy controller had a response of the key-value store, directly or relayed, so lately
+STORE_ANSWER_MAX_AGE_S = 2.5
 
 
 def is_report(request: Request) -> bool:
-    """Whether a request is a worker's: its agent keeps the connection for the next report."""
+    """Whether a request is an agent's heartbeat: it keeps the connection for the next one."""
     return request.path == REPORT_PATH
 
 
 class HttpRoutes:
-    """One controller's front door."""
+    """Routes one controller's HTTP requests."""
 
     def __init__(
         self,
@@ -47,45 +55,49 @@
         self.maintenance_requests = maintenance_requests
 
     async def handle(self, request: Request) -> Reply:
-        """Route one request."""
+        """Answer one request; a fault in a handler is logged and answered with 503."""
         try:
-            if request.path == REPORT_PATH:
-                return (
-                    await self.heartbeat_requests.receive(request)
-                    if request.method == "POST"
-                    else Reply(405, {"error": "method"})
-                )
-            if request.path == "/healthz":
-                return Reply(200, {"ok": True}) if self.healthy() else Reply(503, {"ok": False})
-            if request.path == "/api/jobs":
-                return (
-                    await self.job_requests.submit(request.body)
-                    if request.method == "POST"
-                    else Reply(405, {"error": "method"})
-                )
-            if request.path.startswith("/api/jobs/"):
-                job_id, _, verb = request.path[len("/api/jobs/") :].partition("/")
-                if request.method == "GET" and not verb:
-                    return await self.job_requests.poll(job_id)
-                if request.method == "POST" and verb == "withdraw":
-                    return await self.job_requests.cancel(job_id)
-            if request.path == "/status" and request.method == "GET":
-                return await self._status(
-                    {
-                        key: value
-                        for key, value in request.query.items()
-                        if key in ("job", "team", "machine") and value
-                    }
-                )
-            if request.path == "/upkeep" or request.path.startswith("/upkeep/"):
-                return await self.maintenance_requests.handle(request)
-            return Reply(404, {"error": "no such path"})
-        except Exception as error:
+            return await self._route(request)
+        except Exception as error:  # one faulty request must not end the process
             log.error("request failed", path=request.path, error=repr(error), at=raised_at(error))
             return Reply(503, {"error": "internal"}, 1.0)
 
+    async def _route(self, request: Request) -> Reply:
+        """Call the handler of a path."""
+        path = request.path
+        if path == REPORT_PATH:
+            if request.method != "POST":
+                return _method_not_allowed()
+            return await self.heartbeat_requests.receive(request)
+        if path == "/healthz":
+            return Reply(200, {"ok": True}) if self.healthy() else Reply(503, {"ok": False})
+        if path == JOBS_PATH:
+            if request.method != "POST":
+                return _method_not_allowed()
+            return await self.job_requests.submit(request.body)
+        if path.startswith(f"{JOBS_PATH}/"):
+            job_id, _, verb = path[len(JOBS_PATH) + 1 :].partition("/")
+            if request.method == "GET" and not verb:
+                return await self.job_requests.poll(job_id)
+            if request.method == "POST" and verb == "withdraw":
+                return await self.job_requests.cancel(job_id)
+        if path == "/status" and request.method == "GET":
+            return await self._status(
+                {
+                    key: value
+                    for key, value in request.query.items()
+                    if key in STATUS_FILTERS and value
+                }
+            )
+        if path == MAINTENANCE_PATH or path.startswith(f"{MAINTENANCE_PATH}/"):
+            return await self.maintenance_requests.handle(request)
+        return Reply(404, {"error": "no such path"})
+
     def healthy(self) -> bool:
-        """Ready, not the only one that the state service refuses, and not alone with its workers."""
+        """Whether the load balancer should send requests here.
+
+        That is: ready, not isolated, and not the only one that the key-value store does not answer.
+        """
         now = self.context.clock()
         if (
             not self.context.store_cache.ready
@@ -99,8 +111,11 @@
         )
 
     async def _status(self, selection: dict[str, str]) -> Reply:
-        """What controllers see, for people; of one job also what its user is told now, or why nothing."""
-        out = await self.status_report.answer(selection)
+        """GET /status: all controllers' reports.
+
+        With a job selected also what its user is told now, or why nothing.
+        """
+        reports = await self.status_report.answer(selection)
         answer = (
             await self.job_requests.answer_for(selection["job"])
             if jobs.JOB_ID_PATTERN.match(selection.get("job", ""))
@@ -109,8 +124,12 @@
         return Reply(
             200,
             {
-                **out,
+                **reports,
                 "told": answer.body if isinstance(answer, JobStatus) else None,
                 "untold": answer.reason if isinstance(answer, Unavailable) else None,
             },
         )
+
+
+def _method_not_allowed() -> Reply:
+    return Reply(405, {"error": "method"})
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -1,4 +1,8 @@
-"""Operators' orders over HTTP, at any controller: placed, changed, shown. They live in the state service."""
+"""Operators' maintenance orders over HTTP, at any controller: create, change, list, preview.
+
+`http_routes` calls `MaintenanceRequests.handle`. Orders are kept in the key-value store; the
+autoscaler and the shard owners carry them out.
+"""
 
 from __future__ import annotations
 
@@ -20,9 +24,14 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
+RETRY_AFTER_S = 1.0
+RETRY_AFTER_TOO_MANY_S = 30.0
+RECORD_OVERHEAD_BYTES = 64  # of the store's limit for a value, kept free
+PREVIEW_ID = "u-0"
+
 
 class MaintenanceRequests:
-    """What an operator asks."""
+    """Serves operators' requests about maintenance orders."""
 
     def __init__(
         self,
@@ -38,184 +47,220 @@
         self.budgets = DisruptionBudgets(context.settings.options.budget)
 
     async def handle(self, request: Request) -> Reply:
-        """GET /upkeep; POST /upkeep (an order), /upkeep/try (what it would be about), /upkeep/ID/pause, resume, stop."""
+        """Answer a request below `/upkeep`.
+
+        GET lists the orders; POST creates one, `/upkeep/try` previews it, and `/upkeep/ID/VERB`
+        changes one (pause, resume, stop). 400 if it is malformed, 503 if the outcome is not known.
+        """
         path = [part for part in request.path.split("/") if part][1:]
         if request.method == "GET" and not path:
             return await self._list()
         if request.method != "POST" or len(path) > 2:
             return Reply(405, {"error": "method"})
         try:
-            if not path or path == ["try"]:
-                try:
-                    body = orjson.loads(request.body)
-                except orjson.JSONDecodeError as error:
-                    raise InvalidOrderError(problem="not JSON") from error
-                if not isinstance(body, dict):
-                    raise InvalidOrderError(problem="not an object")
-                return await (self._preview(body) if path else self._create(body))
+            if not path:
+                return await self._create(_decode_body(request))
+            if path == ["try"]:
+                return await self._preview(_decode_body(request))
             return await self._change(path[0], path[1] if len(path) > 1 else "")
         except InvalidOrderError as error:
             return Reply(400, {"error": str(error)})
         except (RequestRefusedError, OutcomeUnknownError):
             return Reply(
-                503, {"error": "not stored: ask again, the same order is placed once"}, 1.0
+                503,
+                {"error": "not stored: ask again, the same order is placed once"},
+                RETRY_AFTER_S,
             )
 
     def _all_orders(self) -> list[MaintenanceOrder]:
+        """All orders in the store cache."""
         return orders.orders_in(self.context.store_cache.entries)
 
+    def _find(self, order_id: str) -> MaintenanceOrder | None:
+        """The order with an id; None: there is none."""
+        return next((order for order in self._all_orders() if order.id == order_id), None)
+
+    # -- creating ------------------------------------------------------------------------------
+
     async def _create(self, body: dict[str, Any]) -> Reply:
+        """Store a new order: 201, or 200 if the same one is stored already."""
+        fields = {key: value for key, value in body.items() if key != "state"}
         order = replace(
-            orders.parse_order(
-                body.get("id"),
-                {entry_key: value for entry_key, value in body.items() if entry_key != "state"},
-            ),
-            created_at=self.context.wall_clock(),
+            orders.parse_order(body.get("id"), fields), created_at=self.context.wall_clock()
         )
         if not self.context.store_cache.ready or not await self.store_watch.is_current():
-            return Reply(503, {"error": "state unknown"}, 1.0)
-        known = next(
-            (
-                maintenance_order
-                for maintenance_order in self._all_orders()
-                if maintenance_order.id == order.id
-            ),
-            None,
-        )
-        if known is not None:
-            same = replace(known, created_at=0.0, state=order.state, version=0) == replace(
-                order, created_at=0.0
-            )
-            return (
-                Reply(200, {"id": known.id, **known.record()})
-                if same
-                else Reply(409, {"error": "another order has this id"})
-            )
-        if older := self._controllers_without_support():
-            return Reply(
-                409,
-                {"error": f"{', '.join(older)} can't carry out orders: a release before this one"},
-            )
-        if (
-            sum(1 for maintenance_order in self._all_orders() if not maintenance_order.finished)
-            >= orders.MAX_ACTIVE_ORDERS
-        ):
-            return Reply(429, {"error": f"{orders.MAX_ACTIVE_ORDERS} orders are not over"}, 30.0)
-        if len(orjson.dumps(order.record())) > self.context.settings.max_value_bytes - 64:
-            return Reply(400, {"error": "too long to be kept: fewer machines in one order"})
+            return _state_unknown()
+        if (known := self._find(order.id)) is not None:
+            return _reply_known(known, order)
+        if (reply := self._rejection(order)) is not None:
+            return reply
         key = ORDER_PREFIX + order.id
         revision, failed = await self.context.store.compare_and_swap(
             {key: 0}, {key: order.record()}, []
         )
         if failed:
-            return Reply(503, {"error": "state unknown"}, 1.0)
-        log.info(
-            "maintenance order created",
-            order=order.id,
-            **{
-                entry_key: value
-                for entry_key, value in order.record().items()
-                if value not in (None, "")
-            },
-        )
+            return _state_unknown()
+        _log_created(order)
         self.context.store_cache.apply_own_write(key, order.record(), revision)
         self.on_store_changed()
         return Reply(201, {"id": order.id, **order.record()})
 
+    def _rejection(self, order: MaintenanceOrder) -> Reply | None:
+        """The reply if a new order cannot be taken; None if it can."""
+        if older := self._controllers_without_support():
+            return Reply(
+                409,
+                {"error": f"{', '.join(older)} can't carry out orders: a release before this one"},
+            )
+        active_count = sum(1 for other in self._all_orders() if not other.finished)
+        if active_count >= orders.MAX_ACTIVE_ORDERS:
+            return Reply(
+                429,
+                {"error": f"{orders.MAX_ACTIVE_ORDERS} orders are not over"},
+                RETRY_AFTER_TOO_MANY_S,
+            )
+        max_bytes = self.context.settings.max_value_bytes - RECORD_OVERHEAD_BYTES
+        if len(orjson.dumps(order.record())) > max_bytes:
+            return Reply(400, {"error": "too long to be kept: fewer machines in one order"})
+        return None
+
     def _controllers_without_support(self) -> list[str]:
-        """Members that don't know orders: their owners and sources would not keep to the budgets."""
-        out = []
+        """Controllers of releases without orders: their shards would not keep to the budgets."""
+        unsupported = []
         for name in self.context.shard_map.controllers:
             value, _ = self.context.store_cache.entries.get(CONTROLLER_PREFIX + name, (None, 0))
-            can = value.get("can") if isinstance(value, dict) else None
-            if value is not None and not (
-                isinstance(can, list) and orders.FEATURE_MAINTENANCE in can
-            ):
-                out.append(name)
-        return out
+            features = value.get("can") if isinstance(value, dict) else None
+            supported = isinstance(features, list) and orders.FEATURE_MAINTENANCE in features
+            if value is not None and not supported:
+                unsupported.append(name)
+        return unsupported
+
+    # -- changing ------------------------------------------------------------------------------
 
     async def _change(self, order_id: str, verb: str) -> Reply:
+        """Pause, resume or stop an order: 200, or 404, 409 or 503."""
         if verb not in STATE_BY_VERB:
             return Reply(404, {"error": "pause, resume or stop"})
         if not await self.store_watch.is_current():
-            return Reply(503, {"error": "state unknown"}, 1.0)
-        order = next(
-            (
-                maintenance_order
-                for maintenance_order in self._all_orders()
-                if maintenance_order.id == order_id
-            ),
-            None,
-        )
+            return _state_unknown()
+        order = self._find(order_id)
         if order is None:
             return Reply(404, {"error": "no such order"})
         if order.finished:
-            same = order.state == STATE_BY_VERB[verb]
-            return (
-                Reply(200, {"id": order_id, **order.record()})
-                if same
-                else Reply(409, {"error": f"it is {order.state}"})
-            )
-        # written where nothing changes, too: a change asked for before, of unknown outcome, could land after this answer
+            if order.state != STATE_BY_VERB[verb]:
+                return Reply(409, {"error": f"it is {order.state}"})
+            return Reply(200, {"id": order_id, **order.record()})
         changed = replace(
             order,
             state=STATE_BY_VERB[verb],
             created_at=self.context.wall_clock() if verb == "stop" else order.created_at,
         )
+        # Written even if nothing changes: otherwise an earlier change of unknown outcome could
+        # still land after this answer
         key = ORDER_PREFIX + order_id
         revision, failed = await self.context.store.compare_and_swap(
             {key: order.version}, {key: changed.record()}, []
         )
         if failed:
-            return Reply(503, {"error": "it has just been changed"}, 1.0)
+            return Reply(503, {"error": "it has just been changed"}, RETRY_AFTER_S)
         log.info("maintenance order changed", order=order_id, state=changed.state)
         self.context.store_cache.apply_own_write(key, changed.record(), revision)
         self.on_store_changed()
         return Reply(200, {"id": order_id, **changed.record()})
 
+    # -- showing -------------------------------------------------------------------------------
+
     async def _controller_reports(self, selection: dict[str, str]) -> dict[str, Any]:
+        """The reports of all controllers that have one, by name."""
         answer = await self.status_report.answer(selection)
-        return {name: c["view"] for name, c in answer["controllers"].items() if c["view"]}
+        return {
+            name: controller["view"]
+            for name, controller in answer["controllers"].items()
+            if controller["view"]
+        }
 
     async def _list(self) -> Reply:
-        views = await self._controller_reports({})
-        how_far: dict[str, Any] = {}
-        asked: dict[str, int] = {}
-        for value in views.values():
-            how_far.update(value.get("orders") or {})
-            for why, n in (value.get("asked") or {}).items():
-                asked[why] = asked.get(why, 0) + n
+        """GET /upkeep: all orders with their progress, and why evictions wait."""
+        reports = await self._controller_reports({})
+        progress: dict[str, Any] = {}
+        denial_counts: dict[str, int] = {}
+        for report in reports.values():
+            progress.update(report.get("orders") or {})
+            for reason, count in (report.get("asked") or {}).items():
+                denial_counts[reason] = denial_counts.get(reason, 0) + count
         shown = [
-            {"id": order.id, **order.record(), **how_far.get(order.id, {})}
+            {"id": order.id, **order.record(), **progress.get(order.id, {})}
             for order in self._all_orders()
         ]
-        return Reply(200, {"orders": shown, "stops_that_wait": asked})
+        return Reply(200, {"orders": shown, "stops_that_wait": denial_counts})
 
     async def _preview(self, body: dict[str, Any]) -> Reply:
-        """What would be emptied and stopped, and at least how long that takes by the budgets."""
-        order = orders.parse_order(
-            "u-0", {key: value for key, value in body.items() if key not in ("id", "state")}
-        )
-        views = await self._controller_reports({"would": orjson.dumps(order.record()).decode()})
-        machines, teams = 0, dict[str, dict[str, int]]()
-        for value in views.values():
-            would = value.get("would") or {}
-            machines += would.get("machines", 0)
-            for team, kinds in (would.get("teams") or {}).items():
-                mine = teams.setdefault(team, {})
-                for kind, n in kinds.items():
-                    mine[kind] = mine.get(kind, 0) + n
-        rounds = -(-machines // order.max_concurrent)
-        for team, kinds in teams.items():
-            rounds = max(
-                rounds,
-                -(
-                    -kinds.get("service", 0)
-                    // max(1, self.budgets.for_job(team, "", "").team_max_unavailable)
-                ),
-            )
-        unheard = sorted(set(self.context.shard_map.controllers) - views.keys())
+        """What would be drained, and in at least how many rounds by the disruption budgets."""
+        fields = {key: value for key, value in body.items() if key not in ("id", "state")}
+        order = orders.parse_order(PREVIEW_ID, fields)
+        reports = await self._controller_reports({"would": orjson.dumps(order.record()).decode()})
+        machine_count = 0
+        teams: dict[str, dict[str, int]] = {}
+        for report in reports.values():
+            preview = report.get("would") or {}
+            machine_count += preview.get("machines", 0)
+            _add_task_counts(teams, preview.get("teams") or {})
         return Reply(
             200,
-            {"machines": machines, "teams": teams, "rounds_at_least": rounds, "not_asked": unheard},
+            {
+                "machines": machine_count,
+                "teams": teams,
+                "rounds_at_least": self._min_rounds(order, machine_count, teams),
+                "not_asked": sorted(set(self.context.shard_map.controllers) - reports.keys()),
+            },
         )
+
+    def _min_rounds(
+        self, order: MaintenanceOrder, machine_count: int, teams: dict[str, dict[str, int]]
+    ) -> int:
+        """Rounds that draining takes at least: by machines at once, and by each team's budget."""
+        rounds = _ceil_div(machine_count, order.max_concurrent)
+        for team, kinds in teams.items():
+            max_unavailable = max(1, self.budgets.for_job(team, "", "").team_max_unavailable)
+            rounds = max(rounds, _ceil_div(kinds.get("service", 0), max_unavailable))
+        return rounds
+
+
+def _decode_body(request: Request) -> dict[str, Any]:
+    """The JSON object in a request; raises `InvalidOrderError` if it holds none."""
+    try:
+        body = orjson.loads(request.body)
+    except orjson.JSONDecodeError as error:
+        raise InvalidOrderError(problem="not JSON") from error
+    if not isinstance(body, dict):
+        raise InvalidOrderError(problem="not an object")
+    return body
+
+
+def _state_unknown() -> Reply:
+    return Reply(503, {"error": "state unknown"}, RETRY_AFTER_S)
+
+
+def _reply_known(known: MaintenanceOrder, order: MaintenanceOrder) -> Reply:
+    """The reply to an order whose id is stored: 200 if it is the same order, else 409."""
+    stored = replace(known, created_at=0.0, state=order.state, version=0)
+    if stored != replace(order, created_at=0.0):
+        return Reply(409, {"error": "another order has this id"})
+    return Reply(200, {"id": known.id, **known.record()})
+
+
+def _log_created(order: MaintenanceOrder) -> None:
+    fields = {key: value for key, value in order.record().items() if value not in (None, "")}
+    log.info("maintenance order created", order=order.id, **fields)
+
+
+def _add_task_counts(teams: dict[str, dict[str, int]], added: dict[str, dict[str, int]]) -> None:
+    """Add one controller's counts of tasks, by team and kind of job."""
+    for team, kinds in added.items():
+        counts = teams.setdefault(team, {})
+        for kind, count in kinds.items():
+            counts[kind] = counts.get(kind, 0) + count
+
+
+def _ceil_div(dividend: int, divisor: int) -> int:
+    return -(-dividend // divisor)
--- a/ploverhall/controller/peer_liveness.py
+++ b/ploverhall/controller/peer_liveness.py
@@ -1,47 +1,51 @@
-"""What the other controllers say of themselves, and what this one says."""
+"""Which peers are alive, and the status that each controller sends to the others.
+
+`PeerLiveness` owns the last status of every peer. `peer_links` records statuses here and sends
+`own_status`; leases, routing and the relay ask who is alive.
+"""
 
 from __future__ import annotations
 
 from ploverhall.controller.context import STORE_LIMIT_SHARE, ControllerContext
 from ploverhall.protocol.peer_messages import PeerStatus
 
-PEER_TIMEOUT_S = 2.5  # a peer that has said nothing for longer can't be heard
-# But what it last said of its shards is still better than the store's older word
+PEER_TIMEOUT_S = 2.5  # a peer without a status for longer is not alive
+# But what it last said of its shards is still newer than what the store cache holds
 SHARD_CLAIM_MAX_AGE_S = 5.0
-STORE_ANSWER_MAX_AGE_S = 1.5  # an answer of the state service that is no older
-# Of what another controller leaves unused: the rest is room for its next burst
+STORE_ANSWER_MAX_AGE_S = 1.5  # of the key-value store's last response to a peer that reaches it
+# Share of a peer's unused writes that is borrowed: the rest is room for its next burst
 BORROWED_SHARE = 0.7
 
 
 class PeerLiveness:
-    """Who can be heard, and how each stands."""
+    """The last status of each peer, and what follows from them."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        # Node -> when heard, and what it said
+        # By controller: when it was received (steady clock, seconds), and the status
         self.peer_status: dict[str, tuple[float, PeerStatus]] = {}
 
     def record(self, controller: str, status: PeerStatus) -> None:
-        """A peer has spoken."""
+        """Take in a peer's status."""
         self.peer_status[controller] = (self.context.clock(), status)
 
     def is_alive(self, controller: str, now: float) -> bool:
-        """Whether a peer has spoken lately."""
+        """Whether a status of a peer has come within `PEER_TIMEOUT_S`."""
         return (
             controller in self.peer_status
             and now - self.peer_status[controller][0] < PEER_TIMEOUT_S
         )
 
     def peers_reach_store(self, now: float) -> bool:
-        """Whether the state service has just answered a peer."""
+        """Whether the key-value store has just answered a live peer."""
         return any(
             self.is_alive(name, now)
-            and news.store_age_s + now - received_at < STORE_ANSWER_MAX_AGE_S
-            for name, (received_at, news) in self.peer_status.items()
+            and status.store_age_s + now - received_at < STORE_ANSWER_MAX_AGE_S
+            for name, (received_at, status) in self.peer_status.items()
         )
 
     def holder_without_heartbeats(self, controller: str, shard: int, now: float) -> bool:
-        """Whether a shard's holder can be heard, and says that none of its workers reports to it any more."""
+        """Whether a shard's holder is alive and says that it gets no heartbeats of its agents."""
         return (
             self.is_alive(controller, now)
             and self.peer_status[controller][1].without_heartbeats_s.get(shard, 0.0)
@@ -49,7 +53,7 @@
         )
 
     def without_heartbeats_s(self, now: float) -> dict[int, float]:
-        """How long no worker of a shard held here has reported."""
+        """By shard held here: seconds since any of its agents sent a heartbeat."""
         return {
             held.shard: now - held.owner.last_heartbeat_at
             for held in self.context.held_shards.values()
@@ -57,22 +61,27 @@
         }
 
     def own_status(self, now: float) -> PeerStatus:
-        """What this controller says of itself."""
-        store, held = self.context.store, self.context.held_shards.values()
+        """The status that this controller sends to its peers."""
+        store = self.context.store
+        held_shards = self.context.held_shards.values()
         return PeerStatus(
             now - store.last_answer_at,
-            {held_shard.shard: held_shard.epoch for held_shard in held},
+            {held.shard: held.epoch for held in held_shards},
             self.without_heartbeats_s(now),
             store.writes.recent_usage(),
         )
 
     def update_write_share(self, now: float) -> None:
-        """This controller's slice of the state service's changes: its own, and part of what the others leave unused."""
+        """Set the rate of this controller's writes to the key-value store (per second).
+
+        That is its own share of the limit, and a part of what live peers leave unused of theirs.
+        """
         settings = self.context.settings
-        own = settings.store_write_rps * STORE_LIMIT_SHARE / len(settings.controllers)
-        unused = sum(
-            max(0.0, own - news.write_rate)
-            for name, (_, news) in self.peer_status.items()
+        own_rate = settings.store_write_rps * STORE_LIMIT_SHARE / len(settings.controllers)
+        unused_rate = sum(
+            max(0.0, own_rate - status.write_rate)
+            for name, (_, status) in self.peer_status.items()
             if self.is_alive(name, now)
         )
-        self.context.store.writes.rate = own + BORROWED_SHARE * unused / max(1, len(settings.peers))
+        borrowed_rate = BORROWED_SHARE * unused_rate / max(1, len(settings.peers))
+        self.context.store.writes.rate = own_rate + borrowed_rate
--- a/ploverhall/controller/status_report.py
+++ b/ploverhall/controller/status_report.py
@@ -1,13 +1,15 @@
-"""What a person is told, whichever controller is asked, and what the log warns of.
+"""The status of the whole fleet, whichever controller is asked, and the conditions that are logged.
 
-Each controller tells the others now and then what it sees, bounded in size, so that all of them can show the whole
-fleet at any time; what can't be heard just now is shown as last known, with its age. The same view is what the log
-warns of: once when a trouble begins, once when it ends.
+`StatusReport` sends this controller's report to its peers now and then, bounded in size, so that
+each can show the whole fleet at any time: a peer that cannot be asked is shown as last known, with
+the age of its report. The same report gives the conditions that are logged, once when raised and
+once when cleared. `http_routes` calls `answer`; `peer_links` calls `collect` and `deliver`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from typing import Any
 
 import anyio
@@ -16,13 +18,27 @@
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.shard_status import ShardStatus
 from ploverhall.coordination.state_channel import Message
+from ploverhall.runtime import NEVER
 
 REPORT_INTERVAL_S = 5.0
-PEER_ANSWER_TIMEOUT_S = 1.0  # how long a person waits for what other controllers say
+PEER_ANSWER_TIMEOUT_S = 1.0  # how long an operator waits for the other controllers
+# Kinds of messages: the first field on the wire
+REPORT = "v"
+QUESTION = "q"
+ANSWER = "a"
+
+
+@dataclass(slots=True)
+class OpenQuestion:
+    """A question to all connected peers, whose answers are awaited."""
+
+    selection: dict[str, str]
+    answers: dict[str, Any] = field(default_factory=dict)  # by peer
+    complete: anyio.Event = field(default_factory=anyio.Event)
 
 
 class StatusReport:
-    """Views of all controllers, and the troubles that the log has named."""
+    """Reports of all controllers, and the conditions that are raised here."""
 
     def __init__(
         self,
@@ -33,21 +49,23 @@
     ) -> None:
         self.context = context
         self.shard_status = shard_status
-        # The peers there is a connection to, and how to say that there is something for one
+        # Names the peers that there is a connection to; wakes the link to one
         self.connected_peers = connected_peers
         self.notify_peer = notify_peer
-        # Other controllers': when heard, and what
+        # By peer: when its report was received (steady clock, seconds), and the report
         self.peer_reports: dict[str, tuple[float, dict[str, Any]]] = {}
         self.sent_at: dict[str, float] = {}
         self.own_report: dict[str, Any] = {}
-        # Asked here: what, answers, all in
-        self.open_questions: dict[int, tuple[dict[str, str], dict[str, Any], anyio.Event]] = {}
+        self.open_questions: dict[int, OpenQuestion] = {}  # by number
         self.question_count = 0
-        self.outbound: dict[str, list[Message]] = {}  # questions and answers to be sent
-        self.active_conditions: dict[str, str] = {}
+        self.outbound: dict[str, list[Message]] = {}  # questions and answers to send, by peer
+        self.active_conditions: dict[str, str] = {}  # texts by key
 
     async def loop(self) -> None:
-        """Look, and warn of what is new. (Not at once: a controller that has just started has heard nobody yet.)"""
+        """Renew this controller's report and log conditions; never returns.
+
+        Not at once: a controller that has just started has not heard of any peer yet.
+        """
         while True:
             await anyio.sleep(REPORT_INTERVAL_S)
             self.own_report = self.shard_status.report()
@@ -65,70 +83,90 @@
     # -- between controllers -------------------------------------------------------------------
 
     def collect(self, controller: str, now: float) -> list[Message]:
-        """What goes to a peer now."""
-        out = self.outbound.pop(controller, [])
-        if self.own_report and now - self.sent_at.get(controller, -1e9) > REPORT_INTERVAL_S:
+        """The messages that go to a peer now."""
+        messages = self.outbound.pop(controller, [])
+        if self.own_report and now - self.sent_at.get(controller, NEVER) > REPORT_INTERVAL_S:
             self.sent_at[controller] = now
-            out.append(["v", self.context.controller_index, 0, 0, True, self.own_report, 0])
-        return out
+            messages.append(self._message(REPORT, self.own_report, 0))
+        return messages
 
     def deliver(self, controller: str, message: Message) -> None:
-        """A peer's view, question or answer."""
+        """Take in a peer's report, question or answer."""
         kind, value, number = message[0], message[5], message[6]
-        if kind == "v":
+        if kind == REPORT:
             self.peer_reports[controller] = (self.context.clock(), value)
-        elif kind == "q":
-            self._send(controller, "a", self.shard_status.report(value), number)
+        elif kind == QUESTION:
+            self._send(controller, ANSWER, self.shard_status.report(value), number)
         elif number in self.open_questions:
-            _, answers, done = self.open_questions[number]
-            answers[controller] = value
-            self.peer_reports[controller] = (
-                (self.context.clock(), value)
-                if not self.open_questions[number][0]
-                else self.peer_reports.get(controller, (0.0, {}))
-            )
-            if len(answers) == len(self.context.settings.peers):
-                done.set()
+            self._receive_answer(controller, self.open_questions[number], value)
+
+    def _receive_answer(self, controller: str, question: OpenQuestion, report: Any) -> None:
+        """Take in a peer's answer; one to a question about everything is its report, too."""
+        question.answers[controller] = report
+        if not question.selection:
+            self.peer_reports[controller] = (self.context.clock(), report)
+        else:
+            self.peer_reports.setdefault(controller, (0.0, {}))
+        if len(question.answers) == len(self.context.settings.peers):
+            question.complete.set()
 
     def _send(self, controller: str, kind: str, value: Any, number: int) -> None:
-        self.outbound.setdefault(controller, []).append(
-            [kind, self.context.controller_index, 0, 0, True, value, number]
-        )
+        """Queue a message for a peer, and wake the link to it."""
+        self.outbound.setdefault(controller, []).append(self._message(kind, value, number))
         self.notify_peer(controller)
 
-    # -- people --------------------------------------------------------------------------------
+    def _message(self, kind: str, value: Any, number: int) -> Message:
+        """A message in the state channel's form, which is that of all messages on a link."""
+        return [kind, self.context.controller_index, 0, 0, True, value, number]
+
+    # -- operators -----------------------------------------------------------------------------
 
     async def answer(self, selection: dict[str, str]) -> dict[str, Any]:
-        """All controllers' views: asked now, or as last heard."""
+        """All controllers' reports: asked for now, or as last received with their age in seconds.
+
+        `selection`: a job, team or machine, or empty for the whole fleet. The JSON of `/status`.
+        """
+        answers = await self._ask_peers(selection)
+        now = self.context.clock()
+        own_report = self.shard_status.report(selection)
+        views: dict[str, Any] = {self.context.settings.name: _view(0.0, own_report)}
+        for peer in self.context.settings.peers:
+            if peer.name in answers:
+                views[peer.name] = _view(0.0, answers[peer.name])
+            elif peer.name in self.peer_reports:
+                received_at, report = self.peer_reports[peer.name]
+                views[peer.name] = _view(
+                    round(now - received_at, 1), status.select(report, selection)
+                )
+            else:
+                views[peer.name] = _view(None, None)
+        return {"asked": self.context.settings.name, "controllers": views}
+
+    async def _ask_peers(self, selection: dict[str, str]) -> dict[str, Any]:
+        """The reports of the peers that answer within `PEER_ANSWER_TIMEOUT_S`."""
         self.question_count += 1
-        number, answers, done = self.question_count, dict[str, Any](), anyio.Event()
-        self.open_questions[number] = (selection, answers, done)
+        number, question = self.question_count, OpenQuestion(selection)
+        self.open_questions[number] = question
         connected = self.connected_peers()
         for name in connected:
-            self._send(name, "q", selection, number)
+            self._send(name, QUESTION, selection, number)
         try:
             if connected:
                 with anyio.move_on_after(PEER_ANSWER_TIMEOUT_S):
-                    await done.wait()
+                    await question.complete.wait()
         finally:
             del self.open_questions[number]
-            for queue in self.outbound.values():
-                queue[:] = [
-                    message for message in queue if message[0] != "q" or message[6] != number
-                ]
-        now = self.context.clock()
-        views: dict[str, Any] = {
-            self.context.settings.name: {"age_s": 0.0, "view": self.shard_status.report(selection)}
-        }
-        for peer in self.context.settings.peers:
-            if peer.name in answers:
-                views[peer.name] = {"age_s": 0.0, "view": answers[peer.name]}
-            elif peer.name in self.peer_reports:
-                heard, view = self.peer_reports[peer.name]
-                views[peer.name] = {
-                    "age_s": round(now - heard, 1),
-                    "view": status.select(view, selection),
-                }
-            else:
-                views[peer.name] = {"age_s": None, "view": None}
-        return {"asked": self.context.settings.name, "controllers": views}
+            self._drop_unsent(number)
+        return question.answers
+
+    def _drop_unsent(self, number: int) -> None:
+        """Remove a question that nobody waits for from the queues."""
+        for queue in self.outbound.values():
+            queue[:] = [
+                message for message in queue if message[0] != QUESTION or message[6] != number
+            ]
+
+
+def _view(age_s: float | None, report: dict[str, Any] | None) -> dict[str, Any]:
+    """A controller's entry in the JSON of `/status`."""
+    return {"age_s": age_s, "view": report}
--- a/ploverhall/log.py
+++ b/ploverhall/log.py
@@ -1,4 +1,8 @@
-"""One line per event on standard error: level, what, then key=value pairs, so a job's id can be followed."""
+"""The log: one line per event on standard error, as `level event key=value ...`.
+
+`LOG_LEVEL` (`error`, `info` or `debug`) chooses what is written. docs/operations.md explains the
+events; scripts read them.
+"""
 
 from __future__ import annotations
 
@@ -10,45 +14,48 @@
 _level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), 1)
 
 
-def _emit(level: str, what: str, fields: dict[str, Any]) -> None:
+def _emit(level: str, event: str, fields: dict[str, Any]) -> None:
     pairs = " ".join(f"{key}={_printable(value)}" for key, value in fields.items())
-    sys.stderr.write(f"{level} {what} {pairs}\n" if pairs else f"{level} {what}\n")
+    sys.stderr.write(f"{level} {event} {pairs}\n" if pairs else f"{level} {event}\n")
     sys.stderr.flush()
 
 
 def _printable(value: Any) -> str:
-    """As it is shown: a class or machine may be called anything, and a line break in a name must not forge a line."""
+    """A value as text without line breaks: a class or machine may be called anything.
+
+    Without this a name with a line break in it forges a line of the log.
+    """
     text = str(value)
     return text if text.isprintable() else text.encode("unicode_escape").decode()
 
 
-def error(what: str, **fields: Any) -> None:
-    """Something a person should look at."""
-    _emit("error", what, fields)
+def error(event: str, **fields: Any) -> None:
+    """Log an event that an operator should look at: written at every level."""
+    _emit("error", event, fields)
 
 
-def warn(what: str, **fields: Any) -> None:
-    """A trouble that began or ended: shown at every level, for it may need a person."""
-    _emit("warning", what, fields)
+def warn(event: str, **fields: Any) -> None:
+    """Log a condition that was raised or cleared: written at every level."""
+    _emit("warning", event, fields)
 
 
-def info(what: str, **fields: Any) -> None:
-    """Something that changed."""
+def info(event: str, **fields: Any) -> None:
+    """Log a change; not written at level `error`."""
     if _level >= 1:
-        _emit("info", what, fields)
+        _emit("info", event, fields)
 
 
-def debug(what: str, **fields: Any) -> None:
-    """What was decided on the way."""
+def debug(event: str, **fields: Any) -> None:
+    """Log a decision; written at level `debug` only."""
     if _level >= 2:
-        _emit("debug", what, fields)
+        _emit("debug", event, fields)
 
 
 def raised_at(error: BaseException) -> str:
-    """The place in the sources where an exception was raised."""
+    """Where an exception was raised, as `file:line`; `?` if it has no traceback."""
     traceback = error.__traceback__
-    out = "?"
+    place = "?"
     while traceback is not None:
-        out = f"{traceback.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{traceback.tb_lineno}"
+        place = f"{traceback.tb_frame.f_code.co_filename.rsplit('/', 1)[-1]}:{traceback.tb_lineno}"
         traceback = traceback.tb_next
-    return out
+    return place
--- a/ploverhall/maintenance/command.py
+++ b/ploverhall/maintenance/command.py
@@ -1,4 +1,8 @@
-"""`ploverhall drain` and `ploverhall maintenance`: asks a running controller, whichever."""
+"""The commands `ploverhall drain` and `ploverhall maintenance`.
+
+They ask a running controller, whichever; `ploverhall.cli` calls `drain` and `maintenance` with the
+parsed arguments and exits with what they return.
+"""
 
 from __future__ import annotations
 
@@ -11,40 +15,64 @@
 from typing import Any
 
 MAX_ATTEMPTS = 5
+TIMEOUT_S = 5
+NO_RESPONSE = 0  # in place of an HTTP status
 
 
 def request(address: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-    """One request, asked again while the controller can't decide: an order is placed once, whatever became of the answer."""
-    data = json.dumps(body).encode() if body is not None else b"" if method == "POST" else None
-    status = 0
-    out = None
+    """Send one request to a controller (HOST:PORT); return the HTTP status and the decoded JSON.
+
+    Repeated while the controller cannot decide (503) or does not answer: an order with the same id
+    is stored once, whatever became of the earlier answers. Status 0: no response at all.
+    """
+    data = _encode_body(method, body)
+    status = NO_RESPONSE
+    answer = None
     for _ in range(MAX_ATTEMPTS):
         try:
             with urllib.request.urlopen(
-                urllib.request.Request(f"http://{address}{path}", data, method=method), timeout=5
-            ) as f:
-                return f.status, json.load(f)
+                urllib.request.Request(f"http://{address}{path}", data, method=method),
+                timeout=TIMEOUT_S,
+            ) as response:
+                return response.status, json.load(response)
         except urllib.error.HTTPError as error:
-            try:
-                status, out = error.code, json.load(error)
-            except ValueError:
-                status = error.code
-                out = None
+            status, answer = error.code, _decode_error(error)
             if status != 503:
                 break
         except (OSError, ValueError) as error:
-            status, out = 0, {"error": str(error)}
-    return status, out
+            status, answer = NO_RESPONSE, {"error": str(error)}
+    return status, answer
+
+
+def _encode_body(method: str, body: Any) -> bytes | None:
+    if body is not None:
+        return json.dumps(body).encode()
+    return b"" if method == "POST" else None
+
 
+def _decode_error(error: urllib.error.HTTPError) -> Any:
+    """The JSON of an error response; None if it holds none."""
+    try:
+        return json.load(error)
+    except ValueError:
+        return None
 
-def _refused(status: int, out: Any) -> int:
-    why = out.get("error") if isinstance(out, dict) else None
-    print(f"ploverhall: {why or f'status {status}'}", file=sys.stderr)
+
+def _print_refusal(status: int, answer: Any) -> int:
+    """Print why a request failed; returns the exit code."""
+    reason = answer.get("error") if isinstance(answer, dict) else None
+    print(f"ploverhall: {reason or f'status {status}'}", file=sys.stderr)
     return 1
 
 
+def _print_state(order: dict[str, Any]) -> int:
+    """Print the state of an order that was created or changed; returns the exit code."""
+    print(f"order {order['id']} is {order['state']}")
+    return 0
+
+
 def drain(args: argparse.Namespace) -> int:
-    """Place an order, or say what it would be about."""
+    """Create an order, or with `--dry-run` print its preview; returns the exit code."""
     order = {
         "id": args.id or f"u-{secrets.token_hex(4)}",
         "machines": args.machine,
@@ -56,63 +84,76 @@
         "note": args.note,
     }
     if args.dry_run:
-        status, out = request(args.address, "POST", "/upkeep/try", order)
-        if status != 200:
-            return _refused(status, out)
-        print(f"{out['machines']} machines, in at least {out['rounds_at_least']} rounds")
-        for team, kinds in sorted(out["teams"].items()):
-            print(
-                f"  {team}: "
-                + ", ".join(f"{n} tasks of {kind}s" for kind, n in sorted(kinds.items()))
-            )
-        if out["not_asked"]:
-            print(f"  not asked, so not counted: what {', '.join(out['not_asked'])} hold")
-        return 0
-    status, out = request(args.address, "POST", "/upkeep", order)
-    if status not in (200, 201):
-        return _refused(status, out)
-    print(f"order {out['id']} is {out['state']}")
+        status, answer = request(args.address, "POST", "/upkeep/try", order)
+        return _print_preview(answer) if status == 200 else _print_refusal(status, answer)
+    status, answer = request(args.address, "POST", "/upkeep", order)
+    return _print_state(answer) if status in (200, 201) else _print_refusal(status, answer)
+
+
+def _print_preview(preview: dict[str, Any]) -> int:
+    """Print what an order would drain; returns the exit code."""
+    print(f"{preview['machines']} machines, in at least {preview['rounds_at_least']} rounds")
+    for team, kinds in sorted(preview["teams"].items()):
+        tasks = ", ".join(f"{count} tasks of {kind}s" for kind, count in sorted(kinds.items()))
+        print(f"  {team}: {tasks}")
+    if preview["not_asked"]:
+        print(f"  not asked, so not counted: what {', '.join(preview['not_asked'])} hold")
     return 0
 
 
 def maintenance(args: argparse.Namespace) -> int:
-    """List, show or change orders."""
+    """List, show or change orders; returns the exit code."""
     if args.verb in ("list", "show"):
-        status, out = request(args.address, "GET", "/upkeep")
-        if status != 200:
-            return _refused(status, out)
-        found = [o for o in out["orders"] if args.verb == "list" or o["id"] == args.id]
-        if args.verb == "show" and not found:
-            return _refused(404, {"error": "no such order"})
-        print("\n".join(format_lines(found, out["stops_that_wait"])))
-        return 0
+        return _show_orders(args)
     if not args.id:
-        return _refused(0, {"error": "which order?"})
-    status, out = request(args.address, "POST", f"/upkeep/{args.id}/{args.verb}")
+        return _print_refusal(NO_RESPONSE, {"error": "which order?"})
+    status, answer = request(args.address, "POST", f"/upkeep/{args.id}/{args.verb}")
+    return _print_state(answer) if status == 200 else _print_refusal(status, answer)
+
+
+def _show_orders(args: argparse.Namespace) -> int:
+    """Print all orders, or the one that was named; returns the exit code."""
+    status, answer = request(args.address, "GET", "/upkeep")
     if status != 200:
-        return _refused(status, out)
-    print(f"order {out['id']} is {out['state']}")
+        return _print_refusal(status, answer)
+    found = [order for order in answer["orders"] if args.verb == "list" or order["id"] == args.id]
+    if args.verb == "show" and not found:
+        return _print_refusal(404, {"error": "no such order"})
+    print("\n".join(format_lines(found, answer["stops_that_wait"])))
     return 0
 
 
-def format_lines(found: list[dict[str, Any]], asked: dict[str, int]) -> list[str]:
-    """Orders for a person."""
-    out = []
-    for o in found:
-        about = [
-            f"{key} {value}"
-            for key, value in (("zone", o["zone"]), ("type", o["type"]), ("part", o["part"]))
-            if value is not None
-        ]
-        about += ["spot" if o["spot"] else "ordinary"] if o["spot"] is not None else []
-        about += [f"{len(o['machines'])} named machines"] if o["machines"] else []
-        note = f" ({o['note']})" if o["note"] else ""
-        out.append(f"{o['id']}: {o['state']}, {', '.join(about)}, {o['at_once']} at once{note}")
-        if "left" in o:
-            out.append(
-                f"  {o['left']} machines left; being emptied: {', '.join(o['being_emptied']) or 'none'}"
-            )
-        if o.get("waits"):
-            out.append(f"  waits: {o['waits']}")
-    out += [f"stops that wait: {count}, {why}" for why, count in sorted(asked.items())]
-    return out or ["no orders"]
+def format_lines(found: list[dict[str, Any]], denial_counts: dict[str, int]) -> list[str]:
+    """Orders as text lines, then how many evictions wait and why."""
+    lines = []
+    for order in found:
+        lines += _order_lines(order)
+    lines += [
+        f"stops that wait: {count}, {reason}" for reason, count in sorted(denial_counts.items())
+    ]
+    return lines or ["no orders"]
+
+
+def _order_lines(order: dict[str, Any]) -> list[str]:
+    """One order and its progress."""
+    note = f" ({order['note']})" if order["note"] else ""
+    lines = [
+        f"{order['id']}: {order['state']}, {', '.join(_criteria(order))},"
+        f" {order['at_once']} at once{note}"
+    ]
+    if "left" in order:
+        draining = ", ".join(order["being_emptied"]) or "none"
+        lines.append(f"  {order['left']} machines left; being emptied: {draining}")
+    if order.get("waits"):
+        lines.append(f"  waits: {order['waits']}")
+    return lines
+
+
+def _criteria(order: dict[str, Any]) -> list[str]:
+    """What an order selects machines by."""
+    criteria = [f"{key} {order[key]}" for key in ("zone", "type", "part") if order[key] is not None]
+    if order["spot"] is not None:
+        criteria.append("spot" if order["spot"] else "ordinary")
+    if order["machines"]:
+        criteria.append(f"{len(order['machines'])} named machines")
+    return criteria
--- a/ploverhall/settings.py
+++ b/ploverhall/settings.py
@@ -1,7 +1,12 @@
-"""The platform's settings file (TOML) and the operators' own options (JSON with a schema)."""
+"""The platform's settings file (TOML) and the operators' own options (JSON with a schema).
+
+The command line calls `load`; tests call `parse`. Names of fields and options are published. All
+times are in seconds unless a field's name in the file says otherwise.
+"""
 
 from __future__ import annotations
 
+import math
 import tomllib
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -9,12 +14,14 @@
 
 from ploverhall.errors import SettingsError
 
-DEFAULT_CLOCK_SKEW_S = 0.25  # how far the time of day may be off where the platform does not say
+# How far controllers' times of day may be apart, if the platform does not say
+DEFAULT_CLOCK_SKEW_S = 0.25
+MAX_PORT = 65_535
 
 
 @dataclass(slots=True, frozen=True)
 class PeerAddress:
-    """Another controller."""
+    """Another controller, and where it listens for its peers."""
 
     name: str
     zone: str
@@ -24,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Team:
-    """What a team is guaranteed and what it may use at most (0: none set)."""
+    """A team's guaranteed share and its limit (0: none set)."""
 
     name: str
     guaranteed_cpus: float
@@ -35,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """Operators' own settings; the defaults serve without a file."""
+    """Operators' own settings, as docs/operations.md explains them; all have defaults."""
 
     hold_s: float = 5.0
     sample: int = 5
@@ -53,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything a controller is told when it starts."""
+    """Everything that a controller is configured with."""
 
     name: str
     zone: str
@@ -84,12 +91,15 @@
 
     @property
     def controllers(self) -> list[tuple[str, str]]:
-        """All controllers as (name, zone) in name order: a node's place is its dense index."""
+        """All controllers as (name, zone), by name: the position is the controller's index."""
         return sorted([(self.name, self.zone)] + [(peer.name, peer.zone) for peer in self.peers])
 
 
 class _Table:
-    """Reads fields of a TOML table, naming the field in every complaint."""
+    """Reads the fields of a TOML table.
+
+    Every method raises `SettingsError`, which names the field, if the value cannot be used.
+    """
 
     def __init__(self, data: Any, where: str) -> None:
         if not isinstance(data, dict):
@@ -101,93 +111,73 @@
         return f"{self.where}.{key}" if self.where else key
 
     def text(self, key: str) -> str:
+        """A non-empty string."""
         value = self.data.get(key)
         if not isinstance(value, str) or not value:
             raise SettingsError(f"{self._name(key)}: must be a non-empty string")
         return value
 
     def number(self, key: str, least: float = 0.0, over: bool = False) -> float:
+        """A finite number of at least `least`; `over`: greater than that."""
         value = self.data.get(key)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             raise SettingsError(f"{self._name(key)}: must be a number")
-        if (
-            value != value
-            or value in (float("inf"), float("-inf"))
-            or value < least
-            or (over and value == least)
-        ):
+        if not math.isfinite(value) or value < least or (over and value == least):
             raise SettingsError(f"{self._name(key)}: out of range")
         return float(value)
 
     def address(self, key: str) -> tuple[str, int]:
+        """HOST:PORT, as host and port."""
         host, _, port = self.text(key).rpartition(":")
-        if not host or not port.isdigit() or not 0 < int(port) < 65536:
+        if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
             raise SettingsError(f"{self._name(key)}: must be HOST:PORT")
         return host, int(port)
 
     def table(self, key: str) -> _Table:
+        """A table within this one."""
         return _Table(self.data.get(key), self._name(key))
 
     def tables(self, key: str) -> list[_Table]:
+        """A list of tables; empty if there is none."""
         value = self.data.get(key, [])
         if not isinstance(value, list):
             raise SettingsError(f"{self._name(key)}: must be a list of tables")
-        return [_Table(t, f"{self._name(key)}[{i}]") for i, t in enumerate(value)]
+        return [_Table(item, f"{self._name(key)}[{index}]") for index, item in enumerate(value)]
 
 
 def parse(data: Any, options: Options | None = None) -> Settings:
-    """Check the platform's settings and give them typed; unknown fields are ignored."""
+    """Check the platform's settings, already read from TOML; unknown fields are ignored.
+
+    Raises `SettingsError`, which names the field.
+    """
     top = _Table(data, "")
-    dep, ext = top.table("deployment"), top.table("external")
-    workers, state = dep.table("workers"), dep.table("state")
-    cloud, limits = dep.table("cloud"), dep.table("limits")
-    zones = dep.data.get("zones")
-    if not isinstance(zones, list) or not zones or not all(isinstance(z, str) for z in zones):
-        raise SettingsError("deployment.zones: must be a list of names")
-    peers = tuple(
-        PeerAddress(table.text("host_name"), table.text("site"), *table.address("addr"))
-        for table in top.tables("siblings")
-    )
-    teams = tuple(
-        sorted(
-            (
-                Team(
-                    table.text("name"),
-                    table.number("cpus"),
-                    table.number("cpus_max"),
-                    table.number("gpus"),
-                    table.number("gpus_max"),
-                )
-                for table in dep.tables("teams")
-            ),
-            key=lambda team: team.name,
-        )
-    )
-    if len({team.name for team in teams}) != len(teams):
-        raise SettingsError("deployment.teams: a name appears twice")
+    deployment, external = top.table("deployment"), top.table("external")
+    agents, store = deployment.table("workers"), deployment.table("state")
+    cloud, limits = deployment.table("cloud"), deployment.table("limits")
+    zones = _parse_zones(deployment)
+    peers = _parse_peers(top)
+    teams = _parse_teams(deployment)
     settings = Settings(
         name=top.text("host_name"),
         zone=top.text("site"),
         bind=top.address("bind"),
         peer_listen=top.address("peer_listen"),
         peers=peers,
-        cloud=ext.address("cloud"),
-        store=ext.address("state"),
-        zones=tuple(sorted(set(zones))),
+        cloud=external.address("cloud"),
+        store=external.address("state"),
+        zones=zones,
         teams=teams,
-        objectives=tuple(table.data for table in dep.tables("objectives")),
-        heartbeat_interval_s=workers.number("report_s", over=True),
-        lease_s=workers.number("lease_s", over=True),
-        gang_wait_s=workers.number("gang_wait_s"),
-        gang_peer_s=workers.number("gang_peer_s"),
-        cancel_s=workers.number("cancel_s", over=True),
-        clock_skew_s=dep.number("skew_ms") / 1000
-        if "skew_ms" in dep.data
-        else DEFAULT_CLOCK_SKEW_S,
-        store_rps=state.number("rps", over=True),
-        store_write_rps=state.number("write_rps", over=True),
-        max_value_bytes=int(state.number("value_kb", over=True) * 1024),
-        max_transaction_ops=int(state.number("txn_ops", 4)),
+        objectives=tuple(table.data for table in deployment.tables("objectives")),
+        heartbeat_interval_s=agents.number("report_s", over=True),
+        lease_s=agents.number("lease_s", over=True),
+        gang_wait_s=agents.number("gang_wait_s"),
+        gang_peer_s=agents.number("gang_peer_s"),
+        cancel_s=agents.number("cancel_s", over=True),
+        clock_skew_s=_parse_clock_skew_s(deployment),
+        store_rps=store.number("rps", over=True),
+        store_write_rps=store.number("write_rps", over=True),
+        max_value_bytes=int(store.number("value_kb", over=True) * 1024),
+        max_transaction_ops=int(store.number("txn_ops", 4)),
         cloud_rps=cloud.number("rps", over=True),
         list_lag_s=cloud.number("list_lag_s"),
         core_share=limits.number("core_share", over=True),
@@ -195,24 +185,65 @@
         max_sockets=int(limits.number("max_sockets", 16)),
         options=options or Options(),
     )
+    _check_unique_names(settings)
+    return settings
+
+
+def _parse_zones(deployment: _Table) -> tuple[str, ...]:
+    zones = deployment.data.get("zones")
+    if not isinstance(zones, list) or not zones or not all(isinstance(z, str) for z in zones):
+        raise SettingsError("deployment.zones: must be a list of names")
+    return tuple(sorted(set(zones)))
+
+
+def _parse_peers(top: _Table) -> tuple[PeerAddress, ...]:
+    return tuple(
+        PeerAddress(table.text("host_name"), table.text("site"), *table.address("addr"))
+        for table in top.tables("siblings")
+    )
+
+
+def _parse_teams(deployment: _Table) -> tuple[Team, ...]:
+    """All teams, ordered by name."""
+    teams = [
+        Team(
+            table.text("name"),
+            table.number("cpus"),
+            table.number("cpus_max"),
+            table.number("gpus"),
+            table.number("gpus_max"),
+        )
+        for table in deployment.tables("teams")
+    ]
+    if len({team.name for team in teams}) != len(teams):
+        raise SettingsError("deployment.teams: a name appears twice")
+    return tuple(sorted(teams, key=lambda team: team.name))
+
+
+def _parse_clock_skew_s(deployment: _Table) -> float:
+    if "skew_ms" not in deployment.data:
+        return DEFAULT_CLOCK_SKEW_S
+    return deployment.number("skew_ms") / 1000
+
+
+def _check_unique_names(settings: Settings) -> None:
     names = [name for name, _ in settings.controllers]
     if len(set(names)) != len(names):
         raise SettingsError("siblings: a host_name appears twice")
-    return settings
 
 
 def load(path: str | Path, options: str | Path | None = None) -> Settings:
-    """Read and check both files."""
+    """Read and check both files; raises `SettingsError` if one cannot be read or used."""
     try:
-        with open(path, "rb") as f:
-            data = tomllib.load(f)
+        with open(path, "rb") as file:
+            data = tomllib.load(file)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
     return parse(data, load_options(options) if options else None)
 
 
 def load_options(path: str | Path) -> Options:
-    """Read the operators' options, checked against the published schema."""
+    """Read the operators' options; raises `SettingsError` if they do not match the schema."""
     import fastjsonschema  # only here: most starts have no options file
     import orjson
 
--- a/ploverhall/status.py
+++ b/ploverhall/status.py
@@ -1,103 +1,155 @@
-"""What a person called at night wants to see, from one place: what is wrong first, then what waits, died and ended.
+"""The status of the whole fleet for an operator: problems first, then what waits, failed and ended.
 
-A controller's *view* is what it knows of the shards it holds, bounded in size; the views of all of them together are
-the answer (see control.view and control.telling).
+A controller's *report* is what it knows of the shards it holds, bounded in size
+(`controller.shard_status`); `controller.status_report` collects the reports of all controllers.
+Here: what a report says is wrong (`conditions`, which are also logged), and the text that the
+command `ploverhall status` prints.
 """
 
 from __future__ import annotations
 
 import sys
+from collections.abc import Iterable
 from typing import Any
 
-MAX_ROWS = 40  # rows of one kind in a view
-MAX_TASK_ROWS = 100  # tasks of a job that was asked for
-# A gang or service waits far longer than usual: so many times, and at least so long
+MAX_ROWS = 40  # rows of one kind in a report
+MAX_TASK_ROWS = 100  # tasks of a job that was selected
+# A gang or service waits too long: this many times its class's usual wait, and at least this long
 SLOW_MULTIPLE = 4.0
 MIN_SLOW_S = 60.0
-RECENT_STALL_S = 120.0  # a controller that stood still is named for so long
-SERVICES = {"state": "state service"}
-# A controller that the state service has not answered for longer is in trouble
+RECENT_STALL_S = 120.0  # for which a controller's event-loop stall is shown
+MAX_AGENT_SILENCE_S = 10.0  # of all agents of a shard
+# A key-value store that has not answered a controller for longer is a condition
 STORE_ANSWER_MAX_AGE_S = 2.5
+SERVICE_NAMES = {"state": "state service"}  # as shown; other services go by their own names
+MAX_NAMED_JOBS = 4  # that failed on a machine
+AGE_IN_MINUTES_FROM_S = 120
 
 
 def select(report: dict[str, Any], selection: dict[str, str]) -> dict[str, Any]:
-    """What an older, whole view holds of what was asked for."""
+    """The part of an older, whole report that matches a selected job, team or machine."""
     if not selection or not report:
         return report
     job, team, machine = selection.get("job"), selection.get("team"), selection.get("machine")
     return {
         **report,
-        "jobs": [
-            j
-            for j in report["jobs"]
-            if (not job or j["id"] == job)
-            and (not team or j["team"] == team)
-            and (not machine or any(t[1] == machine for t in j["tasks"]))
-        ],
-        "trouble_machines": [m for m in report["trouble_machines"] if m["name"] == machine],
-        "died": [d for d in report["died"] if d[1] == job or d[3] == machine],
-        "ended": [e for e in report["ended"] if e[1] == job or e[2] == team],
+        "jobs": [row for row in report["jobs"] if _job_row_matches(row, job, team, machine)],
+        "trouble_machines": [row for row in report["trouble_machines"] if row["name"] == machine],
+        "died": [row for row in report["died"] if row[1] == job or row[3] == machine],
+        "ended": [row for row in report["ended"] if row[1] == job or row[2] == team],
     }
 
 
+def _job_row_matches(
+    row: dict[str, Any], job: str | None, team: str | None, machine: str | None
+) -> bool:
+    """Whether a job's row matches all that is selected."""
+    return (
+        (not job or row["id"] == job)
+        and (not team or row["team"] == team)
+        and (not machine or any(place[1] == machine for place in row["tasks"]))
+    )
+
+
+# -- conditions --------------------------------------------------------------------------------
+
+
 def conditions(report: dict[str, Any]) -> dict[str, str]:
-    """What is wrong in one controller's view, by a key that stays while it lasts. Keys with ~ only matter to who asks."""
-    out: dict[str, str] = {}
-    node = report["node"]
-    if report["state_age_s"] > STORE_ANSWER_MAX_AGE_S:
-        out["state"] = (
-            f"controller {node}: the state service has not answered it for {report['state_age_s']:.0f} s"
-        )
-    reach = report.get("reach") or {}  # a release before this one says nothing of it
-    for service, via in sorted(reach.get("through", {}).items()):
-        out[f"link {service}"] = (
-            f"controller {node} reaches the {SERVICES.get(service, service)} through {via} only"
+    """What is wrong in one controller's report: texts by a key that stays while a condition lasts.
+
+    Conditions whose key begins with `~` are short-lived: they are shown, but not logged.
+    """
+    found: dict[str, str] = {}
+    _add_controller_conditions(found, report)
+    for row in report["jobs"]:
+        _add_job_condition(found, row)
+    for place, count, age_s in report["late"]:
+        found[f"late {place}"] = (
+            f"{count} machines of {place} do not come: rented up to {age_s:.0f} s ago"
         )
-    if reach.get("away"):
-        out["away"] = (
-            f"controller {node}: {reach['away']} workers reach it through another controller only"
+    for row in report["trouble_machines"]:
+        _add_machine_condition(found, row)
+    return found
+
+
+def _add_controller_conditions(found: dict[str, str], report: dict[str, Any]) -> None:
+    """Add what is wrong with a controller itself and its links."""
+    controller = report["node"]
+    state_age_s = report["state_age_s"]
+    if state_age_s > STORE_ANSWER_MAX_AGE_S:
+        found["state"] = (
+            f"controller {controller}: the state service has not answered it for"
+            f" {state_age_s:.0f} s"
         )
-    for peer in report["unheard"]:
-        out[f"peer {peer}"] = f"controller {node} can't hear {peer}"
+    _add_link_conditions(found, report)
     if report["stood_still"]:
-        ago, s = report["stood_still"]
-        out["~stood"] = f"controller {node} stood still for {s:.0f} s, {ago:.0f} s ago"
-    for shard, s in report["quiet_s"].items():
-        if s > 10.0:
-            out[f"quiet {shard}"] = (
-                f"controller {node}: no worker of part {shard} has reported to it for {s:.0f} s"
-            )
-    if report["short"].get("processor_lag_s"):
-        out["~lag"] = (
-            f"controller {node} is short of processor: late by {report['short']['processor_lag_s']:g} s"
+        ago_s, stall_s = report["stood_still"]
+        found["~stood"] = (
+            f"controller {controller} stood still for {stall_s:.0f} s, {ago_s:.0f} s ago"
         )
-    for j in report["jobs"]:
-        if j["broken"]:
-            out[f"broken {j['id']}"] = (
-                f"job {j['id']} ({j['team']}) fails everywhere: {j['failures']} times, last {j['last_failure']}"
-            )
-        elif j["kind"] in ("gang", "service") and j["waits_s"] > max(
-            MIN_SLOW_S, SLOW_MULTIPLE * (j["usual_s"] or 0.0)
-        ):
-            usual = f" (usually {j['usual_s']:.0f} s)" if j["usual_s"] is not None else ""
-            out[f"slow {j['id']}"] = (
-                f"{j['kind']} {j['id']} ({j['team']}) has waited {j['waits_s']:.0f} s{usual}: {j['why']}"
+    for shard, silence_s in report["quiet_s"].items():
+        if silence_s > MAX_AGENT_SILENCE_S:
+            found[f"quiet {shard}"] = (
+                f"controller {controller}: no worker of part {shard} has reported to it for"
+                f" {silence_s:.0f} s"
             )
-    for place, n, s in report["late"]:
-        out[f"late {place}"] = f"{n} machines of {place} do not come: rented up to {s:.0f} s ago"
-    for m in report["trouble_machines"]:
-        what = f"not trusted, {', '.join(m['failed'][:4])} failed there"
-        if m["state"] == "silent":
-            what = f"silent for {m['silent_s']:.0f} s"
-        elif m["state"] == "unreachable":
-            what = (
-                f"reports, but hears nothing, for {m['unheard_s']:.0f} s: nothing is started there"
-            )
-        out[f"~machine {m['name']}"] = f"machine {m['name']} ({m['type']}, {m['zone']}): {what}"
-    return out
+    if lag_s := report["short"].get("processor_lag_s"):
+        found["~lag"] = f"controller {controller} is short of processor: late by {lag_s:g} s"
 
 
-# -- the command ------------------------------------------------------------------------------
+def _add_link_conditions(found: dict[str, str], report: dict[str, Any]) -> None:
+    """Add what a controller does not reach, or only through a peer."""
+    controller = report["node"]
+    connectivity = report.get("reach") or {}  # older releases do not report it
+    for service, via in sorted(connectivity.get("through", {}).items()):
+        found[f"link {service}"] = (
+            f"controller {controller} reaches the {SERVICE_NAMES.get(service, service)}"
+            f" through {via} only"
+        )
+    if connectivity.get("away"):
+        found["away"] = (
+            f"controller {controller}: {connectivity['away']} workers reach it through another"
+            " controller only"
+        )
+    for peer in report["unheard"]:
+        found[f"peer {peer}"] = f"controller {controller} can't hear {peer}"
+
+
+def _add_job_condition(found: dict[str, str], row: dict[str, Any]) -> None:
+    """Add that a job fails everywhere, or waits far longer than its class usually does."""
+    if row["broken"]:
+        found[f"broken {row['id']}"] = (
+            f"job {row['id']} ({row['team']}) fails everywhere: {row['failures']} times,"
+            f" last {row['last_failure']}"
+        )
+    elif row["kind"] in ("gang", "service") and _waits_too_long(row):
+        usual = f" (usually {row['usual_s']:.0f} s)" if row["usual_s"] is not None else ""
+        found[f"slow {row['id']}"] = (
+            f"{row['kind']} {row['id']} ({row['team']}) has waited {row['waits_s']:.0f} s{usual}:"
+            f" {row['why']}"
+        )
+
+
+def _waits_too_long(row: dict[str, Any]) -> bool:
+    max_wait_s = max(MIN_SLOW_S, SLOW_MULTIPLE * (row["usual_s"] or 0.0))
+    return bool(row["waits_s"] > max_wait_s)
+
+
+def _add_machine_condition(found: dict[str, str], row: dict[str, Any]) -> None:
+    """Add why nothing is started on a machine."""
+    problem = f"not trusted, {', '.join(row['failed'][:MAX_NAMED_JOBS])} failed there"
+    if row["state"] == "silent":
+        problem = f"silent for {row['silent_s']:.0f} s"
+    elif row["state"] == "unreachable":
+        problem = (
+            f"reports, but hears nothing, for {row['unheard_s']:.0f} s: nothing is started there"
+        )
+    found[f"~machine {row['name']}"] = (
+        f"machine {row['name']} ({row['type']}, {row['zone']}): {problem}"
+    )
+
+
+# -- the command -------------------------------------------------------------------------------
 
 
 def show(
@@ -107,129 +159,200 @@
     team: str | None = None,
     machine: str | None = None,
 ) -> int:
-    """Ask a running controller and print: what is wrong, what waits, what died and ended; with a filter, all of that."""
+    """Ask a running controller (HOST:PORT) for the fleet's status and print it.
+
+    Returns the exit code: 1 if the controller did not answer.
+    """
     import json
     import urllib.error
     import urllib.parse
     import urllib.request
 
-    chosen = {
-        key: value for key, value in (("job", job), ("team", team), ("machine", machine)) if value
-    }
+    filters = (("job", job), ("team", team), ("machine", machine))
+    selection = {key: value for key, value in filters if value}
+    query = "?" + urllib.parse.urlencode(selection) if selection else ""
     try:
-        query = "?" + urllib.parse.urlencode(chosen) if chosen else ""
-        with urllib.request.urlopen(f"http://{address}/status{query}", timeout=5) as f:
-            data = json.load(f)
+        with urllib.request.urlopen(f"http://{address}/status{query}", timeout=5) as response:
+            data = json.load(response)
     except (OSError, ValueError) as error:
         print(f"ploverhall: {address}: {error}", file=sys.stderr)
         return 1
-    print(json.dumps(data, indent=1) if as_json else "\n".join(format_text(data, chosen)))
+    print(json.dumps(data, indent=1) if as_json else "\n".join(format_text(data, selection)))
     return 0
 
 
+def format_text(data: dict[str, Any], selection: dict[str, str]) -> list[str]:
+    """The lines for a person, from the JSON of `/status`: what is wrong comes first."""
+    answers = data["controllers"]
+    reports = {name: answer["view"] for name, answer in answers.items() if answer["view"]}
+    views = list(reports.values())
+    wrong = _wrong_lines(data, reports)
+    lines = [f"wrong now: {len(wrong) or 'nothing'}", *(f"  {text}" for text in wrong)]
+    lines += [_controller_line(name, report) for name, report in sorted(reports.items())]
+    lines += _user_answer_lines(data)
+    lines.append(_machines_line(views))
+    lines += _queue_lines(views)
+    lines += _team_lines(views)
+    for row in _rows(views, "jobs"):
+        lines += _job_lines(row)
+    if selection:
+        lines += [_machine_line(row) for row in _rows(views, "trouble_machines")]
+    lines += _died_lines(views)
+    lines += _ended_lines(views)
+    if left_out := sum(report["left_out"] for report in views):
+        lines.append(
+            f"({left_out} more rows left out; --job, --team and --machine show all that they match)"
+        )
+    return lines
+
+
+def _rows(views: list[dict[str, Any]], key: str) -> Iterable[Any]:
+    """The rows of one kind in all reports."""
+    return (row for report in views for row in report[key])
+
+
 def _format_age(seconds: float) -> str:
-    return f"{seconds:.0f} s ago" if seconds < 120 else f"{seconds / 60:.0f} min ago"
+    if seconds < AGE_IN_MINUTES_FROM_S:
+        return f"{seconds:.0f} s ago"
+    return f"{seconds / 60:.0f} min ago"
 
 
-def format_text(data: dict[str, Any], selection: dict[str, str]) -> list[str]:
-    """The lines for a person: what is wrong comes first."""
-    views = {name: c["view"] for name, c in data["controllers"].items() if c["view"]}
-    wrong: list[str] = []
-    for name, c in sorted(data["controllers"].items()):
-        if c["view"] is None:
-            wrong.append(
-                f"controller {name} has not been heard of since {data['asked']} started: what it holds is not known"
+def _wrong_lines(data: dict[str, Any], reports: dict[str, dict[str, Any]]) -> list[str]:
+    """What is wrong: controllers without a current report, conditions, shards without a holder."""
+    lines: list[str] = []
+    for name, answer in sorted(data["controllers"].items()):
+        if answer["view"] is None:
+            lines.append(
+                f"controller {name} has not been heard of since {data['asked']} started:"
+                " what it holds is not known"
             )
-        elif c["age_s"]:
-            wrong.append(
-                f"controller {name} can't be asked: what it held is as of {_format_age(c['age_s'])}"
-            )
-    for value in views.values():
-        wrong += conditions(value).values()
-    held = {s for value in views.values() for s in value["shards"]}
-    wrong += [
-        f"part {i} of the fleet is held by nobody that can be heard"
-        for i in range(len(data["controllers"]))
-        if str(i) not in held
-    ]
-    out = [f"wrong now: {len(wrong) or 'nothing'}", *(f"  {w}" for w in wrong)]
-    out += [
-        f"controller {name} ({value['zone']}): holds {', '.join(sorted(value['shards'])) or 'nothing'}"
-        + (", rents" if value["renter"] else "")
-        + (f", carried {n} for others" if (n := (value.get("reach") or {}).get("carried")) else "")
-        + "".join(f", {k} {n:g}" for k, n in sorted(value["short"].items()))
-        for name, value in sorted(views.items())
+        elif answer["age_s"]:
+            age = _format_age(answer["age_s"])
+            lines.append(f"controller {name} can't be asked: what it held is as of {age}")
+    for report in reports.values():
+        lines += conditions(report).values()
+    held = {shard for report in reports.values() for shard in report["shards"]}
+    lines += [
+        f"part {shard} of the fleet is held by nobody that can be heard"
+        for shard in range(len(data["controllers"]))
+        if str(shard) not in held
     ]
+    return lines
+
+
+def _controller_line(name: str, report: dict[str, Any]) -> str:
+    """One controller: its shards, whether it scales the fleet, and what it lacks."""
+    shards = ", ".join(sorted(report["shards"])) or "nothing"
+    line = f"controller {name} ({report['zone']}): holds {shards}"
+    if report["renter"]:
+        line += ", rents"
+    if relayed_count := (report.get("reach") or {}).get("carried"):
+        line += f", carried {relayed_count} for others"
+    for key, amount in sorted(report["short"].items()):
+        line += f", {key} {amount:g}"
+    return line
+
+
+def _user_answer_lines(data: dict[str, Any]) -> list[str]:
+    """What the user of a selected job is told now, or why nothing."""
+    lines = []
     if told := data.get("told"):
-        out.append(
-            f"users are told: {told['id']} is {told['stance']}, {told['done']} tasks done, {told['running']} running"
+        lines.append(
+            f"users are told: {told['id']} is {told['stance']}, {told['done']} tasks done,"
+            f" {told['running']} running"
         )
     if untold := data.get("untold"):
-        out.append(f"users are told nothing of it now: {untold}")
+        lines.append(f"users are told nothing of it now: {untold}")
+    return lines
+
+
+def _machines_line(views: list[dict[str, Any]]) -> str:
+    """How many machines there are, by state."""
+    counts: dict[str, int] = {}
+    for report in views:
+        for state, count in report["machines"].items():
+            counts[state] = counts.get(state, 0) + count
+    by_state = ", ".join(f"{count} {state}" for state, count in sorted(counts.items()))
+    return f"machines: {by_state or 'none'}"
+
+
+def _queue_lines(views: list[dict[str, Any]]) -> list[str]:
+    """Waiting jobs and tasks by what they wait for, most tasks first."""
     queue: dict[str, list[int]] = {}
-    machines: dict[str, int] = {}
-    for value in views.values():
-        for why, (jobs, tasks) in value["queue"].items():
-            row = queue.setdefault(why, [0, 0])
+    for report in views:
+        for reason, (jobs, tasks) in report["queue"].items():
+            row = queue.setdefault(reason, [0, 0])
             row[0] += jobs
             row[1] += tasks
-        for state, n in value["machines"].items():
-            machines[state] = machines.get(state, 0) + n
-    out.append(
-        "machines: "
-        + (", ".join(f"{count} {state}" for state, count in sorted(machines.items())) or "none")
-    )
-    out.append("queued: " + ("nothing" if not queue else ""))
-    out += [
-        f"  {jobs} jobs, {tasks} tasks: {why}"
-        for why, (jobs, tasks) in sorted(queue.items(), key=lambda x: -x[1][1])
+    by_task_count = sorted(queue.items(), key=lambda item: -item[1][1])
+    return [
+        "queued: " + ("nothing" if not queue else ""),
+        *(f"  {jobs} jobs, {tasks} tasks: {reason}" for reason, (jobs, tasks) in by_task_count),
     ]
-    for name, t in sorted(
-        (x for value in views.values() for x in value["teams"].items()), key=lambda x: x[0]
-    ):
-        out.append(
-            f"team {name}: {t['cpus']:g} cpus, {t['gpus']:g} gpus; guaranteed {t['guarantee']}, at most {t['limit']}"
-        )
-    for j in (j for value in views.values() for j in value["jobs"]):
-        states = "".join(f", {n} {state}" for state, n in sorted(j["states"].items()))
-        failed = (
-            f"; failed {j['failures']} times, last {j['last_failure']}" if j["failures"] else ""
-        )
-        why = f"; {j['why']}" if j["why"] else ""
-        waits = f" for {j['waits_s']:.0f} s" if j["waiting"] else ""
-        counts = f"{j['waiting']} of {j['tasks']} waiting{waits}, {j['done']} done{states}"
-        out.append(f"job {j['id']} ({j['kind']}, {j['team']}): {counts}{why}{failed}")
-        out += [
-            f"  {j['id']}/{task} on {machine}: {state} {why}".rstrip()
-            for task, machine, state, why in j["places"]
-        ]
-    if selection:
-        for m in (m for value in views.values() for m in value["trouble_machines"]):
-            kind = f"{m['type']}, {m['zone']}{', spot' if m['spot'] else ''}"
-            out.append(
-                f"machine {m['name']} ({kind}): {m['state']}, {m['tasks']} tasks, free {m['free']}, heard {_format_age(m['silent_s'])}"
-            )
-    died = sorted(d for value in views.values() for d in value["died"])[:MAX_ROWS]
-    out += (
-        [
-            "died lately:",
-            *(
-                f"  {_format_age(at)}: {job}/{task} on {machine}: {why}"
-                for at, job, task, machine, why in died
-            ),
-        ]
-        if died
-        else []
+
+
+def _team_lines(views: list[dict[str, Any]]) -> list[str]:
+    """What each team uses, is guaranteed and may use at most."""
+    teams = (item for report in views for item in report["teams"].items())
+    return [
+        f"team {name}: {team['cpus']:g} cpus, {team['gpus']:g} gpus;"
+        f" guaranteed {team['guarantee']}, at most {team['limit']}"
+        for name, team in sorted(teams, key=lambda item: item[0])
+    ]
+
+
+def _job_lines(row: dict[str, Any]) -> list[str]:
+    """One job, and the tasks that are shown of it."""
+    states = "".join(f", {count} {state}" for state, count in sorted(row["states"].items()))
+    waits = f" for {row['waits_s']:.0f} s" if row["waiting"] else ""
+    counts = f"{row['waiting']} of {row['tasks']} waiting{waits}, {row['done']} done{states}"
+    reason = f"; {row['why']}" if row["why"] else ""
+    failed = _failed_suffix(row["failures"], row["last_failure"])
+    return [
+        f"job {row['id']} ({row['kind']}, {row['team']}): {counts}{reason}{failed}",
+        *(
+            f"  {row['id']}/{task} on {machine}: {state} {why}".rstrip()
+            for task, machine, state, why in row["places"]
+        ),
+    ]
+
+
+def _failed_suffix(failure_count: int, last_failure: str) -> str:
+    """How often a job has failed; empty if it has not."""
+    return f"; failed {failure_count} times, last {last_failure}" if failure_count else ""
+
+
+def _machine_line(row: dict[str, Any]) -> str:
+    """One machine that was selected."""
+    kind = f"{row['type']}, {row['zone']}{', spot' if row['spot'] else ''}"
+    return (
+        f"machine {row['name']} ({kind}): {row['state']}, {row['tasks']} tasks,"
+        f" free {row['free']}, heard {_format_age(row['silent_s'])}"
     )
-    ended = sorted(e for value in views.values() for e in value["ended"])[:MAX_ROWS]
-    out += ["ended lately:"] if ended else []
-    for at, job, team, how, done, tasks, failures, last in ended:
-        failed = f"; failed {failures} times, last {last}" if failures else ""
-        out.append(
-            f"  {_format_age(at)}: {job} ({team}): {how}, {done} of {tasks} tasks done{failed}"
-        )
-    if left := sum(value["left_out"] for value in views.values()):
-        out.append(
-            f"({left} more rows left out; --job, --team and --machine show all that they match)"
+
+
+def _died_lines(views: list[dict[str, Any]]) -> list[str]:
+    """The attempts that failed lately, newest first."""
+    rows = sorted(_rows(views, "died"))[:MAX_ROWS]
+    if not rows:
+        return []
+    return [
+        "died lately:",
+        *(
+            f"  {_format_age(age_s)}: {job}/{task} on {machine}: {reason}"
+            for age_s, job, task, machine, reason in rows
+        ),
+    ]
+
+
+def _ended_lines(views: list[dict[str, Any]]) -> list[str]:
+    """The jobs that ended lately, newest first."""
+    rows = sorted(_rows(views, "ended"))[:MAX_ROWS]
+    lines = ["ended lately:"] if rows else []
+    for age_s, job, team, outcome, done, tasks, failure_count, last_failure in rows:
+        failed = _failed_suffix(failure_count, last_failure)
+        lines.append(
+            f"  {_format_age(age_s)}: {job} ({team}): {outcome},"
+            f" {done} of {tasks} tasks done{failed}"
         )
-    return out
+    return lines
