--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -134,7 +134,7 @@
         held.source = source
         self.routing.update_owners(held, source, now)
         self._replay_owner_updates(held)
-        log.info("source ready", shard=held.shard, epoch=held.epoch, jobs=len(source.jobs))
+        log.info("job queue ready", shard=held.shard, epoch=held.epoch, jobs=len(source.jobs))
         self.context.wake_scheduling()
 
     def _replay_owner_updates(self, held: HeldShard) -> None:
@@ -189,7 +189,7 @@
         self, held: HeldShard, source: JobSource, write: PendingWrite, failed: list[str]
     ) -> bool:
         """Reload what the write was based on; return false if the shard is another's now."""
-        log.info("write refused", shard=held.shard, failed=",".join(failed))
+        log.info("compare-and-swap failed", shard=held.shard, keys=",".join(failed))
         if f"{SHARD_PREFIX}{held.shard}" in failed:
             self.on_superseded(held.shard)
             return False
--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -180,12 +180,12 @@
     def _on_rented(self, autoscaler: Autoscaler, rental: RentalRequest, names: list[str]) -> None:
         machine_type, zone, spot = rental.pool
         log.info(
-            "rented",
+            "scaled out",
             type=machine_type,
             zone=zone,
             spot=int(spot),
-            asked=rental.count,
-            got=len(names),
+            requested=rental.count,
+            received=len(names),
         )
         autoscaler.on_rented(names, rental.pool, rental.count, self.context.clock())
 
@@ -216,7 +216,7 @@
         self.context.store_cache.apply_own_write(AUTOSCALER_KEY, value, epoch)
         self.context.autoscaler = self._new_autoscaler(epoch, now)
         self.unheld_since = 0.0
-        log.info("renter", epoch=epoch)
+        log.info("autoscaler acquired", epoch=epoch)
         self.routing.update_routes()
         self.routing.replay(state_channel.AUTOSCALER_ENDPOINT, ("d", "m"))
         self.context.wake_scheduling()
@@ -255,7 +255,7 @@
                 await self.context.store.compare_and_swap(
                     {key: order.version}, {key: done.record()}, []
                 )
-                log.info("order done", order=order.id)
+                log.info("maintenance order completed", order=order.id)
             for order in expired[:1]:
                 key = orders.ORDER_PREFIX + order.id
                 await self.context.store.compare_and_swap({key: order.version}, {}, [key])
@@ -316,7 +316,7 @@
             "POST", "/hosts/return", {"perches": names}, timeout=CLOUD_TIMEOUT_S
         )
         if status == HTTPStatus.OK:
-            log.info("returned", machines=",".join(names))
+            log.info("scaled in", machines=",".join(names))
             autoscaler.on_deleted(names, self.context.clock())
         await self._pause_after_change()
 
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -265,7 +265,10 @@
             for loop in self._loops():
                 task_group.start_soon(self._run_restarting, loop)
             log.info(
-                "started", node=settings.name, zone=settings.zone, shards=len(settings.controllers)
+                "started",
+                controller=settings.name,
+                zone=settings.zone,
+                shards=len(settings.controllers),
             )
 
     def _http_server(self) -> Server:
@@ -364,7 +367,7 @@
 
     def _on_superseded(self, shard: int) -> None:
         """A write failed because another controller holds the shard."""
-        self.shard_roles.release(shard, "write refused")
+        self.shard_roles.release(shard, "compare-and-swap failed")
         self.shard_leases.wake.set()
 
     def _on_event_loop_stall(self, seconds: float, now: float) -> None:
@@ -386,9 +389,7 @@
                 JOB_PREFIX + cancellation.job_id, end_record(CANCELLED, 0), cancellation.revision
             )
         if new:
-            log.info(
-                "cancelled jobs named by another controller", jobs=len(new), to=new[-1].revision
-            )
+            log.info("cancellations learned from peer", jobs=len(new), revision=new[-1].revision)
             self.on_store_changed()
 
     def on_store_changed(self) -> None:
@@ -415,7 +416,7 @@
                 continue
             self.cancellation_barrier.record_cancellation(job_id, ended.version)
             # logged here as well: the writer may not know that its write was committed
-            log.debug("withdrawn", job=job_id)
+            log.debug("cancelled", job=job_id)
             newest_revision = max(newest_revision, ended.version)
         if newest_revision > self.context.cancelled_revision:
             self.context.cancelled_revision = newest_revision
@@ -426,4 +427,4 @@
         unreadable_jobs = self.context.store_cache.unreadable_jobs
         for job_id in sorted(unreadable_jobs - self.logged_unreadable_jobs):
             self.logged_unreadable_jobs.add(job_id)
-            log.error("job's record can't be read", job=job_id)
+            log.error("unreadable job record", job=job_id)
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -108,7 +108,7 @@
     def _log_shortages(self, now: float) -> None:
         """Log once per interval what this controller is short of, but not before the first one."""
         if self.next_shortage_log_at and (shortages := self.capacity_shortages()):
-            log.info("short of", **shortages)
+            log.info("insufficient capacity", **shortages)
         self.next_shortage_log_at = now + SHORTAGE_LOG_INTERVAL_S
         self.max_lag_s = 0.0
 
--- a/ploverhall/controller/shard_leases.py
+++ b/ploverhall/controller/shard_leases.py
@@ -217,7 +217,7 @@
             self.lease_id = lease
             self.key_written_at = self.context.clock()
             self.renewed_at = started_at
-            log.info("lease", lease=lease)
+            log.info("lease granted", lease=lease)
             self.wake.set()
 
     def _on_lease_lost(self, lease: int) -> None:
@@ -304,7 +304,7 @@
         if holder == self.context.settings.name:
             await self._recover_own_claim(shard, version)
         elif self._should_acquire_from(holder, shard, now):
-            log.info("workers can't reach their controller", shard=shard, holder=holder)
+            log.info("shard holder unreachable by agents", shard=shard, holder=holder)
             self.acquired_from_live_at[shard] = now
             await self._claim(shard, version)
         self.unheld_since.pop(shard, None)
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -35,7 +35,7 @@
         """Hold a shard: its agents are served at once, its teams when their records are loaded."""
         held = HeldShard(shard, epoch, self._new_owner(shard, epoch))
         self.context.held_shards[shard] = held
-        log.info("shard taken", shard=shard, epoch=epoch)
+        log.info("shard acquired", shard=shard, epoch=epoch)
         self.routing.update_routes()
         self.routing.replay(shard, OWNER_CHANNEL_KINDS)
         self.start_tasks(held)
@@ -71,7 +71,7 @@
         held.image_scope.cancel()
         self.context.outbound.drop(SHARD_CHANNEL_KINDS, shard)
         self.routing.update_routes()
-        log.info("shard lost", shard=shard, epoch=held.epoch, why=reason)
+        log.info("shard released", shard=shard, epoch=held.epoch, reason=reason)
 
     def release_superseded(self, epochs: dict[int, int], peer: str) -> None:
         """Release the shards that a peer holds with a newer epoch.
@@ -92,7 +92,7 @@
     def on_event_loop_stall(self, seconds: float, now: float) -> None:
         """Note a stall: what was known before is old, and messages that came meanwhile unread."""
         log.warn(
-            "stood still",
+            "event loop stalled",
             seconds=round(seconds, 1),
             shards=",".join(map(str, self.context.held_shards)) or "-",
         )
--- a/ploverhall/controller/store_watch.py
+++ b/ploverhall/controller/store_watch.py
@@ -103,8 +103,8 @@
         store_cache.ready = True
         self.read_at = max(self.read_at, started_at)
         log.info(
-            "state read",
-            rev=store_cache.revision,
+            "store read",
+            revision=store_cache.revision,
             live=len(store_cache.live_jobs),
             ended=len(store_cache.ended_jobs),
         )
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -117,10 +117,10 @@
         if now - self.invalid_logged_at <= INVALID_RESPONSE_LOG_INTERVAL_S:
             return
         log.warn(
-            "state service: odd answer",
+            "key-value store: invalid response",
             request=request[:80],
             status=status,
-            answer=repr(response)[:120],
+            response=repr(response)[:120],
             times=self.invalid_responses,
         )
         self.invalid_responses = 0
--- a/ploverhall/scheduling/failure_attribution.py
+++ b/ploverhall/scheduling/failure_attribution.py
@@ -53,8 +53,8 @@
             job=allocation.job_id,
             task=allocation.task,
             machine=allocation.machine,
-            why=reason,
-            times=job_state.failure_count,
+            reason=reason,
+            failures=job_state.failure_count,
         )
         if reason == REASON_ERROR:
             backoff_s = self._attribute_error(job_state, allocation, machine_suspect, now)
@@ -100,7 +100,7 @@
             return
         job_state.failing_everywhere = failing
         self.log_info(
-            "job fails everywhere" if failing else "job works again",
+            "job failing on all machines" if failing else "job recovered",
             job=job_state.id,
             team=job_state.team,
             machines=",".join(sorted(job_state.failed_on)),
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -179,12 +179,12 @@
         heapq.heappush(self.timers, (job_state.overdue_check_at, job_state.id))
         if job_state.overdue and job_state.job is not None:
             self.log_info(
-                "has not begun for long",
+                "job start overdue",
                 job=job_state.id,
                 team=job_state.team,
                 kind=job_state.job.kind,
                 tasks=job_state.task_count,
-                waits=round(now - job_state.arrived_at),
+                waited_s=round(now - job_state.arrived_at),
             )
 
     def _decide_job(self, job_state: JobState, now: float) -> None:
