--- a/ploverhall/scheduling/placement.py
+++ b/ploverhall/scheduling/placement.py
@@ -1,836 +1,426 @@
-"""Candidates on one part: room is held for as many as fit, the others wait for room or to be cancelled.
+"""The placement pass: reserves free capacity for the candidates of one shard, best fit first.
 
-A pass costs what has changed: new candidates look at a sample of what has room, waiting ones only at
-machines that have gained room since.
+A pass costs what has changed: new candidates look at a sample of the machines with free capacity,
+waiting ones only at machines that have gained some since. Gangs are placed all or nothing. Called
+by the shard owner, which also hands in the candidate requests (`request`, `cancel`).
 """
 
 from __future__ import annotations
 
-import heapq
-from bisect import bisect_left, insort
-from collections import Counter, deque
-from dataclasses import dataclass
+from collections import Counter
+from dataclasses import dataclass, field
 from random import Random
+from typing import NamedTuple
 
-from ploverhall.protocol import peer_messages
-from ploverhall.protocol.agents import AttemptId
-from ploverhall.protocol.jobs import PRIORITIES, Job
+from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import CandidateUpdate
 from ploverhall.scheduling.inventory import (
-    EPSILON,
     Inventory,
-    JobTraits,
     Machine,
     MachinePool,
-    Permit,
-    PreemptionClass,
     Reservation,
     ResourceVector,
-    add_scaled,
     fits,
-    max_count,
-    occupies,
 )
+from ploverhall.scheduling.kept_machines import KeptMachines
+from ploverhall.scheduling.preemption import PreemptionPlanner
+from ploverhall.scheduling.reservations import CandidateRequest, ReservationTable
+from ploverhall.scheduling.scoring import score_machine
 
 # How often a waiting candidate is matched anew against work that may be stopped
 PREEMPTION_INTERVAL_S = 0.25
-MAX_PREEMPTION_SEARCHES = 24  # candidates matched in one go
-LOWEST_PRIORITY = max(PRIORITIES.values())
-# Seconds of fetching that keeping a replica apart from its like is worth: at 30, replicas fetched
-# beside idle copies
-REPLICA_SPREAD_COST_S = 3.0
-CACHED_IMAGE_COST_S = 0.15  # seconds that each image a machine holds is worth to others
-PREEMPTION_DELAY_S = 1.0  # what stopping others takes, until their room is free
-LOST_WORK_WEIGHT = 0.2  # seconds of waiting that a second of lost work is worth
-# Machines asked what could be stopped on them: at least so many, and so many a task
-PREEMPTION_SAMPLE = 64
-PREEMPTION_SAMPLE_PER_TASK = 4
+MAX_PREEMPTION_SEARCHES = 24  # candidates matched in one pass
 # A start that is slower than this is worth the question whether a machine that holds the image is
 # better
 WARM_SEARCH_THRESHOLD_S = 2.0
-WARM_SAMPLE = 24  # machines asked that question
 # How often every waiting candidate is looked at anew, whatever has been seen to change
 REVISIT_INTERVAL_S = 2.0
-FailedShapes = list[tuple[ResourceVector, tuple[str, ...] | None, str | None, bool]]
 
 
-@dataclass(slots=True, eq=False)
-class CandidateRequest:
-    """What a source wants placed: a candidate for each waiting task of a job."""
+class TaskShape(NamedTuple):
+    """What decides where a task without further limits fits."""
 
-    source_shard: int
-    job: Job
-    count: int
-    zone_limits: dict[str, int] | None
-    queue_order: tuple[float, ...]
-    avoided_machines: frozenset[str]
-    within_guarantee: bool
+    resources: ResourceVector
+    machine_types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
+
+@dataclass(slots=True)
+class PlacementPass:
+    """The state of one pass over the queue."""
+
+    now: float
+    preempt: bool  # waiting candidates may look for work to stop
+    gained: dict[str, Machine]  # machines with more free capacity than before the pass
+    # May fall below zero, since a new gang's search counts also when none is left
+    searches_left: int = MAX_PREEMPTION_SEARCHES
+    gang_waits: bool = False  # a gang further ahead in the queue has not found all it needs
+    failed_shapes: list[TaskShape] = field(default_factory=list)
+
+
+@dataclass(slots=True)
+class MachineSearch:
+    """Where the tasks of one request may go."""
+
+    pools: list[MachinePool]
+    zone_limits: dict[str, int] | None  # how many more each zone may take
+    avoided: frozenset[str]
+    gained: dict[str, Machine] | None  # only these machines; None: all
+    zone: str | None  # only this zone; None: all
 
     @property
-    def overdue(self) -> bool:
-        """Whether its source puts it before its rank, since it has waited for so long."""
-        return len(self.queue_order) > 2 and self.queue_order[2] < self.job.priority
+    def unlimited(self) -> bool:
+        """Whether it depends on nothing but the shape of the task."""
+        return (
+            self.gained is None
+            and self.zone is None
+            and self.zone_limits is None
+            and not self.avoided
+        )
+
+    def open_pools(self) -> list[MachinePool]:
+        """The pools whose zone may take another task."""
+        limits = self.zone_limits
+        return [pool for pool in self.pools if limits is None or limits.get(pool[1], 0) > 0]
 
 
 class Placement:
-    """Holds room for candidates and tells the sources."""
+    """Reserves free capacity for the candidates of one shard."""
 
     def __init__(self, inventory: Inventory, hold_s: float, sample: int, random: Random) -> None:
         self.inventory = inventory
-        self.hold_s = hold_s
         self.sample = sample
         self.random = random
-        self.requests: dict[str, CandidateRequest] = {}
-        self.reservations: dict[str, dict[int, Reservation]] = {}
-        # Candidates without room, most important first
-        self.queue: list[tuple[tuple[float, ...], str]] = []
-        self.new_requests: set[str] = set()  # those not yet looked at
-        self.expiry_queue: deque[Reservation] = deque()  # in the order in which the hold time ends
-        self.preempting: dict[int, Reservation] = {}
-        # What permits being carried out stop already; the owner keeps it
-        self.victims: set[AttemptId] = set()
-        # Who found too few ways: the fleet's counter, how many, in which zone
-        self.exhausted_searches: dict[str, tuple[int, int, str | None]] = {}
-        # Alike gangs: the counter, and the ways there were in all
-        self.exhausted_gang_searches: dict[tuple[object, ...], tuple[int, int]] = {}
-        # Machines asked what could be stopped on them: what the tests of growth count
-        self.preemption_checks = 0
-        # Machines that are left to empty for a gang that has not begun for long
-        self.kept_for_job: dict[str, str] = {}
-        # The one gang that may hold room for less than all of its tasks
+        self.reservations = ReservationTable(inventory, hold_s)
+        self.kept_machines = KeptMachines(inventory, self.reservations)
+        self.preemption = PreemptionPlanner(
+            inventory, self.reservations, self.kept_machines, random
+        )
+        # The one gang that may hold reservations for less than all of its tasks
         self.partial_gang: str | None = None
-        self.next_reservation_id = 1
         self.next_preemption_at = 0.0
         self.next_revisit_at = 0.0
-        self.source_updates: dict[
-            tuple[int, str], list[object] | peer_messages.OfferUpdate | None
-        ] = {}
-
-    # -- what is wanted ----------------------------------------------------------------------
 
     def request(
         self, source_shard: int, job: Job, update: CandidateUpdate, within_guarantee: bool
     ) -> None:
-        """A source's candidates for a job are these from now on."""
-        old = self.requests.get(job.id)
-        request = CandidateRequest(
-            source_shard,
-            job,
-            update.waiting_tasks,
-            update.zone_limits,
-            tuple(update.queue_order),
-            frozenset(update.avoided_machines),
-            within_guarantee,
-        )
-        if old is not None and old.queue_order != request.queue_order:
-            self._remove_from_queue(job.id, old.queue_order)
-        self.requests[job.id] = request
-        self.exhausted_searches.pop(job.id, None)
-        self._release_surplus(job.id)
-        if old is None or (
-            request.count,
-            request.zone_limits,
-            request.queue_order,
-            request.avoided_machines,
-        ) != (
-            old.count,
-            old.zone_limits,
-            old.queue_order,
-            old.avoided_machines,
-        ):
-            self._enqueue_if_missing(job.id)
+        """Replace a source's request for candidates of a job."""
+        self.preemption.forget_search(job.id)
+        self.reservations.update_request(source_shard, job, update, within_guarantee)
 
     def cancel(self, job_id: str) -> None:
-        """No candidates of this job any more."""
-        request = self.requests.pop(job_id, None)
-        self.exhausted_searches.pop(job_id, None)
-        if request is not None:
-            self._remove_from_queue(job_id, request.queue_order)
-        self._release_surplus(job_id)
-
-    def _enqueue_if_missing(self, job_id: str) -> None:
-        """Look for room for what a job still misses."""
-        request = self.requests.get(job_id)
-        if request is not None and len(self.reservations.get(job_id, ())) < request.count:
-            self.new_requests.add(job_id)
-            self._insert_into_queue(job_id, request)
-
-    def _insert_into_queue(self, job_id: str, request: CandidateRequest) -> None:
-        at = (request.queue_order, job_id)
-        i = bisect_left(self.queue, at)
-        if i >= len(self.queue) or self.queue[i] != at:
-            insort(self.queue, at)
-
-    def _remove_from_queue(self, job_id: str, order: tuple[float, ...]) -> None:
-        self.new_requests.discard(job_id)
-        i = bisect_left(self.queue, (order, job_id))
-        if i < len(self.queue) and self.queue[i] == (order, job_id):
-            del self.queue[i]
-
-    # -- held room ---------------------------------------------------------------------------
-
-    def reserve(
-        self,
-        request: CandidateRequest,
-        machine: Machine,
-        cost: float,
-        now: float,
-        victims: tuple[AttemptId, ...] = (),
-    ) -> Reservation:
-        """Keep room for one candidate until the hold time is over, and say so."""
-        reservation = Reservation(
-            self.next_reservation_id,
-            request.source_shard,
-            request.job.id,
-            machine.name,
-            machine.zone,
-            now + self.hold_s,
-            request.job.resources,
-            request.job.image,
-            cost,
-            victims,
-            request.overdue,
-        )
-        self.next_reservation_id += 1
-        machine.reservations[reservation.id] = reservation
-        self.reservations.setdefault(reservation.job_id, {})[reservation.id] = reservation
-        self.expiry_queue.append(reservation)
-        if victims:
-            self.preempting[reservation.id] = reservation
-        self.source_updates[reservation.source_shard, peer_messages.offer_key(reservation.id)] = (
-            peer_messages.OfferUpdate(
-                reservation.job_id,
-                reservation.machine,
-                reservation.zone,
-                round(reservation.cost, 2),
-                len(victims),
-            )
-        )
-        self.inventory.refresh(machine, now)
-        self.inventory.mark_changed(machine)  # for the renter
-        return reservation
-
-    def release(self, reservation: Reservation, requeue: bool = True) -> None:
-        """Give held room back; what is still wanted is looked for anew."""
-        held = self.reservations.get(reservation.job_id)
-        if held is None or held.pop(reservation.id, None) is None:
-            return
-        if not held:
-            del self.reservations[reservation.job_id]
-        self.preempting.pop(reservation.id, None)
-        self.source_updates[reservation.source_shard, peer_messages.offer_key(reservation.id)] = (
-            None
-        )
-        machine = self.inventory.machines.get(reservation.machine)
-        if machine is not None:
-            machine.reservations.pop(reservation.id, None)
-            self.inventory.mark_changed(machine)
-        if requeue:
-            self._enqueue_if_missing(reservation.job_id)
-
-    def _release_surplus(self, job_id: str) -> None:
-        """Cancelled candidates give their room back."""
-        held = self.reservations.get(job_id)
-        if not held:
-            return
-        want = self.requests.get(job_id)
-        count = want.count if want else 0
-        if len(held) > count:
-            for reservation in sorted(
-                held.values(), key=lambda reservation: (-reservation.cost, -reservation.id)
-            )[: len(held) - count]:
-                self.release(reservation, requeue=False)
-
-    def expire(self, now: float) -> None:
-        """The hold time of unpermitted room is over."""
-        while self.expiry_queue and (
-            self.expiry_queue[0].expires_at <= now
-            or self.expiry_queue[0].id not in self.reservations.get(self.expiry_queue[0].job_id, ())
-        ):
-            self.release(self.expiry_queue.popleft())
-
-    def release_machine(self, machine: Machine) -> None:
-        """A machine that can't be used holds nothing."""
-        for reservation in list(machine.reservations.values()):
-            self.release(reservation)
+        """Forget the request for a job, and give back what is reserved for it."""
+        self.preemption.forget_search(job_id)
+        self.reservations.cancel_request(job_id)
 
-    # -- placing -----------------------------------------------------------------------------
+    # -- the pass ----------------------------------------------------------------------------
 
     def place_waiting(self, now: float) -> None:
-        """One pass: new candidates anywhere, waiting ones on machines that have gained room."""
-        fleet = self.inventory
+        """One pass: new candidates anywhere, waiting ones on machines that have gained capacity."""
+        inventory, queue = self.inventory, self.reservations.queue
         preempt = now >= self.next_preemption_at
-        if not (self.new_requests or fleet.machines_with_gains or preempt) or not self.queue:
-            fleet.machines_with_gains.clear()
+        nothing_changed = not (queue.new_jobs or inventory.machines_with_gains or preempt)
+        if nothing_changed or not queue.entries:
+            inventory.machines_with_gains.clear()
             return
         if preempt:
             self.next_preemption_at = now + PREEMPTION_INTERVAL_S
         if now >= self.next_revisit_at:
             self.next_revisit_at = now + REVISIT_INTERVAL_S
-            self.exhausted_searches.clear()
-            self.exhausted_gang_searches.clear()
-            for job_id in self.requests:
-                self._enqueue_if_missing(job_id)
-            self._keep_machines_for_gang(now)
-        gained = fleet.machines_with_gains
-        fleet.machines_with_gains = {}
-        failed: FailedShapes = []
-        tries = MAX_PREEMPTION_SEARCHES
-        partial_seen = False
-        still: list[tuple[tuple[float, ...], str]] = []
-        for i, (order, job_id) in enumerate(self.queue):
-            if not self.new_requests and not gained and not (preempt and tries):
-                still += self.queue[i:]
-                # Not all were seen: whoever holds pieces may still be among the rest
-                partial_seen = True
+            self._revisit_all(now)
+        current = PlacementPass(now, preempt, inventory.machines_with_gains)
+        inventory.machines_with_gains = {}
+        waiting = []
+        for position, entry in enumerate(queue.entries):
+            if self._is_finished(current):
+                waiting += queue.entries[position:]
+                # Not all were seen: the partial gang may still be among the rest
+                current.gang_waits = True
                 break
-            request = self.requests.get(job_id)
-            if request is None:
-                continue
-            new = job_id in self.new_requests
-            missing = request.count - len(self.reservations.get(job_id, ()))
-            if missing > 0 and request.job.kind == "gang":
-                if new or gained or (preempt and tries):
-                    before = missing
-                    missing = self._place_gang(
-                        job_id,
-                        request,
-                        missing,
-                        not partial_seen,
-                        failed,
-                        now,
-                        (new or preempt) and tries > 0,
-                    )
-                    tries -= bool((new or preempt) and before)
-                partial_seen = partial_seen or missing > 0
-                if missing <= 0 and self.partial_gang == job_id:
-                    self.partial_gang = None
-            elif missing > 0:
-                if new:
-                    missing = self._place_tasks(job_id, request, missing, None, failed, now)
-                elif gained:
-                    missing = self._place_tasks(job_id, request, missing, gained, failed, now)
-                if missing > 0 and tries and (new or preempt) and self._could_preempt(request):
-                    tries -= 1
-                    missing -= self._preempt(job_id, request, missing, now)
-            self.new_requests.discard(job_id)
-            if missing > 0:
-                still.append((order, job_id))
-        self.queue = still
-        if not partial_seen:
+            if self._place_job(entry[1], current):
+                waiting.append(entry)
+        queue.entries = waiting
+        if not current.gang_waits:
             self.partial_gang = None
 
-    def _keep_machines_for_gang(self, now: float) -> None:
-        """Whole machines for the first gang whose source puts it before its rank: nothing else goes there until it has begun.
-
-        Room is free one task at a time, and the next small task has it at once; a gang of whole machines never found one empty
-        (tests/test_largest.py). For one gang at a time, and no longer than its turn.
-        """
-        first: CandidateRequest | None = None
-        for _, job_id in self.queue:
-            request = self.requests.get(job_id)
-            if (
-                request is not None
-                and request.job.kind == "gang"
-                and request.overdue
-                and len(self.reservations.get(job_id, ())) < request.count
-            ):
-                first = request
-                break
-        kept = self._machines_to_keep(first, now) if first is not None else {}
-        for name in self.kept_for_job.keys() - kept.keys():
-            if (machine := self.inventory.machines.get(name)) is not None:
-                self.inventory.machines_with_gains[name] = machine  # others may have it again
-        self.kept_for_job = kept
-
-    def _machines_to_keep(self, request: CandidateRequest, now: float) -> dict[str, str]:
-        job, fleet, zones = (
-            request.job,
-            self.inventory,
-            self._remaining_zone_limits(request.job.id, request),
+    def _revisit_all(self, now: float) -> None:
+        """Treat every waiting job as new, and choose the machines to keep for an overdue gang."""
+        self.preemption.forget_all_searches()
+        for job_id in self.reservations.requests:
+            self.reservations.enqueue_if_missing(job_id)
+        self.kept_machines.update(now)
+
+    def _is_finished(self, current: PlacementPass) -> bool:
+        """Whether there is nothing left to try for the rest of the queue."""
+        return not (
+            self.reservations.queue.new_jobs
+            or current.gained
+            or (current.preempt and current.searches_left)
         )
-        places = {
-            pool for pool in fleet.allowed_pools(job) if zones is None or zones.get(pool[1], 0) > 0
-        }
-        mine = [
-            machine
-            for machine in fleet.machines.values()
-            if machine.pool in places
-            and not fleet.unusable(machine, now)
-            and machine.name not in request.avoided_machines
-        ]
-        if job.single_zone and mine:
-            count = Counter(machine.zone for machine in mine)
-            zone = max(count, key=lambda zone_name: (count[zone_name], zone_name))
-            mine = [machine for machine in mine if machine.zone == zone]
-        out: dict[str, str] = {}
-        left = request.count - len(self.reservations.get(job.id, ()))
-        for machine in sorted(
-            mine,
-            key=lambda machine: (
-                machine.name not in self.kept_for_job,
-                [-x for x in machine.free],
-                machine.name,
-            ),
-        ):
-            if left <= 0:
-                break
-            each = min(
-                (
-                    max_count(x, c + EPSILON * x)
-                    for x, c in zip(
-                        job.resources, fleet.machine_types[machine.type].resources, strict=True
-                    )
-                    if x > 0
-                ),
-                default=0,
-            )
-            if each > 0:
-                out[machine.name] = job.id
-                left -= each
-        return out
 
-    def _avoided_machines(self, request: CandidateRequest) -> frozenset[str]:
-        """Machines that it failed on, and those that are kept for somebody else."""
-        return (
-            request.avoided_machines.union(
-                m for m, job_id in self.kept_for_job.items() if job_id != request.job.id
-            )
-            if self.kept_for_job
-            else request.avoided_machines
-        )
+    def _place_job(self, job_id: str, current: PlacementPass) -> bool:
+        """Place what a job misses; whether it goes on waiting."""
+        request = self.reservations.requests.get(job_id)
+        if request is None:
+            return False
+        new_jobs = self.reservations.queue.new_jobs
+        is_new = job_id in new_jobs
+        missing = self.reservations.missing(request)
+        if missing > 0:
+            if request.job.kind == "gang":
+                missing = self._place_gang(request, missing, is_new, current)
+            else:
+                missing = self._place_tasks(request, missing, is_new, current)
+        new_jobs.discard(job_id)
+        return missing > 0
 
-    def _remaining_zone_limits(
-        self, job_id: str, request: CandidateRequest
-    ) -> dict[str, int] | None:
-        """How many more candidates each zone may take."""
-        if request.zone_limits is None:
-            return None
-        left = dict(request.zone_limits)
-        for reservation in self.reservations.get(job_id, {}).values():
-            left[reservation.zone] = left.get(reservation.zone, 0) - 1
-        return left
+    # -- tasks -------------------------------------------------------------------------------
 
     def _place_tasks(
+        self, request: CandidateRequest, missing: int, is_new: bool, current: PlacementPass
+    ) -> int:
+        """Place tasks that don't depend on one another; how many are still missing."""
+        if is_new:
+            missing = self._reserve_free(request, missing, current, None)
+        elif current.gained:
+            missing = self._reserve_free(request, missing, current, current.gained)
+        if (
+            missing > 0
+            and current.searches_left
+            and (is_new or current.preempt)
+            and self.preemption.could_preempt(request)
+        ):
+            current.searches_left -= 1
+            missing -= self.preemption.reserve(request, missing, current.now)
+        return missing
+
+    def _reserve_free(
         self,
-        job_id: str,
         request: CandidateRequest,
         missing: int,
-        only: dict[str, Machine] | None,
-        failed: FailedShapes,
-        now: float,
+        current: PlacementPass,
+        gained: dict[str, Machine] | None,
         zone: str | None = None,
     ) -> int:
-        """Hold room for up to `missing` candidates; what is left over."""
+        """Reserve free capacity for up to `missing` candidates; how many are still missing."""
         job = request.job
-        shape = (job.resources, job.machine_types, job.zone, job.spot)
+        shape = TaskShape(job.resources, job.machine_types, job.zone, job.spot)
         if (
-            only is None
+            gained is None
             and zone is None
             and request.zone_limits is None
             and not request.avoided_machines
-            and any(s[1:] == shape[1:] and fits(s[0], shape[0]) for s in failed)
+            and _has_failed(shape, current.failed_shapes)
         ):
-            return missing  # something no larger has just found no room
-        zones, avoid = self._remaining_zone_limits(job_id, request), self._avoided_machines(request)
-        all_places = [
-            pool for pool in self.inventory.allowed_pools(job) if zone is None or pool[1] == zone
-        ]
+            return missing
+        search = MachineSearch(
+            self._pools(job, zone),
+            self.reservations.remaining_zone_limits(request),
+            self.kept_machines.avoided_machines(request),
+            gained,
+            zone,
+        )
         while missing > 0:
-            places = [pool for pool in all_places if zones is None or zones.get(pool[1], 0) > 0]
-            if only is not None:
-                for name in [
-                    controller_name
-                    for controller_name, machine in only.items()
-                    if machine.index_bucket is None
-                ]:
-                    del only[name]
-                found = [
-                    machine
-                    for machine in only.values()
-                    if machine.pool in places
-                    and fits(job.resources, machine.free)
-                    and machine.name not in avoid
-                ]
-                found = (
-                    found
-                    if len(found) <= 2 * self.sample
-                    else self.random.sample(found, 2 * self.sample)
-                )
-            else:
-                found = self.inventory.find_machines(job, places, avoid, self.sample, self.random)
-            found = [machine for machine in found if not self.inventory.unusable(machine, now)]
-            if not found:
-                if only is None and zone is None and zones is None and not avoid:
-                    failed.append(shape)
+            if not self._reserve_one(request, search, current.now):
+                if search.unlimited:
+                    current.failed_shapes.append(shape)
                 break
-            cost, _, _, machine = min(
-                (*self.score(job, machine), machine.name, machine) for machine in found
-            )
-            victims: tuple[AttemptId, ...] = ()
-            if (
-                job.image not in machine.images
-                and cost > WARM_SEARCH_THRESHOLD_S
-                and only is None
-                and (job.kind != "gang" or request.count == 1)
-            ):
-                way = self._find_warm_preemption(request, places, now)
-                if way is not None and way[0] < cost:
-                    cost, machine, victims = way
-            self.reserve(request, machine, cost, now, victims)
-            if (
-                only is not None
-                and self.inventory.whole_units(
-                    machine.free, self.inventory.machine_types[machine.type]
-                )
-                == 0
-            ):
-                only.pop(machine.name, None)
-            if zones is not None:
-                zones[machine.zone] -= 1
             missing -= 1
         return missing
 
+    def _pools(self, job: Job, zone: str | None) -> list[MachinePool]:
+        """Where a job may run; with a zone, only there."""
+        pools = self.inventory.allowed_pools(job)
+        return [pool for pool in pools if zone is None or pool[1] == zone]
+
+    def _reserve_one(self, request: CandidateRequest, search: MachineSearch, now: float) -> bool:
+        """Reserve for one candidate on the machine that fits best; whether any was found."""
+        job = request.job
+        pools = search.open_pools()
+        found = [
+            machine
+            for machine in self._find_machines(job, search, pools)
+            if not self.inventory.unusable(machine, now)
+        ]
+        if not found:
+            return False
+        cost_s, _, _, machine = min(
+            (*score_machine(self.inventory, job, machine), machine.name, machine)
+            for machine in found
+        )
+        plan = None
+        if (
+            job.image not in machine.images
+            and cost_s > WARM_SEARCH_THRESHOLD_S
+            and search.gained is None
+            and (job.kind != "gang" or request.count == 1)
+        ):
+            plan = self.preemption.find_warm_plan(request, pools, now)
+        if plan is not None and plan.cost_s < cost_s:
+            machine = plan.machine
+            self.reservations.reserve(request, machine, plan.cost_s, now, plan.victims)
+        else:
+            self.reservations.reserve(request, machine, cost_s, now)
+        self._count_against(search, machine)
+        return True
+
+    def _find_machines(
+        self, job: Job, search: MachineSearch, pools: list[MachinePool]
+    ) -> list[Machine]:
+        """A sample of the machines in these pools with free capacity for a task."""
+        if search.gained is None:
+            return self.inventory.find_machines(
+                job, pools, search.avoided, self.sample, self.random
+            )
+        gained = search.gained
+        for name in [name for name, machine in gained.items() if machine.index_bucket is None]:
+            del gained[name]
+        found = [
+            machine
+            for machine in gained.values()
+            if machine.pool in pools
+            and fits(job.resources, machine.free)
+            and machine.name not in search.avoided
+        ]
+        most = 2 * self.sample
+        return found if len(found) <= most else self.random.sample(found, most)
+
+    def _count_against(self, search: MachineSearch, machine: Machine) -> None:
+        """A candidate was placed on a machine: it counts against the limits of the search."""
+        if search.gained is not None:
+            machine_type = self.inventory.machine_types[machine.type]
+            if self.inventory.whole_units(machine.free, machine_type) == 0:
+                search.gained.pop(machine.name, None)
+        if search.zone_limits is not None:
+            search.zone_limits[machine.zone] -= 1
+
+    # -- gangs -------------------------------------------------------------------------------
+
     def _place_gang(
-        self,
-        job_id: str,
-        request: CandidateRequest,
-        missing: int,
-        first: bool,
-        failed: FailedShapes,
-        now: float,
-        may_preempt: bool,
+        self, request: CandidateRequest, missing: int, is_new: bool, current: PlacementPass
     ) -> int:
-        """All or nothing, but for the most important gang that waits: that one may hold pieces.
+        """Place a gang if anything has changed for it; how many tasks are still missing."""
+        may_search = is_new or current.preempt
+        if is_new or current.gained or (current.preempt and current.searches_left):
+            may_preempt = may_search and current.searches_left > 0
+            missing = self._place_all_or_nothing(request, missing, may_preempt, current)
+            if may_search:
+                current.searches_left -= 1
+        if missing > 0:
+            current.gang_waits = True
+        elif self.partial_gang == request.job.id:
+            self.partial_gang = None
+        return missing
+
+    def _place_all_or_nothing(
+        self, request: CandidateRequest, missing: int, may_preempt: bool, current: PlacementPass
+    ) -> int:
+        """Place the whole gang or none of it; the first in the queue may keep a part of it.
 
-        Gangs that held pieces of one another's room never ran (the grown ardgael-loans: sixteen whole machines in one zone);
-        the first in the queue keeps what it finds, so that it does not starve, and the others take what it leaves.
+        Gangs that hold parts of what the others need never run. The first keeps what it finds, so
+        that it does not starve, and the others take what it leaves. Returns how many tasks are
+        still missing.
         """
-        fleet = self.inventory
-        if first and self.partial_gang != job_id:
-            pieces = self.reservations.get(self.partial_gang or "", {})
-            last = self.requests.get(self.partial_gang or "")
-            if last is not None and len(pieces) < last.count:
-                # else they are being permitted together with another part's, and nobody else's to take
-                # (they were given away, the permits refused, and the queue changed under the walk: KeyError)
-                for reservation in list(pieces.values()):
-                    self.release(reservation, requeue=False)  # it waits already
-            self.partial_gang = job_id
-        places = fleet.allowed_pools(request.job)
-        zones = self._remaining_zone_limits(job_id, request)
-        if zones is not None:
-            places = [pool for pool in places if zones.get(pool[1], 0) > 0]
-        if not places:
+        is_first = not current.gang_waits
+        if is_first:
+            self._become_partial_gang(request)
+        pools = self._open_pools(request)
+        if not pools:
             return missing
-        zone: str | None = None
-        held = self.reservations.get(job_id, {})
-        stoppable = may_preempt and self._could_preempt(request)
+        of_job = self.reservations.by_job.get(request.job.id, {})
+        preempt = may_preempt and self.preemption.could_preempt(request)
+        zone = None
         if request.job.single_zone:
-            if held:
-                zone = next(iter(held.values())).zone
-            else:
-                bounds = {
-                    zone_name: fleet.max_tasks(
-                        request.job.resources, [pool for pool in places if pool[1] == zone_name]
-                    )
-                    for zone_name in {pool[1] for pool in places}
-                }
-                ways: Counter[str] = Counter()
-                if stoppable and max(bounds.values()) < missing:
-                    # where work could be stopped for it counts, too: with no room free anywhere the last zone by name was asked each time,
-                    # and nowhere else was anything stopped (shannon-loanworks rough, seed 53: gangs waited for up to 33 s)
-                    ways = Counter(
-                        machine.zone
-                        for machine in fleet.preemption_candidates.values()
-                        if machine.pool in places
-                    )
-                zone = max(
-                    bounds,
-                    key=lambda zone_name: (
-                        min(bounds[zone_name] + ways[zone_name], missing),
-                        min(bounds[zone_name], missing),
-                        ways[zone_name],
-                        zone_name,
-                    ),
-                )
-        bound = fleet.max_tasks(
-            request.job.resources, [pool for pool in places if zone is None or pool[1] == zone]
+            zone = self._gang_zone(request, missing, of_job, pools, preempt)
+        bound = self.inventory.max_tasks(
+            request.job.resources, [pool for pool in pools if zone is None or pool[1] == zone]
         )
-        if bound < missing and not first and not stoppable:
+        if bound < missing and not is_first and not preempt:
             return missing
-        mine = set(held)
+        earlier = set(of_job)
         if bound > 0:
-            missing = self._place_tasks(job_id, request, missing, None, failed, now, zone)
-        if missing > 0 and stoppable:
-            missing -= self._preempt(job_id, request, missing, now, zone)
-        if missing > 0 and not first:
-            for reservation in [
-                reservation
-                for reservation in self.reservations.get(job_id, {}).values()
-                if reservation.id not in mine
-            ]:
-                self.release(reservation, requeue=False)
-                if (machine := fleet.machines.get(reservation.machine)) is not None:
-                    fleet.refresh(machine, now)
-                    fleet.machines_with_gains.pop(
-                        reservation.machine, None
-                    )  # nothing was gained: trying again at once would find the same
+            missing = self._reserve_free(request, missing, current, None, zone)
+        if missing > 0 and preempt:
+            missing -= self.preemption.reserve(request, missing, current.now, zone)
+        if missing > 0 and not is_first:
+            self._release_since(request, earlier, current.now)
         return missing
 
-    def score(self, job: Job, machine: Machine) -> tuple[float, float]:
-        """Best fit: seconds until it could run, then the room left over; replicas of one job keep apart."""
-        kind = self.inventory.machine_types[machine.type]
-        fetch = 0.0
-        if job.image not in machine.images:
-            coming = {
-                permit.image
-                for permit in machine.permits.values()
-                if not permit.gone and permit.image not in machine.images
-            }
-            held = {
-                reservation.image
-                for reservation in machine.reservations.values()
-                if reservation.image not in machine.images
-            }
-            fetch = job.image_gb / max(kind.fetch_gb_s, 0.01)
-            if job.image in coming:
-                fetch *= 0.5
-            elif job.image in held:
-                fetch *= 0.8
-            else:
-                fetch *= 1 + len(
-                    coming | held
-                )  # images fetched at the same time share the machine's rate
-                fetch += CACHED_IMAGE_COST_S * len(
-                    machine.images
-                )  # what has to be fetched anyway goes where it spoils no well-stocked machine
-        room = machine.free
-        same = 0
-        if job.kind == "service":
-            # services stay long: pack them by what other services leave, so that whole machines fall empty
-            room = machine.free_for_services
-            same = sum(
-                1
-                for attempt_id, permit in machine.permits.items()
-                if attempt_id[0] == job.id and not permit.gone
-            )
-            same += sum(
-                1 for reservation in machine.reservations.values() if reservation.job_id == job.id
-            )
-        left = add_scaled(room, job.resources, -1)
-        share = sum(x / c for x, c in zip(left, kind.resources, strict=True) if c > 0)
-        if job.spot and not machine.spot:
-            fetch += 20.0  # leave ordinary machines to work that needs them
-        if job.kind == "service":
-            return fetch + REPLICA_SPREAD_COST_S * same + 4.0 * share, share
-        return fetch, share
-
-    # -- preemption --------------------------------------------------------------------------
-
-    def _could_preempt(self, request: CandidateRequest) -> bool:
-        """Whether there is any work here that this candidate may stop."""
-        mine = self.inventory.job_traits.get(request.job.id)
-        if (request.job.priority >= LOWEST_PRIORITY and not request.within_guarantee) or (
-            mine is not None and mine.failing_everywhere
-        ):
-            return False
-        return any(
-            self.may_preempt(request, preemption_class)
-            for preemption_class in self.inventory.preemptible_classes
-        )
-
-    def may_preempt(self, request: CandidateRequest, preemption_class: PreemptionClass) -> bool:
-        """The published rules of preemption, without their circle: what has called in its team's guarantee keeps the room.
-
-        By rank an urgent array beyond its team's guarantee may stop another team's lower work within its own, which may stop it in turn
-        for the guarantee: where there was more work than room, both were started and stopped every 0.25 s, up to 90 times a task.
-        What is of the highest rank is never stopped itself, and so stands in no circle.
-        """
-        rank, within, team, kind, called = preemption_class
-        if rank > request.job.priority:
-            return not called or request.within_guarantee or request.job.priority == 0
-        # to give a team its guarantee: only where little is lost, not a whole gang
-        return (
-            request.within_guarantee and not within and team != request.job.team and kind == "array"
-        )
-
-    def _lost_work(self, permit: Permit, info: JobTraits, now: float) -> float:
-        """Seconds of work lost if it is stopped."""
-        ran = now - permit.running_since if permit.running_since is not None else 0.0
-        return (
-            min(ran, info.preemption_grace_s or 0.5 * info.checkpoint_s)
-            if info.checkpoint_s > 0
-            else ran
-        )
-
-    def _preempt(
+    def _become_partial_gang(self, request: CandidateRequest) -> None:
+        """Give this gang the right to hold reservations for a part of its tasks."""
+        if self.partial_gang == request.job.id:
+            return
+        previous = self.partial_gang or ""
+        held = self.reservations.by_job.get(previous, {})
+        previous_request = self.reservations.requests.get(previous)
+        # A complete set is being permitted together with another shard's: if it were given away,
+        # the permits would be refused and the queue would change under the pass
+        if previous_request is not None and len(held) < previous_request.count:
+            for reservation in list(held.values()):
+                self.reservations.release(reservation, requeue=False)  # it waits already
+        self.partial_gang = request.job.id
+
+    def _open_pools(self, request: CandidateRequest) -> list[MachinePool]:
+        """Where a gang may run, without the zones that may take no more of it."""
+        pools = self.inventory.allowed_pools(request.job)
+        limits = self.reservations.remaining_zone_limits(request)
+        if limits is None:
+            return pools
+        return [pool for pool in pools if limits.get(pool[1], 0) > 0]
+
+    def _gang_zone(
         self,
-        job_id: str,
         request: CandidateRequest,
         missing: int,
-        now: float,
-        zone: str | None = None,
-    ) -> int:
-        """Room ready only by stopping less important work: the least lost work first, and only where it is enough.
-
-        A sample of the machines with such work, and all of them only while it is not enough. Who found none is asked again
-        only for machines that have gained something since: these walks took a fifth of a calm day's processor time, and
-        grew with the square of the fleet.
-        """
-        fleet = self.inventory
-        classes = {
-            preemption_class
-            for preemption_class in fleet.preemptible_classes
-            if self.may_preempt(request, preemption_class)
+        of_job: dict[int, Reservation],
+        pools: list[MachinePool],
+        preempt: bool,
+    ) -> str:
+        """The zone for a gang that has to stay in one: where it is already, else the best one."""
+        if of_job:
+            return next(iter(of_job.values())).zone
+        bounds = {
+            zone: self.inventory.max_tasks(
+                request.job.resources, [pool for pool in pools if pool[1] == zone]
+            )
+            for zone in {pool[1] for pool in pools}
         }
-        gang = request.job.kind == "gang"
-        since, last, there = self.exhausted_searches.get(job_id, (0, 0, None))
-        if not classes or (
-            since >= fleet.preemption_generation
-            and (not gang or (last < missing and there == zone))
-        ):
-            return 0
-        job = request.job
-        alike = (
-            (job.resources, job.machine_types, job.zone, job.spot, zone, frozenset(classes))
-            if gang and request.zone_limits is None and not request.avoided_machines
-            else None
-        )
-        if (
-            alike is not None
-            and (dry := self.exhausted_gang_searches.get(alike)) is not None
-            and dry[0] == fleet.preemption_generation
-            and dry[1] < missing
-        ):
-            return 0  # a gang like it has just found fewer ways than this one needs
-        zones = self._remaining_zone_limits(job_id, request)
-        places: set[MachinePool] = set(
-            other_pool
-            for other_pool in fleet.allowed_pools(job)
-            if zone is None or other_pool[1] == zone
+        preemptible: Counter[str] = Counter()
+        if preempt and max(bounds.values()) < missing:
+            # Machines with work to stop count, too: else, with no free capacity anywhere, the last
+            # zone by name is chosen each time, and gangs wait although work elsewhere may be stopped
+            preemptible = Counter(
+                machine.zone
+                for machine in self.inventory.preemption_candidates.values()
+                if machine.pool in pools
+            )
+        return max(
+            bounds,
+            key=lambda zone: (
+                min(bounds[zone] + preemptible[zone], missing),
+                min(bounds[zone], missing),
+                preemptible[zone],
+                zone,
+            ),
         )
-        pool: list[Machine] = []
-        for machine in reversed(fleet.preemption_candidates.values()):
-            if not gang and machine.preemptible_since <= since:
-                break
-            if machine.pool in places and not machine.preemptible_classes.isdisjoint(classes):
-                pool.append(machine)
-        taken, avoid = self._victims_in_progress(), self._avoided_machines(request)
-        ways: list[tuple[float, str, Machine, tuple[AttemptId, ...]]] = []
-        start = self.random.randrange(len(pool)) if pool else 0
-        pool = pool[start:] + pool[:start]
-        # those that hold the image first, however many they are: a sample of all missed them, and 3 in 100 replicas came late for it
-        # (ardgael-loans-fleet restart, four seeds side by side)
-        warm = self.inventory.image_holders.get(job.image, {})
-        near = [machine for machine in pool if machine.name in warm]
-        enough = len(near) + max(PREEMPTION_SAMPLE, PREEMPTION_SAMPLE_PER_TASK * missing)
-        for i, machine in enumerate(
-            [*near, *(machine for machine in pool if machine.name not in warm)] if near else pool
-        ):
-            if machine.name in avoid or fleet.unusable(machine, now):
-                continue
-            if (way := self._plan_preemption(machine, request, taken, now)) is not None:
-                ways.append((way[0], machine.name, machine, way[1]))
-                if i >= enough and len(ways) >= 2 * missing:
-                    break
-        heapq.heapify(ways)
-        found = 0
-        while ways and found < missing:
-            loss, _, machine, victims = heapq.heappop(ways)
-            if zones is not None:
-                if zones.get(machine.zone, 0) <= 0:
-                    continue
-                zones[machine.zone] -= 1
-            taken.update(victims)
-            self.reserve(request, machine, loss, now, victims)
-            found += 1
-            if (way := self._plan_preemption(machine, request, taken, now)) is not None:
-                heapq.heappush(ways, (way[0], machine.name, machine, way[1]))
-        if found < missing:
-            self.exhausted_searches[job_id] = (fleet.preemption_generation, found, zone)
-            if alike is not None:
-                self.exhausted_gang_searches[alike] = (fleet.preemption_generation, found)
-        return found
-
-    def _victims_in_progress(self) -> set[AttemptId]:
-        """What leaves for others already."""
-        return {
-            attempt_id
-            for reservation in self.preempting.values()
-            for attempt_id in reservation.victims
-        } | self.victims
-
-    def _find_warm_preemption(
-        self, request: CandidateRequest, places: list[MachinePool], now: float
-    ) -> tuple[float, Machine, tuple[AttemptId, ...]] | None:
-        """Room on a machine that holds the image, by stopping work that has hardly begun.
-
-        Free room is mostly on machines that have just come and hold nothing; where there was room at all, nine of
-        ten starts fetched for longer than their users wait (both grown deployments, steady).
-        """
-        holders = self.inventory.image_holders.get(request.job.image)
-        if not holders or not self._could_preempt(request):
-            return None
-        some = list(holders.values())
-        if len(some) > WARM_SAMPLE:
-            some = self.random.sample(some, WARM_SAMPLE)
-        taken, avoid = self._victims_in_progress(), self._avoided_machines(request)
-        ways = [
-            (way[0], machine.name, machine, way[1])
-            for machine in some
-            if machine.permits
-            and machine.pool in places
-            and machine.name not in avoid
-            and not self.inventory.unusable(machine, now)
-            and (way := self._plan_preemption(machine, request, taken, now)) is not None
-        ]
-        if not ways:
-            return None
-        cost, _, machine, victims = min(ways, key=lambda x: x[:2])
-        return cost, machine, victims
-
-    def _plan_preemption(
-        self, machine: Machine, request: CandidateRequest, taken: set[AttemptId], now: float
-    ) -> tuple[float, tuple[AttemptId, ...]] | None:
-        """The cheapest way to make room on one machine: what it costs, and what it stops."""
-        options = []
-        self.preemption_checks += 1
-        room = machine.free
-        for key, permit in machine.permits.items():
-            info = self.inventory.job_traits.get(key[0])
-            if key in taken:
-                if occupies(permit, machine.tasks.get(key)):
-                    # It goes for a start whose room is counted already
-                    room = add_scaled(room, permit.resources)
-                continue
-            if (
-                info is None
-                or permit.gone
-                or permit.refused
-                or permit.stop_grace_s is not None
-                or permit.evict_requested
-                or (preemption_class := machine.preemptible.get(key)) is None
-            ):
-                continue
-            if self.may_preempt(request, preemption_class):
-                options.append(
-                    (
-                        self._lost_work(permit, info, now)
-                        + (1000.0 if info.kind == "gang" else 0.0),
-                        key,
-                        permit,
-                    )
-                )
-        chosen: list[AttemptId] = []
-        loss = 0.0
-        for cost, key, permit in sorted(options, key=lambda x: x[:2]):
-            if fits(request.job.resources, room):
-                break
-            room = add_scaled(room, permit.resources)
-            chosen.append(key)
-            loss += cost
-        if not chosen or not fits(request.job.resources, room):
-            return None
-        return PREEMPTION_DELAY_S + LOST_WORK_WEIGHT * loss + self.score(request.job, machine)[
-            0
-        ], tuple(chosen)
+
+    def _release_since(self, request: CandidateRequest, earlier: set[int], now: float) -> None:
+        """Release a gang's reservations but for the earlier ones."""
+        of_job = self.reservations.by_job.get(request.job.id, {})
+        added = [reservation for reservation in of_job.values() if reservation.id not in earlier]
+        for reservation in added:
+            self.reservations.release(reservation, requeue=False)
+            machine = self.inventory.machines.get(reservation.machine)
+            if machine is not None:
+                self.inventory.refresh(machine, now)
+                # Nothing was gained: trying again at once would find the same
+                self.inventory.machines_with_gains.pop(reservation.machine, None)
+
+
+def _has_failed(shape: TaskShape, failed_shapes: list[TaskShape]) -> bool:
+    """Whether something no larger has found no free capacity in this pass."""
+    return any(
+        failed[1:] == shape[1:] and fits(failed.resources, shape.resources)
+        for failed in failed_shapes
+    )
--- /dev/null
+++ b/ploverhall/scheduling/scoring.py
@@ -0,0 +1,88 @@
+"""Best fit: what it costs to start a task on a machine that has free capacity for it.
+
+Called by the placement pass for each machine found, and by preemption for each plan. Pure functions
+of the inventory.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from ploverhall.protocol.jobs import Job
+from ploverhall.scheduling.inventory import Inventory, Machine, add_scaled
+
+# Seconds of fetching that keeping replicas of one job apart is worth: at 30, replicas fetched
+# their image although machines that hold it were idle
+REPLICA_SPREAD_COST_S = 3.0
+CACHED_IMAGE_COST_S = 0.15  # seconds that each image a machine holds is worth to other jobs
+SPOT_MISMATCH_COST_S = 20.0  # for work that could run on a spot machine, on an ordinary one
+SERVICE_PACKING_COST_S = 4.0  # for the whole of a machine left free beside a service's replica
+MIN_FETCH_RATE_GB_S = 0.01
+FETCH_IN_PROGRESS_FACTOR = 0.5  # the image is being fetched for another task already
+FETCH_RESERVED_FACTOR = 0.8  # another reservation will have it fetched
+
+
+class MachineScore(NamedTuple):
+    """How well a task fits a machine; the lowest score is the best."""
+
+    cost_s: float  # seconds until the task could run, and what else counts like them
+    free_share: float  # sum over the resources of the share of the machine left free
+
+
+def score_machine(inventory: Inventory, job: Job, machine: Machine) -> MachineScore:
+    """The score of a task of this job on this machine."""
+    machine_type = inventory.machine_types[machine.type]
+    cost_s = 0.0
+    if job.image not in machine.images:
+        cost_s = _fetch_cost_s(job, machine, machine_type.fetch_gb_s)
+    is_service = job.kind == "service"
+    # Services stay long: pack them by what other services leave, so that whole machines fall empty
+    free = machine.free_for_services if is_service else machine.free
+    left = add_scaled(free, job.resources, -1)
+    free_share = sum(
+        amount / capacity
+        for amount, capacity in zip(left, machine_type.resources, strict=True)
+        if capacity > 0
+    )
+    if job.spot and not machine.spot:
+        cost_s += SPOT_MISMATCH_COST_S  # leave ordinary machines to work that needs them
+    if is_service:
+        spread_cost_s = REPLICA_SPREAD_COST_S * _replicas_on(job, machine)
+        cost_s = cost_s + spread_cost_s + SERVICE_PACKING_COST_S * free_share
+    return MachineScore(cost_s, free_share)
+
+
+def _fetch_cost_s(job: Job, machine: Machine, rate_gb_s: float) -> float:
+    """Seconds until the job's image is on a machine that does not hold it."""
+    fetched_for_permits = {
+        permit.image
+        for permit in machine.permits.values()
+        if not permit.gone and permit.image not in machine.images
+    }
+    fetched_for_reservations = {
+        reservation.image
+        for reservation in machine.reservations.values()
+        if reservation.image not in machine.images
+    }
+    fetch_s = job.image_gb / max(rate_gb_s, MIN_FETCH_RATE_GB_S)
+    if job.image in fetched_for_permits:
+        return fetch_s * FETCH_IN_PROGRESS_FACTOR
+    if job.image in fetched_for_reservations:
+        return fetch_s * FETCH_RESERVED_FACTOR
+    # Images fetched at the same time share the machine's rate
+    fetch_s *= 1 + len(fetched_for_permits | fetched_for_reservations)
+    # What has to be fetched anyway goes where it evicts nothing from a well-filled image cache
+    return fetch_s + CACHED_IMAGE_COST_S * len(machine.images)
+
+
+def _replicas_on(job: Job, machine: Machine) -> int:
+    """How many replicas of a service are permitted or reserved on a machine."""
+    permitted = sum(
+        1
+        for attempt_id, permit in machine.permits.items()
+        if attempt_id[0] == job.id and not permit.gone
+    )
+    reserved = sum(
+        1 for reservation in machine.reservations.values() if reservation.job_id == job.id
+    )
+    return permitted + reserved
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -89,7 +89,7 @@
         self.draining_machines: set[str] = set()
         self.cordoned_machines: set[str] = set()  # machines that an order wants empty
         self.changed_attempts: set[AttemptId] = set()  # starts whose sources must hear of them
-        self.source_updates: dict[tuple[int, str], Any] = self.placement.source_updates
+        self.source_updates: dict[tuple[int, str], Any] = self.placement.reservations.source_updates
         self.machines_needing_commands: dict[str, Machine] = {}  # machines that may need a command
         # All machines, the one that has been silent for longest first
         self.machines_by_heartbeat: dict[str, Machine] = {}
@@ -270,7 +270,7 @@
         self.changed_attempts.add(permit.attempt_id)
         machine = self.machines.get(permit.machine)
         held = (
-            self.placement.reservations.get(permit.attempt_id[0], {})
+            self.placement.reservations.by_job.get(permit.attempt_id[0], {})
             if permit.epoch == self.epoch
             else {}
         )
@@ -281,7 +281,7 @@
         )
         if ticket is not None:
             permit.overdue = ticket.overdue
-            self.placement.release(ticket, requeue=False)
+            self.placement.reservations.release(ticket, requeue=False)
         if permit.epoch == self.epoch and (
             machine is None
             or machine.lease_expired
@@ -609,7 +609,7 @@
 
     def advance_time(self, now: float) -> None:
         """Time passes: held room is freed, silent machines lose their lease."""
-        self.placement.expire(now)
+        self.placement.reservations.expire(now)
         if now >= self.next_sweep_at:
             self.next_sweep_at = now + SWEEP_INTERVAL_S
             self._sweep(now)
@@ -658,7 +658,7 @@
             if (
                 machine.reservations or machine.index_bucket is not None
             ) and self.inventory.unusable(machine, now):
-                self.placement.release_machine(machine)
+                self.placement.reservations.release_machine(machine)
                 self._mark_changed(machine)
         for machine in list(self.unconfirmed_machines.values()):
             if not machine.awaited_token:
@@ -716,7 +716,7 @@
             self.inventory.proven_gone.add(name)
             machine = self.machines.get(name)
             if machine is not None:
-                self.placement.release_machine(machine)
+                self.placement.reservations.release_machine(machine)
                 self._forget_machine(machine)
             self.machines_needing_commands.pop(name, None)
             self.changed_for_autoscaler[name] = None
@@ -731,7 +731,7 @@
         for machine in self.inventory.refresh_changed(now):
             self.changed_for_autoscaler[machine.name] = machine
             if machine.reservations and self.inventory.unusable(machine, now):
-                self.placement.release_machine(machine)
+                self.placement.reservations.release_machine(machine)
         self.inventory.refresh_changed(now)
         if self.waiting_for_victims:
             for permit in [
@@ -741,7 +741,7 @@
                 or not self._waits_for_victims(permit, self.machines.get(permit.machine))
             ]:
                 del self.waiting_for_victims[permit.attempt_id]
-        self.placement.victims = {
+        self.placement.preemption.victims = {
             attempt_id
             for permit in self.waiting_for_victims.values()
             for attempt_id in permit.victims
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -20,7 +20,7 @@
 from ploverhall.scheduling.allocations import JobState
 from ploverhall.scheduling.inventory import Permit
 from ploverhall.scheduling.permitting import ATTEMPT_BITS, JobSource
-from ploverhall.scheduling.placement import Placement
+from ploverhall.scheduling.preemption import PreemptionPlanner
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 from . import world
@@ -492,8 +492,10 @@
 
 def by_the_letter(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who may stop whom is a circle: by rank what is within a guarantee, by guarantee what has the higher rank."""
-    real = Placement.may_preempt
-    monkeypatch.setattr(Placement, "may_preempt", lambda self, w, c: real(self, w, (*c[:4], False)))
+    real = PreemptionPlanner.may_preempt
+    monkeypatch.setattr(
+        PreemptionPlanner, "may_preempt", lambda self, w, c: real(self, w, (*c[:4], False))
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,8 @@
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import CandidateUpdate
 from ploverhall.scheduling.inventory import Inventory, JobTraits, Machine, Permit, add_scaled, fits
-from ploverhall.scheduling.placement import CandidateRequest, Placement
+from ploverhall.scheduling.placement import Placement
+from ploverhall.scheduling.reservations import CandidateRequest
 
 from .test_source import a_job
 from .world import TYPE
@@ -43,7 +44,7 @@
 
 
 def held(p: Placement) -> dict[str, int]:
-    return {j: len(t) for j, t in p.reservations.items()}
+    return {j: len(t) for j, t in p.reservations.by_job.items()}
 
 
 def test_gangs_do_not_hold_pieces_of_one_anothers_room() -> None:
@@ -56,16 +57,18 @@
     for k in range(1, 40):
         for m in p.inventory.machines.values():
             m.last_heartbeat_at = 0.1 * k
-        p.expire(0.1 * k)
+        p.reservations.expire(0.1 * k)
         step(p, 0.1 * k)
     assert held(p) == {"j-000003": 6}
-    assert len(p.queue) == len(set(p.queue)) == 3, (
+    assert len(p.reservations.queue.entries) == len(set(p.reservations.queue.entries)) == 3, (
         "each waits once: a second entry outlived its job and stopped the engine"
     )
     for jid in ("j-000003", "j-000001"):
         p.cancel(jid)
     step(p, 4.1)
-    assert held(p) == {"j-000002": 4} and p.queue == [] and p.partial_gang is None
+    assert (
+        held(p) == {"j-000002": 4} and p.reservations.queue.entries == [] and p.partial_gang is None
+    )
 
 
 def test_pieces_that_are_being_permitted_are_nobody_elses() -> None:
@@ -79,7 +82,7 @@
     step(p, 0.1)
     step(p, 0.4)
     assert held(p) == {"j-000001": 6}
-    assert [j for _, j in p.queue] == ["j-000002"]
+    assert [j for _, j in p.reservations.queue.entries] == ["j-000002"]
 
 
 def test_a_replica_takes_a_warm_machine_from_work_that_has_hardly_begun() -> None:
@@ -99,7 +102,7 @@
         job = a_job("j-000001", kind="service", task_count=1, priority=0, image_gb=8.0)
         p.request(0, job, CandidateUpdate(1, [0.0], None, []), True)
         step(p, 100.0)
-        (t,) = p.reservations["j-000001"].values()
+        (t,) = p.reservations.by_job["j-000001"].values()
         assert t.machine == there and t.victims == ((key,) if there == "n-0" else ())
 
 
@@ -218,12 +221,12 @@
                 p.request(0, job, CandidateUpdate(1, [1.0, float(n)], None, []), True)
             p.next_revisit_at = now + 99.0  # the slow rounds would hide what the index missed
             p.next_preemption_at = now
-            p.expire(now)
+            p.reservations.expire(now)
             step(p, now)
-            taken = p._victims_in_progress()
-            for _, jid in p.queue:
-                if not p.reservations.get(jid):
-                    w = p.requests[jid]
+            taken = p.preemption.victims_in_progress()
+            for _, jid in p.reservations.queue.entries:
+                if not p.reservations.by_job.get(jid):
+                    w = p.reservations.requests[jid]
                     idle = [
                         m
                         for m in p.inventory.machines.values()
@@ -231,7 +234,7 @@
                     ]
                     ways = [m.name for m in idle if plain_way(p, w, m)]
                     assert not ways, f"seed {seed}: {jid} could stop work on {ways}"
-            found += len(p.preempting)
+            found += len(p.reservations.preempting)
     assert found > 50
 
 
@@ -252,15 +255,15 @@
             p.request(0, job, CandidateUpdate(3, [1.0, float(i)], None, []), True)
         step(p, 0.0)
         p.next_revisit_at = 99.0
-        before = p.preemption_checks
+        before = p.preemption.checks
         for k in range(1, 9):
             now = 0.3 * k
             for m in p.inventory.machines.values():
                 m.last_heartbeat_at = now
             work(p, p.inventory.machines["n-7"], "j-1", 1000 + k, (0.1, 0.0, 0.1))
             step(p, now)
-        assert not p.reservations
-        ways.append(p.preemption_checks - before)
+        assert not p.reservations.by_job
+        ways.append(p.preemption.checks - before)
     assert ways[0] == ways[1] == 5 * 8
 
 
@@ -268,7 +271,7 @@
     """One in a hundred held it: a sample of sixty-four mostly missed it, and the replica fetched (ardgael-loans-fleet restart)."""
     for seed in range(6):
         p = fleet(300)
-        p.random = Random(seed)
+        p.random = p.preemption.random = Random(seed)
         p.inventory.job_traits["j-1"] = JobTraits(3, False, "u", "array", 0.0, 0.0, False)
         for i, m in enumerate(p.inventory.machines.values()):
             work(p, m, "j-1", i, (16.0, 4.0, 8.0))
@@ -288,7 +291,7 @@
         p.request(0, job, CandidateUpdate(2, [0.0, 0.0], None, []), True)
         step(p, 0.0)
         step(p, 0.3)
-        machines = {t.machine for t in p.reservations["j-900000"].values()}
+        machines = {t.machine for t in p.reservations.by_job["j-900000"].values()}
         assert len(machines) == 2 and machines < {"n-17", "n-171", "n-299"}, machines
 
 
@@ -303,6 +306,6 @@
     gang(p, "j-000001", 3, 1, 100.0)
     step(p, 0.0)
     assert held(p) == {"j-000001": 3}
-    assert {p.inventory.machines[t.machine].zone for t in p.reservations["j-000001"].values()} == {
-        "a"
-    }
+    assert {
+        p.inventory.machines[t.machine].zone for t in p.reservations.by_job["j-000001"].values()
+    } == {"a"}
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -207,4 +207,6 @@
             },
             2.0,
         )
-        assert o.placement._could_preempt(o.placement.requests["j-9"]) is not bool(broken)
+        assert o.placement.preemption.could_preempt(
+            o.placement.reservations.requests["j-9"]
+        ) is not bool(broken)
