--- a/ploverhall/autoscaling/autoscaler.py
+++ b/ploverhall/autoscaling/autoscaler.py
@@ -14,9 +14,9 @@
 from ploverhall.protocol.cloud import CloudMachine, MachineType
 from ploverhall.protocol.jobs import Job, from_record
 from ploverhall.protocol.peer_messages import DemandUpdate, MachineUpdate
-from ploverhall.scheduling.inventory import MachinePool as Kind
-from ploverhall.scheduling.inventory import ResourceVector, add_scaled, fits
+from ploverhall.scheduling.machines import MachinePool as Kind
 from ploverhall.scheduling.objectives import Objectives
+from ploverhall.scheduling.resources import ResourceVector, add_scaled, fits
 
 # Times the nominal boot time: what the cloud's machines usually need at most
 TYPICAL_BOOT_MULTIPLE = 1.6
--- a/ploverhall/controller/agent_commands.py
+++ b/ploverhall/controller/agent_commands.py
@@ -14,7 +14,7 @@
 from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError, UnreachableError
 from ploverhall.protocol import agents, relay_messages
 from ploverhall.protocol.relay_messages import RelayRequest
-from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.transport.client_pool import ClientPool
 
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -37,7 +37,7 @@
 from ploverhall.protocol.peer_messages import Cancellation
 from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.runtime import Runtime
-from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
 from ploverhall.storage.store_cache import AUTOSCALER_KEY, JOB_PREFIX, end_record
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -19,7 +19,7 @@
 from ploverhall.protocol import agents
 from ploverhall.protocol.agents import Heartbeat
 from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
-from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.machines import Machine
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -24,7 +24,7 @@
 from ploverhall.errors import InvalidJobError, OutcomeUnknownError, RequestRefusedError
 from ploverhall.protocol import jobs
 from ploverhall.protocol.jobs import Job
-from ploverhall.scheduling.inventory import fits
+from ploverhall.scheduling.resources import fits
 from ploverhall.storage.store_cache import ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.transport.http_server import Reply
 
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -12,7 +12,7 @@
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.routing import Routing
 from ploverhall.coordination import state_channel
-from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 STEP_INTERVAL_S = 0.01
--- a/ploverhall/controller/shard_status.py
+++ b/ploverhall/controller/shard_status.py
@@ -12,7 +12,7 @@
 from ploverhall.errors import InvalidOrderError
 from ploverhall.maintenance import orders
 from ploverhall.scheduling.allocations import JobState
-from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.status import MAX_ROWS, MAX_TASK_ROWS, RECENT_STALL_S
 
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -20,8 +20,8 @@
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import PermitUpdate
-from ploverhall.scheduling.inventory import ResourceVector, add_scaled
 from ploverhall.scheduling.objectives import Objectives
+from ploverhall.scheduling.resources import ResourceVector, add_scaled
 from ploverhall.settings import Team
 from ploverhall.storage.store_cache import allocation_prefix, progress_prefix
 
--- a/ploverhall/scheduling/inventory.py
+++ b/ploverhall/scheduling/inventory.py
@@ -1,216 +1,60 @@
-"""The machines of one part: what is known of each, and an index of those that have room.
+"""The machines of one shard, and an index of those with free capacity.
 
-Finding room must not cost a walk over the fleet: machines stand in buckets by place (type, zone,
-kind) and whole units free, and only machines that something happened to are looked at again.
+Finding capacity must not cost a walk over the fleet: machines stand in buckets by pool (type, zone,
+spot), whole units free and core level, and only machines that something happened to are refreshed.
+Called by the shard owner, which marks what has changed, and by placement and preemption.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 from random import Random
 
-from ploverhall.protocol.agents import EXITED, AttemptId, ListedTask, TaskStatus
+from ploverhall.protocol.agents import EXITED, AttemptId
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
+from ploverhall.scheduling.machines import (
+    JobTraits,
+    Machine,
+    MachinePool,
+    Permit,
+    PreemptionClass,
+    occupies,
+)
+from ploverhall.scheduling.resources import (
+    EPSILON,
+    NO_RESOURCES,
+    ResourceVector,
+    add_scaled,
+    fits,
+    max_count,
+)
 
-ResourceVector = tuple[float, float, float]
-MachinePool = tuple[str, str, bool]  # type, zone, spot
-# What decides who may stop a task: rank, within its team's guarantee, team, kind, called
-PreemptionClass = tuple[int, bool, str, str, bool]
 CapacityLevel = tuple[int, int]  # whole units free, and the free cores' power of two
-EPSILON = 1e-6
-UNBOUNDED = 1 << 30  # as often as anybody asks
-NO_RESOURCES: ResourceVector = (0.0, 0.0, 0.0)
-
-
-def fits(need: ResourceVector, free: ResourceVector) -> bool:
-    """Whether a task goes into that room."""
-    return (
-        need[0] <= free[0] + EPSILON
-        and need[1] <= free[1] + EPSILON
-        and need[2] <= free[2] + EPSILON
-    )
-
-
-def max_count(need: float, free: float) -> int:
-    """How often an amount goes into a room: MANY where it takes nothing, or next to nothing (room / need may be infinite)."""
-    return UNBOUNDED if need <= 0 or need * UNBOUNDED <= free else max(0, int(free / need))
-
-
-def add_scaled(a: ResourceVector, b: ResourceVector, factor: float = 1.0) -> ResourceVector:
-    """a + k*b."""
-    return (a[0] + factor * b[0], a[1] + factor * b[1], a[2] + factor * b[2])
-
-
-@dataclass(slots=True)
-class Permit:
-    """A start that a source has written and sent here; the wanted state of one task on one machine."""
-
-    attempt_id: AttemptId
-    source_shard: int
-    machine: str
-    epoch: int  # of the owner that offered the room
-    reservation_id: int
-    resources: ResourceVector
-    image: str
-    image_gb: float
-    stop_grace_s: float | None = None  # None: should run; else the grace it is stopped with
-    run_token: int = 0  # of the last run that left, 0: none has
-    run_incarnation: int = 0
-    run_sent_directly: bool = False  # a run has been tried on the direct path
-    kill_sent_grace_s: float | None = None  # grace of the last kill sent directly
-    refused: bool = False
-    gone: bool = False
-    gone_reason: str = ""  # it is gone, for people
-    victims: tuple[AttemptId, ...] = ()
-    running_since: float | None = None  # when it was first seen running
-    # It began in its job's turn, after a long wait: higher ranks don't stop it again
-    overdue: bool = False
-    # A gang's task whose room is needed: its source stops the whole gang in order
-    evict_requested: bool = False
-
-
-@dataclass(slots=True)
-class Reservation:
-    """Room held for a candidate until it is permitted, cancelled or the hold time is over."""
-
-    id: int
-    source_shard: int
-    job_id: str
-    machine: str
-    zone: str
-    expires_at: float
-    resources: ResourceVector
-    image: str
-    cost: float
-    victims: tuple[AttemptId, ...] = ()
-    overdue: bool = False  # its job has waited for long, and has its turn
-
-
-@dataclass(slots=True)
-class JobTraits:
-    """What is known of a job with tasks here: what stopping one of them would mean."""
-
-    priority: int
-    within_guarantee: bool  # of its team's guarantee
-    team: str
-    kind: str
-    checkpoint_s: float
-    save_s: float
-    spot_allowed: bool  # could be on a cheap machine
-    failing_everywhere: bool = False  # fails wherever it starts
-    # It has had work of another team stopped for its team's guarantee
-    claimed_guarantee: bool = False
-
-    @property
-    def preemption_grace_s(self) -> float:
-        """Time to save when stopped for others: only where saving costs less than what it keeps.
-
-        Waiting 6 s for a task that saves by itself every 10 s kept replicas from their room (ardgael-loans rough).
-        """
-        return self.save_s + 1.0 if self.checkpoint_s > 2.0 * self.save_s + 15.0 else 0.0
-
-    @property
-    def preemption_class(self) -> PreemptionClass:
-        """What decides who may stop its tasks."""
-        return (
-            self.priority,
-            self.within_guarantee,
-            self.team,
-            self.kind,
-            self.within_guarantee and self.claimed_guarantee,
-        )
-
-    @property
-    def yields_to_services(self) -> bool:
-        """Whether its room counts as free for services."""
-        return self.priority > 0 and self.spot_allowed and self.kind == "array"
-
-
-@dataclass(slots=True, eq=False)
-class Machine:
-    """One worker as last reported, and what has been answered to it."""
-
-    name: str
-    address: str
-    type: str
-    zone: str
-    spot: bool
-    token: int
-    incarnation: int = 0
-    sequence: int = 0
-    seen_token: int = 0
-    accepted_token: bool = False  # it has reported this owner's token
-    termination_notice_s: float | None = None
-    tasks: dict[AttemptId, TaskStatus] = field(default_factory=dict)
-    listed_tasks: list[ListedTask] | None = None  # the list that `tasks` was made of
-    last_heartbeat_at: float = 0.0
-    last_answer_at: float = 0.0
-    lease_expired: bool = False  # silent for longer than its lease
-    images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recent first
-    draining: bool = False
-    cordoned: bool = False  # to be emptied by order: nothing new goes there while the order holds
-    quarantined_until: float = 0.0
-    quarantined_since: float = 0.0
-    replacement_due: bool = False  # faulty for long enough to be given back
-    # Job -> when it failed here; without jobs that fail everywhere
-    failures_by_job: dict[str, float] = field(default_factory=dict)
-    inflight_runs: set[AttemptId] = field(default_factory=set)  # keys of runs in an unanswered /do
-    command_pending: bool = False  # a /do is unanswered
-    next_command_at: float = 0.0
-    unanswered_commands: int = 0  # direct commands in a row that it has not answered
-    # Session and number of the newest report, which answers to commands may have overtaken
-    newest_heartbeat: tuple[int, int] = (
-        0,
-        0,
-    )
-    stale_heartbeat: bool = False  # the last message was no newer than that
-    # Keys of runs in the answer to its newest report
-    runs_in_answer: set[AttemptId] = field(default_factory=set)
-    # The token that it has to show before it counts as hearing again; 0: nothing speaks against
-    # that
-    awaited_token: int = 0
-    awaited_since: float = 0.0
-    not_receiving: bool = False  # it has not shown it for so long that it is taken to hear nothing
-    receiving_again_at: float = -1e9  # when that was last over
-    flap_backoff_s: float = 0.0  # one that hears now and then is used again ever later
-    permits: dict[AttemptId, Permit] = field(default_factory=dict)
-    reservations: dict[int, Reservation] = field(default_factory=dict)
-    free: ResourceVector = NO_RESOURCES  # as of the last look
-    free_for_services: ResourceVector = NO_RESOURCES
-    index_bucket: list[Machine] | None = None  # where it stands in the index
-    index_position: int = 0
-    # Its tasks that somebody might stop, as of the last look
-    preemptible: dict[AttemptId, PreemptionClass] = field(default_factory=dict)
-    preemptible_classes: frozenset[PreemptionClass] = frozenset()
-    # Of the fleet's counter, when it last gained such a task or room besides them
-    preemptible_since: int = 0
-
-    @property
-    def pool(self) -> MachinePool:
-        """What it is and where."""
-        return (self.type, self.zone, self.spot)
-
-
-def occupies(permit: Permit, task: TaskStatus | None) -> bool:
-    """Whether a permit takes room on its machine, given what the machine lists of it."""
-    return not permit.gone and not (task.state == EXITED if task is not None else permit.refused)
+# Without heartbeats for so many intervals, and seconds besides, a machine gets nothing new
+UNRESPONSIVE_INTERVALS = 2.0
+UNRESPONSIVE_MARGIN_S = 1.5
+CORE_FRACTION = 4  # core levels count quarters of a core
+# Tasks on one machine that need no whole unit: a bound on their number
+MAX_TASKS_WITHOUT_UNITS = 1000
+# A bucket is given up after so many tries for each machine wanted, once one was found
+TRIES_PER_MACHINE = 4
 
 
 class Inventory:
-    """Machines by name, and by room."""
+    """Machines by name, by free capacity, by image and by what could be stopped on them."""
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self.heartbeat_interval_s = heartbeat_interval_s
-        # Who has said nothing for longer gets nothing new
-        self.unresponsive_after_s = 2.0 * heartbeat_interval_s + 1.5
+        self.unresponsive_after_s = (
+            UNRESPONSIVE_INTERVALS * heartbeat_interval_s + UNRESPONSIVE_MARGIN_S
+        )
         self.machine_types: dict[str, MachineType] = {}
         self.machines: dict[str, Machine] = {}
         # By machine, known or not yet
         self.permits_by_machine: dict[str, dict[AttemptId, Permit]] = {}
-        self.proven_gone: set[str] = set()
+        self.proven_gone: set[str] = set()  # machines that the cloud has deleted
         self.job_traits: dict[str, JobTraits] = {}
         self.resources_of_job: Callable[[str], ResourceVector | None] = lambda job_id: None
         self.capacity_index: dict[MachinePool, dict[CapacityLevel, list[Machine]]] = {}
@@ -223,45 +67,47 @@
         self.preemption_candidates: dict[str, Machine] = {}
         self.preemption_generation = 0  # rises with every such gain
         self.changed_machines: dict[str, Machine] = {}
-        # Machines with more room than at the last look
+        # Machines with more free capacity than at their last refresh
         self.machines_with_gains: dict[str, Machine] = {}
         # Images that an earlier owner knew of, on machines not yet seen
         self.remembered_images: dict[str, dict[str, float]] = {}
         self.images_changed = False
-        # Machines looked at, and asked for room: what the tests of growth count
+        # Machines refreshed, and checked for a fit: what the tests of growth count
         self.refresh_count = self.fit_checks = 0
 
-    # -- room --------------------------------------------------------------------------------
+    # -- free capacity -----------------------------------------------------------------------
 
     def mark_changed(self, machine: Machine | None) -> None:
-        """Something happened to a machine: it is looked at again before the next decision."""
+        """Something happened to a machine: refresh it before the next decision. Ignores None."""
         if machine is not None:
             self.changed_machines[machine.name] = machine
 
     def free_capacity(self, machine: Machine) -> ResourceVector:
-        """What is free: listed, permitted and held room counted."""
+        """What listed tasks, permits and reservations leave free; nothing for unknown types."""
         machine_type = self.machine_types.get(machine.type)
         if machine_type is None:
             return NO_RESOURCES
         free = machine_type.resources
-        for key, permit in machine.permits.items():
-            if occupies(permit, machine.tasks.get(key)):
+        for attempt_id, permit in machine.permits.items():
+            if occupies(permit, machine.tasks.get(attempt_id)):
                 free = add_scaled(free, permit.resources, -1)
-        for key, task in machine.tasks.items():
-            if key not in machine.permits and task.state != EXITED:
-                free = add_scaled(free, self.resources_of_job(key[0]) or machine_type.resources, -1)
-        for ticket in machine.reservations.values():
-            free = add_scaled(free, ticket.resources, -1)
+        for attempt_id, task in machine.tasks.items():
+            if attempt_id not in machine.permits and task.state != EXITED:
+                # What is not known may take the whole machine
+                resources = self.resources_of_job(attempt_id[0]) or machine_type.resources
+                free = add_scaled(free, resources, -1)
+        for reservation in machine.reservations.values():
+            free = add_scaled(free, reservation.resources, -1)
         return free
 
     def capacity_for_services(self, machine: Machine, free: ResourceVector) -> ResourceVector:
-        """What services could have: the room of work that may be stopped for them counts as free."""
-        for key, permit in machine.permits.items():
-            info = self.job_traits.get(key[0])
-            task = machine.tasks.get(key)
+        """What services could have: `free`, and what is taken by work that yields to services."""
+        for attempt_id, permit in machine.permits.items():
+            traits = self.job_traits.get(attempt_id[0])
+            task = machine.tasks.get(attempt_id)
             if (
-                info is not None
-                and info.yields_to_services
+                traits is not None
+                and traits.yields_to_services
                 and not permit.gone
                 and not permit.refused
                 and (task is None or task.state != EXITED)
@@ -287,19 +133,22 @@
     # -- the index ---------------------------------------------------------------------------
 
     def whole_units(self, resources: ResourceVector, machine_type: MachineType) -> int:
-        """Whole units in an amount: accelerators where the type has them, else cores."""
+        """Whole units in an amount: gpus where the type has them, else cores."""
         return max(
             0, int(resources[1] + EPSILON if machine_type.gpus > 0 else resources[0] + EPSILON)
         )
 
     def core_level(self, resources: ResourceVector) -> int:
-        """The power of two of an amount of cores, in quarters: work without accelerators walked over machines with no core free."""
-        return int(max(0.0, resources[0]) * 4 + EPSILON).bit_length()
+        """The power of two of an amount of cores, in quarters.
+
+        Without it, work that needs no gpus walks over the machines with no core free.
+        """
+        return int(max(0.0, resources[0]) * CORE_FRACTION + EPSILON).bit_length()
 
     def refresh(self, machine: Machine, now: float) -> None:
         """Bring the index up to date with one machine."""
         self.refresh_count += 1
-        before, indexed = machine.free, machine.index_bucket is not None
+        free_before, was_indexed = machine.free, machine.index_bucket is not None
         machine.free = self.free_capacity(machine)
         machine.free_for_services = self.capacity_for_services(machine, machine.free)
         machine_type = self.machine_types.get(machine.type)
@@ -311,32 +160,38 @@
             self._unindex(machine)
             self._update_preemptible(machine, {}, False)
             return
+        self._index(machine, machine_type)
+        has_gained = not was_indexed or any(
+            after > before + EPSILON
+            for after, before in zip(machine.free, free_before, strict=True)
+        )
+        if has_gained:
+            self.machines_with_gains[machine.name] = machine
+        self._update_preemptible(machine, self._preemptible_tasks(machine), has_gained)
+
+    def _index(self, machine: Machine, machine_type: MachineType) -> None:
+        """Put a usable machine into the bucket of its free capacity."""
         units = self.whole_units(machine.free, machine_type)
         bucket = self.capacity_index.setdefault(machine.pool, {}).setdefault(
             (units, self.core_level(machine.free)), []
         )
-        if machine.index_bucket is not bucket:
-            self._unindex(machine)
-            machine.index_bucket, machine.index_position = bucket, len(bucket)
-            bucket.append(machine)
-            if units > 0:
-                for image in machine.images:
-                    self.warm_machines.setdefault((machine.pool, image), {})[machine.name] = machine
-        grew = not indexed or any(
-            a > b + EPSILON for a, b in zip(machine.free, before, strict=True)
-        )
-        if grew:
-            self.machines_with_gains[machine.name] = machine
-        self._update_preemptible(machine, self._preemptible_tasks(machine), grew)
+        if machine.index_bucket is bucket:
+            return
+        self._unindex(machine)
+        machine.index_bucket, machine.index_position = bucket, len(bucket)
+        bucket.append(machine)
+        if units > 0:
+            for image in machine.images:
+                self.warm_machines.setdefault((machine.pool, image), {})[machine.name] = machine
 
     def _preemptible_tasks(self, machine: Machine) -> dict[AttemptId, PreemptionClass]:
-        """The tasks on a machine that somebody might stop to make room."""
-        out: dict[AttemptId, PreemptionClass] = {}
-        for key, permit in machine.permits.items():
-            info = self.job_traits.get(key[0])
-            if info is None or info.priority == 0 or info.kind == "service":
+        """The tasks on a machine that somebody might stop, with their preemption classes."""
+        preemptible: dict[AttemptId, PreemptionClass] = {}
+        for attempt_id, permit in machine.permits.items():
+            traits = self.job_traits.get(attempt_id[0])
+            if traits is None or traits.priority == 0 or traits.kind == "service":
                 continue  # a replica is never stopped for others: its user feels it at once
-            task = machine.tasks.get(key)
+            task = machine.tasks.get(attempt_id)
             if (
                 task is not None
                 and task.state in ("running", "fetching")
@@ -347,36 +202,46 @@
                     or permit.evict_requested
                 )
             ):
-                out[key] = (
-                    (0, *info.preemption_class[1:]) if permit.overdue else info.preemption_class
+                # In its job's turn, after a long wait, it counts as most important
+                preemptible[attempt_id] = (
+                    (0, *traits.preemption_class[1:]) if permit.overdue else traits.preemption_class
                 )
-        return out
+        return preemptible
 
     def _update_preemptible(
-        self, machine: Machine, preemptible: dict[AttemptId, PreemptionClass], gained: bool
+        self, machine: Machine, preemptible: dict[AttemptId, PreemptionClass], has_gained: bool
     ) -> None:
-        """Keep the index of what could be stopped; who found no way is asked again only for machines that gained."""
+        """Keep the index of what could be stopped.
+
+        A machine that has gained something gets a new generation: who found no preemption plan
+        searches only such machines again.
+        """
         if preemptible != machine.preemptible:
-            gained = gained or any(
+            has_gained = has_gained or any(
                 machine.preemptible.get(attempt_id) != preemption_class
                 for attempt_id, preemption_class in preemptible.items()
             )
-            classes = frozenset(preemptible.values())
-            for preemption_class in machine.preemptible_classes - classes:
-                self.preemptible_classes[preemption_class] -= 1
-                if not self.preemptible_classes[preemption_class]:
-                    del self.preemptible_classes[preemption_class]
-            self.preemptible_classes.update(classes - machine.preemptible_classes)
+            self._count_preemptible_classes(machine, frozenset(preemptible.values()))
             machine.preemptible = preemptible
-            machine.preemptible_classes = classes
         if not preemptible:
             self.preemption_candidates.pop(machine.name, None)
-        elif gained or machine.name not in self.preemption_candidates:
+        elif has_gained or machine.name not in self.preemption_candidates:
             self.preemption_generation += 1
             machine.preemptible_since = self.preemption_generation
             self.preemption_candidates.pop(machine.name, None)
             self.preemption_candidates[machine.name] = machine
 
+    def _count_preemptible_classes(
+        self, machine: Machine, classes: frozenset[PreemptionClass]
+    ) -> None:
+        """Replace the classes of a machine in the count over all machines."""
+        for preemption_class in machine.preemptible_classes - classes:
+            self.preemptible_classes[preemption_class] -= 1
+            if not self.preemptible_classes[preemption_class]:
+                del self.preemptible_classes[preemption_class]
+        self.preemptible_classes.update(classes - machine.preemptible_classes)
+        machine.preemptible_classes = classes
+
     def _unindex(self, machine: Machine) -> None:
         if machine.index_bucket is None:
             return
@@ -402,11 +267,11 @@
                 del self.image_holders[image]
 
     def refresh_changed(self, now: float) -> list[Machine]:
-        """Look at every machine that something happened to."""
-        touched, self.changed_machines = list(self.changed_machines.values()), {}
-        for machine in touched:
+        """Refresh every machine that something happened to, and return these."""
+        changed, self.changed_machines = list(self.changed_machines.values()), {}
+        for machine in changed:
             self.refresh(machine, now)
-        return touched
+        return changed
 
     def remove(self, machine: Machine) -> None:
         """The machine is not known any more."""
@@ -422,54 +287,51 @@
 
     def record_image(self, machine: Machine, image: str, gb: float) -> None:
         """A machine was seen with an image: the most recent one it holds."""
-        new = image not in machine.images
-        self.images_changed = self.images_changed or new
+        is_new = image not in machine.images
+        self.images_changed = self.images_changed or is_new
         machine.images.pop(image, None)
         machine.images[image] = gb
         self.image_holders.setdefault(image, {})[machine.name] = machine
         machine_type = self.machine_types.get(machine.type)
         if (
-            new
+            is_new
             and machine.index_bucket is not None
             and machine_type is not None
             and self.whole_units(machine.free, machine_type) > 0
         ):
             self.warm_machines.setdefault((machine.pool, image), {})[machine.name] = machine
-        while machine.images and sum(machine.images.values()) > (
-            machine_type.image_cache_gb if machine_type else 0.0
-        ):
-            old = next(iter(machine.images))
-            del machine.images[old]
-            self._remove_warm(machine, old)
-            self._remove_holder(machine, old)
+        self._evict_images(machine, machine_type.image_cache_gb if machine_type else 0.0)
+
+    def _evict_images(self, machine: Machine, cache_gb: float) -> None:
+        """Forget the least recent images of a machine beyond the size of its cache."""
+        while machine.images and sum(machine.images.values()) > cache_gb:
+            least_recent = next(iter(machine.images))
+            del machine.images[least_recent]
+            self._remove_warm(machine, least_recent)
+            self._remove_holder(machine, least_recent)
 
     def restore_images(self, images: dict[str, dict[str, float]]) -> None:
-        """What an earlier owner knew: older than what has been seen since."""
-        for name, held in images.items():
+        """What an earlier owner knew, by machine: older than what has been seen since."""
+        for name, known in images.items():
             machine = self.machines.get(name)
             if machine is None:
-                self.remembered_images[name] = held
-            else:
-                self._unindex(machine)
-                self.set_images(
-                    machine,
-                    {
-                        **{i: gb for i, gb in held.items() if i not in machine.images},
-                        **machine.images,
-                    },
-                )
-                self.mark_changed(machine)
+                self.remembered_images[name] = known
+                continue
+            self._unindex(machine)
+            older = {image: gb for image, gb in known.items() if image not in machine.images}
+            self.set_images(machine, {**older, **machine.images})
+            self.mark_changed(machine)
 
     def set_images(self, machine: Machine, images: dict[str, float]) -> None:
-        """These are a machine's images; it is not in the index."""
+        """Replace the images of a machine that is not in the index."""
         machine.images = images
         for image in images:
             self.image_holders.setdefault(image, {})[machine.name] = machine
 
-    # -- finding room ------------------------------------------------------------------------
+    # -- finding capacity --------------------------------------------------------------------
 
     def allowed_pools(self, job: Job) -> list[MachinePool]:
-        """Where a job may run, as the workers themselves report type, zone and kind."""
+        """Where a job may run, as the machines themselves report type, zone and spot."""
         return [
             pool
             for pool in self.capacity_index
@@ -479,58 +341,64 @@
         ]
 
     def max_tasks(self, resources: ResourceVector, pools: Iterable[MachinePool]) -> int:
-        """No more tasks than this fit there: a bound read off the index, without looking at a machine."""
+        """No more tasks than this fit: a bound read off the index, without looking at a machine."""
         count = 0
-        for place in pools:
-            machine_type = self.machine_types[place[0]]
+        for pool in pools:
+            machine_type = self.machine_types[pool[0]]
             need, cores = self.whole_units(resources, machine_type), self.core_level(resources)
-            for (units, level), bucket in self.capacity_index[place].items():
+            for (units, level), bucket in self.capacity_index[pool].items():
                 if units >= need and level >= cores:
-                    each = units // need if need else 1000
-                    count += len(bucket) * min(
-                        each, max_count(resources[0], 2.0**level / 4 + EPSILON * resources[0])
-                    )
+                    by_units = units // need if need else MAX_TASKS_WITHOUT_UNITS
+                    most_cores = 2.0**level / CORE_FRACTION + EPSILON * resources[0]
+                    count += len(bucket) * min(by_units, max_count(resources[0], most_cores))
         return count
 
     def find_machines(
         self, job: Job, pools: list[MachinePool], avoided: frozenset[str], sample: int, rng: Random
     ) -> list[Machine]:
-        """A sample of the machines with room for a task, the fullest first, and of those that hold its image besides."""
-        resources = job.resources
-        out: list[Machine] = []
-        seen: set[str] = set()
-
-        def take(pool: list[Machine], most: int) -> None:
-            """Up to `most` that fit; all are tried only when the first tries found nothing."""
-            start = rng.randrange(len(pool))
-            found = 0
-            for i in range(len(pool)):
-                machine = pool[(start + i) % len(pool)]
-                self.fit_checks += 1
-                if (
-                    machine.name not in seen
-                    and fits(resources, machine.free)
-                    and machine.name not in avoided
-                ):
-                    seen.add(machine.name)
-                    out.append(machine)
-                    found += 1
-                if found >= most or (found and i >= 4 * most):
-                    return
-
-        for place in pools:
-            if (warm := self.warm_machines.get((place, job.image))) is not None:
-                take(list(warm.values()), sample)
-        for place in pools:
-            need, cores = (
-                self.whole_units(resources, self.machine_types[place[0]]),
-                self.core_level(resources),
-            )
-            levels = self.capacity_index[place]
-            before = len(out)
-            for level in sorted(levels):
-                if level[0] >= need and level[1] >= cores and levels[level]:
-                    take(levels[level], sample)
-                    if len(out) - before >= 2 * sample:
+        """A sample of the machines with free capacity for a task, without the avoided ones.
+
+        Those that hold its image first, then in each pool the fullest first.
+        """
+        found: list[Machine] = []
+        seen = set(avoided)
+        for pool in pools:
+            if (warm := self.warm_machines.get((pool, job.image))) is not None:
+                self._sample_bucket(list(warm.values()), job.resources, sample, rng, seen, found)
+        for pool in pools:
+            machine_type = self.machine_types[pool[0]]
+            need = self.whole_units(job.resources, machine_type)
+            cores = self.core_level(job.resources)
+            buckets = self.capacity_index[pool]
+            count_before = len(found)
+            for level in sorted(buckets):
+                if level[0] >= need and level[1] >= cores and buckets[level]:
+                    self._sample_bucket(buckets[level], job.resources, sample, rng, seen, found)
+                    if len(found) - count_before >= 2 * sample:
                         break
-        return out
+        return found
+
+    def _sample_bucket(
+        self,
+        bucket: list[Machine],
+        resources: ResourceVector,
+        sample: int,
+        rng: Random,
+        seen: set[str],
+        found: list[Machine],
+    ) -> None:
+        """Add up to `sample` machines that fit and were not seen, from a random one on.
+
+        All are tried only while none was found.
+        """
+        start = rng.randrange(len(bucket))
+        count = 0
+        for offset in range(len(bucket)):
+            machine = bucket[(start + offset) % len(bucket)]
+            self.fit_checks += 1
+            if machine.name not in seen and fits(resources, machine.free):
+                seen.add(machine.name)
+                found.append(machine)
+                count += 1
+            if count >= sample or (count and offset >= TRIES_PER_MACHINE * sample):
+                return
--- a/ploverhall/scheduling/kept_machines.py
+++ b/ploverhall/scheduling/kept_machines.py
@@ -9,8 +9,10 @@
 
 from collections import Counter
 
-from ploverhall.scheduling.inventory import EPSILON, Inventory, Machine, max_count
+from ploverhall.scheduling.inventory import Inventory
+from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.reservations import CandidateRequest, ReservationTable
+from ploverhall.scheduling.resources import EPSILON, max_count
 
 
 class KeptMachines:
@@ -22,7 +24,7 @@
         self.job_by_machine: dict[str, str] = {}
 
     def avoided_machines(self, request: CandidateRequest) -> frozenset[str]:
-        """The machines that a request may not use: those it names, and those kept for other jobs."""
+        """Machines that a request may not use: those it names, and those kept for other jobs."""
         if not self.job_by_machine:
             return request.avoided_machines
         return request.avoided_machines.union(
--- /dev/null
+++ b/ploverhall/scheduling/permit_table.py
@@ -0,0 +1,259 @@
+"""The permits of one shard: admission, stops, victims, and the evidence that a start is gone.
+
+Sources write permits; the shard owner hands them in (`PermitTable.update`) and calls `check_gone`
+when something new is known of a machine. No I/O.
+"""
+
+from __future__ import annotations
+
+from ploverhall.protocol import peer_messages
+from ploverhall.protocol.agents import EXITED, AttemptId
+from ploverhall.protocol.peer_messages import PermitUpdate
+from ploverhall.scheduling.machines import JobTraits, Machine, Permit, Reservation
+from ploverhall.scheduling.reservations import ReservationTable
+from ploverhall.scheduling.resources import NO_RESOURCES, fits
+from ploverhall.scheduling.shard_state import ShardState
+
+# Why a start is gone: texts for people, which are sent to the sources
+GONE_MACHINE = "its machine is gone"
+GONE_REFUSED = "its room was taken"
+GONE_LEASE = "its worker's lease ran out"
+GONE_UNLISTED = "its worker no longer has it"
+GONE_UNRESPONSIVE = "its worker was silent until its lease ran out"
+
+
+class PermitTable:
+    """The permits that sources have written for machines of one shard."""
+
+    def __init__(self, state: ShardState, reservations: ReservationTable) -> None:
+        self.state = state
+        self.reservations = reservations
+        self.inventory = state.inventory
+        self.machines = state.machines
+        self.changed_attempts = state.changed_attempts
+        self.permits: dict[AttemptId, Permit] = {}
+        self.permits_by_job: dict[str, dict[AttemptId, Permit]] = {}
+        # Permits that wait for their victims to leave
+        self.waiting_for_victims: dict[AttemptId, Permit] = {}
+
+    def update(
+        self, attempt_id: AttemptId, source_shard: int, update: PermitUpdate | None, now: float
+    ) -> None:
+        """Take in what a source says of a permit; None: it has left the source's records."""
+        permit = self.permits.get(attempt_id)
+        if update is None:
+            if permit is not None:
+                self._drop(permit)
+            return
+        if permit is None:
+            permit = self._add(attempt_id, source_shard, update, now)
+        if update.stop_grace_s is not None:
+            permit.stop_grace_s = (
+                update.stop_grace_s
+                if permit.stop_grace_s is None
+                else min(update.stop_grace_s, permit.stop_grace_s)
+            )
+        self.check_gone(permit)
+        self.state.schedule_commands(self.machines.get(permit.machine))
+
+    def _add(
+        self, attempt_id: AttemptId, source_shard: int, update: PermitUpdate, now: float
+    ) -> Permit:
+        job = self.state.jobs.get(attempt_id[0])
+        permit = Permit(
+            attempt_id,
+            source_shard,
+            update.machine,
+            update.epoch,
+            update.reservation_id,
+            self.state.resources_by_job.get(attempt_id[0], NO_RESOURCES),
+            job.image if job else "",
+            job.image_gb if job else 0.0,
+        )
+        self._admit(permit, update.stop_grace_s, now)
+        if self.state.job_ended_in_store(attempt_id[0]) or job is None:
+            permit.stop_grace_s = 0.0  # it was over before this owner heard of the permit
+        return permit
+
+    def _drop(self, permit: Permit) -> None:
+        """The source has no record of the start any more: it is over or was shown to be gone."""
+        attempt_id = permit.attempt_id
+        del self.permits[attempt_id]
+        self.waiting_for_victims.pop(attempt_id, None)
+        of_job = self.permits_by_job[attempt_id[0]]
+        del of_job[attempt_id]
+        if not of_job:
+            del self.permits_by_job[attempt_id[0]]
+        on_machine = self.inventory.permits_by_machine[permit.machine]
+        on_machine.pop(attempt_id, None)
+        if not on_machine and permit.machine not in self.machines:
+            del self.inventory.permits_by_machine[permit.machine]
+        self.changed_attempts.discard(attempt_id)
+        key = (permit.source_shard, peer_messages.attempt_key(attempt_id))
+        self.reservations.source_updates[key] = None
+        self.state.schedule_commands(self.machines.get(permit.machine))
+
+    # -- admission ---------------------------------------------------------------------------
+
+    def _admit(self, permit: Permit, stop_grace_s: float | None, now: float) -> None:
+        """Admit a new permit to its reservation's capacity; without capacity it is refused."""
+        attempt_id = permit.attempt_id
+        self.permits[attempt_id] = permit
+        self.permits_by_job.setdefault(attempt_id[0], {})[attempt_id] = permit
+        self.changed_attempts.add(attempt_id)
+        machine = self.machines.get(permit.machine)
+        reservation = self._reservation_of(permit)
+        if reservation is not None:
+            permit.overdue = reservation.overdue
+            self.reservations.release(reservation, requeue=False)
+        if permit.epoch == self.state.epoch and (
+            machine is None
+            or stop_grace_s is not None
+            or not self._may_admit(permit, machine, reservation is not None, now)
+        ):
+            permit.refused = True
+        self.inventory.permits_by_machine.setdefault(permit.machine, {})[attempt_id] = permit
+        if machine is not None:
+            machine.permits = self.inventory.permits_by_machine[permit.machine]
+            if reservation is not None and not permit.refused:
+                self._stop_victims(permit, reservation.victims, machine)
+
+    def _reservation_of(self, permit: Permit) -> Reservation | None:
+        """The reservation that a permit takes up; None for a permit of an earlier epoch."""
+        if permit.epoch != self.state.epoch:
+            return None
+        of_job = self.reservations.by_job.get(permit.attempt_id[0], {})
+        if (reservation := of_job.get(permit.reservation_id)) is not None:
+            return reservation
+        # The hold time may have ended while the permit was written, and the same machine may be
+        # reserved again, for the same candidate
+        for reservation in of_job.values():
+            if reservation.machine == permit.machine:
+                return reservation
+        return None
+
+    def _may_admit(self, permit: Permit, machine: Machine, reserved: bool, now: float) -> bool:
+        """Whether a machine can take a permit."""
+        if machine.lease_expired or self.inventory.unusable(machine, now):
+            return False
+        return reserved or fits(permit.resources, self.inventory.free_capacity(machine))
+
+    # -- victims -----------------------------------------------------------------------------
+
+    def _stop_victims(
+        self, permit: Permit, victims: tuple[AttemptId, ...], machine: Machine
+    ) -> None:
+        """Stop what the reservation named to free its capacity, now that the start is permitted."""
+        permit.victims = victims
+        if victims:
+            self.waiting_for_victims[permit.attempt_id] = permit
+        for attempt_id in victims:
+            victim = machine.permits.get(attempt_id)
+            traits = self.inventory.job_traits.get(attempt_id[0])
+            if victim is None or victim.gone or traits is None:
+                continue
+            if traits.kind == "gang":
+                victim.evict_requested = True
+            elif victim.stop_grace_s is None:
+                victim.stop_grace_s = traits.preemption_grace_s
+            self.changed_attempts.add(attempt_id)
+            self._claim_guarantee(permit.attempt_id[0], traits)
+
+    def _claim_guarantee(self, job_id: str, victim: JobTraits) -> None:
+        """Note that a job stops others by its team's guarantee, so that it keeps the capacity.
+
+        A job takes over the claim of the work it stops: else whoever that work had stopped before
+        would stop this job in turn.
+        """
+        traits = self.inventory.job_traits.get(job_id)
+        if traits is None or not traits.within_guarantee or traits.claimed_guarantee:
+            return
+        by_guarantee = not victim.within_guarantee and victim.priority <= traits.priority
+        if by_guarantee or victim.preemption_class[-1]:
+            traits.claimed_guarantee = True
+            for permit in self.permits_by_job[job_id].values():
+                self.state.mark_changed(self.machines.get(permit.machine))
+
+    def waits_for_victims(self, permit: Permit, machine: Machine | None) -> bool:
+        """Whether work that is stopped for a permit is still on its machine."""
+        return machine is not None and any(
+            attempt_id in machine.permits
+            and not machine.permits[attempt_id].gone
+            and not ((task := machine.tasks.get(attempt_id)) is not None and task.state == EXITED)
+            for attempt_id in permit.victims
+        )
+
+    def refresh_victims(self) -> set[AttemptId]:
+        """Forget permits whose victims have left; the victims of the others, as a new set."""
+        for permit in list(self.waiting_for_victims.values()):
+            machine = self.machines.get(permit.machine)
+            if permit.gone or not self.waits_for_victims(permit, machine):
+                del self.waiting_for_victims[permit.attempt_id]
+        return {
+            attempt_id
+            for permit in self.waiting_for_victims.values()
+            for attempt_id in permit.victims
+        }
+
+    # -- stops and ends ----------------------------------------------------------------------
+
+    def stop_job(self, job_id: str) -> None:
+        """Stop every attempt of a job at once, without grace."""
+        for permit in self.permits_by_job.get(job_id, {}).values():
+            if permit.stop_grace_s != 0.0:
+                permit.stop_grace_s = 0.0
+                self.check_gone(permit)
+                self.state.schedule_commands(self.machines.get(permit.machine))
+                self.changed_attempts.add(permit.attempt_id)
+
+    def expire_machine(self, machine: Machine) -> None:
+        """A machine's lease has run out: what may have run there is gone, the rest refused."""
+        for permit in machine.permits.values():
+            if (
+                permit.run_token
+                or permit.epoch < self.state.epoch
+                or permit.attempt_id in machine.tasks
+            ):
+                permit.gone = True
+                permit.gone_reason = permit.gone_reason or GONE_UNRESPONSIVE
+            else:
+                permit.refused = True
+                self.check_gone(permit)
+            self.changed_attempts.add(permit.attempt_id)
+
+    def check_gone(self, permit: Permit) -> None:
+        """Mark a permit as gone if its start is not on its machine and can't get there any more."""
+        if permit.gone:
+            return
+        machine = self.machines.get(permit.machine)
+        if permit.machine in self.inventory.proven_gone:
+            permit.gone = True
+            permit.gone_reason = GONE_MACHINE
+        elif permit.refused and permit.run_token == 0 and permit.epoch == self.state.epoch:
+            # This owner offered the capacity and has never sent the run
+            permit.gone = True
+            permit.gone_reason = GONE_REFUSED
+        elif (
+            machine is not None
+            and permit.attempt_id not in machine.tasks
+            and machine.accepted_token
+        ):
+            self._check_unlisted(permit, machine)
+        if permit.gone:
+            self.changed_attempts.add(permit.attempt_id)
+            self.state.schedule_commands(machine)
+
+    def _check_unlisted(self, permit: Permit, machine: Machine) -> None:
+        """Mark a permit as gone that its machine does not list, if no run can still arrive."""
+        if permit.run_token:
+            # The newest list omits it under a token raised since the last run left, or the agent
+            # has begun a new incarnation
+            is_new_incarnation = machine.incarnation > permit.run_incarnation
+            permit.gone = machine.seen_token > permit.run_token or is_new_incarnation
+            permit.gone_reason = GONE_LEASE if is_new_incarnation else GONE_UNLISTED
+        elif permit.epoch < self.state.epoch:
+            # Earlier runs bear tokens below the one the machine has taken
+            permit.gone = True
+            permit.gone_reason = GONE_UNLISTED
+        elif permit.stop_grace_s is not None and permit.epoch == self.state.epoch:
+            permit.gone = True  # never sent
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -33,7 +33,7 @@
     header_bytes,
 )
 from ploverhall.scheduling.eviction_grants import EvictionGrants
-from ploverhall.scheduling.inventory import (
+from ploverhall.scheduling.resources import (
     EPSILON,
     NO_RESOURCES,
     UNBOUNDED,
--- a/ploverhall/scheduling/placement.py
+++ b/ploverhall/scheduling/placement.py
@@ -14,17 +14,12 @@
 
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import CandidateUpdate
-from ploverhall.scheduling.inventory import (
-    Inventory,
-    Machine,
-    MachinePool,
-    Reservation,
-    ResourceVector,
-    fits,
-)
+from ploverhall.scheduling.inventory import Inventory
 from ploverhall.scheduling.kept_machines import KeptMachines
+from ploverhall.scheduling.machines import Machine, MachinePool, Reservation
 from ploverhall.scheduling.preemption import PreemptionPlanner
 from ploverhall.scheduling.reservations import CandidateRequest, ReservationTable
+from ploverhall.scheduling.resources import ResourceVector, fits
 from ploverhall.scheduling.scoring import score_machine
 
 # How often a waiting candidate is matched anew against work that may be stopped
@@ -389,7 +384,7 @@
         preemptible: Counter[str] = Counter()
         if preempt and max(bounds.values()) < missing:
             # Machines with work to stop count, too: else, with no free capacity anywhere, the last
-            # zone by name is chosen each time, and gangs wait although work elsewhere may be stopped
+            # zone by name is chosen each time, and gangs wait although work elsewhere may stop
             preemptible = Counter(
                 machine.zone
                 for machine in self.inventory.preemption_candidates.values()
--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -14,20 +14,18 @@
 
 from ploverhall.protocol.agents import AttemptId
 from ploverhall.protocol.jobs import PRIORITIES
-from ploverhall.scheduling.inventory import (
-    Inventory,
+from ploverhall.scheduling.inventory import Inventory
+from ploverhall.scheduling.kept_machines import KeptMachines
+from ploverhall.scheduling.machines import (
     JobTraits,
     Machine,
     MachinePool,
     Permit,
     PreemptionClass,
-    ResourceVector,
-    add_scaled,
-    fits,
     occupies,
 )
-from ploverhall.scheduling.kept_machines import KeptMachines
 from ploverhall.scheduling.reservations import CandidateRequest, ReservationTable
+from ploverhall.scheduling.resources import ResourceVector, add_scaled, fits
 from ploverhall.scheduling.scoring import score_machine
 
 LOWEST_PRIORITY = max(PRIORITIES.values())
@@ -125,7 +123,7 @@
         )
 
     def may_preempt(self, request: CandidateRequest, preemption_class: PreemptionClass) -> bool:
-        """Whether a candidate may stop work of this class, by the published rules without their circle.
+        """Whether a candidate may stop work of this class, by the rules without their circle.
 
         By rank an urgent array beyond its team's guarantee may stop another team's lower work
         within its own, which may stop it in turn for the guarantee: without the exception for work
@@ -314,7 +312,7 @@
         victims_in_progress: set[AttemptId],
         now: float,
     ) -> PreemptionPlan | None:
-        """The cheapest plan on a machine; None if nothing has to be stopped, or it is not enough."""
+        """The cheapest plan on a machine; None if nothing has to stop, or it is not enough."""
         self.checks += 1
         job = request.job
         free = self._free_after_victims_in_progress(machine, victims_in_progress)
@@ -335,7 +333,7 @@
     def _free_after_victims_in_progress(
         self, machine: Machine, victims_in_progress: set[AttemptId]
     ) -> ResourceVector:
-        """Free capacity once the victims leave; the starts that they leave for are counted already."""
+        """Free capacity once the victims leave; what they leave for is counted already."""
         free = machine.free
         if victims_in_progress.isdisjoint(machine.permits):
             return free
--- a/ploverhall/scheduling/reservations.py
+++ b/ploverhall/scheduling/reservations.py
@@ -17,7 +17,8 @@
 from ploverhall.protocol.agents import AttemptId
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import CandidateUpdate
-from ploverhall.scheduling.inventory import Inventory, Machine, Reservation
+from ploverhall.scheduling.inventory import Inventory
+from ploverhall.scheduling.machines import Machine, Reservation
 
 QueueOrder = tuple[float, ...]  # lower is placed first
 QueueEntry = tuple[QueueOrder, str]  # order, job id
@@ -150,10 +151,10 @@
         now: float,
         victims: tuple[AttemptId, ...] = (),
     ) -> Reservation:
-        """Reserve capacity for one candidate for `hold_s` seconds, offer it to the source and return it.
+        """Reserve capacity for one candidate for `hold_s` seconds, and offer it to the source.
 
         `cost` is in seconds, as the sources compare offers. `victims` are the task attempts that
-        have to be stopped before the task can start.
+        have to be stopped before the task can start. Returns the reservation.
         """
         reservation = Reservation(
             self._next_id,
--- a/ploverhall/scheduling/scoring.py
+++ b/ploverhall/scheduling/scoring.py
@@ -9,7 +9,9 @@
 from typing import NamedTuple
 
 from ploverhall.protocol.jobs import Job
-from ploverhall.scheduling.inventory import Inventory, Machine, add_scaled
+from ploverhall.scheduling.inventory import Inventory
+from ploverhall.scheduling.machines import Machine
+from ploverhall.scheduling.resources import add_scaled
 
 # Seconds of fetching that keeping replicas of one job apart is worth: at 30, replicas fetched
 # their image although machines that hold it were idle
--- a/scripts/cost.py
+++ b/scripts/cost.py
@@ -120,7 +120,7 @@
     import orjson
 
     from ploverhall.protocol import agents
-    from ploverhall.scheduling.inventory import Permit
+    from ploverhall.scheduling.machines import Permit
     from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
     o = an_owner(size)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -10,6 +10,7 @@
 
 from ploverhall.protocol import agents, peer_messages
 from ploverhall.protocol.peer_messages import JobUpdate, PermitUpdate
+from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 from . import test_world, world
@@ -283,13 +284,13 @@
     if guard == "copies are new":
         copies_are_news(monkeypatch)
     else:
-        monkeypatch.setattr(ShardOwner, "_check_gone", _check_without_tokens)
+        monkeypatch.setattr(PermitTable, "check_gone", _check_without_tokens)
     with pytest.raises(Broken, match="ran_twice"):
         for seed in range(400):
             _any_order(seed)
 
 
-def _check_without_tokens(self: ShardOwner, p: Any) -> None:
+def _check_without_tokens(self: PermitTable, p: Any) -> None:
     """What a list omits counts as gone, whatever may still be on its way."""
     m = self.machines.get(p.machine)
     if not p.gone and m is not None and p.key not in m.tasks and p.run_token:
--- a/tests/test_deaf.py
+++ b/tests/test_deaf.py
@@ -183,12 +183,16 @@
     for session in (2, 3, 4, 5):
         for _ in range(8):  # its lease has run out, and it goes on without having heard
             beat(m.seen_token, session)
-        assert m.not_receiving and m.index_bucket is None and m.name in o.unconfirmed_machines
+        assert (
+            m.not_receiving
+            and m.index_bucket is None
+            and m.name in o.reception.unconfirmed_machines
+        )
         beat(m.token, session)
         heard = now
         while m.index_bucket is None:
             beat(m.token, session)
             assert now - heard < 60.0
         rests.append(now - heard)
-        assert not o.unconfirmed_machines and not o.inventory.unusable(m, now)
+        assert not o.reception.unconfirmed_machines and not o.inventory.unusable(m, now)
     assert rests[0] <= 1.0 and rests == sorted(rests) and rests[-1] >= 20.0
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -18,10 +18,13 @@
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.protocol.agents import Heartbeat
 from ploverhall.scheduling.allocations import JobState
-from ploverhall.scheduling.inventory import Permit
+from ploverhall.scheduling.command_builder import CommandBuilder
+from ploverhall.scheduling.machines import Permit
+from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.permitting import ATTEMPT_BITS, JobSource
 from ploverhall.scheduling.preemption import PreemptionPlanner
 from ploverhall.scheduling.shard_owner import ShardOwner
+from ploverhall.scheduling.shard_state import ShardState
 
 from . import world
 from .meetings import MACHINES, meet
@@ -187,9 +190,9 @@
 
 def believes_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
     """What a list omits is gone though the machine has not taken this owner's token."""
-    real = ShardOwner._check_gone
+    real = PermitTable.check_gone
 
-    def check(self: ShardOwner, p: Permit) -> None:
+    def check(self: PermitTable, p: Permit) -> None:
         m = self.machines.get(p.machine)
         took = m.accepted_token if m is not None else False
         if m is not None:
@@ -198,7 +201,7 @@
         if m is not None:
             m.accepted_token = took
 
-    monkeypatch.setattr(ShardOwner, "_check_gone", check)
+    monkeypatch.setattr(PermitTable, "check_gone", check)
 
 
 def silence_of_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -381,18 +384,18 @@
 
 def no_run_is_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the newest list omits is gone, though its run may still arrive: its token is not raised."""
-    monkeypatch.setattr(ShardOwner, "_check_gone", _check_without_tokens)
-    monkeypatch.setattr(ShardOwner, "_raise_token", lambda self, m: True)
+    monkeypatch.setattr(PermitTable, "check_gone", _check_without_tokens)
+    monkeypatch.setattr(ShardState, "raise_token", lambda self, m: True)
 
 
 def nothing_is_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
     """No stop is sent: what hung within its lease goes on, and the judge has to see it."""
-    real = ShardOwner.commands_for
+    real = CommandBuilder.commands_for
 
-    def commands(self: ShardOwner, *a: Any, **kw: Any) -> Any:
+    def commands(self: CommandBuilder, *a: Any, **kw: Any) -> Any:
         return [c for c in real(self, *a, **kw) if c["call"] != "kill"]
 
-    monkeypatch.setattr(ShardOwner, "commands_for", commands)
+    monkeypatch.setattr(CommandBuilder, "commands_for", commands)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -19,7 +19,7 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol.key_value_store import KeyValueStore
 from ploverhall.scheduling.allocations import JobState
-from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 from .meetings import KNOWN_S, Begun, Day, Trouble, begin, draw, meet, rule, shrink
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.peer_messages import PeerStatus
 from ploverhall.protocol.rate_limiter import RateLimiter
-from ploverhall.scheduling.inventory import Machine
+from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.storage.store_cache import (
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,9 +7,11 @@
 from ploverhall.protocol.agents import TaskStatus
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import CandidateUpdate
-from ploverhall.scheduling.inventory import Inventory, JobTraits, Machine, Permit, add_scaled, fits
+from ploverhall.scheduling.inventory import Inventory
+from ploverhall.scheduling.machines import JobTraits, Machine, Permit
 from ploverhall.scheduling.placement import Placement
 from ploverhall.scheduling.reservations import CandidateRequest
+from ploverhall.scheduling.resources import add_scaled, fits
 
 from .test_source import a_job
 from .world import TYPE
--- a/tests/test_renter.py
+++ b/tests/test_renter.py
@@ -9,7 +9,7 @@
 from ploverhall.protocol.cloud import CloudMachine, MachineType
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import DemandUpdate, MachineUpdate
-from ploverhall.scheduling.inventory import add_scaled, fits
+from ploverhall.scheduling.resources import add_scaled, fits
 
 from .test_source import a_job
 
