--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -326,7 +326,7 @@
             lost_work_s += victim.cost_s
         if not chosen or not fits(job.resources, free):
             return None
-        start_cost_s = score_machine(self.inventory, job, machine).cost_s
+        start_cost_s, _ = score_machine(self.inventory, job, machine)
         cost_s = PREEMPTION_DELAY_S + LOST_WORK_WEIGHT * lost_work_s + start_cost_s
         return PreemptionPlan(cost_s, machine.name, machine, tuple(chosen))
 
--- a/ploverhall/scheduling/scoring.py
+++ b/ploverhall/scheduling/scoring.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.inventory import Inventory
 from ploverhall.scheduling.machines import Machine
@@ -24,11 +22,10 @@
 FETCH_RESERVED_FACTOR = 0.8  # another reservation will have it fetched
 
 
-class MachineScore(NamedTuple):
-    """How well a task fits a machine; the lowest score is the best."""
-
-    cost_s: float  # seconds until the task could run, and what else counts like them
-    free_share: float  # sum over the resources of the share of the machine left free
+# How well a task fits a machine, the lowest is the best: seconds until the task could run (and what
+# else counts like them), and the sum over the resources of the share of the machine left free.
+# A plain tuple, since one is made for every machine that a search finds.
+MachineScore = tuple[float, float]
 
 
 def score_machine(inventory: Inventory, job: Job, machine: Machine) -> MachineScore:
@@ -51,7 +48,7 @@
     if is_service:
         spread_cost_s = REPLICA_SPREAD_COST_S * _replicas_on(job, machine)
         cost_s = cost_s + spread_cost_s + SERVICE_PACKING_COST_S * free_share
-    return MachineScore(cost_s, free_share)
+    return cost_s, free_share
 
 
 def _fetch_cost_s(job: Job, machine: Machine, rate_gb_s: float) -> float:
