--- a/ploverhall/connectivity/pending_relays.py
+++ b/ploverhall/connectivity/pending_relays.py
@@ -12,11 +12,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ploverhall.protocol.relay_messages import AGENT_COMMAND, HEARTBEAT
+
 MAX_OPEN_REQUESTS = 4096  # a heartbeat of each of 4,000 agents
 MAX_QUEUED_MESSAGES = 2048  # to one peer
 MAX_QUEUED_BYTES = 8 * 1024 * 1024  # to one peer
-# Requests of one peer in progress here: a frame may bring a heartbeat of each agent of a shard
-MAX_CONCURRENT_PER_PEER = 2048
+
+# One peer's requests that are worked on at once. Agents' messages come in frames with one for each
+# machine of a shard; requests to the services are few, and its own come before a peer's.
+MAX_CONCURRENT_AGENT_MESSAGES = 2048
+MAX_CONCURRENT_SERVICE_REQUESTS = 64
+AGENT_KINDS = (HEARTBEAT, AGENT_COMMAND)
 CLOCK_SKEW_S = 2.0  # by which wall clocks of controllers may differ
 
 
@@ -46,7 +52,8 @@
     open_requests: dict[int, OpenRequest] = field(default_factory=dict)
     queues: dict[str, deque[QueuedMessage]] = field(default_factory=dict)
     queued_bytes: dict[str, int] = field(default_factory=dict)
-    in_progress: dict[str, int] = field(default_factory=dict)
+    # By peer and kind
+    in_progress: dict[tuple[str, str], int] = field(default_factory=dict)
     relayed_count: int = 0  # peers' requests that were answered
     refused_count: int = 0  # peers' requests that were refused: over a limit, too late, no route
 
@@ -93,17 +100,23 @@
         self.queued_bytes[peer] = 0
         return messages
 
-    def begin_work(self, peer: str) -> bool:
-        """Count a peer's request as in progress; False when too many of its requests are."""
-        if self.in_progress.get(peer, 0) >= MAX_CONCURRENT_PER_PEER:
+    def begin_work(self, peer: str, kind: str) -> bool:
+        """Count a peer's request as in progress; False when too many of its kind are."""
+        limit = (
+            MAX_CONCURRENT_AGENT_MESSAGES
+            if kind in AGENT_KINDS
+            else MAX_CONCURRENT_SERVICE_REQUESTS
+        )
+        open_requests = self.in_progress.get((peer, kind), 0)
+        if open_requests >= limit:
             self.refused_count += 1
             return False
-        self.in_progress[peer] = self.in_progress.get(peer, 0) + 1
+        self.in_progress[peer, kind] = open_requests + 1
         return True
 
-    def end_work(self, peer: str) -> None:
+    def end_work(self, peer: str, kind: str) -> None:
         """Count one of a peer's requests as answered."""
-        self.in_progress[peer] -= 1
+        self.in_progress[peer, kind] -= 1
         self.relayed_count += 1
 
 
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -189,7 +189,7 @@
                 at=raised_at(error),
             )
         finally:
-            self.pending.end_work(peer)
+            self.pending.end_work(peer, request.kind)
         self._respond(peer, request, status, refused, body)
 
     def _respond(
@@ -259,7 +259,7 @@
         elif (
             request.kind not in self.handlers
             or self.scheduling_lag() > MAX_LAG_S
-            or not self.pending.begin_work(controller)
+            or not self.pending.begin_work(controller, request.kind)
         ):
             self._respond(controller, request, 0, True, b"")
         else:
--- a/tests/test_afterlife.py
+++ b/tests/test_afterlife.py
@@ -108,7 +108,9 @@
     if guard == "left":
         monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
     if guard == "marked":  # what was sure stays sure: each report counts anew
-        monkeypatch.setattr(restart_recovery.fencing_tokens, "marked", lambda token, right: token)
+        monkeypatch.setattr(
+            restart_recovery.fencing_tokens, "with_renewal_grant", lambda token, right: token
+        )
 
     async def scene(p: Played) -> None:
         await busy(p, 10.0)
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -120,7 +120,7 @@
         old = next(k[2:] for k in p.state.store.kv if k.startswith("e/j-"))
         budget = node.context.store.requests
         real = type(budget).delay
-        monkeypatch.setattr(type(budget), "wait", lambda self, n: 0.01 if n > 1 else real(self, n))
+        monkeypatch.setattr(type(budget), "delay", lambda self, n: 0.01 if n > 1 else real(self, n))
         asked: list[Any] = []
         with anyio.fail_after(10.0):
             while not asked or asked[-1] != 200:
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -170,7 +170,7 @@
     async def twice(self: Relay, by: str, q: relay_messages.RelayRequest) -> None:
         async with anyio.create_task_group() as tg:
             tg.start_soon(real, self, by, q)
-            if self.pending.begin_work(by):
+            if self.pending.begin_work(by, q.kind):
                 tg.start_soon(real, self, by, q)
 
     monkeypatch.setattr(Relay, "serve", twice)
