--- a/tests/played.py
+++ b/tests/played.py
@@ -973,7 +973,8 @@
     def check_largest(self) -> None:
         """Of each class's accepted jobs the tenth with the most tasks, three at least: half of them served, each begun within 240 s.
 
-        As scripts.served_by_class counts them; users who gave up in an outage before they were accepted are counted with their class and team.
+        As scripts.served_by_class counts them; users who gave up in an outage before they were
+        accepted are counted with their class and team.
         """
         classes: dict[str, list[str]] = {}
         for jid, spec in self.specs.items():
--- a/tests/test_further.py
+++ b/tests/test_further.py
@@ -1,4 +1,4 @@
-"""The further meetings' days (scripts/custom_days/further.py): each trouble stands on every fourth day, and a seed is always the same days."""
+"""Days of scripts/custom_days/further.py: each trouble is on every fourth; a seed repeats."""
 
 from __future__ import annotations
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -40,14 +40,14 @@
 KEPT = 20  # jobs that are over and stay in memory
 # Remember a bounded number
 BY_DESIGN = {
-    "ends": 200,
+    "recently_ended": 200,
     "arrivals": 500,
-    "view": 200,
-    "views": 200,
-    "boards": 60,
-    "deaths": 200,
+    "own_report": 200,
+    "peer_reports": 200,
+    "channels": 60,
+    "failed_attempts": 200,
 }
-# (boards: what was last said to a shard that was held here for a while and let go)
+# (channels: what was last said to a shard that was held here for a while and let go)
 
 
 def held_ids(root: object) -> dict[str, set[str]]:
