--- a/ploverhall/transport/http_parser.py
+++ b/ploverhall/transport/http_parser.py
@@ -2,7 +2,7 @@
 
 Used by `http_server` and `http_client`. httptools rather than h11: on agents' short requests h11,
 with a time limit for every read, took six times the processor time (docs/measurements.md, `python
--m scripts.cost --base a7ed42e --part request`), and a controller of 180 agents answers ninety
+-m scripts.benchmark_hot_paths --base a7ed42e --part request`), and a controller of 180 agents answers ninety
 requests a second.
 """
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -308,7 +308,7 @@
 
 
 def test_only_answers_say_how_a_job_stands() -> None:
-    """Users' requests have no way past coordination.answers: they never look at what the copy holds, nor make a view themselves."""
+    """Users' requests have no way past coordination.job_answers: they never look at what the copy holds, nor make a view themselves."""
     for name in ("job_requests", "http_routes"):
         tree = ast.parse(
             (Path(__file__).parent.parent / "ploverhall/controller" / f"{name}.py").read_text()
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -507,7 +507,7 @@
 def test_no_task_outlives_its_time_in_the_plain_model() -> None:
     """Refusals, outages, links that are lost or held, pauses, restarts, clocks that drift: drawn over three controllers.
 
-    The teller's argument and the answerer's right are one statement (coordination.cancellations); this is what it has to give.
+    The teller's argument and the answerer's right are one statement (coordination.cancellation_barrier); this is what it has to give.
     """
     told = sum(len(modelled(seed).told) for seed in range(SEEDS))
     assert told > 4 * SEEDS, "hardly anything was told: nothing was judged"
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -6,13 +6,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "ploverhall"
-# Lower ones first; bookkeeping lies beside coordination
-LAYERS = [
-    "transport",
-    "protocol",
-    "coordination",
-    "control",
-]
+# Lower ones first; storage and connectivity lie beside coordination, maintenance beside scheduling
+LAYERS = ["transport", "protocol", "coordination", "scheduling", "autoscaling", "controller"]
 
 
 def imports() -> dict[str, set[str]]:
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -263,7 +263,7 @@
 
 
 def test_after_standing_still_a_silence_proves_nothing_until_the_worker_has_been_back() -> None:
-    """A new life may have been started meanwhile, and answer the worker with this one's tokens (coordination.afterlife)."""
+    """A new life may have been started meanwhile, and answer the worker with this one's tokens (coordination.restart_recovery)."""
     for back in (False, True):
         o, m = started(direct=False)
         o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -740,7 +740,7 @@
                 )
             return
         if m.stale_heartbeat:
-            return  # as in control.reports: an answer without commands, for which nobody waits
+            return  # as in controller.heartbeat_requests: an answer without commands, for which nobody waits
         reply = _copy(agents.heartbeat_answer(m.token, h.owner.commands_for(m, self.now)))
         m.last_answer_at = self.now
         if self.now < w.deaf_until:
