--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -416,7 +416,7 @@
                 await store.get("k")
 
     anyio.run(often)
-    lines = [line for line in capfd.readouterr().err.splitlines() if "odd answer" in line]
+    lines = [line for line in capfd.readouterr().err.splitlines() if "invalid response" in line]
     assert (
         len(lines) == 3 and all(len(line) < 400 for line in lines) and store.last_answer_at == 0.0
     )
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -20,7 +20,7 @@
 from ploverhall.protocol.key_value_store import KeyValueStore
 from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.machines import Machine
-from ploverhall.scheduling.shard_owner import ShardOwner
+from ploverhall.scheduling.permit_table import PermitTable
 
 from .meetings import KNOWN_S, Begun, Day, Trouble, begin, draw, meet, rule, shrink
 from .played import HOLD, RESET, Played, play
@@ -227,8 +227,8 @@
             501,
             ("held_up", "deaf", "crash", "pause"),
             "ran_twice",
-            ShardOwner,
-            "_check_gone",
+            PermitTable,
+            "check_gone",
             _check_without_tokens,
         ),
         (
