--- a/tests/played.py
+++ b/tests/played.py
@@ -11,9 +11,10 @@
 import contextlib
 import itertools
 import logging
+import math
 import selectors
 import zlib
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Awaitable, Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 from random import Random
 from typing import Any
@@ -22,7 +23,7 @@
 import anyio.abc
 from anyio._backends import _asyncio as backend
 
-from ploverhall import settings
+from ploverhall import log, settings
 from ploverhall.controller.controller import Controller
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol import jobs
@@ -44,6 +45,13 @@
 START = 1000.0  # the clock's first value: nothing may take 0 for "never"
 
 
+SCENE_LIMIT_S = 1_800.0
+
+
+class SceneError(Exception):
+    """A scene could not be played to its end: no AssertionError, so no test takes it for the failure that it expects."""
+
+
 class _Selector(selectors.DefaultSelector):  # type: ignore[valid-type, misc]
     loop: Loop
 
@@ -53,6 +61,10 @@
             if timeout is None:
                 raise RuntimeError("nothing will ever happen again")
             self.loop.at += max(0.0, timeout)
+            if self.loop.at > self.loop.limit:
+                # Not by a timer: one more in the loop's heap changes the order of those that are due together
+                self.loop.limit = math.inf  # what the scene has begun may end
+                raise SceneError(f"the scene has not ended after {SCENE_LIMIT_S} s")
         return found
 
 
@@ -65,6 +77,7 @@
 
     def __init__(self) -> None:
         self.at = START
+        self.limit = START + SCENE_LIMIT_S
         selector = _Selector()
         selector.loop = self
         super().__init__(selector)
@@ -1027,17 +1040,50 @@
 
 
 def run(scene: Callable[[Played], Awaitable[None]], seed: int = 1, **kw: Any) -> Played:
-    """Run a scene in virtual time, without the verdict at its end."""
+    """Run a scene in virtual time, without the verdict at its end.
+
+    Raises SceneError if the scene never ends, or if a controller logs an error that is a mistake in
+    code: then whatever the test sees comes from that mistake and not from the guard that it is about.
+    """
     out: list[Played] = []
+    mistakes: list[str] = []
     logging.getLogger("asyncio").setLevel(logging.ERROR)
 
     async def main() -> None:
         p = Played(seed, **kw)
         out.append(p)
         async with anyio.create_task_group() as tg:
-            await p.start(tg)
-            await scene(p)
-            tg.cancel_scope.cancel()
+            with _mistakes_noted(mistakes, tg.cancel_scope.cancel):
+                await p.start(tg)
+                await scene(p)
+                tg.cancel_scope.cancel()
 
     anyio.run(main, backend_options={"loop_factory": Loop})
+    if mistakes:
+        raise SceneError(f"a mistake in code: {mistakes[:3]}")
     return out[0]
+
+
+MISTAKES = ("TypeError(", "AttributeError(", "NameError(", "UnboundLocalError(", "ImportError(")
+
+
+@contextlib.contextmanager
+def _mistakes_noted(mistakes: list[str], end_scene: Callable[[], None]) -> Iterator[None]:
+    """Within this, an error logged by a controller that is a mistake in code is noted and ends the scene.
+
+    Not one raised by a test's own code: an earlier version put in place of a guard may be wrong so.
+    """
+    write = log.error
+
+    def error(event: str, **fields: Any) -> None:
+        write(event, **fields)
+        in_package = not str(fields.get("at", "")).startswith("test_")
+        if in_package and any(str(value).startswith(MISTAKES) for value in fields.values()):
+            mistakes.append(f"{event} {fields}")
+            end_scene()
+
+    log.error = error
+    try:
+        yield
+    finally:
+        log.error = write
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -85,7 +85,7 @@
     real = ShardOwner.on_heartbeat
 
     def believing(
-        self: ShardOwner, r: Any, now: float, direct: bool = False, carried: bool = False
+        self: ShardOwner, r: Any, now: float, direct: bool = False, relayed: bool = False
     ) -> Any:
         if (
             (m := self.machines.get(r.machine)) is not None
@@ -93,7 +93,7 @@
             and (r.incarnation, r.sequence) <= m.newest_heartbeat
         ):
             m.newest_heartbeat, m.incarnation, m.sequence = (0, 0), 0, 0
-        return real(self, r, now, direct, carried)
+        return real(self, r, now, direct, relayed)
 
     monkeypatch.setattr(ShardOwner, "on_heartbeat", believing)
 
@@ -108,7 +108,7 @@
         real = ShardOwner.on_heartbeat
 
         def believing(
-            self: ShardOwner, r: Any, now: float, direct: bool = False, carried: bool = False
+            self: ShardOwner, r: Any, now: float, direct: bool = False, relayed: bool = False
         ) -> Any:
             m = self.machines.get(r.machine)
             if m is not None and not direct and (r.incarnation, r.sequence) <= m.newest_heartbeat:
@@ -119,7 +119,7 @@
                     0.0,
                 )
                 self.epoch_confirmed_at = now
-            return real(self, r, now, direct, carried)
+            return real(self, r, now, direct, relayed)
 
         monkeypatch.setattr(ShardOwner, "on_heartbeat", believing)
     assert test_world._seeds_until_broken(range(300, 325), kinds=(0, 2, 3, 4, 8), copies=0.5)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -294,9 +294,9 @@
     real = ShardOwner.on_heartbeat
 
     def on_report(
-        self: ShardOwner, r: Heartbeat, now: float, direct: bool = False, carried: bool = False
+        self: ShardOwner, r: Heartbeat, now: float, direct: bool = False, relayed: bool = False
     ) -> Any:
-        return real(self, r, now, False, carried)
+        return real(self, r, now, False, relayed)
 
     monkeypatch.setattr(ShardOwner, "on_heartbeat", on_report)
 
--- a/tests/test_played.py
+++ b/tests/test_played.py
@@ -5,8 +5,11 @@
 import anyio
 import pytest
 
+from ploverhall.protocol.agents import Heartbeat
+from ploverhall.scheduling.shard_owner import ShardOwner
+
 from . import played
-from .played import Played, play
+from .played import Played, SceneError, play
 
 
 @pytest.mark.parametrize("mode", played.MODES)
@@ -27,3 +30,33 @@
         assert not p.state.store.permits(), "permits left over"
 
     play(scene)
+
+
+def test_a_scene_that_never_ends_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    """CI waited 90 minutes for a scene whose submissions were never accepted."""
+    monkeypatch.setattr(played, "SCENE_LIMIT_S", 20.0)
+
+    async def scene(p: Played) -> None:
+        await anyio.sleep(60.0)
+
+    with pytest.raises(SceneError, match="has not ended"):
+        play(scene)
+
+
+def test_a_mistake_in_code_ends_the_scene_and_is_not_the_failure_that_a_test_expects(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A guard's replacement kept an argument's old name: its scene failed by that, not by the guard."""
+
+    def with_the_old_argument(
+        self: ShardOwner, heartbeat: Heartbeat, now: float, direct: bool = False
+    ) -> None:
+        raise AssertionError("is never reached")
+
+    monkeypatch.setattr(ShardOwner, "on_heartbeat", with_the_old_argument)
+
+    async def scene(p: Played) -> None:
+        await anyio.sleep(60.0)
+
+    with pytest.raises(SceneError, match="unexpected keyword argument"):
+        play(scene)
