--- a/ploverhall/scheduling/kept_machines.py
+++ b/ploverhall/scheduling/kept_machines.py
@@ -1,7 +1,7 @@
 """Machines kept free of other work for a gang that has waited for long.
 
 Capacity falls free one task at a time, and without this the next small task takes it at once: a
-gang of whole machines never finds one empty (tests/test_largest.py). Machines are kept for one gang
+gang of whole machines never finds one empty (tests/test_largest_jobs.py). Machines are kept for one gang
 at a time, and no longer than its turn. Called by the placement pass and by preemption.
 """
 
--- a/scripts/benchmark_hot_paths.py
+++ b/scripts/benchmark_hot_paths.py
@@ -398,9 +398,9 @@
 
 def beside(verb: str, size: int, ports: list[int]) -> None:
     """Store, cloud and one user, for `users_cost`; prints a line where a stretch begins or ends."""
-    from tests.standins import Fleet, State
+    from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
 
-    state = State()
+    state = FakeStoreAndCloud()
     state.store.kv = {
         f"{JOB_PREFIX}j-{i:06d}": (end_record("withdrawn", 0), 1) for i in range(1, size + 1)
     }
@@ -442,7 +442,7 @@
 
     async def play() -> None:
         async with anyio.create_task_group() as tg:
-            fleet = Fleet({}, 0)
+            fleet = FakeAgents({}, 0)
             fleet.tasks = tg
             fleet.most = 0
             tg.start_soon(Server(handle, 100).run, "127.0.0.1", ports[2])
--- a/scripts/mixed_versions.py
+++ b/scripts/mixed_versions.py
@@ -39,8 +39,9 @@
 from ploverhall.protocol import jobs
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
-from tests import test_loopback, world
-from tests.standins import Fleet, State
+from tests import test_loopback
+from tests.simulation import decision_model
+from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
 
 ROOT = Path(__file__).resolve().parent.parent
 OLD = "old"
@@ -176,14 +177,16 @@
     def __init__(self, controllers: Controllers, seed: int) -> None:
         self.controllers = controllers
         self.rng = Random(seed)
-        self.state = State()
+        self.state = FakeStoreAndCloud()
         addresses = {name: s.bind for name, s in controllers.settings.items()}
-        self.fleet = Fleet(addresses, FIRST_AGENT_PORT, every=0.5, zones=tuple(sorted(set(ZONES))))
+        self.fleet = FakeAgents(
+            addresses, FIRST_AGENT_PORT, every=0.5, zones=tuple(sorted(set(ZONES)))
+        )
         self.clients = {name: Client(*address) for name, address in addresses.items()}
         self.submitted: dict[str, Submitted] = {}
         self.wrong: list[str] = []
         self.restarts = 0
-        # read by world.World.judge
+        # read by decision_model.DecisionModel.judge
         self.cancelled: dict[str, float] = {}
         self.teams = {team.name: team for team in controllers.settings["c0"].teams}
 
@@ -193,7 +196,7 @@
         return self.fleet.now
 
     @property
-    def workers(self) -> dict[str, world.Worker]:
+    def workers(self) -> dict[str, decision_model.ModelAgent]:
         """The agents, by machine."""
         return self.fleet.workers
 
@@ -273,8 +276,8 @@
         while True:
             await anyio.sleep(0.25)
             try:
-                world.World.judge(self)  # type: ignore[arg-type]
-            except world.Broken as e:
+                decision_model.DecisionModel.judge(self)  # type: ignore[arg-type]
+            except decision_model.RuleBrokenError as e:
                 self.wrong.append(str(e))
 
     async def healthy(self, name: str) -> None:
@@ -431,7 +434,7 @@
         extract(args.base, old)
         ports = test_loopback.free_ports(8)
         cluster = Upgrade(Controllers({OLD: old, NEW: ROOT}, folder, ports), args.seed)
-        with mock.patch.object(world, "CANCEL", CANCEL_S):
+        with mock.patch.object(decision_model, "CANCEL", CANCEL_S):
             wrong = anyio.run(cluster.run)
     for line in wrong[:20]:
         print(f"wrong: {line}")
--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -29,7 +29,7 @@
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
 from tests import test_loopback
-from tests.standins import Fleet, State
+from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
 
 COLUMNS = ("listening", "healthy", "first worker", "first start", "all workers")
 
@@ -43,8 +43,8 @@
         data["deployment"]["workers"]["report_s"] = report_s
         data["deployment"]["teams"][0].update(gpus=400, gpus_max=400)
         self.settings = settings.parse(data)
-        self.state, self.machines, self.answered = State(), machines, dict[str, float]()
-        self.fleet = Fleet({"c0": self.settings.bind}, 31_000, every=report_s)
+        self.state, self.machines, self.answered = FakeStoreAndCloud(), machines, dict[str, float]()
+        self.fleet = FakeAgents({"c0": self.settings.bind}, 31_000, every=report_s)
         self.file = Path(tempfile.mkdtemp()) / "node.toml"
         self.file.write_text(tomli_w.dumps(data))
         self.process: subprocess.Popen[bytes] | None = None
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -15,7 +15,7 @@
 from ploverhall import settings
 from ploverhall.errors import UnreachableError
 from ploverhall.transport.http_client import Client
-from tests.played import DEAF, SILENT, Loop, Played
+from tests.simulation.cluster import DEAF, SILENT, SimulatedCluster, VirtualTimeLoop
 
 from . import inputs
 from .traffic import Recording, http_messages
@@ -25,17 +25,17 @@
 
 
 def run(
-    scene: Callable[[Played], Awaitable[None]],
-    before: Callable[[Played], None] = lambda p: None,
+    scene: Callable[[SimulatedCluster], Awaitable[None]],
+    before: Callable[[SimulatedCluster], None] = lambda p: None,
     **kwargs: Any,
-) -> tuple[Played, Recording]:
+) -> tuple[SimulatedCluster, Recording]:
     """Play a scene from the first packet on, with everything recorded."""
-    made: list[Played] = []
+    made: list[SimulatedCluster] = []
     recording = Recording(CONTROLLERS)
     logging.getLogger("asyncio").setLevel(logging.ERROR)
 
     async def main() -> None:
-        played = Played(SEED, **kwargs)
+        played = SimulatedCluster(SEED, **kwargs)
         made.append(played)
         before(played)
         async with anyio.create_task_group() as tg:
@@ -44,12 +44,12 @@
             tg.cancel_scope.cancel()
 
     with recording.on():
-        anyio.run(main, backend_options={"loop_factory": Loop})
+        anyio.run(main, backend_options={"loop_factory": VirtualTimeLoop})
     return made[0], recording
 
 
 async def call(
-    p: Played, who: str, method: str, path: str, body: object = None, at: str = "c0"
+    p: SimulatedCluster, who: str, method: str, path: str, body: object = None, at: str = "c0"
 ) -> Any:
     """One request of a user or operator; (status, body), or nothing."""
     client = Client(at, 80, 1, p.net.of(who), p.loop.time)
@@ -59,7 +59,7 @@
         return None
 
 
-async def raw(p: Played, port: int, data: bytes) -> str:
+async def raw(p: SimulatedCluster, port: int, data: bytes) -> str:
     """Send raw bytes; what comes back: one whole HTTP message, or all within two seconds."""
     stream = await p.net.connect("raw", "c0", port)
     back = b""
@@ -79,7 +79,7 @@
 # -- ordinary work and its troubles -------------------------------------------------------------
 
 
-async def _work(p: Played) -> None:
+async def _work(p: SimulatedCluster) -> None:
     """Jobs of each kind, a resubmission, a cancellation, machines rented and given back."""
     plain = {"breeds": ["t"], "marsh": "a", "duskS": 500.0, "nestS": 2.0, "tuckS": 1.0}
     await p.submit(p.spec(1, gait="array", chicks=12, flightS=6.0), "c0")
@@ -99,7 +99,7 @@
     await p.ask("j-000009", "c0")
 
 
-async def _order(p: Played) -> None:
+async def _order(p: SimulatedCluster) -> None:
     """A zone is drained, paused, resumed; another order is stopped."""
     order = {
         "id": "u-zone",
@@ -129,7 +129,7 @@
     await call(p, "operator", "POST", "/upkeep/u-zone/stop")
 
 
-async def _cuts(p: Played) -> None:
+async def _cuts(p: SimulatedCluster) -> None:
     """Controllers cut from store, cloud or workers; a failover; an isolated controller."""
     p.net.cut("c0", "state", SILENT, 5.0)
     p.cut_workers("c2", DEAF, 7.0)
@@ -160,17 +160,17 @@
     await anyio.sleep(7.0)
 
 
-async def _looks(p: Played, at: str = "c0") -> None:
+async def _looks(p: SimulatedCluster, at: str = "c0") -> None:
     """What a person is shown."""
     for query in ("", "?job=j-000002", "?team=team-2", f"?machine={max(p.fleet.workers)}"):
         await call(p, "operator", "GET", f"/status{query}", None, at)
     await call(p, "user", "GET", "/healthz", at="c1")
 
 
-def everyday() -> tuple[Played, Recording]:
+def everyday() -> tuple[SimulatedCluster, Recording]:
     """The whole scene of work and troubles."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await _work(p)
         await _looks(p)
         await _order(p)
@@ -188,7 +188,7 @@
     http: dict[str, Any] = {}
     link: dict[str, Any] = {}
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for name, data in inputs.bad_requests().items():
             http[name] = await raw(p, 80, data)
         for name, value in inputs.GREETINGS.items():
@@ -207,13 +207,13 @@
     """What users and operators are told by controllers that start on given stored values."""
     out: dict[str, Any] = {}
 
-    def before(p: Played) -> None:
+    def before(p: SimulatedCluster) -> None:
         for key, value in inputs.STORED.items():
             p.state.store.txn({}, {key: copy.deepcopy(value)}, [])
         for job in inputs.RUNNABLE:
             p.fleet.specs[job] = inputs.job_of_record(inputs.STORED[f"p/job/{job}"])
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         out["first"] = await _told(p)
         await anyio.sleep(25.0)
         out["later"] = await _told(p)
@@ -224,7 +224,7 @@
     return out
 
 
-async def _told(p: Played) -> dict[str, Any]:
+async def _told(p: SimulatedCluster) -> dict[str, Any]:
     told = {job: await call(p, "user", "GET", f"/api/jobs/{job}") for job in inputs.ASKED}
     told["orders"] = await call(p, "operator", "GET", "/upkeep")
     return told
--- a/tests/golden/traffic.py
+++ b/tests/golden/traffic.py
@@ -15,7 +15,7 @@
 import cbor2
 import orjson
 
-from tests.played import Network, Stream
+from tests.simulation.cluster import Network, Stream
 
 from .shapes import Kinds, pattern
 
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -32,9 +32,9 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol.peer_messages import ATTEMPT, AttemptUpdate
 
-from . import played, world
-from .meetings import CANCEL, LEASE, Begun, begin, draw
-from .played import HOLD, MODES, RESET, SILENT, Network, Played, Stream
+from .simulation import cluster, decision_model
+from .simulation.cluster import HOLD, MODES, RESET, SILENT, Network, SimulatedCluster, Stream
+from .simulation.fault_schedules import CANCEL, LEASE, ActiveFault, begin, draw
 
 RECORDED = Path(__file__).with_name("packet_checksums.json")
 INTERVAL_S = 10.0  # of virtual time between two kept values of the running checksum
@@ -50,7 +50,7 @@
 # The state whose reason is a sentence; the other states' reasons are the agents' codes
 GONE = "gone"
 
-Scene = Callable[[Played, Random], Awaitable[None]]
+Scene = Callable[[SimulatedCluster, Random], Awaitable[None]]
 
 
 @dataclass(frozen=True)
@@ -128,7 +128,7 @@
 # -- scenes ------------------------------------------------------------------------------------
 
 
-async def work(p: Played, s: float, every: float = 0.6) -> None:
+async def work(p: SimulatedCluster, s: float, every: float = 0.6) -> None:
     """Replicas on every part, and jobs that come and go for so long; returns when the scene's own events may begin."""
     for i in range(3):
         p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
@@ -136,7 +136,7 @@
     await anyio.sleep(10.0)
 
 
-async def drawn_day(p: Played, rng: Random) -> None:
+async def drawn_day(p: SimulatedCluster, rng: Random) -> None:
     """Two or three troubles that meet, with cancellations."""
     await work(p, 60.0, 1.0)
     troubles, until = draw(rng.randrange(1_000_000), times=1)
@@ -144,7 +144,7 @@
     await anyio.sleep(10.0)
 
 
-async def cuts(p: Played, rng: Random) -> None:
+async def cuts(p: SimulatedCluster, rng: Random) -> None:
     """Links of one controller are cut one after another, in each mode once over the seeds."""
     mode = MODES[p.seed % len(MODES)]
     await work(p, 40.0)
@@ -157,7 +157,7 @@
     await anyio.sleep(12.0)
 
 
-async def crashes(p: Played, rng: Random) -> None:
+async def crashes(p: SimulatedCluster, rng: Random) -> None:
     """Controllers end; some are back before their shard is taken over, some after."""
     await work(p, 40.0)
     for away in (0.2, 3.0, 9.0):
@@ -168,13 +168,13 @@
     await anyio.sleep(15.0)
 
 
-async def cancellations(p: Played, rng: Random) -> None:
+async def cancellations(p: SimulatedCluster, rng: Random) -> None:
     """Running, queued and ended jobs are cancelled, some beside a crash or a cut."""
     await work(p, 40.0, 0.3)
-    await Begun(p, rng).cancels()
+    await ActiveFault(p, rng).cancels()
     p.net.cut(rng.choice(p.names), "state", rng.choice([HOLD, SILENT, RESET]), 6.0)
     await anyio.sleep(1.0)
-    await Begun(p, rng).cancel_and_hang()
+    await ActiveFault(p, rng).cancel_and_hang()
     p.tasks.start_soon(p.crash, rng.choice(p.names), 1.0)
     for jid in rng.sample(
         sorted(j for j, asked in p.asked.items() if asked.accepted is not None), 10
@@ -183,7 +183,7 @@
     await anyio.sleep(25.0)
 
 
-async def scaling(p: Played, rng: Random) -> None:
+async def scaling(p: SimulatedCluster, rng: Random) -> None:
     """Demand beyond the fleet rents machines, with a lagging cloud; what is idle is given back."""
     fleet = p.fleet
     fleet.boots, fleet.list_lag_s, fleet.lost_answers, fleet.late_requests = (
@@ -201,7 +201,7 @@
     await anyio.sleep(100.0)
 
 
-async def maintenance(p: Played, rng: Random) -> None:
+async def maintenance(p: SimulatedCluster, rng: Random) -> None:
     """Machines are emptied within budgets; an order is paused, resumed and another one stopped, beside a crash."""
     await work(p, 40.0)
     machines = rng.sample(sorted(p.workers), 4)
@@ -218,7 +218,7 @@
     await anyio.sleep(40.0)
 
 
-async def relays(p: Played, rng: Random) -> None:
+async def relays(p: SimulatedCluster, rng: Random) -> None:
     """A controller reaches the state service, the cloud or its workers only through others."""
     await work(p, 50.0)
     name, other = rng.sample(p.names, 2)
@@ -230,7 +230,7 @@
     await anyio.sleep(40.0)
 
 
-async def request(p: Played, rng: Random, path: str, body: dict[str, Any]) -> None:
+async def request(p: SimulatedCluster, rng: Random, path: str, body: dict[str, Any]) -> None:
     """An operator's request to any controller; asked once, whatever comes of it."""
     with suppress(UnreachableError):
         await p.users[rng.choice(p.names)].call("POST", path, body, 5.0)
@@ -261,15 +261,15 @@
 def course(scene_run: SceneRun) -> Course:
     """Run a scene and return its checksums."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await SCENES[scene_run.kind](p, Random(f"{scene_run.name}"))
 
     with (
-        mock.patch.object(played, "Network", ComparedNetwork),
-        mock.patch.object(world, "LEASE", LEASE),
-        mock.patch.object(world, "CANCEL", CANCEL),
+        mock.patch.object(cluster, "Network", ComparedNetwork),
+        mock.patch.object(decision_model, "LEASE", LEASE),
+        mock.patch.object(decision_model, "CANCEL", CANCEL),
     ):
-        result = played.run(scene, scene_run.seed, options=OPTIONS.get(scene_run.kind))
+        result = cluster.run(scene, scene_run.seed, options=OPTIONS.get(scene_run.kind))
     net = result.net
     assert isinstance(net, ComparedNetwork)
     return Course([*net.history, net.digest()], net.packets, repr(result.loop.time()))
--- a/tests/played.py
+++ b/tests/simulation/cluster.py
@@ -2,7 +2,7 @@
 
 Nothing of a controller is left out or replaced: HTTP, the links, the loops run as in `serve`, on an event loop whose clock
 jumps to the next timer, over a network that knows for every directed pair of hosts how their packets fare. The stand-ins
-(tests/standins.py) speak the published protocol; the rules are judged from the workers' side only.
+(tests/simulation/fakes.py) speak the published protocol; the rules are judged from the workers' side only.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply, Server
 
-from . import world
-from .standins import Fleet, State
+from . import decision_model
+from .fakes import FakeAgents, FakeStoreAndCloud
 
 SILENT, HOLD, RESET, REFUSE, SLOW, LOSSY = "silent", "hold", "reset", "refuse", "slow", "lossy"
 DEAF = "deaf"  # like silent, but the other side can still connect and be heard
@@ -53,7 +53,7 @@
 
 
 class _Selector(selectors.DefaultSelector):  # type: ignore[valid-type, misc]
-    loop: Loop
+    loop: VirtualTimeLoop
 
     def select(self, timeout: float | None = None) -> Any:
         found = super().select(0)
@@ -68,7 +68,7 @@
         return found
 
 
-class Loop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop that never waits, and does the same every time.
 
     anyio keeps tasks and scopes in sets and cancels them in the sets' order: by address, unless they are counted. So the order in
@@ -301,7 +301,7 @@
 
 
 @dataclass
-class Asked:
+class SubmittedJob:
     """One user's job."""
 
     at: float
@@ -309,7 +309,7 @@
     refusals: int = 0
 
 
-class Played:
+class SimulatedCluster:
     """Three controllers and everything around them."""
 
     zones = ("a", "b", "a")
@@ -328,9 +328,9 @@
         self.rng = Random(seed)
         self.net = Network(self.rng, self.loop.time)
         self.names = [f"c{i}" for i in range(len(self.zones))]
-        self.state = State(self.loop.time)
+        self.state = FakeStoreAndCloud(self.loop.time)
         self.refused: set[str] = set()  # whom the state service refuses
-        self.fleet = Fleet(
+        self.fleet = FakeAgents(
             {n: (n, 80) for n in self.names},
             9000,
             self.loop.time,
@@ -347,7 +347,7 @@
         self.down: set[str] = set()
         self.users = {n: Client(n, 80, 2, self.net.of("user"), self.loop.time) for n in self.names}
         self.teams = {f"team-{i}": settings.Team(f"team-{i}", 0, 0, 4, 16) for i in range(teams)}
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, SubmittedJob] = {}
         self.bodies: dict[str, dict[str, Any]] = {}  # what was submitted
         # While users look closely: what their moments are drawn from
         self.closely: Random | None = None
@@ -397,10 +397,10 @@
                     ],
                     "workers": {
                         "report_s": 1.0,
-                        "lease_s": world.LEASE,
-                        "gang_wait_s": world.GANG_WAIT,
-                        "gang_peer_s": world.GANG_PEER,
-                        "cancel_s": world.CANCEL,
+                        "lease_s": decision_model.LEASE,
+                        "gang_wait_s": decision_model.GANG_WAIT,
+                        "gang_peer_s": decision_model.GANG_PEER,
+                        "cancel_s": decision_model.CANCEL,
                     },
                     "state": {"rps": 300.0, "write_rps": 150.0, "value_kb": 4.0, "txn_ops": 8},
                     "cloud": {"rps": 20.0, "list_lag_s": self.list_lag_s},
@@ -554,7 +554,7 @@
                 )
                 self.copies += 1
 
-        def sent(w: world.Worker, home: str, body: dict[str, Any]) -> None:
+        def sent(w: decision_model.ModelAgent, home: str, body: dict[str, Any]) -> None:
             if rng.random() < share and (some is None or w.name in some):
                 to = home if rng.random() < 0.6 else rng.choice(self.names)
                 self.tasks.start_soon(
@@ -604,7 +604,7 @@
         some = None if machines is None else set(machines)
         kept: dict[str, list[dict[str, Any]]] = {}
 
-        def sent(w: world.Worker, home: str, body: dict[str, Any]) -> None:
+        def sent(w: decision_model.ModelAgent, home: str, body: dict[str, Any]) -> None:
             if (some is None or w.name in some) and self.late.random() < share:
                 mine = kept.setdefault(w.name, [])
                 mine[each:] = [body]
@@ -689,7 +689,7 @@
                 if fits and (not job.single_zone or zones.get(jid, {w.zone}) == {w.zone}):
                     key = w.zone if job.single_zone else "any"
                     room[key] = room.get(key, 0) + int(
-                        (world.TYPE.gpus - w.used()) / job.gpus + 1e-6
+                        (decision_model.TYPE.gpus - w.used()) / job.gpus + 1e-6
                     )
             if max(room.values(), default=0) >= need:
                 out.add(jid)
@@ -707,12 +707,12 @@
         while True:
             await anyio.sleep(0.25)
             try:
-                world.World.judge(self)  # type: ignore[arg-type]
-            except world.Broken as e:
+                decision_model.DecisionModel.judge(self)  # type: ignore[arg-type]
+            except decision_model.RuleBrokenError as e:
                 self.broken.append(str(e))
 
     @property
-    def workers(self) -> dict[str, world.Worker]:
+    def workers(self) -> dict[str, decision_model.ModelAgent]:
         return self.fleet.workers
 
     @property
@@ -723,7 +723,7 @@
 
     async def submit(self, spec: dict[str, Any], to: str | None = None) -> None:
         """A user submits until it is accepted, at any controller that takes it."""
-        asked = self.asked[spec["id"]] = Asked(self.now)
+        asked = self.asked[spec["id"]] = SubmittedJob(self.now)
         self.bodies[spec["id"]] = spec
         self.fleet.specs[spec["id"]] = jobs.parse_submission(spec, 0.0)
         while asked.accepted is None and self.now - asked.at < 60.0:
@@ -929,7 +929,7 @@
         missing = sorted(FIELDS - body.keys())
         if missing:
             return f"lacks {missing[0]}"
-        team, kind = self.teams.get(body["keeper"]), world.TYPE
+        team, kind = self.teams.get(body["keeper"]), decision_model.TYPE
         zones = {z for z in kind.zones if body.get("marsh") in (None, z)}
         if team is None:
             return "unknown team"
@@ -1032,25 +1032,29 @@
 LARGEST_BEGIN_S = 240.0
 
 
-def play(scene: Callable[[Played], Awaitable[None]], seed: int = 1, **kw: Any) -> Played:
+def play(
+    scene: Callable[[SimulatedCluster], Awaitable[None]], seed: int = 1, **kw: Any
+) -> SimulatedCluster:
     """Run a scene in virtual time; the rules are judged all along."""
     played = run(scene, seed, **kw)
     played.check()
     return played
 
 
-def run(scene: Callable[[Played], Awaitable[None]], seed: int = 1, **kw: Any) -> Played:
+def run(
+    scene: Callable[[SimulatedCluster], Awaitable[None]], seed: int = 1, **kw: Any
+) -> SimulatedCluster:
     """Run a scene in virtual time, without the verdict at its end.
 
     Raises SceneError if the scene never ends, or if a controller logs an error that is a mistake in
     code: then whatever the test sees comes from that mistake and not from the guard that it is about.
     """
-    out: list[Played] = []
+    out: list[SimulatedCluster] = []
     mistakes: list[str] = []
     logging.getLogger("asyncio").setLevel(logging.ERROR)
 
     async def main() -> None:
-        p = Played(seed, **kw)
+        p = SimulatedCluster(seed, **kw)
         out.append(p)
         async with anyio.create_task_group() as tg:
             with _mistakes_noted(mistakes, tg.cancel_scope.cancel):
@@ -1058,7 +1062,7 @@
                 await scene(p)
                 tg.cancel_scope.cancel()
 
-    anyio.run(main, backend_options={"loop_factory": Loop})
+    anyio.run(main, backend_options={"loop_factory": VirtualTimeLoop})
     if mistakes:
         raise SceneError(f"a mistake in code: {mistakes[:3]}")
     return out[0]
--- a/tests/world.py
+++ b/tests/simulation/decision_model.py
@@ -34,11 +34,11 @@
 TYPE = MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a", "b"))
 
 
-class Broken(AssertionError):
+class RuleBrokenError(AssertionError):
     """A rule of the protocol was broken."""
 
 
-class Store:
+class ModelStore:
     """The state service."""
 
     def __init__(self) -> None:
@@ -82,10 +82,10 @@
         return {k: v for k, v in sorted(self.kv.items()) if k.startswith(prefix)}
 
 
-class Worker:
+class ModelAgent:
     """One machine, to the letter of the protocol."""
 
-    def __init__(self, world: World, name: str, zone: str, spot: bool) -> None:
+    def __init__(self, world: DecisionModel, name: str, zone: str, spot: bool) -> None:
         self.w, self.name, self.zone, self.spot = world, name, zone, spot
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[agents.AttemptId, dict[str, Any]] = {}
@@ -187,10 +187,10 @@
         return [k for k, t in self.tasks.items() if t["state"] not in ("pulling", "ended")]
 
 
-class Held:
+class ModelShard:
     """A shard held by a node in the world."""
 
-    def __init__(self, node: Node, shard: int, epoch: int) -> None:
+    def __init__(self, node: ModelController, shard: int, epoch: int) -> None:
         w = node.w
         self.node, self.shard, self.epoch = node, shard, epoch
         self.owner = ShardOwner(shard, epoch, len(w.nodes), LEASE, REPORT, 5.0, 5, w.rng, w.now)
@@ -214,10 +214,10 @@
         self.busy = False
 
 
-class Node:
+class ModelController:
     """One controller, with its crash and its copy of the store."""
 
-    def __init__(self, world: World, index: int, zone: str) -> None:
+    def __init__(self, world: DecisionModel, index: int, zone: str) -> None:
         self.w, self.index, self.zone, self.name = world, index, zone, f"c{index}"
         self.boot()
 
@@ -238,7 +238,7 @@
         if self.reaches_store:
             self.load()
         self.inbox, self.outbox = InboundChannels(), OutboundChannels()
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, ModelShard] = {}
         self.generation: dict[str, int] = {}
         self.wires: dict[tuple[str, int, int], float] = {}
         self.spoke: dict[str, float] = {}
@@ -333,12 +333,12 @@
                 self.outbox.drop(("s", "o"), h.shard)
 
     def take(self, shard: int, epoch: int) -> None:
-        self.held[shard] = Held(self, shard, epoch)
+        self.held[shard] = ModelShard(self, shard, epoch)
         for (kind, src, dst), (e, state) in list(self.inbox.channels.items()):
             if dst == shard:
                 self.dispatch([kind, src, e, dst, True, dict(state)])
 
-    def owners_again(self, h: Held) -> None:
+    def owners_again(self, h: ModelShard) -> None:
         for (kind, src, dst), (e, state) in list(self.inbox.channels.items()):
             if dst == h.shard and kind == "o":
                 self.dispatch([kind, src, e, dst, True, dict(state)])
@@ -403,7 +403,7 @@
         for h in self.held.values():
             h.owner.epoch_confirmed_at = max(h.owner.epoch_confirmed_at, begun)
 
-    def _step(self, h: Held, now: float) -> None:
+    def _step(self, h: ModelShard, now: float) -> None:
         o, s = h.owner, h.source
         o.advance_time(now)
         if o.confirmation_needed:
@@ -428,7 +428,7 @@
     return [_copy(v) for v in x] if isinstance(x, (list, tuple)) else x
 
 
-class World:
+class DecisionModel:
     """Everything, and the judge of the rules."""
 
     def __init__(
@@ -457,7 +457,7 @@
         self.now = 0.0
         self.n = 0
         self.queue: list[tuple[float, int, Any, tuple[Any, ...]]] = []
-        self.store = Store()
+        self.store = ModelStore()
         self.value_bytes, self.txn_ops = value_bytes, txn_ops
         self.teams = {f"team-{i}": Team(f"team-{i}", 0, 0, 4, 10) for i in range(4)}
         self.layout = ShardMap([("c0", "a"), ("c1", "b"), ("c2", "a")], list(self.teams))
@@ -465,12 +465,12 @@
         self.results: set[tuple[str, int]] = set()
         self.cancelled: dict[str, float] = {}
         self.cuts: dict[tuple[str, str], float] = {}
-        self.nodes: list[Node] = []
+        self.nodes: list[ModelController] = []
         for i, z in enumerate("aba"):
-            self.nodes.append(Node(self, i, z))
+            self.nodes.append(ModelController(self, i, z))
         self.orphan: dict[int, float] = {}
         self.workers = {
-            f"n-{i}": Worker(self, f"n-{i}", "ab"[i % 2], i % 4 == 3) for i in range(machines)
+            f"n-{i}": ModelAgent(self, f"n-{i}", "ab"[i % 2], i % 4 == 3) for i in range(machines)
         }
         self.starts = 0
         for w in self.workers.values():
@@ -493,7 +493,7 @@
             what(*args)
         self.now = until
 
-    def asleep(self, node: Node, what: Any, *args: Any) -> bool:
+    def asleep(self, node: ModelController, what: Any, *args: Any) -> bool:
         """What reaches a controller that stands still lies unread until it wakes; in which order it goes on is not said."""
         if self.now < node.frozen_until:
             self.later(node.frozen_until - self.now + 0.06 * self.rng.random(), what, *args)
@@ -501,7 +501,7 @@
         return False
 
     def cut(self, a: Any, b: Any) -> bool:
-        if isinstance(a, Node) and isinstance(b, Node) and (a.dark or b.dark):
+        if isinstance(a, ModelController) and isinstance(b, ModelController) and (a.dark or b.dark):
             return True
         return self.cuts.get((min(a.name, b.name), max(a.name, b.name)), 0.0) > self.now
 
@@ -547,13 +547,13 @@
             for w in self.workers.values():
                 self.cuts[min(node.name, w.name), max(node.name, w.name)] = self.now + 6.0
 
-    def gap(self, node: Node, before: float, s: float) -> None:
+    def gap(self, node: ModelController, before: float, s: float) -> None:
         """The store refuses one controller, and then everybody; an outage gives every lease its full time again."""
         if self.now >= self.down_until:
             node.refused_until = self.now + before + self.rng.choice([0.0, 10.0])
             self.later(before, lambda: setattr(self, "down_until", self.now + s))
 
-    def darken(self, node: Node, s: float) -> None:
+    def darken(self, node: ModelController, s: float) -> None:
         """A zone is cut off, this controller in it: only its zone's workers reach it, and they reach nobody else."""
         if any(n.dark for n in self.nodes):
             return
@@ -563,7 +563,7 @@
                 if (n is node) != (w.zone == node.zone):
                     self.cuts[min(n.name, w.name), max(n.name, w.name)] = self.now + s
 
-    def crash(self, node: Node, down: float) -> None:
+    def crash(self, node: ModelController, down: float) -> None:
         node.lives += 1
         node.held.clear()
         node.up_at = self.now + down
@@ -600,7 +600,7 @@
             n.out_since = (n.out_since if n.out_since is not None else self.now) if out else None
         self.judge()
 
-    def shards(self, n: Node) -> None:
+    def shards(self, n: ModelController) -> None:
         for i in range(len(self.nodes)):
             value, version = self.store.kv.get(f"{SHARD_PREFIX}{i}", (None, 0))
             holder = value["node"] if value else None
@@ -620,7 +620,7 @@
                     n, i, version
                 )  # as if its holder's lease had ended: it is deposed unawares
 
-    def claim(self, n: Node, shard: int, version: int) -> None:
+    def claim(self, n: ModelController, shard: int, version: int) -> None:
         rev, failed = self.store.txn(
             {f"{SHARD_PREFIX}{shard}": version}, {f"{SHARD_PREFIX}{shard}": {"node": n.name}}, []
         )
@@ -628,7 +628,7 @@
             self.orphan.pop(shard, None)
             n.take(shard, rev)
 
-    def write(self, node: Node, h: Held, txn: Any) -> None:
+    def write(self, node: ModelController, h: ModelShard, txn: Any) -> None:
         # What a cut holds back of it is not played: unknown, and not executed
         fate = self.rng.random() if node.reaches_store else 1.0
         lives = node.lives
@@ -679,7 +679,7 @@
         else:
             self.later(1.0, outcome, 0, [], True)
 
-    def report(self, w: Worker) -> None:
+    def report(self, w: ModelAgent) -> None:
         if w.dead:
             return
         self.later(REPORT * (0.75 + 0.5 * self.rng.random()), self.report, w)
@@ -716,7 +716,13 @@
         self.answer(node, w, body, sent, session, False)
 
     def answer(
-        self, node: Node, w: Worker, body: dict[str, Any], sent: float, session: int, late: bool
+        self,
+        node: ModelController,
+        w: ModelAgent,
+        body: dict[str, Any],
+        sent: float,
+        session: int,
+        late: bool,
     ) -> None:
         if not node.up:
             return
@@ -753,7 +759,7 @@
         ):
             w.on_answer(reply, sent, session)
 
-    def direct(self, node: Node, h: Held, m: Any, body: dict[str, Any]) -> None:
+    def direct(self, node: ModelController, h: ModelShard, m: Any, body: dict[str, Any]) -> None:
         w = self.workers[m.name]
         lives = node.lives
         fate = self.rng.random() if self.chaos > 0 else 0.0
@@ -789,7 +795,9 @@
     # -- gangs ---------------------------------------------------------------------------------
 
     def gangs(self) -> None:
-        groups: dict[tuple[str, int], list[tuple[Worker, agents.AttemptId, dict[str, Any]]]] = {}
+        groups: dict[
+            tuple[str, int], list[tuple[ModelAgent, agents.AttemptId, dict[str, Any]]]
+        ] = {}
         for w in self.workers.values():
             for k, t in w.tasks.items():
                 if self.specs[k[0]].kind == "gang" and t["state"] in ("waiting", "running"):
@@ -860,9 +868,9 @@
 
     def check_done(self, jid: str) -> None:
         if any((jid, i) not in self.results for i in range(self.specs[jid].task_count)):
-            raise Broken(f"not_done: {jid} at {self.now}")
+            raise RuleBrokenError(f"not_done: {jid} at {self.now}")
 
-    def started(self, w: Worker, key: agents.AttemptId) -> None:
+    def started(self, w: ModelAgent, key: agents.AttemptId) -> None:
         """A task is on its machine from now on."""
         self.starts += 1
         job = self.specs[key[0]]
@@ -870,7 +878,7 @@
         for other in self.workers.values():
             for k in other.on_machine():
                 if k[:2] == key[:2] and other is not w:
-                    raise Broken(
+                    raise RuleBrokenError(
                         f"ran_twice: {key} on {w.name} while {k} is on {other.name} at {self.now}"
                     )
                 if k[0] == key[0]:
@@ -880,9 +888,9 @@
             or (job.zone and job.zone != w.zone)
             or (job.single_zone and len(zones) > 1)
         ):
-            raise Broken(f"wrong_place: {key} on {w.name}")
+            raise RuleBrokenError(f"wrong_place: {key} on {w.name}")
         if job.spread_zones and zones[w.zone] > job.max_tasks_per_zone:
-            raise Broken(f"wrong_place: {key} on {w.name}: {zones}")
+            raise RuleBrokenError(f"wrong_place: {key} on {w.name}: {zones}")
 
     def judge(self) -> None:
         used: dict[str, float] = {}
@@ -894,10 +902,10 @@
                 used[job.team] = used.get(job.team, 0.0) + job.gpus
                 # hanging excuses nothing: within its lease the machine may go on, and beyond it there is nothing on it
                 if k[0] in self.cancelled and self.now - self.cancelled[k[0]] > CANCEL:
-                    raise Broken(f"ran_cancelled: {k} on {w.name} at {self.now}")
+                    raise RuleBrokenError(f"ran_cancelled: {k} on {w.name} at {self.now}")
         for team, gpus in used.items():
             if gpus > self.teams[team].max_gpus + 1e-6:
-                raise Broken(f"quota: {team} uses {gpus} at {self.now}")
+                raise RuleBrokenError(f"quota: {team} uses {gpus} at {self.now}")
 
 
 def job(rng: Random, jid: str, at: float) -> Job:
--- a/tests/standins.py
+++ b/tests/simulation/fakes.py
@@ -1,6 +1,6 @@
 """Stand-ins that speak the published protocol over whatever network they are given: state service, cloud, workers.
 
-On loopback sockets in real time (test_loopback), and in virtual time over links that can be cut (played).
+On loopback sockets in real time (test_loopback), and in virtual time over links that can be cut (cluster).
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from ploverhall.transport.http_server import Reply, Server
 from ploverhall.transport.network import TCP_NETWORK, Network
 
-from . import world
+from . import decision_model
 
 
-class State:
+class FakeStoreAndCloud:
     """The state service."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
-        self.store = world.Store()
+        self.store = decision_model.ModelStore()
         self.leases: dict[int, tuple[float, float]] = {}
         self.tied: dict[str, int] = {}
         self.down = False
@@ -124,7 +124,7 @@
         return Reply(404, {"moult": s.rev})
 
 
-class Fleet:
+class FakeAgents:
     """The cloud, with workers that boot at once and report to the controllers as the protocol has it."""
 
     def __init__(
@@ -145,7 +145,9 @@
         self.nodes = list(controllers)
         self.specs: dict[str, Job] = {}
         self.results: set[tuple[str, int]] = set()
-        self.machines: dict[str, tuple[world.Worker, dict[str, Any], anyio.CancelScope]] = {}
+        self.machines: dict[
+            str, tuple[decision_model.ModelAgent, dict[str, Any], anyio.CancelScope]
+        ] = {}
         self.pleas: dict[str, list[str]] = {}
         self.starts = 0
         self.started_at: list[float] = []
@@ -160,7 +162,7 @@
         self.tasks: Any = None
         self.most = 10_000  # machines that are to be had
         # Told of every report that leaves
-        self.sent: Callable[[world.Worker, str, dict[str, Any]], None] | None = None
+        self.sent: Callable[[decision_model.ModelAgent, str, dict[str, Any]], None] | None = None
         # Every start: when, which attempt of which task, on which machine
         self.starts_of: list[tuple[float, Any, str]] = []
         # the cloud's own troubles; its draws are its own
@@ -188,10 +190,10 @@
         return self.clock()
 
     @property
-    def workers(self) -> dict[str, world.Worker]:
+    def workers(self) -> dict[str, decision_model.ModelAgent]:
         return {n: w for n, (w, _, _) in self.machines.items()}
 
-    def started(self, w: world.Worker, key: Any) -> None:
+    def started(self, w: decision_model.ModelAgent, key: Any) -> None:
         self.started_at.append(self.now)
         self.started_on.append((self.now, w.name))
         self.first_starts.add(key[:2])
@@ -199,8 +201,8 @@
         self.first_at.setdefault(key[:2], self.now)
         self.starts_of.append((self.now, key, w.name))
         try:
-            world.World.started(self, w, key)  # type: ignore[arg-type]
-        except world.Broken as e:
+            decision_model.DecisionModel.started(self, w, key)  # type: ignore[arg-type]
+        except decision_model.RuleBrokenError as e:
             self.broken.append(str(e))
 
     async def handle(self, q: Request) -> Reply:
@@ -286,7 +288,7 @@
     def boot(self, body: dict[str, Any]) -> str:
         name, port = f"n-{len(self.pleas):03d}{self.next_port}", self.next_port
         self.next_port += 1
-        w = world.Worker(self, name, body["marsh"], body["driftwood"])  # type: ignore[arg-type]
+        w = decision_model.ModelAgent(self, name, body["marsh"], body["driftwood"])  # type: ignore[arg-type]
         at = f"{self.host or name}:{port}"
         listed = {
             "id": name,
@@ -304,14 +306,14 @@
         self.tasks.start_soon(self.live, w, port, at, scope)
         return name
 
-    async def _boots(self, w: world.Worker, listed: dict[str, Any]) -> None:
+    async def _boots(self, w: decision_model.ModelAgent, listed: dict[str, Any]) -> None:
         if self.boots[1] > 0.0:
             listed["stance"] = "booting"
             await anyio.sleep(self.cloud_rng.uniform(*self.boots))
             listed["stance"] = "running"
             w.answered_sent = self.now  # its lease counts from when it began
 
-    async def awake(self, w: world.Worker) -> bool:
+    async def awake(self, w: decision_model.ModelAgent) -> bool:
         """Waits until a machine that hangs goes on; whether it hung."""
         hung = self.now < w.hung_until
         while self.now < w.hung_until:
@@ -320,7 +322,7 @@
             )  # troubles may end sooner than they were to
         return hung
 
-    def tick(self, w: world.Worker) -> None:
+    def tick(self, w: decision_model.ModelAgent) -> None:
         session, tasks = w.session, len(w.tasks)
         if self.now < w.hung_until:
             return  # nothing is executed; what its lease has ended is killed first when it goes on
@@ -328,7 +330,9 @@
         if w.session != session:
             self.killed_by_lease += tasks
 
-    async def live(self, w: world.Worker, port: int, at: str, scope: anyio.CancelScope) -> None:
+    async def live(
+        self, w: decision_model.ModelAgent, port: int, at: str, scope: anyio.CancelScope
+    ) -> None:
         net = self.net(self.host or w.name)
 
         async def do(q: Request) -> Reply:
@@ -399,7 +403,7 @@
                         if (
                             self.now >= soon
                             and w.token > token
-                            and self.now - told > world.LEASE / 2
+                            and self.now - told > decision_model.LEASE / 2
                         ):
                             told = self.now
                             break
@@ -407,12 +411,12 @@
                             break
                         await anyio.sleep(min(0.1, self.every))
 
-    async def _ticks(self, w: world.Worker) -> None:
+    async def _ticks(self, w: decision_model.ModelAgent) -> None:
         while True:
             await anyio.sleep(min(0.1, self.every))
             self.tick(w)
             if w is next(iter(self.workers.values()), None):
-                world.World.gangs(self)  # type: ignore[arg-type]
+                decision_model.DecisionModel.gangs(self)  # type: ignore[arg-type]
 
 
 def unguarded(*prefixes: str) -> tuple[type, str, Any]:
--- a/tests/meetings.py
+++ b/tests/simulation/fault_schedules.py
@@ -1,10 +1,10 @@
-"""Troubles that meet: two or three at once, drawn from a seed, over three whole controllers (tests/played.py).
+"""Troubles that meet: two or three at once, drawn from a seed, over three whole controllers.
 
 Every rule is judged from outside all along; at the end every accepted job must be answered by every controller within `KNOWN_S`.
 
-    python -m tests.meetings --seeds 200 [--first 1000] [--only gap] [--jobs 7]
-    python -m tests.meetings --of 2 [--first 1000]
-    python -m tests.meetings --shrink 1017 [--only gap]
+    python -m tests.simulation.fault_schedules --seeds 200 [--first 1000] [--only gap] [--jobs 7]
+    python -m tests.simulation.fault_schedules --of 2 [--first 1000]
+    python -m tests.simulation.fault_schedules --shrink 1017 [--only gap]
 
 plays hundreds and names the seeds that broke something; plays every pair (`--of 3`: every triple) of kinds once; finds the fewest
 troubles of a seed's day that still break the same rule.
@@ -25,8 +25,8 @@
 
 from ploverhall.errors import UnreachableError
 
-from . import world
-from .played import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW, Played, play
+from . import decision_model
+from .cluster import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW, SimulatedCluster, play
 
 KNOWN_S = 75.0
 # The deployments' own; a worker that tries two silent controllers is back after 11 s
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class Fault:
     """One trouble of a day: when it begins (seconds from the begin of the first), what it is, and the seed of all it draws."""
 
     at: float
@@ -45,13 +45,13 @@
     seed: str
 
 
-class Begun:
+class ActiveFault:
     """A trouble begun at once and over by itself, or when it is cancelled and `Played.calm` is called.
 
     Its draws are its own, so that a day without it has the same others.
     """
 
-    def __init__(self, p: Played, rng: Random) -> None:
+    def __init__(self, p: SimulatedCluster, rng: Random) -> None:
         self.p, self.rng = p, rng
 
     def some(self, n: int = 1) -> list[str]:
@@ -373,29 +373,29 @@
     "new_machines",
 )
 MACHINES = ("mute", "hang", "cancel_and_hang", "held_command", "for_next", "new_machines")
-Day = tuple[list[Trouble], float]  # the troubles by their times, and when all of them are ended
+Day = tuple[list[Fault], float]  # the troubles by their times, and when all of them are ended
 
 
 def draw(seed: int, kinds: Sequence[str] = KINDS, times: int = 2) -> Day:
     """Meetings of two or three troubles, each with cancellations soon after it begins."""
-    rng, at, out = Random(f"meeting {seed}"), 0.0, list[Trouble]()
+    rng, at, out = Random(f"meeting {seed}"), 0.0, list[Fault]()
     for _ in range(times):
         for kind in rng.sample(list(kinds), min(len(kinds), rng.choice([2, 2, 3]))):
-            out.append(Trouble(at, kind, f"{seed} {len(out)}"))
-            out.append(Trouble(at + rng.uniform(0.5, 6.0), "cancels", f"{seed} {len(out)}"))
+            out.append(Fault(at, kind, f"{seed} {len(out)}"))
+            out.append(Fault(at + rng.uniform(0.5, 6.0), "cancels", f"{seed} {len(out)}"))
             at += rng.choice([0.0, 0.3, 2.0, 6.0])
         at += rng.choice([12.0, 35.0, CANCEL + 35.0])
     return sorted(out, key=lambda t: t.at), at
 
 
-async def begin(p: Played, day: Day) -> None:
+async def begin(p: SimulatedCluster, day: Day) -> None:
     """Play a day's troubles; all of them are over then, those too that were still to do something."""
     troubles, until = day
     at = p.now
     async with anyio.create_task_group() as tg:
         for t in troubles:
             await anyio.sleep(max(0.0, at + t.at - p.now))
-            tg.start_soon(getattr(Begun(p, Random(t.seed)), t.kind))
+            tg.start_soon(getattr(ActiveFault(p, Random(t.seed)), t.kind))
         await anyio.sleep(max(0.0, at + until - p.now))
         tg.cancel_scope.cancel()
     p.calm()
@@ -404,11 +404,13 @@
         await anyio.sleep(0.1)
 
 
-def meet(seed: int, kinds: Sequence[str] = KINDS, times: int = 2, day: Day | None = None) -> Played:
+def meet(
+    seed: int, kinds: Sequence[str] = KINDS, times: int = 2, day: Day | None = None
+) -> SimulatedCluster:
     """A day's meetings, while jobs come, end and are cancelled; every rule is judged."""
     played_day = day or draw(seed, kinds, times)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for i in range(3):
             p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
         # Arrays and gangs that run on through a change of leader
@@ -433,12 +435,12 @@
         assert not left, f"left waiting: {sorted(left)[:3]}"
         await anyio.sleep(max(CANCEL + 3.0, 200.0 + 35.0 - (p.now - p.settled_at)))
 
-    before = world.LEASE, world.CANCEL
-    world.LEASE, world.CANCEL = LEASE, CANCEL
+    before = decision_model.LEASE, decision_model.CANCEL
+    decision_model.LEASE, decision_model.CANCEL = LEASE, CANCEL
     try:
         return play(scene, seed)
     finally:
-        world.LEASE, world.CANCEL = before
+        decision_model.LEASE, decision_model.CANCEL = before
 
 
 def verdict(task: tuple[int, Sequence[str], Day | None]) -> tuple[int, str]:
@@ -506,11 +508,11 @@
     out: list[tuple[int, Sequence[str], Day | None]] = []
     for i, some in enumerate(itertools.combinations(kinds, of)):
         seed = first + i
-        rng, at, day = Random(f"combined {seed}"), 0.0, list[Trouble]()
+        rng, at, day = Random(f"combined {seed}"), 0.0, list[Fault]()
         for kind in rng.sample(some, of):
             day += [
-                Trouble(at, kind, f"{seed} {kind}"),
-                Trouble(at + rng.uniform(0.5, 6.0), "cancels", f"{seed} {kind} cancels"),
+                Fault(at, kind, f"{seed} {kind}"),
+                Fault(at + rng.uniform(0.5, 6.0), "cancels", f"{seed} {kind} cancels"),
             ]
             at += rng.choice([0.0, 0.3, 2.0, 6.0])
         out.append((seed, some, (sorted(day, key=lambda t: t.at), at + CANCEL + 35.0)))
--- a/tests/test_asked.py
+++ b/tests/test_accepted_jobs_known.py
@@ -1,4 +1,4 @@
-"""Every accepted job is known: asked for all the time, by every controller, also long after it is over (tests/played.py).
+"""Every accepted job is known: asked for all the time, by every controller, also long after it is over.
 
 `Played` asks about accepted jobs in all scenes, and fails on a 404 or an older answer. Here every job is asked for at every
 controller once all troubles are over, and each must answer within 75 s.
@@ -19,8 +19,8 @@
 from ploverhall.storage.schema import JOB_PREFIX
 from ploverhall.storage.store_cache import StoreCache
 
-from .played import HOLD, RESET, Played, play
-from .test_carry import busy
+from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
+from .test_relay import busy
 
 KNOWN_S = 75.0
 
@@ -29,7 +29,7 @@
 def test_once_all_troubles_are_over_every_job_is_answered_by_every_controller(seed: int) -> None:
     """Ends of one and of all, cuts, an outage, cancellations meanwhile; few jobs are kept, the others are read from the archive."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await busy(p, 70.0)
         for i in range(8):
@@ -70,7 +70,7 @@
 def test_a_member_that_never_returns_keeps_nobody_waiting() -> None:
     """A cancellation is told once it must have stopped, however the platform's times are."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 20.0)
         p.tasks.start_soon(p.crash, "c2", 1e6)
         await anyio.sleep(2.0)
@@ -89,7 +89,7 @@
 def test_a_record_that_cant_be_read_keeps_no_other_job_unanswered() -> None:
     """Untouched, the watch failed on it for ever, and every controller answered 503 to everybody."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 30.0)
         p.state.store.txn({}, {JOB_PREFIX + "j-000777": ["of a later release"]}, [])
         await anyio.sleep(5.0)
@@ -113,7 +113,7 @@
 def test_old_jobs_are_looked_up_however_short_requests_are(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(job_requests, "MAX_LOOKUP_DELAY_S", 5.0)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 20.0, services=0)
         await anyio.sleep(30.0)
         node = p.nodes["c0"]
@@ -132,7 +132,7 @@
 
 
 def test_what_was_accepted_stays_accepted_though_it_could_not_run_any_more() -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(1, gait="array", chicks=1))
         await anyio.sleep(20.0)
         shared = p.nodes["c0"].context
@@ -155,7 +155,7 @@
 def test_the_judge_notices() -> None:
     """An answer that is older than the last one, or none, or a wrong one."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(1, gait="array", chicks=1))
         await anyio.sleep(20.0)
         assert await p.ask("j-000001", "c0") and p.told["j-000001"] == "done"
--- a/tests/test_machines.py
+++ b/tests/test_agents.py
@@ -1,4 +1,4 @@
-"""The machines' side where two troubles meet: new ones, old reports, mute, deaf and hanging ones (tests/played.py).
+"""The machines' side where two troubles meet: new ones, old reports, mute, deaf and hanging ones.
 
 Rules are judged from outside all along; a scene that is played without the guard it is there for has to break.
 """
@@ -26,18 +26,18 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.scheduling.shard_state import ShardState
 
-from . import world
-from .meetings import MACHINES, meet
-from .played import HOLD, RESET, SILENT, SLOW, Played, play
-from .test_copies import _check_without_tokens, copies_are_news
-from .test_meetings import always
+from .simulation import decision_model
+from .simulation.cluster import HOLD, RESET, SILENT, SLOW, SimulatedCluster, play
+from .simulation.fault_schedules import MACHINES, meet
+from .test_fault_schedules import always
+from .test_stale_heartbeats import _check_without_tokens, copies_are_news
 
 
-def broken_by(p: Played) -> list[str]:
+def broken_by(p: SimulatedCluster) -> list[str]:
     return p.broken + p.fleet.broken
 
 
-def taken_for_gone(p: Played) -> set[str]:
+def taken_for_gone(p: SimulatedCluster) -> set[str]:
     """Machines that live and that somebody believes to be gone for certain."""
     alive = p.fleet.workers.keys()
     return {
@@ -59,7 +59,7 @@
         lambda self, js, now: 0 if js.id == "j-000901" else real(self, js, now),
     )
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         p.fleet.most = len(p.fleet.machines)
         await p.submit(p.spec(900, gait="daemon", chicks=12, marsh="a"))  # zone a is full
         await anyio.sleep(4.0)
@@ -101,10 +101,10 @@
     """Rentals are executed and not answered, or late; lists lag. Nothing that lives is taken for gone; all is used or returned."""
     if without is not None:
         without(monkeypatch)
-    monkeypatch.setattr(Played, "list_lag_s", 3.0)
+    monkeypatch.setattr(SimulatedCluster, "list_lag_s", 3.0)
     gone: set[str] = set()
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         f = p.fleet
         f.boots, f.list_lag_s, f.lost_answers, f.late_requests = (0.2, 2.0), 3.0, 0.1, 0.1
         p.late_writes = 0.2
@@ -161,7 +161,7 @@
         monkeypatch.setattr(Autoscaler, "deleted_for", told_by_name, raising=False)
     back: list[bool] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 904):
             await p.submit(p.spec(n, gait="daemon", chicks=8))
         await anyio.sleep(5.0)
@@ -243,7 +243,7 @@
         without(monkeypatch)
     lost: list[int] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         p.keep_for_next()
         await anyio.sleep(4.0)
         for n in range(900, 904):
@@ -318,7 +318,7 @@
         without(monkeypatch)
     given: list[Any] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 904):
             await p.submit(p.spec(n, gait="daemon", chicks=6))
         p.tasks.start_soon(p.flow, 60.0, 0.7)
@@ -354,11 +354,11 @@
 @pytest.mark.parametrize("mute", [True, False])
 def test_a_stop_that_was_lost_is_sent_again(mute: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """By command, where that reaches the machine again: it need not wait for a report, or for its lease."""
-    monkeypatch.setattr(world, "LEASE", 16.0)
-    monkeypatch.setattr(world, "CANCEL", 46.0)
+    monkeypatch.setattr(decision_model, "LEASE", 16.0)
+    monkeypatch.setattr(decision_model, "CANCEL", 46.0)
     took: list[float] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(900, gait="daemon", chicks=8))
         await anyio.sleep(6.0)
         some = {w.name for w in p.fleet.workers.values() if w.tasks}
@@ -422,7 +422,7 @@
     if without is not None:
         without(monkeypatch)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 904):
             await p.submit(p.spec(n, gait="daemon", chicks=4))
         await anyio.sleep(6.0)  # all have the image
@@ -521,7 +521,7 @@
         without(monkeypatch)
     stopped: list[int] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         if not room:
             p.fleet.most = len(p.fleet.machines)  # and what is taken is not to be had again
         n = 900
@@ -598,7 +598,7 @@
         without(monkeypatch)
     zones: set[str] = set()
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         p.fleet.most = len(p.fleet.machines)
         await p.submit(p.spec(900, gait="array", chicks=6, flightS=30.0, together=True))
         await anyio.sleep(4.0)
@@ -673,7 +673,7 @@
     if without is not None:
         without(monkeypatch)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 908):
             await p.submit(p.spec(n, gait="daemon", chicks=2, marsh=("a", "b", None)[n % 3]))
         p.tasks.start_soon(p.flow, 90.0, 3.0)
@@ -708,7 +708,10 @@
 
 @pytest.mark.parametrize("seed", [5002])
 def test_machines_of_all_kinds_of_trouble_in_drawn_days(seed: int) -> None:
-    """More by `python -m tests.meetings --only mute --only hang ...`; nothing is left waiting at the end of any drawn day."""
+    """Nothing is left waiting at the end of any drawn day.
+
+    More by `python -m tests.simulation.fault_schedules --only mute --only hang ...`.
+    """
     meet(seed, (*MACHINES, "crash", "alone", "late_writes"))
 
 
@@ -758,7 +761,7 @@
     monkeypatch.setattr(ShardRoles, "acquire", take)
     claims: list[int] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 904):
             await p.submit(p.spec(n, gait="daemon", chicks=4))
         await anyio.sleep(4.0)
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -25,7 +25,7 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply, Server
 
-from .played import Loop, Network
+from .simulation.cluster import Network, VirtualTimeLoop
 
 MAX_SOCKETS = 200
 REPORT_S = 2.0
@@ -38,7 +38,7 @@
     """One server, its agents and users."""
 
     tasks: anyio.abc.TaskGroup
-    loop: Loop
+    loop: VirtualTimeLoop
     net: Network
     limiter: ConnectionLimiter | None
     most_open: int = 0
@@ -101,7 +101,7 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        assert isinstance(loop, Loop)
+        assert isinstance(loop, VirtualTimeLoop)
         async with anyio.create_task_group() as tasks:
             limiter = ConnectionLimiter(LIMITS, is_report, LEASE_S) if limited else None
             controller = Controller(tasks, loop, Network(Random(1), loop.time), limiter)
@@ -110,7 +110,7 @@
             await scene(controller)
             tasks.cancel_scope.cancel()
 
-    anyio.run(main, backend_options={"loop_factory": Loop})
+    anyio.run(main, backend_options={"loop_factory": VirtualTimeLoop})
     return out[0]
 
 
--- a/tests/test_world.py
+++ b/tests/test_decision_model.py
@@ -12,11 +12,11 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-from .world import Broken, World, job
+from .simulation.decision_model import DecisionModel, RuleBrokenError, job
 
 
-def play(seed: int, chaos_s: float = 90.0, calm_s: float = 150.0, **kw: Any) -> World:
-    w = World(seed, **kw)
+def play(seed: int, chaos_s: float = 90.0, calm_s: float = 150.0, **kw: Any) -> DecisionModel:
+    w = DecisionModel(seed, **kw)
     rng = Random(seed + 1)
     for i in range(16):
         w.later(rng.random() * chaos_s * 0.7, lambda i=i: w.submit(job(rng, f"j-{i:06d}", w.now)))
@@ -74,7 +74,7 @@
     for seed in seeds:
         try:
             play(seed, calm_s=40.0, **kw)
-        except Broken:
+        except RuleBrokenError:
             return True
     return False
 
@@ -115,7 +115,7 @@
 
         monkeypatch.setattr(ShardOwner, "advance_time", believing)
         monkeypatch.setattr(ShardOwner, "on_event_loop_stall", lambda self, s, now: None)
-    w = World(3, machines=16, chaos=0.0)
+    w = DecisionModel(3, machines=16, chaos=0.0)
     team = next(t for t, shard in w.layout.team_shard.items() if shard == 2)
     for i in range(3):
         one = job(Random(1), f"j-{i:06d}", 0.0)
@@ -149,13 +149,13 @@
         w.run(60.0)
         assert w.starts == 9
     else:
-        with pytest.raises(Broken, match="ran_twice"):
+        with pytest.raises(RuleBrokenError, match="ran_twice"):
             w.run(60.0)
 
 
-def cut_off(guarded: bool) -> World:
+def cut_off(guarded: bool) -> DecisionModel:
     """One controller and its zone are cut off for longer than a cancellation has; a job that runs there is cancelled."""
-    w = World(5, machines=16, chaos=0.0, cut_off=100.0)
+    w = DecisionModel(5, machines=16, chaos=0.0, cut_off=100.0)
     one = replace(
         job(Random(1), "j-000001", 0.0),
         team="team-0",
@@ -188,7 +188,7 @@
     w.run(200.0)
     assert w.cancelled and not any(x.on_machine() for x in w.workers.values())
     monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
-    with pytest.raises(Broken, match="ran_cancelled"):
+    with pytest.raises(RuleBrokenError, match="ran_cancelled"):
         cut_off(False).run(200.0)
 
 
--- a/tests/test_repeatable.py
+++ b/tests/test_determinism.py
@@ -10,14 +10,14 @@
 
 import anyio
 
-from .meetings import meet
-from .played import HOLD, SILENT, Played, play
+from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
+from .simulation.fault_schedules import meet
 
 
 def course(seed: int) -> str:
     """Cuts, crashes and a takeover; the checksum of every packet and of when it came."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         p.tasks.start_soon(p.submit, p.spec(900, gait="daemon", chicks=4))
         p.tasks.start_soon(p.flow, 25.0, 0.6)
@@ -41,7 +41,7 @@
 def elsewhere(call: str, hash_seed: str, compiled: Path | None = None) -> str:
     """What a course ends with in another process; one that finds nothing compiled has its objects elsewhere in memory."""
     code = (
-        f"from tests.test_repeatable import course, meeting; import sys; sys.stdout.write({call})"
+        f"from tests.test_determinism import course, meeting; import sys; sys.stdout.write({call})"
     )
     env = {
         **os.environ,
--- a/tests/test_hands.py
+++ b/tests/test_failover.py
@@ -1,6 +1,6 @@
 """Leaders that change many times, all at once, and inside outages; cancellations while work changes hands; a service that refuses.
 
-Whole controllers (tests/played.py). The rules are judged all along; each scene also says what nobody may lose by it, and is played once
+Whole controllers. The rules are judged all along; each scene also says what nobody may lose by it, and is played once
 without the guard that keeps it.
 """
 
@@ -19,25 +19,25 @@
 from ploverhall.coordination.restart_recovery import RenewalGrants
 from ploverhall.scheduling.allocations import AllocationStore
 
-from . import world
-from .played import HOLD, RESET, SLOW, Played, play
-from .test_carry import busy
-from .test_election import Hook
+from .simulation import decision_model
+from .simulation.cluster import HOLD, RESET, SLOW, SimulatedCluster, play
 from .test_lost_answers import innermost
+from .test_relay import busy
+from .test_shard_claims import Hook
 
 LEASE, CANCEL = 16.0, 46.0
 
 
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(world, "LEASE", LEASE)
-    monkeypatch.setattr(world, "CANCEL", CANCEL)
+    monkeypatch.setattr(decision_model, "LEASE", LEASE)
+    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
 
 
 class Tokens:
     """What each worker takes: whose answers, in which order. A worker never goes on with a lower one; epochs are claimed ones."""
 
-    def __init__(self, p: Played) -> None:
+    def __init__(self, p: SimulatedCluster) -> None:
         self.p, self.seen, self.broken = p, dict[str, int](), list[str]()
 
     async def watch(self) -> None:
@@ -58,7 +58,7 @@
                 self.seen[w.name] = w.token
 
 
-async def settled(p: Played, within: float = 30.0) -> None:
+async def settled(p: SimulatedCluster, within: float = 30.0) -> None:
     """Every part is held once, by its home in the end, and every worker is answered by the holder of its part."""
     with anyio.move_on_after(within):
         while True:
@@ -81,7 +81,7 @@
     p.broken.append(f"after {within} s: parts {sorted(held)}, answered by others: {late}")
 
 
-async def ten(p: Played, rng: Random) -> None:
+async def ten(p: SimulatedCluster, rng: Random) -> None:
     """Ten ends within two minutes, each back within a second or after its part was taken."""
     for _ in range(10):
         name = rng.choice([n for n in p.names if n not in p.down])
@@ -89,13 +89,13 @@
         await anyio.sleep(rng.uniform(6.0, 12.0))
 
 
-async def ten_inside(p: Played, rng: Random) -> None:
+async def ten_inside(p: SimulatedCluster, rng: Random) -> None:
     """Half of them inside an outage of a minute."""
     p.tasks.start_soon(p.outage, 60.0)
     await ten(p, rng)
 
 
-async def over_and_back(p: Played, rng: Random) -> None:
+async def over_and_back(p: SimulatedCluster, rng: Random) -> None:
     """Each ends until another has its part, comes home, and ends again as soon as it has it back."""
     for name in ("c0", "c1", "c0"):
         await p.crash(name, 6.0)
@@ -104,7 +104,7 @@
                 await anyio.sleep(0.05)
 
 
-async def one_returns(p: Played, rng: Random) -> None:
+async def one_returns(p: SimulatedCluster, rng: Random) -> None:
     """All end within a second; one is back at once, the others after the parts were taken."""
     for name, s in zip(rng.sample(p.names, 3), (0.3, 12.0, 25.0), strict=True):
         p.tasks.start_soon(p.crash, name, s)
@@ -112,14 +112,14 @@
     await anyio.sleep(40.0)
 
 
-async def all_away(p: Played, rng: Random) -> None:
+async def all_away(p: SimulatedCluster, rng: Random) -> None:
     """All are away for longer than a lease: nothing that ran is there any more, and the next lives find it in the cells."""
     for name in p.names:
         p.tasks.start_soon(p.crash, name, LEASE + 3.0 + rng.random())
     await anyio.sleep(LEASE + 20.0)
 
 
-async def all_within(p: Played, rng: Random) -> None:
+async def all_within(p: SimulatedCluster, rng: Random) -> None:
     """All are away for a second, three times, every few seconds."""
     for _ in range(3):
         for name in p.names:
@@ -127,7 +127,7 @@
         await anyio.sleep(rng.uniform(1.5, 4.0))
 
 
-async def all_inside(p: Played, rng: Random) -> None:
+async def all_inside(p: SimulatedCluster, rng: Random) -> None:
     """The same inside an outage that lasts for longer than a lease."""
     p.tasks.start_soon(p.outage, LEASE + 6.0)
     await anyio.sleep(3.0)
@@ -135,7 +135,7 @@
     await anyio.sleep(LEASE + 8.0)
 
 
-COURSES: dict[str, Callable[[Played, Random], Any]] = {
+COURSES: dict[str, Callable[[SimulatedCluster, Random], Any]] = {
     "ten": ten,
     "ten inside an outage": ten_inside,
     "over and back": over_and_back,
@@ -184,7 +184,7 @@
     if without is not None:
         monkeypatch.setattr(*without())
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(course)
         tokens = Tokens(p)
         p.tasks.start_soon(tokens.watch)
@@ -227,24 +227,24 @@
 # -- cancelled in the seconds in which one controller's work changes hands ---------------------------------------------------------------
 
 
-async def ends(p: Played) -> None:
+async def ends(p: SimulatedCluster) -> None:
     """No source for a while: it ends, and its part is taken when its lease is over."""
     p.tasks.start_soon(p.crash, "c0", 9.0)
 
 
-async def stands_still(p: Played) -> None:
+async def stands_still(p: SimulatedCluster) -> None:
     """Two sources: it stands still, its part is taken, and then it goes on and believes for a moment that it has it."""
     for other in ("state", "cloud", "user", "c1", "c2", *p.workers):
         p.net.cut("c0", other, HOLD, 9.0)
 
 
-async def all_end(p: Played) -> None:
+async def all_end(p: SimulatedCluster) -> None:
     """No source at all: everybody ends, and the part's own controller comes last."""
     for name, s in (("c1", 2.0), ("c2", 2.5), ("c0", 9.0)):
         p.tasks.start_soon(p.crash, name, s)
 
 
-async def out_of_touch(p: Played) -> None:
+async def out_of_touch(p: SimulatedCluster) -> None:
     """The new source is out of touch with a part's owner: who holds the team's shard and who holds the machines do not hear one another."""
     for a, b in (("c0", "c1"), ("c1", "c2"), ("c0", "c2")):
         p.net.cut(a, b, RESET, 2.0 * CANCEL)
@@ -288,7 +288,7 @@
     if without is not None:
         monkeypatch.setattr(*without())
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 916):
             p.tasks.start_soon(p.submit, p.spec(n, gait="daemon", chicks=2))
         await anyio.sleep(12.0)
@@ -355,9 +355,9 @@
     """
     if without is not None:
         monkeypatch.setattr(*without())
-    real = Played._state_for
+    real = SimulatedCluster._state_for
 
-    def state_for(self: Played, name: str) -> Any:
+    def state_for(self: SimulatedCluster, name: str) -> Any:
         inner = real(self, name)
 
         async def handle(q: Any) -> Any:
@@ -370,9 +370,9 @@
 
         return handle
 
-    monkeypatch.setattr(Played, "_state_for", state_for)
+    monkeypatch.setattr(SimulatedCluster, "_state_for", state_for)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 916):
             p.tasks.start_soon(p.submit, p.spec(n, gait="daemon", chicks=2))
         await anyio.sleep(12.0)
--- a/tests/test_trust.py
+++ b/tests/test_failure_attribution.py
@@ -16,8 +16,8 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 
-from .test_owner import EPOCH, owner
-from .test_source import a_job, source
+from .test_permitting import a_job, source
+from .test_shard_owner import EPOCH, owner
 
 Outcome = Callable[[str, int, str, float], str]  # job, task, machine, now -> running, error or done
 
--- a/tests/test_meetings.py
+++ b/tests/test_fault_schedules.py
@@ -1,6 +1,6 @@
-"""Two or three troubles at once, drawn (tests/meetings.py): every rule holds, and every job is answered for when they are over.
+"""Two or three troubles at once, drawn every rule holds, and every job is answered for when they are over.
 
-Hundreds are played by `python -m tests.meetings --seeds 300`.
+Hundreds are played by `python -m tests.simulation.fault_schedules --seeds 300`.
 """
 
 from __future__ import annotations
@@ -22,9 +22,19 @@
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.permit_table import PermitTable
 
-from .meetings import KNOWN_S, Begun, Day, Trouble, begin, draw, meet, rule, shrink
-from .played import HOLD, RESET, Played, play
-from .test_copies import _check_without_tokens
+from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
+from .simulation.fault_schedules import (
+    KNOWN_S,
+    ActiveFault,
+    Day,
+    Fault,
+    begin,
+    draw,
+    meet,
+    rule,
+    shrink,
+)
+from .test_stale_heartbeats import _check_without_tokens
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -87,7 +97,7 @@
 
         monkeypatch.setattr(JobState, "mark_done", twice)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng, jobs = Random(seed), [f"j-{700 + i:06d}" for i in range(8)]
         for jid in jobs:
             p.fleet.longer.update({(jid, 0): 0.0, (jid, 1): 22.0, (jid, 2): 50.0})
@@ -119,7 +129,7 @@
 def test_a_leader_that_only_its_workers_and_users_reach(mode: str) -> None:
     """Jobs are cancelled through the others; the leader gives no older answer, accepts nothing, and its cancelled tasks end in time."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(800, 808):
             await p.submit(p.spec(n, gait="daemon", chicks=2))
         await anyio.sleep(8.0)
@@ -155,12 +165,12 @@
     """A gap drawn late began its outage after `Played.calm`, and the day was called forgotten for it. Without a group of their own, so."""
     after: list[str] = []
 
-    async def scene(p: Played) -> None:
-        day: Day = ([Trouble(0.0, kind, seed)], 1.0)
+    async def scene(p: SimulatedCluster) -> None:
+        day: Day = ([Fault(0.0, kind, seed)], 1.0)
         if own:
             await begin(p, day)
         else:
-            p.tasks.start_soon(getattr(Begun(p, Random(seed)), kind))
+            p.tasks.start_soon(getattr(ActiveFault(p, Random(seed)), kind))
             await anyio.sleep(day[1])
             p.calm()
             while p.down:
--- a/tests/test_gap.py
+++ b/tests/test_isolated_leader.py
@@ -1,6 +1,6 @@
 """The gap: one controller reads nothing any more, another confirms cancellations, and then the state service is down for all.
 
-The workers go on reporting to the first. Whole controllers (tests/played.py), judged from the workers' side: no task of a job whose
+The workers go on reporting to the first. Whole controllers, judged from the workers' side: no task of a job whose
 user has been told is on a machine `cancel_s` later. The argument is in coordination/cancellations.
 """
 
@@ -12,18 +12,18 @@
 from ploverhall import settings
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 
-from . import world
-from .meetings import meet
-from .played import HOLD, RESET, SILENT, Played, play
-from .test_carry import busy
+from .simulation import decision_model
+from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
+from .simulation.fault_schedules import meet
+from .test_relay import busy
 
 LEASE, CANCEL = 16.0, 46.0
 
 
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(world, "LEASE", LEASE)
-    monkeypatch.setattr(world, "CANCEL", CANCEL)
+    monkeypatch.setattr(decision_model, "LEASE", LEASE)
+    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
 
 
 def hears_all(self: CancellationBarrier, now: float) -> bool:
@@ -56,7 +56,7 @@
             CancellationBarrier, "_last_obligation", lambda self, m: m.absent_since or 0.0
         )
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         layout = p.nodes["c0"].context.shard_map
         # It is the source, too: nobody else stops them
@@ -97,7 +97,7 @@
 def test_an_outage_without_such_a_cancellation_kills_nothing() -> None:
     """For longer than a cut-off controller may go on; each is heard by the others, and that keeps all of them going."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         await p.outage(130.0)
         assert p.fleet.killed_by_lease == 0
@@ -113,7 +113,7 @@
 def test_one_that_ends_in_the_outage_keeps_nobody_else_from_going_on(after: float) -> None:
     """Its new life has read nothing, and vouches for what its last one owed (its own workers live on by their tokens, for as long)."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         p.tasks.start_soon(p.outage, 120.0)
         await anyio.sleep(20.0)
@@ -136,7 +136,7 @@
 def test_a_life_that_has_read_nothing_stops_what_it_is_named(after: float) -> None:
     """The leader ends inside the gap and is back: what others name is over for the workers of its earlier life, too."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         at = p.now
         p.refused.add("c0")
@@ -160,7 +160,7 @@
 def test_members_that_do_not_carry(older: int) -> None:
     """Without carrying a refused one reads nothing at all; it is named what was cancelled all the same."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         p.refused.add(f"c{older}")
         await anyio.sleep(1.0)
--- a/tests/test_alone.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""A controller that loses the state service and the other controllers, but not its workers (tests/played.py)."""
+"""A controller that loses the state service and the other controllers, but not its workers."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from ploverhall.coordination.isolation import IsolatedRedirects
 from ploverhall.errors import UnreachableError
 
-from .played import HOLD, REFUSE, RESET, Played, play
-from .test_back import soonest
-from .test_carry import busy
+from .simulation.cluster import HOLD, REFUSE, RESET, SimulatedCluster, play
+from .test_relay import busy
+from .test_restart import soonest
 
 
-def leave_alone(p: Played, name: str, mode: str, s: float) -> None:
+def leave_alone(p: SimulatedCluster, name: str, mode: str, s: float) -> None:
     for other in ("state", "cloud", *p.names):
         if other != name:
             if mode == REFUSE:
@@ -23,7 +23,7 @@
             p.net.cut(name, other, mode, s)
 
 
-async def health(p: Played, name: str) -> int:
+async def health(p: SimulatedCluster, name: str) -> int:
     try:
         return (await p.users[name].call("GET", "/healthz", None, 1.0))[0]
     except UnreachableError:
@@ -45,7 +45,7 @@
 def test_its_workers_are_sent_on_before_any_lease_is_in_danger(mode: str, s: float) -> None:
     """Untouched, nothing started on its part for the 60 s of `cut_off_s`; now for as long as the scouts need."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, s + 60.0)
         at = p.now
         leave_alone(p, "c0", mode, s)
@@ -71,7 +71,7 @@
 def test_where_nobody_else_can_be_reached_it_goes_on(back: float) -> None:
     """A zone that is cut off: scouts come back, nobody else is sent, and nothing is killed; also when it ends inside."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 90.0)
         p.cut_zone("b", HOLD, 45.0)
         await anyio.sleep(8.0)
@@ -89,7 +89,7 @@
 
 
 def test_all_three_alone_and_a_cancellation_that_is_told_outside() -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 90.0)
         leave_alone(p, "c0", HOLD, 70.0)
         await anyio.sleep(3.0)
--- a/tests/test_answers.py
+++ b/tests/test_job_answers.py
@@ -23,16 +23,16 @@
 from ploverhall.storage.schema import ARCHIVE_MARKER_KEY, ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.storage.store_cache import StoreCache
 
-from . import world
-from .meetings import CANCEL, KNOWN_S, LEASE
-from .played import HOLD, RESET, Played, play
+from .simulation import decision_model
+from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
+from .simulation.fault_schedules import CANCEL, KNOWN_S, LEASE
 
 
 @pytest.fixture
 def platform_times(monkeypatch: pytest.MonkeyPatch) -> None:
     """The deployments' own lease and time for a cancellation."""
-    monkeypatch.setattr(world, "LEASE", LEASE)
-    monkeypatch.setattr(world, "CANCEL", CANCEL)
+    monkeypatch.setattr(decision_model, "LEASE", LEASE)
+    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
 
 
 def told_at_once(self: JobAnswers, jid: str) -> JobStatus | None:
@@ -56,7 +56,7 @@
     if not guarded:
         monkeypatch.setattr(JobAnswers, "final", told_at_once)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         wanted = [p.spec(n, gait="daemon", chicks=3) for n in range(1, 7)]
         for spec in wanted:
             await p.submit(spec)
@@ -88,7 +88,7 @@
 def test_close_looks_at_all_controllers(seed: int) -> None:
     """All controllers are asked, and submissions repeated, within 50 ms of each acceptance, end and cancellation; some cancel at once."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         p.tasks.start_soon(p.close_looks, 60.0)
         p.tasks.start_soon(p.flow, 45.0, 0.8)
@@ -119,7 +119,7 @@
     else:
         monkeypatch.setattr(JobAnswers, "archived", lambda self, jid, value, version: UnknownJob())
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in p.nodes.values():
             object.__setattr__(n.settings.options, "keep_ended", 3)
         p.tasks.start_soon(p.close_looks, 40.0)
@@ -140,7 +140,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.store = world.Store()
+        self.store = decision_model.ModelStore()
         self.copies = [StoreCache() for _ in range(3)]
         self.known = [0, 0, 0]  # the revision up to which each controller knows all cancellations
         self.answers = [
@@ -165,7 +165,7 @@
         copy, answers = self.copies[i], self.answers[i]
         match rng.randrange(9):
             case 0:  # a submission
-                job = world.job(Random(1), jid, 0.0)
+                job = decision_model.job(Random(1), jid, 0.0)
                 rev, failed = s.txn(
                     {JOB_PREFIX + jid: 0, ARCHIVE_PREFIX + jid: 0},
                     {JOB_PREFIX + jid: job.record()},
--- a/tests/test_users.py
+++ b/tests/test_job_requests.py
@@ -1,4 +1,4 @@
-"""The users' side (tests/played.py): swarms of one-task jobs, ends that meet cancellations, odd requests, two users at once.
+"""The users' side: swarms of one-task jobs, ends that meet cancellations, odd requests, two users at once.
 
 Every scene is judged by `Played`, too: no rule broken, half of everyone served.
 """
@@ -28,10 +28,10 @@
 from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http_server import Reply
 
-from . import world
-from .meetings import KNOWN_S
-from .played import RESET, SLOW, Asked, Network, Played, play
-from .standins import State
+from .simulation import decision_model
+from .simulation.cluster import RESET, SLOW, Network, SimulatedCluster, SubmittedJob, play
+from .simulation.fakes import FakeStoreAndCloud
+from .simulation.fault_schedules import KNOWN_S
 
 JOB_ID = re.compile(r"j-\d{1,18}")
 
@@ -73,10 +73,12 @@
     return found
 
 
-def swarm(seed: int, s: float, crash: bool, seen: dict[str, Any]) -> Callable[[Played], Any]:
+def swarm(
+    seed: int, s: float, crash: bool, seen: dict[str, Any]
+) -> Callable[[SimulatedCluster], Any]:
     """For `s` seconds; some are cancelled at once, some while they are placed, some as they end. A leader ends in the middle."""
 
-    async def one(p: Played, rng: Random, n: int) -> None:
+    async def one(p: SimulatedCluster, rng: Random, n: int) -> None:
         spec = p.spec(n, gait="array", chicks=1, flightS=rng.choice([1.0, 3.0]))
         after = rng.choice([0.0, 0.02, 0.3, 2.5, 4.0])
         cancelled = rng.random() < 0.25
@@ -85,7 +87,7 @@
             await anyio.sleep(after)
             await p.withdraw(spec["id"])
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng, begun = Random(seed), p.now
         real = p.fleet.started
 
@@ -306,7 +308,7 @@
 ]
 
 
-def odd_spec(p: Played, changes: dict[str, Any]) -> dict[str, Any]:
+def odd_spec(p: SimulatedCluster, changes: dict[str, Any]) -> dict[str, Any]:
     spec = {**p.spec(777, gait="array", chicks=2), **changes}
     return {k: v for k, v in spec.items() if v is not ...}
 
@@ -317,7 +319,7 @@
     """By which line of the protocol is said in REFUSED. Each is answered the same by every controller, with a reason, at once."""
     said: list[str] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(1, gait="array", chicks=1))
         await anyio.sleep(12.0)
         keys = {k for k in p.state.store.kv if k.startswith(("p/job/", "e/"))}
@@ -379,7 +381,7 @@
         job_requests.jobs, "parse_submission", lambda d, at: real_parse({"nestS": 0.0, **d}, at)
     )
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await p.try_odd(odd_spec(p, {"gait": "group", **odd}), "c0")
 
     with pytest.raises(AssertionError, match="accepted though"):
@@ -390,7 +392,7 @@
     """Thirty small gangs are served; of the four largest three can't be (their team's limit is used up), or begin after 240 s."""
     for hours, says in ((False, "largest of group: 1 of 4 served"), (True, "began at")):
 
-        async def scene(p: Played, hours: bool = hours) -> None:
+        async def scene(p: SimulatedCluster, hours: bool = hours) -> None:
             await p.submit(p.spec(900, gait="daemon", chicks=12, keeper="team-3", flock="service"))
             await anyio.sleep(5.0)
             for n in range(30):
@@ -420,7 +422,9 @@
 real_parse = jobs.parse_submission
 
 
-async def raw(p: Played, name: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+async def raw(
+    p: SimulatedCluster, name: str, method: str, path: str, body: bytes
+) -> tuple[int, Any]:
     """A request whose body is no JSON."""
     stream = await p.net.connect("user", name, 80)
     await stream.send(
@@ -457,7 +461,7 @@
 def test_strange_jobs_that_are_well_formed_keep_nobody_else_from_running(gait: str) -> None:
     """A task that takes next to nothing ended every step of its team's source: room divided by it is infinite."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for i, changes in enumerate(STRANGE):
             base = p.spec(
                 100 + i,
@@ -492,7 +496,7 @@
 
     def __init__(
         self,
-        p: Played,
+        p: SimulatedCluster,
         which: str,
         before: float,
         after: float,
@@ -562,7 +566,7 @@
         ]
 
 
-async def close(p: Played, jid: str, rng: Random, s: float = 0.3) -> None:
+async def close(p: SimulatedCluster, jid: str, rng: Random, s: float = 0.3) -> None:
     """Questions and repeated submissions at all controllers, every few milliseconds."""
     until = p.now + s
     while p.now < until:
@@ -596,7 +600,7 @@
     """Jobs end; at each step of some one's end its user looks closely, and of two in three cancels. How many were told what."""
     which, before, after, late = STEPS[step]
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng, met = Random(f"{seed} {step}"), set[str]()
 
         def at(jid: str) -> None:
@@ -721,7 +725,7 @@
     copy is taken and handed on in one step. Without it: ran_cancelled.)
     """
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         service = next(
             n
             for n in range(900, 930)
@@ -773,7 +777,7 @@
     """A store, and one controller's copy of it; what the plain model knows is what the store held at each revision."""
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.store, self.copy = Random(seed), world.Store(), StoreCache()
+        self.rng, self.store, self.copy = Random(seed), decision_model.ModelStore(), StoreCache()
         # Watches that have been answered, and what they say; not here yet
         self.reads: list[tuple[int, int, list[WatchEvent]]] = []
         # The same, of a listing and the watch after it
@@ -803,7 +807,7 @@
             case 0 if not version and "e/" + jid not in s.kv:
                 self.write(
                     {JOB_PREFIX + jid: 0},
-                    {JOB_PREFIX + jid: world.job(Random(1), jid, 0.0).record()},
+                    {JOB_PREFIX + jid: decision_model.job(Random(1), jid, 0.0).record()},
                     [],
                     own,
                 )
@@ -937,7 +941,7 @@
 # -- two users at once; the state service refuses some requests on the way; a read shared by many -----------------------------------
 
 
-def refusing(p: Played, rng: Random, share: float) -> Counter[int]:
+def refusing(p: SimulatedCluster, rng: Random, share: float) -> Counter[int]:
     """So large a share of all requests is refused by the state service, by its limits or without a reason; how many of each."""
     real, refused = p.state.handle, Counter[int]()
 
@@ -956,7 +960,7 @@
     accepted: Counter[str] = Counter()
     read: list[float] = []
 
-    async def user(p: Played, spec: dict[str, Any], name: str, other: str) -> None:
+    async def user(p: SimulatedCluster, spec: dict[str, Any], name: str, other: str) -> None:
         jid, rng = spec["id"], Random(f"{seed} {spec['id']} {name}")
         status = 0
         for _ in range(30):
@@ -980,7 +984,7 @@
             await p.withdraw(jid, other)  # it is done already
             assert p.told[jid] == DONE
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         refused = refusing(p, rng, share)
         for n in range(1, 31):
@@ -989,7 +993,7 @@
             )
             jid = spec["id"]
             p.asked[jid], p.bodies[jid], p.fleet.specs[jid] = (
-                Asked(p.now),
+                SubmittedJob(p.now),
                 spec,
                 jobs.parse_submission(spec, 0.0),
             )
@@ -1000,12 +1004,12 @@
         await anyio.sleep(30.0)
         if not share:
             await burst(p, rng)
-        p.state.handle = State.handle.__get__(p.state)  # type: ignore[method-assign]
+        p.state.handle = FakeStoreAndCloud.handle.__get__(p.state)  # type: ignore[method-assign]
         await anyio.sleep(5.0)
         assert not share or min(refused[429], refused[503]) > 10
         p.missing = await p.all_answered(KNOWN_S)  # type: ignore[attr-defined]
 
-    async def burst(p: Played, rng: Random) -> None:
+    async def burst(p: SimulatedCluster, rng: Random) -> None:
         """Hundreds ask one controller at once, of jobs that run: one read answers those that came before it began."""
         for n in range(100, 110):
             await p.submit(p.spec(n, gait="daemon", chicks=1))
@@ -1099,7 +1103,7 @@
 def test_two_users_with_one_id_and_two_jobs(seed: int) -> None:
     """One job is accepted, whole, and both are told of it; nothing of the other one is ever started."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for n in range(1, 13):
             rng = Random(f"{seed} {n}")
             specs = [
@@ -1122,7 +1126,7 @@
             assert sorted(got.values()) == [200, 201]
             won = next(i for i in got if got[i] == 201)
             assert (job.task_count, job.team) == (specs[won]["chicks"], specs[won]["keeper"])
-            p.asked[jid], p.bodies[jid] = Asked(p.now, accepted=p.now), specs[won]
+            p.asked[jid], p.bodies[jid] = SubmittedJob(p.now, accepted=p.now), specs[won]
         await anyio.sleep(25.0)
         assert not await p.all_answered(KNOWN_S) and set(p.told.values()) == {DONE}
         assert {k[0]: 0 for k in p.fleet.begun if k[1] >= p.specs[k[0]].task_count} == {}
@@ -1133,7 +1137,7 @@
 def test_a_controller_that_held_a_shard_for_a_while_shows_its_jobs_as_they_are() -> None:
     """It kept what it had last been told there, and showed the numbers of then for as long as the job lived."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         n = next(
             n
             for n in range(900, 930)
--- a/tests/test_largest.py
+++ b/tests/test_largest_jobs.py
@@ -1,4 +1,4 @@
-"""The largest job of a class against a steady stream of small work of a higher rank, with no machine more to be had (tests/played.py)."""
+"""The largest job of a class against a steady stream of small work of a higher rank, with no machine more to be had."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from ploverhall.scheduling import allocations, permitting
 
-from .played import Played, play
+from .simulation.cluster import SimulatedCluster, play
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -17,7 +17,7 @@
         monkeypatch.setattr(module, "OVERDUE_START_S", 30.0 if guarded else 1e9)
     began: list[float] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         p.fleet.most = 12
         at, n = p.now, 1
         gang = p.spec(
--- a/tests/test_played.py
+++ b/tests/test_link_partitions.py
@@ -1,4 +1,4 @@
-"""Links that are cut one by one, under the whole real composition (tests/played.py)."""
+"""Links that are cut one by one, under the whole real composition."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from ploverhall.protocol.agents import Heartbeat
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-from . import played
-from .played import Played, SceneError, play
+from .simulation import cluster
+from .simulation.cluster import SceneError, SimulatedCluster, play
 
 
-@pytest.mark.parametrize("mode", played.MODES)
+@pytest.mark.parametrize("mode", cluster.MODES)
 def test_every_single_link_in_every_mode_breaks_no_rule(mode: str) -> None:
     """Each directed link of one controller in turn, while jobs come, are cancelled and end."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         p.tasks.start_soon(p.submit, p.spec(900, gait="daemon", chicks=4))
         p.tasks.start_soon(p.flow, 75.0, 0.8)
         worker = p.workers_of("c0")[0]
@@ -34,9 +34,9 @@
 
 def test_a_scene_that_never_ends_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     """CI waited 90 minutes for a scene whose submissions were never accepted."""
-    monkeypatch.setattr(played, "SCENE_LIMIT_S", 20.0)
+    monkeypatch.setattr(cluster, "SCENE_LIMIT_S", 20.0)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(60.0)
 
     with pytest.raises(SceneError, match="has not ended"):
@@ -55,7 +55,7 @@
 
     monkeypatch.setattr(ShardOwner, "on_heartbeat", with_the_old_argument)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(60.0)
 
     with pytest.raises(SceneError, match="unexpected keyword argument"):
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -19,7 +19,7 @@
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
 
-from .standins import Fleet, State
+from .simulation.fakes import FakeAgents, FakeStoreAndCloud
 
 
 def free_ports(n: int) -> list[int]:
@@ -97,8 +97,8 @@
     """A controller over real sockets, with stand-ins around it."""
 
     s: settings.Settings
-    state: State
-    fleet: Fleet
+    state: FakeStoreAndCloud
+    fleet: FakeAgents
     user: Client
 
     async def call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
@@ -121,7 +121,7 @@
 async def running(options: settings.Options | None = None) -> AsyncIterator[Place]:
     ports = free_ports(40)
     s = settings.parse(config(ports), options)
-    at = Place(s, State(), Fleet({"c0": s.bind}, max(ports) + 1), Client(*s.bind))
+    at = Place(s, FakeStoreAndCloud(), FakeAgents({"c0": s.bind}, max(ports) + 1), Client(*s.bind))
     async with anyio.create_task_group() as tg:
         at.fleet.tasks = tg
         tg.start_soon(Server(at.state.handle, 100).run, *s.store)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -26,10 +26,10 @@
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
 from ploverhall.transport.http_server import Reply
 
-from .played import Played, play
-from .standins import State, unguarded
-from .test_afterlife import breaks
-from .test_carry import busy
+from .simulation.cluster import SimulatedCluster, play
+from .simulation.fakes import FakeStoreAndCloud, unguarded
+from .test_relay import busy
+from .test_restart_recovery import breaks
 
 SILENT = 0  # no answer at all
 NO_FORM: tuple[Any, ...] = (
@@ -96,10 +96,10 @@
         self.on = False
         self.met: Counter[str] = Counter()
         self.tasks: list[Any] = []
-        self.real = real = State.handle
+        self.real = real = FakeStoreAndCloud.handle
         answers = self
 
-        async def handle(self: State, q: Any) -> Reply:
+        async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
             lost = answers.on and not self.down and answers.kinds & kinds_of(q)
             if not lost or (
                 all(answers.met[k] for k in lost) and answers.rng.random() >= answers.share
@@ -117,9 +117,9 @@
                 status, {"error": "gateway"} if status != 200 else answers.rng.choice(NO_FORM)
             )
 
-        monkeypatch.setattr(State, "handle", handle)
+        monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
 
-    async def _late(self, state: State, q: Any) -> None:
+    async def _late(self, state: FakeStoreAndCloud, q: Any) -> None:
         await anyio.sleep(1.0 + 9.0 * self.rng.random())
         await self.real(state, q)
 
@@ -133,7 +133,7 @@
 }
 
 
-async def looks(p: Played) -> None:
+async def looks(p: SimulatedCluster) -> None:
     """Users ask at all controllers, and submit again, soon after one another, about what is new and what is old."""
     while True:
         await anyio.sleep(1.0)
@@ -148,7 +148,7 @@
             p.tasks.start_soon(p.resubmit, jid, p.asker.choice(p.names))
 
 
-async def order(p: Played, jid: str, **what: Any) -> None:
+async def order(p: SimulatedCluster, jid: str, **what: Any) -> None:
     """An operator has machines emptied, and repeats that until it is known to be placed."""
     while True:
         for name in ("c2", "c0", "c1"):
@@ -161,7 +161,7 @@
         await anyio.sleep(1.0)
 
 
-async def everything(p: Played, answers: Answers, s: float = 20.0) -> None:
+async def everything(p: SimulatedCluster, answers: Answers, s: float = 20.0) -> None:
     """Jobs of all kinds come, end and are cancelled; an order empties a machine; a controller ends, is replaced, and is back."""
     await busy(p, 55.0)
     for n in range(910, 916):
@@ -197,7 +197,7 @@
     await anyio.sleep(24.0)
 
 
-def whole(p: Played, kills: bool) -> None:
+def whole(p: SimulatedCluster, kills: bool) -> None:
     """Nothing is lost by it. Only where claims are lost while two of three controllers are down may a part be without one for a lease."""
     assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2], (
         "nobody holds a part, or two do"
@@ -266,7 +266,7 @@
     answers = Answers(monkeypatch, GROUPS[group], late)
     answers.on = "types" in GROUPS[group]
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await everything(p, answers)
         p.broken += [f"not answered: {j}" for j in await p.all_answered(10.0)]
 
@@ -463,9 +463,9 @@
     """A gateway in trouble: nothing is concluded from it, nobody lets go of a part, and no job is unknown."""
     if without is not None:
         monkeypatch.setattr(*without())
-    real, on, rng, met = State.handle, [False], Random(3), [0]
+    real, on, rng, met = FakeStoreAndCloud.handle, [False], Random(3), [0]
 
-    async def handle(self: State, q: Any) -> Reply:
+    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
         if on[0] and q.path.startswith(path) and rng.random() < 0.4:
             met[0] += 1
             status = rng.choice((500, 502, 504, 200))
@@ -477,9 +477,9 @@
             )
         return await real(self, q)
 
-    monkeypatch.setattr(State, "handle", handle)
+    monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 40.0)
         await anyio.sleep(10.0)
         on[0], claims = True, p.claims()
@@ -510,17 +510,17 @@
     """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/upkeep/"))
-    real, kept = State.handle, list[Any]()
+    real, kept = FakeStoreAndCloud.handle, list[Any]()
 
-    async def handle(self: State, q: Any) -> Reply:
+    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
         if not kept and b"paused" in q.body and "order" in kinds_of(q):
             kept.append(q)
             return Reply(504, {"error": "gateway"})
         return await real(self, q)
 
-    monkeypatch.setattr(State, "handle", handle)
+    monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         async def change(verb: str) -> int:
             return (await p.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0]
 
@@ -566,9 +566,9 @@
         monkeypatch.setattr(*without())
     wanted: list[str] = []
     kept: list[tuple[str, Any]] = []
-    real = Played._state_for
+    real = SimulatedCluster._state_for
 
-    def state_for(self: Played, name: str) -> Any:
+    def state_for(self: SimulatedCluster, name: str) -> Any:
         inner = real(self, name)
 
         async def handle(q: Any) -> Reply:
@@ -580,10 +580,10 @@
 
         return handle
 
-    monkeypatch.setattr(Played, "_state_for", state_for)
+    monkeypatch.setattr(SimulatedCluster, "_state_for", state_for)
     landed: dict[str, int] = {}
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 200.0)
         p.tasks.start_soon(looks, p)
         for i, kind in enumerate(sorted(LANDS)):
--- a/tests/test_upkeep.py
+++ b/tests/test_maintenance.py
@@ -28,8 +28,8 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage.schema import CONTROLLER_PREFIX
 
-from .played import HOLD, Played, play
-from .test_source import source
+from .simulation.cluster import HOLD, SimulatedCluster, play
+from .test_permitting import source
 
 RULES = DisruptionBudgets(
     {
@@ -140,16 +140,16 @@
 # -- the whole of it ---------------------------------------------------------------------------
 
 
-def source_of(p: Played, jid: str) -> JobSource:
+def source_of(p: SimulatedCluster, jid: str) -> JobSource:
     sources = [h.source for n in p.nodes.values() for h in n.context.held_shards.values()]
     return next(s for s in sources if s is not None and jid in s.jobs)
 
 
-async def place(p: Played, to: str, order: dict[str, Any]) -> int:
+async def place(p: SimulatedCluster, to: str, order: dict[str, Any]) -> int:
     return (await p.users[to].call("POST", "/upkeep", order, 5.0))[0]
 
 
-async def until_gone(p: Played, names: list[str], s: float) -> bool:
+async def until_gone(p: SimulatedCluster, names: list[str], s: float) -> bool:
     for _ in range(int(s)):
         if not any(n in p.fleet.machines for n in names):
             return True
@@ -160,7 +160,7 @@
 class Watch:
     """Replicas that run, by job, at any time."""
 
-    def __init__(self, p: Played) -> None:
+    def __init__(self, p: SimulatedCluster) -> None:
         self.p = p
         self.least: dict[str, int] = {}
         p.tasks.start_soon(self.loop)
@@ -177,7 +177,7 @@
             await anyio.sleep(0.1)
 
 
-async def services(p: Played, n: int = 3) -> None:
+async def services(p: SimulatedCluster, n: int = 3) -> None:
     for i in range(n):
         await p.submit(p.spec(900 + i, gait="daemon", chicks=4))
     await anyio.sleep(8.0)
@@ -187,7 +187,7 @@
 
 
 def test_machines_are_emptied_one_replica_at_a_time_and_given_back() -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await services(p)
         watch = Watch(p)
         p.tasks.start_soon(p.flow, 40.0, 0.6)
@@ -214,7 +214,7 @@
 def test_an_order_that_is_stopped_leaves_what_is_still_there_in_service() -> None:
     options = settings.Options(budget={"default": {"floor": 4}})
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await services(p)
         busy = [
             w.name
@@ -259,7 +259,7 @@
     What a crash itself takes down is not the order's doing: no worker is lost here, so replicas go down by the order alone.
     """
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await services(p)
         watch = Watch(p)
@@ -303,7 +303,7 @@
 
         monkeypatch.setattr(EvictionGrants, "next_write", plan)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(900, gait="daemon", chicks=4))
         await anyio.sleep(6.0)
         source = source_of(p, "j-000900")
@@ -336,7 +336,7 @@
 
 
 def test_no_order_is_taken_while_a_release_is_about_that_knows_none() -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(1.0)
         for node in p.nodes.values():
             value, version = node.context.store_cache.entries[CONTROLLER_PREFIX + "c2"]
--- a/tests/test_deaf.py
+++ b/tests/test_one_way_partition.py
@@ -1,4 +1,4 @@
-"""A machine whose reports arrive and that hears neither answers nor commands: for a moment, a lease, for good (tests/played.py).
+"""A machine whose reports arrive and that hears neither answers nor commands: for a moment, a lease, for good.
 
 Its lease runs out, its session rises, it tries each controller in turn, and looks alive all the time.
 """
@@ -14,13 +14,13 @@
 from ploverhall import status
 from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
-from . import test_owner
-from .played import Played, play
-from .test_carry import busy
-from .test_owner import EPOCH, report
+from . import test_shard_owner
+from .simulation.cluster import SimulatedCluster, play
+from .test_relay import busy
+from .test_shard_owner import EPOCH, report
 
 
-def given(p: Played, machines: Iterable[str]) -> set[Any]:
+def given(p: SimulatedCluster, machines: Iterable[str]) -> set[Any]:
     """The starts that stand on these machines, as whoever holds their parts sees it."""
     return {
         key
@@ -32,7 +32,7 @@
     }
 
 
-async def watch(p: Played, machines: list[str], s: float) -> set[Any]:
+async def watch(p: SimulatedCluster, machines: list[str], s: float) -> set[Any]:
     """All starts that are given to these machines in so long, besides what is there already."""
     before, seen = given(p, machines), set()
     until = p.now + s
@@ -43,7 +43,7 @@
     return seen
 
 
-def unreachable(p: Played) -> set[str]:
+def unreachable(p: SimulatedCluster) -> set[str]:
     return {
         m["name"]
         for n in p.nodes.values()
@@ -56,7 +56,7 @@
 def test_it_soon_gets_no_more_work_and_is_used_again_when_it_hears(count: int, s: float) -> None:
     """Untouched, each lease that ran out was followed by new starts on the same machine: 9 to 40 in a minute."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 110.0)
         parts = [w for c in p.names for w in p.workers_of(c)]
         some = parts[:: max(1, len(parts) // count)][:count]
@@ -85,7 +85,7 @@
 
 
 def test_a_dozen_wandering_from_controller_to_controller_move_no_part_while_another_ends() -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 90.0)
         some = [w for c in ("c0", "c1", "c2") for w in p.workers_of(c)[:4]]
         p.deafen(some, 50.0)
@@ -104,7 +104,7 @@
     """The others waited for the machine's lease, holding their places; now they leave as soon as it is known to hear nothing."""
     left: list[float] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(3.0)
         name = p.workers_of("c0")[0]
         for c in p.names:  # it gets no answer to anything but goes on being heard
@@ -139,7 +139,7 @@
 def test_a_job_that_is_cancelled_on_it_is_gone_in_time_and_a_new_machine_that_hears_nothing_gets_nothing(
     known: bool,
 ) -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 40.0)
         if known:
             some = [
@@ -166,7 +166,7 @@
 
 def test_one_that_hears_now_and_then_is_used_again_ever_later() -> None:
     """And it is found again when its rest is over, though nothing happens to it then."""
-    o, now, seq = test_owner.owner(), 0.0, 0
+    o, now, seq = test_shard_owner.owner(), 0.0, 0
 
     def beat(token: int, session: int, s: float = 1.0) -> None:
         nonlocal now, seq
--- a/tests/test_source.py
+++ b/tests/test_permitting.py
@@ -12,7 +12,7 @@
 from ploverhall.settings import Team
 from ploverhall.storage.schema import JOB_PREFIX, SHARD_PREFIX
 
-from .world import Store
+from .simulation.decision_model import ModelStore
 
 EPOCH = 9
 
@@ -404,7 +404,7 @@
 
     Its permit was one that nobody knew of, for a task that ran elsewhere or was done (share of such writes on a bad day: 0.6).
     """
-    store = Store()
+    store = ModelStore()
     rev, _ = store.txn({}, {JOB_PREFIX + "j-000001": 1, f"{SHARD_PREFIX}0": {"node": "c0"}}, [])
     s = JobSource(0, rev, [Team("t", 0, 0, 4, 10.0)], ("a", "b"), 4096, 8)
     s.on_job(a_job(task_count=2), "j-000001", rev, 0.0)
--- a/tests/test_carry.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What one controller can't reach is reached through another: the hard cases, each caused (tests/played.py).
+"""What one controller can't reach is reached through another: the hard cases, each caused.
 
 The rules are judged from the workers' side in every scene (`play` fails where one is broken). Where a guard of ours is what
 keeps a rule, the same scene is played without it and has to break.
@@ -26,12 +26,12 @@
 from ploverhall.protocol import relay_messages
 from ploverhall.transport.http_server import Reply
 
-from . import played
-from .played import HOLD, RESET, SILENT, Played, play
-from .standins import unguarded
+from .simulation import cluster
+from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
+from .simulation.fakes import unguarded
 
 
-async def busy(p: Played, s: float = 60.0, services: int = 3) -> float:
+async def busy(p: SimulatedCluster, s: float = 60.0, services: int = 3) -> float:
     """Replicas on every part, and jobs that come and go; returns when the trouble may begin."""
     for i in range(services):
         p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET, "503"])
 def test_without_the_state_service_work_goes_on_through_another(mode: str) -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         at = await busy(p)
         if mode == "503":
             p.refused.add("c0")
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET])
 def test_without_the_workers_they_are_answered_through_another_and_come_home(mode: str) -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         at = await busy(p)
         p.cut_workers("c0", mode, 25.0)
         await anyio.sleep(20.0)
@@ -96,7 +96,7 @@
 
         monkeypatch.setattr(AgentCommands, "reachable_from", believes)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 90.0)
         await p.crash("c0", 7.0)
         p.cut_workers("c0", mode, 35.0)
@@ -112,7 +112,7 @@
 def test_over_two_members_where_no_single_one_has_both_links() -> None:
     """c0 reaches neither the state service nor c2; c1 reaches both of them, but not the state service."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         at = await busy(p)
         for a, b in (("c0", "state"), ("c1", "state"), ("c0", "c2")):
             p.net.cut(a, b, HOLD, 25.0)
@@ -129,7 +129,7 @@
 def test_reports_over_two_members() -> None:
     """c0's workers reach only c2, and c2 can't speak with c0: c1 stands in between."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p)
         p.cut_workers("c0", SILENT, 30.0)
         p.cut_workers("c1", RESET, 30.0)
@@ -144,7 +144,7 @@
 def test_the_carrier_crashes_or_is_cut_itself(seed: int) -> None:
     """At moments drawn, for both kinds of cut: while a third can carry, nothing is killed by its lease."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await busy(p, 80.0)
         p.net.cut("c0", "state", HOLD, 45.0)
@@ -175,7 +175,7 @@
 
     monkeypatch.setattr(Relay, "serve", twice)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 40.0)
         p.net.cut("c0", "state", HOLD, 20.0)
         p.cut_workers("c0", HOLD, 20.0)
@@ -191,7 +191,7 @@
 def test_a_carrier_that_stands_still_for_longer_than_a_lease() -> None:
     """All its links are held, and deliver minutes' worth at once when it goes on: questions, answers, reports, transactions."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 80.0)
         p.net.cut("c0", "state", HOLD, 40.0)
         p.cut_workers("c0", HOLD, 40.0)
@@ -230,7 +230,7 @@
 
         monkeypatch.setattr(HeartbeatRequests, "_answer_held", deaf)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 40.0)
         p.cut_workers("c0", SILENT, 35.0)
         await anyio.sleep(60.0)
@@ -251,7 +251,7 @@
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
     late: list[relay_messages.RelayRequest] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 6.0)
         carried = p.nodes["c1"].store_service.serve_relayed
 
@@ -291,7 +291,7 @@
 def test_a_carried_renewal_that_comes_late_keeps_no_shard_for_two() -> None:
     """Renewals of c0 are held back on c1's link: its lease ends or lives, and each shard has one holder by the store."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 60.0)
         p.net.cut("c0", "state", SILENT, 40.0)
         for _ in range(5):
@@ -318,7 +318,7 @@
         monkeypatch.setattr(StoreWatch, "fresh_read", at_once)
     lost: list[int] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 5.0)
         p.net.cut("c0", "state", RESET, 30.0)
         await anyio.sleep(3.0)
@@ -334,7 +334,7 @@
 def test_an_answer_to_an_earlier_life_is_no_answer() -> None:
     """A controller that starts anew counts its questions from the beginning; what comes late was for another."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(2.0)
         c0 = p.nodes["c0"].relay
         number = c0.pending.open_request("c1", p.now + 5.0)
@@ -356,7 +356,7 @@
 
 
 def test_who_is_behind_with_its_own_work_carries_nothing() -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(2.0)
         c0, c1 = p.nodes["c0"].relay, p.nodes["c1"].relay
 
@@ -378,7 +378,7 @@
 def test_the_carriers_own_requests_come_first() -> None:
     """Who asks for more than its share through another is refused at once, and the other's own work is not late."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 40.0)
         p.net.cut("c0", "state", RESET, 30.0)
         p.net.cut("c0", "c2", RESET, 30.0)
@@ -420,7 +420,7 @@
         monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
     options = settings.Options(carry=guarded, cut_off_s=120.0)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 2.0)
         p.net.cut("c0", "state", SILENT, 90.0)
         p.net.cut("c0", "c2", SILENT, 90.0)
@@ -448,7 +448,7 @@
 def test_each_of_three_is_cut_from_something_else(seed: int) -> None:
     """And two that each reach one half: c0 has no state service, c1 no workers, c2 no c0; and the cuts end apart from each other."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await busy(p, 60.0)
         p.net.cut("c0", "state", rng.choice([HOLD, RESET]), 20.0 + 10 * rng.random())
@@ -463,7 +463,7 @@
 def test_a_cut_ends_while_a_carried_answer_is_held_back() -> None:
     """c1's answers to c0 lie in the network until long after c0 has its own link again."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 60.0)
         p.net.cut("c0", "state", HOLD, 15.0)
         p.cut_workers("c0", HOLD, 15.0)
@@ -487,7 +487,7 @@
 
     monkeypatch.setattr(Relay, "collect", collect)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for name in older:
             p.nodes[name].relay.deliver = lambda node, message: None  # type: ignore[method-assign]
             node = p.nodes[name].context
@@ -509,11 +509,15 @@
 def test_pairs_and_triples_of_cuts(seed: int) -> None:
     """Any two or three links or bundles of links, in any mode, overlapping: every rule holds, and all work goes on afterwards."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(1000 + seed)
         await busy(p, 70.0)
         for _ in range(rng.choice([2, 3])):
-            name, mode, s = rng.choice(p.names), rng.choice(played.MODES), 6.0 + 20.0 * rng.random()
+            name, mode, s = (
+                rng.choice(p.names),
+                rng.choice(cluster.MODES),
+                6.0 + 20.0 * rng.random(),
+            )
             kind = rng.choice(["state", "state", "workers", "workers", "peer", "cloud"])
             if kind == "workers":
                 p.cut_workers(name, mode, s, both=rng.random() < 0.7)
--- a/tests/test_back.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""A controller that ends and is back before anybody missed it, or just after: what its earlier life has left about (tests/played.py).
+"""A controller that ends and is back before anybody missed it, or just after: what its earlier life has left about.
 
 Its lease and key live on for up to 4 s, its connections break, its answers may be half sent, its watches stay open in the store, and
 a write of its may land after it is back.
@@ -14,12 +14,12 @@
 
 from ploverhall.storage.schema import CONTROLLER_PREFIX, SHARD_PREFIX
 
-from .played import Played, play
-from .standins import unguarded
-from .test_carry import busy
+from .simulation.cluster import SimulatedCluster, play
+from .simulation.fakes import unguarded
+from .test_relay import busy
 
 
-def soonest(p: Played, name: str, since: float) -> float:
+def soonest(p: SimulatedCluster, name: str, since: float) -> float:
     """Seconds until something started in a controller's own part."""
     mine = set(p.workers_of(name))
     return min((t - since for t, m in p.fleet.started_on if t > since and m in mine), default=1e9)
@@ -32,7 +32,7 @@
     (Two that had come to another controller once counted as coming again 2 s later, though they had long been served at home.)
     """
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         p.tasks.start_soon(p.submit, p.spec(900, gait="daemon", chicks=4))
         p.tasks.start_soon(p.flow, 40.0, 0.15)
         await anyio.sleep(10.0)
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("which", [["c0"], ["c0", "c1"], ["c0", "c1", "c2"]])
 def test_it_ends_again_at_once_five_times(which: list[str]) -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(len(which))
         await busy(p, 60.0)
         for _ in range(5):
@@ -75,7 +75,7 @@
 def test_it_is_back_while_another_claims_its_part(seed: int) -> None:
     """Its lease has just ended: its own claim and another's are on their way together, and one of the two fails its guard."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await busy(p, 60.0)
         for _ in range(3):
@@ -102,7 +102,7 @@
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
     late: list[Any] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 6.0)
         handle = p.state.handle
 
--- a/tests/test_afterlife.py
+++ b/tests/test_restart_recovery.py
@@ -1,4 +1,4 @@
-"""A controller that ends where it can't read the store, and is back: what its new life may do (tests/played.py).
+"""A controller that ends where it can't read the store, and is back: what its new life may do.
 
 The rules are judged from the workers' side in every scene. Where a guard of ours is what keeps a rule, the same scene is played
 without it and has to break.
@@ -20,18 +20,18 @@
 from ploverhall.coordination.cancellation_barrier import CLOCK_DRIFT
 from ploverhall.coordination.restart_recovery import GRANT_FROM_ANSWER, NO_GRANT, RenewalGrants
 
-from . import world
-from .played import HOLD, SILENT, Played, play
-from .test_carry import busy
+from .simulation import decision_model
+from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
+from .test_relay import busy
 
-Scene = Callable[[Played], Awaitable[None]]
+Scene = Callable[[SimulatedCluster], Awaitable[None]]
 
 
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
     """A worker that tries two silent controllers in between is back after 11 s and a report's interval: a lease has to be longer."""
-    monkeypatch.setattr(world, "LEASE", 16.0)
-    monkeypatch.setattr(world, "CANCEL", 46.0)
+    monkeypatch.setattr(decision_model, "LEASE", 16.0)
+    monkeypatch.setattr(decision_model, "CANCEL", 46.0)
 
 
 def breaks(scene: Scene, rule: str, **kw: Any) -> None:
@@ -48,7 +48,7 @@
     if not answers:
         monkeypatch.setattr(RenewalGrants, "answer_heartbeat", lambda *a: None)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 80.0)
         p.cut_zone("b", HOLD, 32.0)
         await anyio.sleep(12.0)
@@ -63,7 +63,7 @@
 def test_it_ends_again_and_again(seed: int) -> None:
     """Five lives, none of which knows anything: together they answer for no longer than one."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await busy(p, 80.0)
         p.cut_zone("b", HOLD, 27.0)
@@ -83,7 +83,7 @@
 def test_controllers_end_in_an_outage(which: list[str]) -> None:
     """Nobody has a store to read for 15 s, and those that end come back after 0.2 s, twice."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 60.0)
         p.state.down = True
         for _ in range(2):
@@ -112,7 +112,7 @@
             restart_recovery.fencing_tokens, "with_renewal_grant", lambda token, right: token
         )
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         p.cut_zone("b", SILENT, 140.0)
         await anyio.sleep(1.0)
@@ -136,7 +136,7 @@
     if not guarded:
         monkeypatch.setattr(RenewalGrants, "informed_renewal_s", property(lambda self: 60.0))
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         for w in p.fleet.workers.values():
             if w.zone == "b":
@@ -172,7 +172,7 @@
         monkeypatch.setattr(restart_recovery.fencing_tokens, "holder_of", lambda token: 1)
         monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 10.0)
         p.net.cut("c1", "state", SILENT, 60.0)
         for other in ("c0", "c2"):
@@ -193,7 +193,7 @@
 def test_a_takeover_outside_whose_token_has_reached_some_of_the_workers(seed: int) -> None:
     """c1's part has been taken while some of its workers could not be reached; then the zone is cut, and c1 is back."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await busy(p, 70.0)
         here = [w.name for w in p.fleet.workers.values() if w.zone == "b"]
--- a/tests/test_election.py
+++ b/tests/test_shard_claims.py
@@ -1,4 +1,4 @@
-"""Controllers that end and are back in 0.1 to 0.5 s at every step of a claim, and a machine back with its tasks gone (tests/played.py)."""
+"""Controllers that end and are back in 0.1 to 0.5 s at every step of a claim, and a machine back with its tasks gone."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from ploverhall.storage.schema import SHARD_PREFIX
 
-from .played import Played, play
-from .test_carry import busy
+from .simulation.cluster import SimulatedCluster, play
+from .test_relay import busy
 
 STEPS = ("lease gone", "claim sent", "claim landed", "cells read")
 
@@ -20,7 +20,7 @@
 class Hook:
     """Waits until a claim of part 0 is at a step, and holds the store's answer back for as long as it takes to end somebody."""
 
-    def __init__(self, p: Played, step: str) -> None:
+    def __init__(self, p: SimulatedCluster, step: str) -> None:
         self.p, self.step, self.claimant = p, step, ""
         self.reached, self.go_on = anyio.Event(), anyio.Event()
         self.handle = p.state.handle
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("who", ["claimant", "former", "both", "thrice"])
 @pytest.mark.parametrize("step", STEPS)
 def test_ends_at_every_step_of_a_claim(step: str, who: str) -> None:
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         rng = Random(STEPS.index(step) * 4 + len(who))
         await busy(p, 60.0)
         hook = Hook(p, step)
@@ -105,7 +105,7 @@
 def test_a_machine_that_is_back_at_once_with_its_tasks_gone() -> None:
     """The same name and address, numbers that begin anew: its old reports are no measure for the new ones for ever."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 50.0)
         for _ in range(2):
             name = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
--- a/tests/test_owner.py
+++ b/tests/test_shard_owner.py
@@ -9,7 +9,7 @@
 from ploverhall.protocol.peer_messages import CandidateUpdate, JobUpdate, OfferUpdate, PermitUpdate
 from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 
-from .world import TYPE
+from .simulation.decision_model import TYPE
 
 EPOCH = 7
 KEY = ("j-000001", 0, 5)
--- a/tests/test_copies.py
+++ b/tests/test_stale_heartbeats.py
@@ -1,4 +1,4 @@
-"""Reports that come a second time, from seconds to well over a lease later (tests/played.py, and the plain world by itself)."""
+"""Reports that come a second time, from seconds to well over a lease later."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-from . import test_world, world
-from .played import Played, play
-from .test_carry import busy
-from .test_source import a_job
-from .world import Broken
+from . import test_decision_model
+from .simulation import decision_model
+from .simulation.cluster import SimulatedCluster, play
+from .simulation.decision_model import RuleBrokenError
+from .test_permitting import a_job
+from .test_relay import busy
 
 
 @pytest.mark.parametrize("most", [5.0, 40.0])
 def test_copies_move_nothing_and_keep_nobody_alive(most: float) -> None:
     """To the same controller and others, also across an end and a takeover."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         p.copy_reports(Random(4), 0.4, 1.0, most)
         await busy(p, 90.0)
         await anyio.sleep(30.0)
@@ -44,7 +45,7 @@
 def test_a_machine_that_is_gone_stays_gone_whoever_its_copies_reach() -> None:
     """Its tasks start elsewhere as soon as they would without copies, and its room is nobody's."""
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         await busy(p, 90.0)
         dead = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
         p.copy_reports(Random(5), 1.0, 8.0, 45.0, [dead])
@@ -76,7 +77,7 @@
 @pytest.mark.parametrize("seed", range(300, 306))
 def test_copies_and_machines_that_hear_nothing_in_the_plain_world(seed: int) -> None:
     """Beside ends, pauses, cuts and takeovers: every rule holds, and all of it finishes."""
-    w = test_world.play(seed, kinds=(0, 2, 3, 4, 8, 8), copies=0.3)
+    w = test_decision_model.play(seed, kinds=(0, 2, 3, 4, 8, 8), copies=0.3)
     assert not w.live() and not w.store.permits()
 
 
@@ -115,14 +116,16 @@
                 # As if what it is answered were its first
                 m.accepted_token, m.last_heartbeat_at, m.last_answer_at = (
                     True,
-                    now - 2 * world.LEASE,
+                    now - 2 * decision_model.LEASE,
                     0.0,
                 )
                 self.epoch_confirmed_at = now
             return real(self, r, now, direct, relayed)
 
         monkeypatch.setattr(ShardOwner, "on_heartbeat", believing)
-    assert test_world._seeds_until_broken(range(300, 325), kinds=(0, 2, 3, 4, 8), copies=0.5)
+    assert test_decision_model._seeds_until_broken(
+        range(300, 325), kinds=(0, 2, 3, 4, 8), copies=0.5
+    )
 
 
 # -- any order, by itself: two owners of one part after one another, two machines, three tasks -----------------------------------
@@ -153,27 +156,37 @@
         }
         self.results: set[Any] = set()
         self.longer: dict[tuple[str, int], float] = {}
-        self.workers = [world.Worker(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
+        self.workers = [decision_model.ModelAgent(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
         # Reports that left, the oldest first
-        self.sent: list[tuple[world.Worker, dict[str, Any], float]] = []
-        self.commands: list[tuple[world.Worker, dict[str, Any]]] = []  # that may still arrive
+        self.sent: list[tuple[decision_model.ModelAgent, dict[str, Any], float]] = []
+        self.commands: list[
+            tuple[decision_model.ModelAgent, dict[str, Any]]
+        ] = []  # that may still arrive
         self.epoch = 0
         # Job -> attempt, machine: what the source has written
         self.entries: dict[str, tuple[int, int]] = {}
         self.attempt = 0
         self.claim()
 
-    def started(self, w: world.Worker, key: agents.AttemptId) -> None:
+    def started(self, w: decision_model.ModelAgent, key: agents.AttemptId) -> None:
         for other in self.workers:
             if other is not w and any(k[:2] == key[:2] for k in other.on_machine()):
-                raise Broken(f"ran_twice: {key}")
+                raise RuleBrokenError(f"ran_twice: {key}")
 
     def claim(self) -> None:
         self.epoch += 1
         self.owner = ShardOwner(
-            0, self.epoch, 1, world.LEASE, world.REPORT, 5.0, 5, self.rng, self.now
+            0,
+            self.epoch,
+            1,
+            decision_model.LEASE,
+            decision_model.REPORT,
+            5.0,
+            5,
+            self.rng,
+            self.now,
         )
-        self.owner.machine_types = {"t": world.TYPE}
+        self.owner.machine_types = {"t": decision_model.TYPE}
         self.owner.epoch_confirmed_at = 1e9  # whoever asks the store is told that it holds the part
         changes: dict[str, Any] = {
             peer_messages.job_key(j): JobUpdate(s.record(), list(s.resources), 0)
@@ -185,7 +198,9 @@
             )
         self.owner.on_source_update(0, True, changes, self.now)
 
-    def receive(self, w: world.Worker, body: dict[str, Any], sent: float, answered: bool) -> None:
+    def receive(
+        self, w: decision_model.ModelAgent, body: dict[str, Any], sent: float, answered: bool
+    ) -> None:
         m = self.owner.on_heartbeat(agents.heartbeat_from_json(body), self.now)
         if m is None or m.stale_heartbeat:
             return
@@ -246,7 +261,7 @@
         elif what == "claim" and n % 4 == 0:
             self.claim()
         elif what == "lease" and n % 2:
-            self.now += world.LEASE + 2.0
+            self.now += decision_model.LEASE + 2.0
         self.now += 0.1 + n / 40
         self.owner.advance_time(self.now)
         for (_, key), news in self.owner.take_source_updates().items():
@@ -285,7 +300,7 @@
         copies_are_news(monkeypatch)
     else:
         monkeypatch.setattr(PermitTable, "check_gone", _check_without_tokens)
-    with pytest.raises(Broken, match="ran_twice"):
+    with pytest.raises(RuleBrokenError, match="ran_twice"):
         for seed in range(400):
             _any_order(seed)
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -16,9 +16,9 @@
 from ploverhall.protocol.peer_messages import AttemptUpdate
 from ploverhall.scheduling.shard_owner import ShardOwner
 
+from .test_failure_attribution import failed_on, play
 from .test_loopback import config
-from .test_source import a_job, source
-from .test_trust import failed_on, play
+from .test_permitting import a_job, source
 
 
 def three() -> list[Controller]:
--- a/tests/test_limits.py
+++ b/tests/test_team_limits.py
@@ -1,4 +1,4 @@
-"""Every team at its limit while jobs are cancelled whose machines can't be asked, and the leader changes (tests/played.py).
+"""Every team at its limit while jobs are cancelled whose machines can't be asked, and the leader changes.
 
 What is cancelled counts for its team until it is proved gone, under every source and by its own size; then its room is used again.
 """
@@ -12,7 +12,7 @@
 
 from ploverhall.scheduling.allocations import AllocationStore
 
-from .played import HOLD, SILENT, Played, play
+from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
 
 
 def over_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -74,7 +74,7 @@
         without(monkeypatch)
     used: list[float] = []
 
-    async def scene(p: Played) -> None:
+    async def scene(p: SimulatedCluster) -> None:
         for team in range(2):  # at the limit of 16
             await p.submit(p.spec(900 + team, gait="daemon", chicks=6))
             for n in (910, 912):
