--- a/scripts/custom_days/__main__.py
+++ b/scripts/custom_days/__main__.py
@@ -515,9 +515,10 @@
 def read(report: dict[str, Any], logs: Path, day: Day) -> dict[str, Any]:
     """The figures of a played day, from its report and its controllers' logs."""
     with logs.open(errors="replace") as f:
-        jobs = served_by_class.jobs(f)
-    who, least = min(served_by_class.rows(report, jobs), key=lambda r: r[1], default=("", 1.0))
-    big = served_by_class.of_largest(jobs)
+        jobs = served_by_class.read_jobs(f)
+    served = served_by_class.served_rows(report, jobs)
+    worst = min(served, key=lambda row: row.least_share, default=None)
+    largest = served_by_class.largest_jobs_rows(jobs)
     line = re.search(
         rb"^%s +\d+ +([0-9.]+) " % re.escape(day.name).encode(), logs.read_bytes(), re.MULTILINE
     )
@@ -529,10 +530,10 @@
     return {
         "figure": float(line[1]) if line else None,
         "rules": report["rules_broken"]["total"],
-        "least served": round(least, 2),
-        "who": " ".join(who.split()[:2]),
-        "largest served": round(min((s for _, s, _ in big), default=1.0), 2),
-        "begun in s": round(max((b for _, _, b in big), default=0.0), 1),
+        "least served": round(worst.least_share if worst else 1.0, 2),
+        "who": worst.name if worst else "",
+        "largest served": round(min((row.served_share for row in largest), default=1.0), 2),
+        "begun in s": round(max((row.longest_wait_s for row in largest), default=0.0), 1),
         "by themselves": ended,
         "killed by lease": report["fleet"]["tasks_killed_by_lease"],
         "worst 30 s": min(up, default=1.0),
@@ -548,10 +549,12 @@
         "failed" in figures
         or figures["rules"]
         or figures["by themselves"]
-        or figures["begun in s"] > served_by_class.BEGIN_S
+        or figures["begun in s"] > served_by_class.MAX_WAIT_S
     ):
         return True
-    return bool(min(figures["least served"], figures["largest served"]) < served_by_class.HALF)
+    return bool(
+        min(figures["least served"], figures["largest served"]) < served_by_class.FAILING_SHARE
+    )
 
 
 def main() -> int:
--- a/scripts/served_by_class.py
+++ b/scripts/served_by_class.py
@@ -20,6 +20,7 @@
 
 import argparse
 import json
+import math
 import re
 import sys
 from collections.abc import Iterable
@@ -27,229 +28,297 @@
 from pathlib import Path
 from typing import Any
 
-HALF = 0.5
-NEAR = 0.65
-BEGIN_S = 240.0
+FAILING_SHARE = 0.5
+NEAR_SHARE = 0.65
+MAX_WAIT_S = 240.0
+FAILS_MARK = "FAILS"
+NEAR_MARK = "near"
+LARGEST_PART = 10  # the largest jobs are the tenth of a class
+LARGEST_AT_LEAST = 3
 # Older releases wrote `withdrawn`, `klass=` and `why=` for `cancelled`, `class=` and `reason=`
 CANCELLED_EVENTS = ("cancelled", "withdrawn")
-LINE = re.compile(r" *([0-9.]+) \S+ \w+ (accepted|task|done|cancelled|withdrawn) (.*)")
+LOG_LINE = re.compile(r" *([0-9.]+) \S+ \w+ (accepted|task|done|cancelled|withdrawn) (.*)")
 
 
 @dataclass
-class Counted:
-    """One job as the logs tell of it."""
+class JobRecord:
+    """One accepted job, from the controllers' logs; times in seconds of the day."""
 
     team: str
     kind: str
-    klass: str
-    tasks: int
-    at: float = 0.0  # when it was accepted
-    began: float | None = None  # when its first task ran; of a gang, its last
-    ran: set[str] = field(default_factory=set)
-    completed: set[str] = field(default_factory=set)
+    class_name: str
+    task_count: int
+    accepted_at: float = 0.0
+    began_at: float | None = None  # when its first task ran; of a gang, its last
+    tasks_run: set[str] = field(default_factory=set)
+    tasks_completed: set[str] = field(default_factory=set)
     done: bool = False
     cancelled: bool = False
 
-    def runs(self, task: str, at: float) -> None:
+    def record_running(self, task: str, at: float) -> None:
         """A task of it runs."""
-        self.ran.add(task)
-        if self.began is None and (self.kind != "gang" or len(self.ran) >= self.tasks):
-            self.began = at
+        self.tasks_run.add(task)
+        if self.began_at is None and (
+            self.kind != "gang" or len(self.tasks_run) >= self.task_count
+        ):
+            self.began_at = at
 
     @property
     def started(self) -> bool:
         """Whether any task ran."""
-        return bool(self.ran)
+        return bool(self.tasks_run)
 
     @property
     def served(self) -> bool:
         """Whether its users got what they asked for."""
-        return len(self.ran) >= self.tasks if self.kind == "service" else self.done
+        return len(self.tasks_run) >= self.task_count if self.kind == "service" else self.done
+
+    @property
+    def counts(self) -> bool:
+        """Whether it is counted: not if it was cancelled before it was served."""
+        return self.served or not self.cancelled
 
     @property
     def tasks_served(self) -> int:
         """How many of its tasks were of use."""
+        if self.kind == "service":
+            return len(self.tasks_run)
+        return self.task_count if self.done else len(self.tasks_completed)
+
+    @property
+    def wait_s(self) -> float:
+        """Seconds from its acceptance until it began; infinite if it never did."""
+        return float("inf") if self.began_at is None else self.began_at - self.accepted_at
+
+
+@dataclass(frozen=True)
+class ServedCounts:
+    """Jobs and tasks of a class or team; `cancelled` jobs count neither way."""
+
+    submitted: int
+    accepted: int
+    started: int
+    cancelled: int
+    served: int
+    tasks: int
+    tasks_served: int
+
+    @property
+    def job_share(self) -> float:
+        """The share of jobs that were served; 1 without any."""
+        counted = self.submitted - self.cancelled
+        return self.served / counted if counted > 0 else 1.0
+
+    @property
+    def task_share(self) -> float:
+        """The share of tasks that were served; 1 without any."""
+        return self.tasks_served / self.tasks if self.tasks else 1.0
+
+
+@dataclass(frozen=True)
+class ServedRow:
+    """How far a class or team was served."""
+
+    name: str
+    counts: ServedCounts
+
+    @property
+    def least_share(self) -> float:
+        """The lower of the shares of jobs and of tasks."""
+        return min(self.counts.job_share, self.counts.task_share)
+
+    def text(self) -> str:
+        """The row of the table."""
+        counts = self.counts
+        mark = ""
+        if self.least_share < FAILING_SHARE:
+            mark = FAILS_MARK
+        elif self.least_share < NEAR_SHARE:
+            mark = NEAR_MARK
+        tasks = f"{'-':>8} {'-':>8} {'-':>6}"
+        if counts.tasks:
+            tasks = f"{counts.tasks:8} {counts.tasks_served:8} {counts.task_share:6.3f}"
         return (
-            len(self.ran)
-            if self.kind == "service"
-            else self.tasks
-            if self.done
-            else len(self.completed)
-        )
-
-
-def jobs(lines: Iterable[str]) -> dict[str, Counted]:
-    """All accepted jobs, from the log lines of all controllers."""
-    out: dict[str, Counted] = {}
-    for text in lines:
-        m = LINE.match(text)
-        if m is None:
-            continue
-        at, what = float(m[1]), m[2]
-        f = dict(p.split("=", 1) for p in m[3].split() if "=" in p)
-        job = out.get(f.get("job", ""))
-        if what == "accepted" and job is None:
-            out[f["job"]] = Counted(
-                f["team"], f["kind"], f.get("class", f.get("klass", f["kind"])), int(f["tasks"]), at
-            )
-        elif job is not None and what == "task":
-            if f.get("state") == "running":
-                job.runs(f["task"], at)
-            elif f.get("reason", f.get("why")) == "done":
-                job.runs(f["task"], at)
-                job.completed.add(f["task"])
-        elif job is not None:
-            job.done, job.cancelled = (
-                job.done or what == "done",
-                job.cancelled or what in CANCELLED_EVENTS,
-            )
-            if job.done and job.began is None:
-                job.began = at
-    return out
-
-
-def line(
-    name: str,
-    asked: int,
-    accepted: int,
-    started: int,
-    cancelled: int,
-    served: int,
-    tasks: int,
-    tasks_served: int,
-) -> tuple[str, float]:
-    """A line of the table, and the lower of the two shares; `cancelled` ones count neither way."""
-    share = served / (asked - cancelled) if asked > cancelled else 1.0
-    task_share = tasks_served / tasks if tasks else 1.0
-    least = min(share, task_share)
-    mark = "FAILS" if least < HALF else "near" if least < NEAR else ""
-    of_tasks = (
-        f"{tasks:8} {tasks_served:8} {task_share:6.3f}" if tasks else f"{'-':>8} {'-':>8} {'-':>6}"
-    )
-    return (
-        (
-            f"{name:24} {asked:6} {accepted:8} {started:7} {cancelled:9} {served:6} "
-            f"{share:6.3f} {of_tasks} {mark}"
-        ).rstrip(),
-        least,
-    )
+            f"{self.name:24} {counts.submitted:6} {counts.accepted:8} {counts.started:7} "
+            f"{counts.cancelled:9} {counts.served:6} {counts.job_share:6.3f} {tasks} {mark}"
+        ).rstrip()
+
+
+@dataclass(frozen=True)
+class LargestJobs:
+    """How far a class's largest jobs were served, and the longest that one took to begin."""
+
+    class_name: str
+    most_tasks: int
+    served_share: float
+    longest_wait_s: float
+
+    @property
+    def fails(self) -> bool:
+        """Whether too few were served, or one began too late."""
+        return self.served_share < FAILING_SHARE or self.longest_wait_s > MAX_WAIT_S
+
+    def text(self) -> str:
+        """The row of the table."""
+        mark = FAILS_MARK if self.fails else ""
+        return (
+            f"largest {self.class_name} (up to {self.most_tasks} tasks): "
+            f"served {self.served_share:.3f}, begun within {self.longest_wait_s:.0f} s {mark}"
+        ).rstrip()
+
+
+@dataclass(frozen=True)
+class Table:
+    """All lines, and the least share of any class or team (0 if a largest job began too late)."""
 
+    lines: list[str]
+    least_share: float
 
-def of_class(name: str, c: dict[str, Any], found: list[Counted]) -> tuple[str, float]:
+
+def read_jobs(lines: Iterable[str]) -> dict[str, JobRecord]:
+    """All accepted jobs by id, from the log lines of all controllers."""
+    jobs: dict[str, JobRecord] = {}
+    for line in lines:
+        match = LOG_LINE.match(line)
+        if match is None:
+            continue
+        at, event = float(match[1]), match[2]
+        fields = dict(word.split("=", 1) for word in match[3].split() if "=" in word)
+        job = jobs.get(fields.get("job", ""))
+        if job is not None:
+            _record_event(job, event, fields, at)
+        elif event == "accepted":
+            jobs[fields["job"]] = _accepted_job(fields, at)
+    return jobs
+
+
+def _accepted_job(fields: dict[str, str], at: float) -> JobRecord:
+    """The job of a line about an acceptance."""
+    class_name = fields.get("class", fields.get("klass", fields["kind"]))
+    return JobRecord(fields["team"], fields["kind"], class_name, int(fields["tasks"]), at)
+
+
+def _record_event(job: JobRecord, event: str, fields: dict[str, str], at: float) -> None:
+    """Take a line about a known job into its record."""
+    if event == "task":
+        if fields.get("state") == "running":
+            job.record_running(fields["task"], at)
+        elif fields.get("reason", fields.get("why")) == "done":
+            job.record_running(fields["task"], at)
+            job.tasks_completed.add(fields["task"])
+        return
+    if event in CANCELLED_EVENTS:
+        job.cancelled = True
+    if event == "done":
+        job.done = True
+    if job.done and job.began_at is None:
+        job.began_at = at
+
+
+def class_row(name: str, reported: dict[str, Any], jobs: list[JobRecord]) -> ServedRow:
     """A class, by the bench's report; its tasks by the logs, if they name classes."""
-    tasks, tasks_served = of_tasks(found)
-    if "up" in c:
-        return line(
-            f"class {name}",
-            c["jobs"],
-            c["accepted"],
-            c["started"],
-            0,
-            c["started"],
-            tasks,
-            tasks_served,
-        )
-    return line(
-        f"class {name}",
-        c["jobs"],
-        c["accepted"],
-        c["started"],
-        c["cancelled"],
-        c["done"],
-        tasks,
-        tasks_served,
+    is_service = "up" in reported
+    counts = ServedCounts(
+        submitted=reported["jobs"],
+        accepted=reported["accepted"],
+        started=reported["started"],
+        cancelled=0 if is_service else reported["cancelled"],
+        served=reported["started"] if is_service else reported["done"],
+        tasks=_task_count(jobs),
+        tasks_served=_tasks_served(jobs),
     )
+    return ServedRow(f"class {name}", counts)
 
 
-def of_team(name: str, found: list[Counted]) -> tuple[str, float]:
+def team_row(name: str, jobs: list[JobRecord]) -> ServedRow:
     """A team, by the logs."""
-    cancelled = sum(j.cancelled and not j.served for j in found)
-    n, started = len(found), sum(j.started for j in found)
-    return line(
-        f"team {name}", n, n, started, cancelled, sum(j.served for j in found), *of_tasks(found)
+    counts = ServedCounts(
+        submitted=len(jobs),
+        accepted=len(jobs),
+        started=sum(job.started for job in jobs),
+        cancelled=sum(not job.counts for job in jobs),
+        served=sum(job.served for job in jobs),
+        tasks=_task_count(jobs),
+        tasks_served=_tasks_served(jobs),
     )
+    return ServedRow(f"team {name}", counts)
+
 
+def _task_count(jobs: list[JobRecord]) -> int:
+    return sum(job.task_count for job in jobs if job.counts)
 
-def of_tasks(found: list[Counted]) -> tuple[int, int]:
-    """Tasks, and those of use, of all jobs that count."""
-    counted = [j for j in found if j.served or not j.cancelled]
-    return sum(j.tasks for j in counted), sum(j.tasks_served for j in counted)
 
+def _tasks_served(jobs: list[JobRecord]) -> int:
+    return sum(job.tasks_served for job in jobs if job.counts)
 
-def largest(found: list[Counted]) -> tuple[float, float]:
-    """Of a class's largest jobs: the share served, and the longest that one took to begin.
 
-    One that never began counts as infinite; those cancelled before they were served don't count.
+def largest_jobs(class_name: str, jobs: list[JobRecord]) -> LargestJobs:
+    """The largest jobs of a class, which has one at least.
+
+    Those cancelled before they were served don't count.
     """
-    ranked = sorted(found, key=lambda j: (-j.tasks, j.at))
-    some = [j for j in ranked[: max(3, -(-len(ranked) // 10))] if j.served or not j.cancelled]
-    begin = [(j.began - j.at) if j.began is not None else float("inf") for j in some]
-    return (sum(j.served for j in some) / len(some) if some else 1.0), max(begin, default=0.0)
-
-
-def of_largest(found: dict[str, Counted]) -> list[tuple[str, float, float]]:
-    """Every class: a line on its largest jobs, the share served, and the longest wait."""
-    out = []
-    for name in sorted({j.klass for j in found.values()}):
-        mine = [j for j in found.values() if j.klass == name]
-        share, begin = largest(mine)
-        mark = "FAILS" if share < HALF or begin > BEGIN_S else ""
-        most = max(j.tasks for j in mine)
-        out.append(
-            (
-                (
-                    f"largest {name} (up to {most} tasks): served {share:.3f}, "
-                    f"begun within {begin:.0f} s {mark}"
-                ).rstrip(),
-                share,
-                begin,
-            )
-        )
-    return out
-
-
-def rows(report: dict[str, Any], found: dict[str, Counted]) -> list[tuple[str, float]]:
-    """Every class and team: its line, and its lower share."""
-    out = [
-        of_class(name, c, [j for j in found.values() if j.klass == name])
-        for name, c in report["classes"].items()
+    ranked = sorted(jobs, key=lambda job: (-job.task_count, job.accepted_at))
+    count = max(LARGEST_AT_LEAST, math.ceil(len(ranked) / LARGEST_PART))
+    largest = [job for job in ranked[:count] if job.counts]
+    served = sum(job.served for job in largest)
+    return LargestJobs(
+        class_name,
+        most_tasks=ranked[0].task_count,
+        served_share=served / len(largest) if largest else 1.0,
+        longest_wait_s=max((job.wait_s for job in largest), default=0.0),
+    )
+
+
+def largest_jobs_rows(jobs: dict[str, JobRecord]) -> list[LargestJobs]:
+    """Every class with its largest jobs."""
+    names = sorted({job.class_name for job in jobs.values()})
+    return [
+        largest_jobs(name, [job for job in jobs.values() if job.class_name == name])
+        for name in names
     ]
-    return out + [
-        of_team(t, [j for j in found.values() if j.team == t])
-        for t in sorted({j.team for j in found.values()})
+
+
+def served_rows(report: dict[str, Any], jobs: dict[str, JobRecord]) -> list[ServedRow]:
+    """Every class, then every team."""
+    records = list(jobs.values())
+    rows = [
+        class_row(name, reported, [job for job in records if job.class_name == name])
+        for name, reported in report["classes"].items()
     ]
+    for name in sorted({job.team for job in records}):
+        rows.append(team_row(name, [job for job in records if job.team == name]))
+    return rows
 
 
-def table(report: dict[str, Any], found: dict[str, Counted]) -> tuple[list[str], float]:
-    """All lines, and the least share of any class or team."""
+def table(report: dict[str, Any], jobs: dict[str, JobRecord]) -> Table:
+    """The rows of all classes and teams and of the largest jobs."""
     head = (
         f"{'':24} {'asked':>6} {'accepted':>8} {'started':>7} {'cancelled':>9} {'served':>6} "
         f"{'share':>6} "
         f"{'tasks':>8} {'served':>8} {'share':>6}"
     )
-    lines = rows(report, found)
-    big = of_largest(found)
-    least = min(
-        [share for _, share in lines]
-        + [0.0 if begin > BEGIN_S else share for _, share, begin in big],
-        default=1.0,
-    )
-    return [head, *(text for text, _ in lines), *(text for text, _, _ in big)], least
+    rows = served_rows(report, jobs)
+    largest = largest_jobs_rows(jobs)
+    shares = [row.least_share for row in rows]
+    for row in largest:
+        shares.append(0.0 if row.longest_wait_s > MAX_WAIT_S else row.served_share)
+    lines = [head, *(row.text() for row in rows), *(row.text() for row in largest)]
+    return Table(lines, min(shares, default=1.0))
 
 
 def main() -> int:
-    """Print the table; status 1 where somebody got less than a half."""
-    p = argparse.ArgumentParser(
+    """Print the table; status 1 where a class or team got less than a half."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    p.add_argument("report", type=Path)
-    p.add_argument("log", type=Path)
-    args = p.parse_args()
-    with args.log.open(errors="replace") as f:
-        found = jobs(f)
-    lines, least = table(json.loads(args.report.read_text()), found)
-    print("\n".join(lines))
-    return 1 if least < HALF else 0
+    parser.add_argument("report", type=Path)
+    parser.add_argument("log", type=Path)
+    args = parser.parse_args()
+    with args.log.open(errors="replace") as log:
+        jobs = read_jobs(log)
+    printed = table(json.loads(args.report.read_text()), jobs)
+    print("\n".join(printed.lines))
+    return 1 if printed.least_share < FAILING_SHARE else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_served_by_class.py
+++ b/tests/test_served_by_class.py
@@ -24,10 +24,10 @@
 
 
 def test_half_of_everyone() -> None:
-    found = served_by_class.jobs(LOG.splitlines())
-    lines, least = served_by_class.table({"classes": CLASSES}, found)
-    rows = {text.split()[1]: text for text in lines[1:] if not text.startswith("largest")}
-    assert least == 0.0 and rows["x"].endswith("FAILS") and rows["a"].endswith("FAILS")
+    found = served_by_class.read_jobs(LOG.splitlines())
+    table = served_by_class.table({"classes": CLASSES}, found)
+    rows = {text.split()[1]: text for text in table.lines[1:] if not text.startswith("largest")}
+    assert table.least_share == 0.0 and rows["x"].endswith("FAILS") and rows["a"].endswith("FAILS")
     assert (
         not rows["y"].endswith("FAILS")
         and not rows["z"].endswith("FAILS")
@@ -44,14 +44,16 @@
     older = LOG.replace(" class=", " klass=").replace(" reason=", " why=")
     older = older.replace(" cancelled ", " withdrawn ")
     assert older != LOG
-    assert served_by_class.jobs(older.splitlines()) == served_by_class.jobs(LOG.splitlines())
+    assert served_by_class.read_jobs(older.splitlines()) == served_by_class.read_jobs(
+        LOG.splitlines()
+    )
 
 
 def test_a_class_that_was_never_accepted_shows_without_any_line_of_the_log() -> None:
-    lines, least = served_by_class.table(
+    table = served_by_class.table(
         {"classes": {"w": {"jobs": 4, "accepted": 1, "started": 1, "done": 1, "cancelled": 0}}}, {}
     )
-    assert least == 0.25 and lines[1].endswith("FAILS")
+    assert table.least_share == 0.25 and table.lines[1].endswith("FAILS")
 
 
 def test_the_largest_of_a_class_are_judged_by_themselves() -> None:
@@ -71,8 +73,12 @@
             for i, at in enumerate((first, last))
         ]
         log += [f" {ended} c0 debug done job={jid}"] if ended else []
-    found = served_by_class.jobs("\n".join(log).splitlines())
-    share, begin = served_by_class.largest([j for j in found.values() if j.klass == "z"])
-    assert (share, begin) == (0.75, 250.0), "of 33 jobs the four largest count"
-    lines, least = served_by_class.table({"classes": {}}, found)
-    assert least == 0.0 and lines[-1].endswith("FAILS")
+    found = served_by_class.read_jobs("\n".join(log).splitlines())
+    largest = served_by_class.largest_jobs(
+        "z", [job for job in found.values() if job.class_name == "z"]
+    )
+    assert (largest.served_share, largest.longest_wait_s) == (0.75, 250.0), (
+        "of 33 jobs the four largest count"
+    )
+    table = served_by_class.table({"classes": {}}, found)
+    assert table.least_share == 0.0 and table.lines[-1].endswith("FAILS")
