--- a/scripts/partition_matrix.py
+++ b/scripts/partition_matrix.py
@@ -16,46 +16,80 @@
 
 from __future__ import annotations
 
-import json
 import re
-import subprocess
 import sys
 from dataclasses import dataclass
+from itertools import pairwise
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from scripts import side_by_side
+from scripts.day_runs import (
+    DayFiles,
+    FailedRun,
+    Figures,
+    Report,
+    column,
+    play_day,
+    rules_broken,
+    tasks_killed_by_lease,
+    worst_service_availability,
+)
 
-KINDS = {
+DEFAULT_JOBS = 4
+# What a controller may lose, and the modes the bench has for it
+CUT_MODES = {
     "state": ("hold", "reset", "refuse"),
     "workers": ("hold", "reset"),
     "network": ("hold", "reset"),
 }
-LASTS = (10, 40, 90)
-AFTER_S = 20.0
-COLUMNS = (
-    "killed by lease",
-    "worst 30 s",
-    "no permit s",
-    "slowest submit s",
-    "503",
-    "taken",
-    "rules",
-)
+LOST_CONNECTIONS = {
+    "state": "from_state = true, ",
+    "workers": "from_workers = true, ",
+    "network": "",
+}
+DURATIONS_S = (10, 40, 90)
+RECOVERY_S = 20.0  # counted after the last cut
+# Older releases wrote `shard taken` for `shard acquired`
+EVENT_LINE = re.compile(rb" *([0-9.]+) \S+ \w+ (permit|shard acquired|shard taken) ")
+PERMIT_EVENT = b"permit"
+
+
+@dataclass(frozen=True)
+class ControllerCut:
+    """One controller loses a kind of connections."""
+
+    kind: str
+    mode: str
+    busiest: bool
+    duration_s: float
+    at_s: float
+
+    @property
+    def end_s(self) -> float:
+        """When it is over."""
+        return self.at_s + self.duration_s
+
+    def to_toml(self) -> str:
+        """As the bench's days name it."""
+        return (
+            f'{{ at_s = {self.at_s:.1f}, kind = "node_cut", count = 1, '
+            f"busiest = {str(self.busiest).lower()}, {LOST_CONNECTIONS[self.kind]}"
+            f'for_s = {self.duration_s:.1f}, mode = "{self.mode}" }}'
+        )
 
 
 @dataclass(frozen=True)
-class Day:
-    """One day with its cuts."""
+class CutDay:
+    """One day with its faults, as the bench reads them."""
 
     name: str
     faults: tuple[str, ...]
-    begin: float
-    end: float
+    begins_at_s: float
+    ends_at_s: float
 
-    def toml(self) -> str:
-        """As the bench wants it."""
+    def to_toml(self) -> str:
+        """As the bench reads it."""
         faults = ",\n  ".join(self.faults)
         return (
             f'[[day]]\nname = "{self.name}"\nslot = "scale"\nlight = true\nseed = 901\n'
@@ -63,137 +97,141 @@
         )
 
 
-def fault(kind: str, mode: str, busiest: bool, lasts: float, at: float) -> str:
-    """One cut as the bench's days name it."""
-    which = {"state": "from_state = true, ", "workers": "from_workers = true, ", "network": ""}[
-        kind
-    ]
-    return (
-        f'{{ at_s = {at:.1f}, kind = "node_cut", count = 1, '
-        f"busiest = {str(busiest).lower()}, {which}"
-        f'for_s = {lasts:.1f}, mode = "{mode}" }}'
+@dataclass(frozen=True)
+class CutFigures(Figures):
+    """The figures of a played day."""
+
+    tasks_killed_by_lease: int = column("killed by lease")
+    worst_availability: float = column("worst 30 s")
+    longest_without_permit_s: float = column("no permit s")
+    slowest_submission_s: float = column("slowest submit s")
+    unavailable_answers: int = column("503")
+    shards_acquired: int = column("taken")
+    rules_broken: int = column("rules")
+
+
+def single_cut_days(at_s: float) -> list[CutDay]:
+    """Every kind, mode, place and duration, a day each."""
+    days = []
+    for kind, modes in CUT_MODES.items():
+        for mode in modes:
+            for busiest in (True, False):
+                for duration_s in DURATIONS_S:
+                    cut = ControllerCut(kind, mode, busiest, duration_s, at_s)
+                    place = "busiest" if busiest else "other"
+                    name = f"{kind}-{mode}-{place}-{duration_s}"
+                    days.append(CutDay(name, (cut.to_toml(),), at_s, cut.end_s))
+    return days
+
+
+def overlapping_cut_days(count: int, at_s: float) -> list[CutDay]:
+    """Days with two or three cuts that overlap, the same for the same number."""
+    return [_overlapping_cut_day(index, at_s) for index in range(count)]
+
+
+def _overlapping_cut_day(index: int, at_s: float) -> CutDay:
+    """Day number `index`."""
+    rng = Random(index)
+    cuts = [_random_cut(rng, at_s) for _ in range(rng.choice([2, 2, 3]))]
+    faults = [cut.to_toml() for cut in sorted(cuts, key=lambda cut: cut.at_s)]
+    if rng.random() < 0.3:
+        faults.append(
+            f'{{ at_s = {at_s + 20 * rng.random():.1f}, kind = "peers_refuse", '
+            f"for_s = {rng.choice([5.0, 20.0])} }}"
+        )
+    return CutDay(f"drawn-{index}", tuple(faults), at_s, max(cut.end_s for cut in cuts))
+
+
+def _random_cut(rng: Random, at_s: float) -> ControllerCut:
+    """A cut that begins within 15 s."""
+    kind = rng.choice(["state", "state", "workers", "workers", "network"])
+    return ControllerCut(
+        kind,
+        mode=rng.choice(CUT_MODES[kind]),
+        busiest=rng.random() < 0.6,
+        duration_s=rng.choice([8.0, 20.0, 40.0]),
+        at_s=at_s + 15.0 * rng.random(),
     )
 
 
-def singles(at: float) -> list[Day]:
-    """Every kind, mode, place and time."""
-    return [
-        Day(
-            f"{kind}-{mode}-{'busiest' if busiest else 'other'}-{lasts}",
-            (fault(kind, mode, busiest, lasts, at),),
-            at,
-            at + lasts,
-        )
-        for kind, modes in KINDS.items()
-        for mode in modes
-        for busiest in (True, False)
-        for lasts in LASTS
-    ]
-
-
-def drawn(n: int, at: float) -> list[Day]:
-    """Pairs and triples that overlap, the same for the same number."""
-    out = []
-    for i in range(n):
-        rng = Random(i)
-        cuts = []
-        for _ in range(rng.choice([2, 2, 3])):
-            kind = rng.choice(["state", "state", "workers", "workers", "network"])
-            cuts.append(
-                (
-                    kind,
-                    rng.choice(KINDS[kind]),
-                    rng.random() < 0.6,
-                    rng.choice([8.0, 20.0, 40.0]),
-                    at + 15.0 * rng.random(),
-                )
-            )
-        faults = [fault(*c) for c in sorted(cuts, key=lambda c: c[4])]
-        if rng.random() < 0.3:
-            faults.append(
-                f'{{ at_s = {at + 20 * rng.random():.1f}, kind = "peers_refuse", '
-                f"for_s = {rng.choice([5.0, 20.0])} }}"
-            )
-        out.append(Day(f"drawn-{i}", tuple(faults), at, max(c[4] + c[3] for c in cuts)))
-    return out
-
-
-def play(bench: str, site: str, tree: Path, day: Day, out: Path) -> dict[str, Any]:
-    """Play one day in a checkout, unless its figures lie there already."""
-    found = out / f"{day.name}.json"
-    if found.exists():
-        return json.loads(found.read_text())  # type: ignore[no-any-return]
-    out.mkdir(parents=True, exist_ok=True)
-    file, report, logs = (
-        out / f"{day.name}.toml",
-        out / f"{day.name}.report",
-        out / f"{day.name}.log",
+def play(
+    bench: Path, site: Path, day: CutDay, checkout: Path, folder: Path
+) -> CutFigures | FailedRun:
+    """Play one day in a checkout, unless its figures were kept before."""
+    files = DayFiles(folder, day.name)
+    until_s = day.ends_at_s + 2 * RECOVERY_S
+    command = [str(bench), "run", str(site), str(files.input)]
+    command += ["--no-cpu", "--until", f"{until_s:.0f}"]
+    outcome = play_day(
+        files,
+        day.to_toml(),
+        command,
+        checkout,
+        CutFigures,
+        lambda report: read_figures(report, files.log, day),
     )
-    file.write_text(day.toml())
-    command = [bench, "run", site, str(file), "--no-cpu", "--log", "debug", "--report", str(report)]
-    command += ["--until", f"{day.end + 2 * AFTER_S:.0f}"]
-    with logs.open("wb") as f:
-        subprocess.run(command, cwd=tree, stdout=f, stderr=subprocess.STDOUT, check=False)
-    if not report.exists():
-        return {"failed": logs.read_text(errors="replace")[-400:]}
-    figures = read(json.loads(report.read_text()), logs, day)
-    found.write_text(json.dumps(figures))
-    logs.unlink()
-    return figures
-
-
-def read(report: dict[str, Any], logs: Path, day: Day) -> dict[str, Any]:
+    if not isinstance(outcome, FailedRun):
+        files.log.unlink(missing_ok=True)
+    return outcome
+
+
+def read_figures(report: Report, log: Path, day: CutDay) -> CutFigures:
     """The figures of a played day, from its report and its controllers' logs."""
-    permits = [day.begin]
-    taken = 0
-    end = day.end + AFTER_S
-    line = re.compile(rb" *([0-9.]+) \S+ \w+ (permit|shard acquired|shard taken) ")
-    with logs.open("rb") as f:
-        for text in f:
-            m = line.match(text)
-            if m and day.begin <= (at := float(m[1])) <= end:
-                if m[2] == b"permit":
-                    permits.append(at)
-                else:
-                    taken += 1
-    permits.append(end)
-    up = [t["value"] for t in report["targets"] if t["kind"] == "up" and t.get("worst_s")]
-    return {
-        "killed by lease": report["fleet"]["tasks_killed_by_lease"],
-        "worst 30 s": min(up, default=1.0),
-        "no permit s": round(max(b - a for a, b in zip(permits, permits[1:], strict=False)), 1),
-        "slowest submit s": round((report["users"]["submit_ms"].get("max") or 0.0) / 1000, 1),
-        "503": sum(n for code, n in report["users"]["errors"].items() if code == "503"),
-        "taken": taken,
-        "rules": report["rules_broken"]["total"],
-    }
+    permits_at = [day.begins_at_s]
+    shards_acquired = 0
+    end_s = day.ends_at_s + RECOVERY_S
+    with log.open("rb") as lines:
+        for line in lines:
+            match = EVENT_LINE.match(line)
+            if match is None or not day.begins_at_s <= float(match[1]) <= end_s:
+                continue
+            if match[2] == PERMIT_EVENT:
+                permits_at.append(float(match[1]))
+            else:
+                shards_acquired += 1
+    permits_at.append(end_s)
+    gaps_s = [later - earlier for earlier, later in pairwise(permits_at)]
+    users = report["users"]
+    return CutFigures(
+        tasks_killed_by_lease=tasks_killed_by_lease(report),
+        worst_availability=worst_service_availability(report),
+        longest_without_permit_s=round(max(gaps_s), 1),
+        slowest_submission_s=round((users["submit_ms"].get("max") or 0.0) / 1000, 1),
+        unavailable_answers=sum(
+            count for status, count in users["errors"].items() if status == "503"
+        ),
+        shards_acquired=shards_acquired,
+        rules_broken=rules_broken(report),
+    )
 
 
 def main() -> int:
     """Play what is asked for and print the table."""
-    p = side_by_side.options(__doc__, 4)
-    p.add_argument(
+    parser = side_by_side.option_parser(__doc__, DEFAULT_JOBS)
+    parser.add_argument(
         "--pairs",
         type=int,
         default=0,
         help="drawn days with overlapping cuts instead of single ones",
     )
-    p.add_argument("--at", type=float, default=150.0)
-    args = p.parse_args()
-    bench, site = str(Path(args.bench).resolve()), str(args.site.resolve())
-    days = [
-        d
-        for d in (drawn(args.pairs, args.at) if args.pairs else singles(args.at))
-        if args.only in d.name
-    ]
+    parser.add_argument("--at", type=float, default=150.0)
+    args = parser.parse_args()
+    bench = Path(args.bench).resolve()
+    site = args.site.resolve()
+    days = overlapping_cut_days(args.pairs, args.at) if args.pairs else single_cut_days(args.at)
     played = side_by_side.compare(
         args,
-        days,
-        {"day": lambda d: d.name},
-        COLUMNS,
-        lambda d, t, out: play(bench, site, t, d, out),
+        [day for day in days if args.only in day.name],
+        {"day": lambda day: day.name},
+        CutFigures,
+        lambda day, checkout, folder: play(bench, site, day, checkout, folder),
+    )
+    failed = any(
+        isinstance(outcome, FailedRun) or outcome.rules_broken
+        for outcomes in played
+        for outcome in outcomes
     )
-    return 1 if any(r.get("rules", 1) for rows in played for r in rows) else 0
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/scripts/side_by_side.py
+++ b/scripts/side_by_side.py
@@ -7,58 +7,75 @@
 from collections.abc import Callable, Sequence
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import TypeVar
 
-D = TypeVar("D")
+from scripts.day_runs import FailedRun, Figures, FiguresType
 
+DayType = TypeVar("DayType")
+UNKNOWN_CELL = "?"
 
-def options(doc: str | None, jobs: int) -> argparse.ArgumentParser:
-    """The options: bench, site, checkouts, which days, and how many at once."""
-    p = argparse.ArgumentParser(
-        description=doc, formatter_class=argparse.RawDescriptionHelpFormatter
+
+def option_parser(description: str | None, default_jobs: int) -> argparse.ArgumentParser:
+    """The shared options: bench, site, checkouts, which days, and how many at once."""
+    parser = argparse.ArgumentParser(
+        description=description, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    p.add_argument("--bench", required=True)
-    p.add_argument("--site", required=True, type=Path)
-    p.add_argument("--out", required=True, type=Path)
-    p.add_argument(
+    parser.add_argument("--bench", required=True)
+    parser.add_argument("--site", required=True, type=Path)
+    parser.add_argument("--out", required=True, type=Path)
+    parser.add_argument(
         "--tree",
         action="append",
         type=Path,
         help="a checkout to play; may be given twice, before and after",
     )
-    p.add_argument("--only", default="", help="days whose names hold this")
-    p.add_argument("--jobs", type=int, default=jobs)
-    return p
+    parser.add_argument("--only", default="", help="days whose names hold this")
+    parser.add_argument("--jobs", type=int, default=default_jobs)
+    return parser
 
 
 def compare(
     args: argparse.Namespace,
-    days: Sequence[D],
-    heads: dict[str, Callable[[D], str]],
-    columns: Sequence[str],
-    play: Callable[[D, Path, Path], dict[str, Any]],
-) -> list[list[dict[str, Any]]]:
-    """Play all days in all checkouts and print the table as it comes; returns each day's figures.
+    days: Sequence[DayType],
+    day_columns: dict[str, Callable[[DayType], str]],
+    figures_type: type[FiguresType],
+    play: Callable[[DayType, Path, Path], FiguresType | FailedRun],
+) -> list[list[FiguresType | FailedRun]]:
+    """Play all days in all checkouts and print the table as it comes.
+
+    Args:
+        args: the values of the options of `option_parser`.
+        days: what is played, a row each.
+        day_columns: the cells that describe the day, by title.
+        figures_type: the figures of a played day, which give the other columns.
+        play: plays a day in a checkout and keeps its figures in a folder.
 
-    `heads`: the cells that are the day's, by title; `columns`: figures; `play`: plays a day in a
-    checkout and keeps its figures in a folder.
+    Returns:
+        Of each day the outcomes in all checkouts, in their order.
     """
-    trees = [t.resolve() for t in args.tree or [Path.cwd()]]
-    out: list[list[dict[str, Any]]] = []
+    checkouts = [checkout.resolve() for checkout in args.tree or [Path.cwd()]]
+    output = args.out.resolve()
+    titles = [*day_columns, *figures_type.titles()]
+    played: list[list[FiguresType | FailedRun]] = []
     with ThreadPoolExecutor(args.jobs) as pool:
-        waiting = [
-            [pool.submit(play, d, t, args.out.resolve() / t.name) for t in trees] for d in days
+        pending = [
+            [pool.submit(play, day, checkout, output / checkout.name) for checkout in checkouts]
+            for day in days
         ]
-        titles = [*heads, *columns]
         print("| " + " | ".join(titles) + " |\n|" + " --- |" * len(titles))
-        for d, played in zip(days, waiting, strict=True):
-            rows = [w.result() for w in played]
-            cells = [head(d) for head in heads.values()] + [
-                ", ".join(str(r.get(c, "?")) for r in rows) for c in columns
-            ]
+        for day, runs in zip(days, pending, strict=True):
+            outcomes = [run.result() for run in runs]
+            day_cells = [describe(day) for describe in day_columns.values()]
+            cells = day_cells + _figure_cells(figures_type.titles(), outcomes)
             print("| " + " | ".join(cells) + " |", flush=True)
-            for r in rows:
-                if "failed" in r:
-                    print(r["failed"], file=sys.stderr)
-            out.append(rows)
-    return out
+            for outcome in outcomes:
+                if isinstance(outcome, FailedRun):
+                    print(outcome.output_tail, file=sys.stderr)
+            played.append(outcomes)
+    return played
+
+
+def _figure_cells(titles: Sequence[str], outcomes: Sequence[Figures | FailedRun]) -> list[str]:
+    """A cell for each title with the figures of all checkouts."""
+    rows = [{} if isinstance(outcome, FailedRun) else outcome.to_row() for outcome in outcomes]
+    return [", ".join(str(row.get(title, UNKNOWN_CELL)) for row in rows) for title in titles]
--- a/tests/test_custom_days.py
+++ b/tests/test_custom_days.py
@@ -1,4 +1,4 @@
-"""Days of scripts/custom_days/further.py: each trouble is on every fourth; a seed repeats."""
+"""Days of scripts/custom_days/scenario_days.py: each fault is on every fourth; a seed repeats."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from scripts.custom_days import further
+from scripts.custom_days import scenario_days
 
 SITE: dict[str, Any] = {
     "nodes": {"count": 3},
@@ -36,14 +36,13 @@
 
 @pytest.mark.parametrize("seed", range(1, 40))
 @pytest.mark.parametrize("first", [0, 20, 40])
-def test_each_further_trouble_is_on_five_of_twenty_days(seed: int, first: int) -> None:
+def test_each_kind_of_fault_is_on_five_of_twenty_scenario_days(seed: int, first: int) -> None:
     on: Counter[str] = Counter()
     for i in range(first, first + 20):
-        faults, names = further.faults(SITE, seed, i, Random(f"{seed} {i}"))
-        assert (
-            faults == further.faults(SITE, seed, i, Random(f"{seed} {i}"))[0]
-            and len(set(names)) > 1
-        )
+        day = scenario_days.schedule_faults(SITE, seed, i, Random(f"{seed} {i}"))
+        faults = day.faults
+        again = scenario_days.schedule_faults(SITE, seed, i, Random(f"{seed} {i}"))
+        assert faults == again.faults and len(set(day.scenario_names)) > 1
         assert all(f["at_s"] < 0.81 * SITE["duration_s"] for f in faults)
         on.update(
             {
