--- /dev/null
+++ b/scripts/benchmark_hot_paths/revisions.py
@@ -0,0 +1,39 @@
+"""Takes a revision out of git, and measures a tree by its own copy of this script."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent.parent
+MODULE = "scripts.benchmark_hot_paths"
+MODULE_BEFORE_RENAME = "scripts.cost"
+# The package, its scripts, and the tests' fakes
+MEASURED_FOLDERS = ("ploverhall", "scripts", "tests")
+
+
+def module_name(tree: Path) -> str:
+    """The name of this script in a tree, which may be older than its name."""
+    path = tree / MODULE.replace(".", "/")
+    exists = path.is_dir() or path.with_suffix(".py").exists()
+    return MODULE if exists else MODULE_BEFORE_RENAME
+
+
+def extract(revision: str, folder: str) -> Path:
+    """Take an earlier tree out of git."""
+    command = ["git", "archive", revision, *MEASURED_FOLDERS]
+    archive = subprocess.run(command, cwd=ROOT, check=True, capture_output=True).stdout
+    subprocess.run(["tar", "x", "-C", folder], input=archive, check=True)
+    return Path(folder)
+
+
+def measure(tree: Path, operation: str, size: int) -> float:
+    """One figure of one tree, in a process of its own; its `--child` is the same in all trees."""
+    args = [sys.executable, "-m", module_name(tree), "--child", operation, str(size)]
+    env = {**os.environ, "PYTHONPATH": str(tree)}
+    result = subprocess.run(args, env=env, cwd=tree, capture_output=True, text=True, check=False)
+    if result.returncode:
+        raise SystemExit(result.stderr)
+    return float(result.stdout)
--- /dev/null
+++ b/scripts/benchmark_hot_paths/user_load.py
@@ -0,0 +1,149 @@
+"""Store, cloud and one user of a measured controller, in a process of their own.
+
+It prints a line when a stretch begins or ends: idle, asked, over.
+"""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+import anyio
+from anyio.abc import TaskGroup
+
+from ploverhall.errors import UnreachableError
+from ploverhall.storage.schema import JOB_PREFIX, end_record
+from ploverhall.transport.http_client import Client
+from ploverhall.transport.http_parser import Request
+from ploverhall.transport.http_server import Reply, Server
+
+POLL = "poll"
+RESUBMISSION = "resubmission"
+# Questions of a round; a read of the key-value store is shared by those that wait for it
+QUESTIONS = 6000
+CONCURRENT_QUESTIONS = 40
+MAX_REPEATED_SHARE = 0.01
+STORE_PAGE = 1000  # as large pages as the key-value store gives
+NO_ANSWER = 0
+HOST = "127.0.0.1"
+JOB_ID = "j-999999"
+JOB: dict[str, Any] = {
+    "id": JOB_ID,
+    "flock": "f",
+    "keeper": "t",
+    "gait": "array",
+    "rank": "normal",
+    "chicks": 4,
+    "cores": 1.0,
+    "gpus": 1.0,
+    "ramGb": 1.0,
+    "plumage": "i",
+    "pullGb": 0.1,
+    "breeds": None,
+    "marsh": None,
+    "together": False,
+    "scatter": False,
+    "driftwood": False,
+    "flightS": 9.0,
+    "nestS": 0.0,
+    "tuckS": 0.0,
+    "duskS": None,
+}
+
+
+class LoadPorts(NamedTuple):
+    """Ports of the controller and of what it talks to."""
+
+    controller: int
+    peers: int
+    store: int
+    cloud: int
+
+
+class UserLoad:
+    """The fakes, and a user who asks for one job that waits."""
+
+    def __init__(self, question: str, ended_jobs: int, ports: LoadPorts) -> None:
+        from tests.simulation.fakes import FakeStoreAndCloud
+
+        self.question = question
+        self.ports = ports
+        self.store_and_cloud = FakeStoreAndCloud()
+        self.store_and_cloud.store.kv = {
+            f"{JOB_PREFIX}j-{number:06d}": (end_record("withdrawn", 0), 1)
+            for number in range(1, ended_jobs + 1)
+        }
+        self.user = Client(HOST, ports.controller, CONCURRENT_QUESTIONS)
+        self.repeated: list[int] = []  # statuses other than 200
+
+    async def run(self) -> None:
+        """Serve and ask; ends when the process is killed."""
+        async with anyio.create_task_group() as tasks:
+            self._start_fakes(tasks)
+            with anyio.fail_after(60.0):
+                while await self._request("POST", "/api/jobs", JOB) not in (200, 201):
+                    await anyio.sleep(0.2)
+            await anyio.sleep(1.0)
+            print("idle", flush=True)
+            await anyio.sleep(2.0)
+            print("asked", flush=True)
+            async with anyio.create_task_group() as users:
+                for _ in range(CONCURRENT_QUESTIONS):
+                    users.start_soon(self._ask_in_turn)
+            assert len(self.repeated) < QUESTIONS * MAX_REPEATED_SHARE, self.repeated[:3]
+            print("over", flush=True)
+            await anyio.sleep_forever()
+
+    def _start_fakes(self, tasks: TaskGroup) -> None:
+        """Serve store and cloud; no machine is ever rented."""
+        from tests.simulation.fakes import FakeAgents
+
+        fleet = FakeAgents({}, 0)
+        fleet.tasks = tasks
+        fleet.most = 0
+        tasks.start_soon(Server(self._handle_store, 100).run, HOST, self.ports.store)
+        tasks.start_soon(Server(fleet.handle, 100).run, HOST, self.ports.cloud)
+
+    async def _handle_store(self, request: Request) -> Reply:
+        """A request to the store; lists are read in pages."""
+        if request.path != "/kv":
+            return await self.store_and_cloud.handle(request)
+        store = self.store_and_cloud.store
+        after_key = request.query.get("from", "")
+        found = [
+            (key, entry)
+            for key, entry in store.read(request.query["starts"]).items()
+            if key > after_key
+        ]
+        items = [
+            {"path": key, "v": value, "feather": version}
+            for key, (value, version) in found[:STORE_PAGE]
+        ]
+        has_next = len(found) > STORE_PAGE
+        return Reply(200, {"items": items, "hasNext": has_next, "moult": store.rev})
+
+    async def _ask_in_turn(self) -> None:
+        """One of the user's connections: a question after the other."""
+        for _ in range(QUESTIONS // CONCURRENT_QUESTIONS):
+            status = await self._ask()
+            if status != 200:
+                # On a busy machine a read may take longer than a question waits for it
+                self.repeated.append(status)
+                await anyio.sleep(0.1)
+
+    async def _ask(self) -> int:
+        """The measured question; its status."""
+        if self.question == POLL:
+            return await self._request("GET", f"/api/jobs/{JOB_ID}", None)
+        return await self._request("POST", "/api/jobs", JOB)
+
+    async def _request(self, method: str, path: str, body: Any) -> int:
+        """The status of a request to the controller."""
+        try:
+            return (await self.user.call(method, path, body, 5.0))[0]
+        except UnreachableError:
+            return NO_ANSWER
+
+
+async def serve_load(question: str, ended_jobs: int, ports: LoadPorts) -> None:
+    """Serve and ask a measured controller until the process is killed."""
+    await UserLoad(question, ended_jobs, ports).run()
--- a/scripts/custom_days/__main__.py
+++ b/scripts/custom_days/__main__.py
@@ -56,6 +56,7 @@
 def option_parser() -> argparse.ArgumentParser:
     """The options of this script."""
     parser = side_by_side.option_parser(__doc__, DEFAULT_JOBS)
+    parser.prog = "python -m scripts.custom_days"
     parser.add_argument(
         "--random", "--drawn", type=int, default=0, help="so many days with random faults"
     )
