--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -1,13 +1,14 @@
 """How soon a controller that was killed serves again: a real process on loopback.
 
     python -m scripts.restart_latency [--after 0.1 0.3 1 3.9 4.1]
-        [--times 3] [--machines 12] [--report 1.0]
+        [--times 3] [--machines 12] [--heartbeat 1.0]
 
 One controller, so nobody else answers meanwhile. Seconds from the start of the new process (which
 is `after` seconds after the end of the old one) to: listening (a connection is accepted), healthy
-(GET /healthz gives 200), the first worker answered, the first start after the end, all workers
-answered. The lowest and the highest of `--times` ends. The stand-ins are the tests' own; a worker
-whose report meets a refused connection tries again after 1 s, as the protocol has it.
+(GET /healthz gives 200), the first agent (worker) answered, the first start after the end, all
+agents answered. The lowest and the highest of `--times` ends. The fakes are the tests' own; an
+agent whose heartbeat meets a refused connection tries again after 1 s, as the protocol has it.
+`--report` is an earlier name of `--heartbeat`.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 import sys
 import tempfile
 from contextlib import suppress
+from dataclasses import astuple, dataclass
 from pathlib import Path
-from typing import Any
 
 import anyio
 import tomli_w
@@ -28,155 +29,227 @@
 from ploverhall.protocol import jobs
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
+from scripts.git_revisions import ROOT
 from tests import test_loopback
 from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
 
+CONTROLLER = "c0"
+FIRST_AGENT_PORT = 31_000
+JOB_EVERY_S = 0.05
+FIRST_START_POLL_S = 0.05
+MARKS_POLL_S = 0.005
+ALL_MARKS_WITHIN_S = 30.0
+SETTLE_S = 2.5  # between a measured restart and the next one
+RECENT_STARTS = 200
 COLUMNS = ("listening", "healthy", "first worker", "first start", "all workers")
 
 
-class Bench:
-    """Stand-ins in this process, a controller in another."""
+@dataclass
+class RestartMarks:
+    """Seconds from the start of a process until each mark of it; in the order of `COLUMNS`."""
 
-    def __init__(self, machines: int, report_s: float) -> None:
+    listening: float | None = None
+    healthy: float | None = None
+    first_agent_answered: float | None = None
+    first_task_started: float | None = None
+    all_agents_answered: float | None = None
+
+    def times(self) -> tuple[float | None, ...]:
+        """The times in the order of `COLUMNS`."""
+        return astuple(self)
+
+    @property
+    def complete(self) -> bool:
+        """Whether all marks were reached."""
+        return None not in self.times()
+
+
+@dataclass(frozen=True)
+class RestartDelay:
+    """The restarts that were measured with one delay."""
+
+    delay_s: float
+    restarts: list[RestartMarks]
+
+
+@dataclass(frozen=True)
+class ProcessStart:
+    """What was so when a new process was started."""
+
+    at: float
+    next_job: str  # ids from this one on were submitted since
+    answered_at: dict[str, float]  # when each agent was answered last, by machine
+
+
+class RestartBenchmark:
+    """Fakes in this process, a controller in another."""
+
+    def __init__(self, machine_count: int, heartbeat_s: float) -> None:
         ports = test_loopback.free_ports(8)
         data = test_loopback.config(ports)
-        data["deployment"]["workers"]["report_s"] = report_s
+        data["deployment"]["workers"]["report_s"] = heartbeat_s
         data["deployment"]["teams"][0].update(gpus=400, gpus_max=400)
         self.settings = settings.parse(data)
-        self.state, self.machines, self.answered = FakeStoreAndCloud(), machines, dict[str, float]()
-        self.fleet = FakeAgents({"c0": self.settings.bind}, 31_000, every=report_s)
-        self.file = Path(tempfile.mkdtemp()) / "node.toml"
-        self.file.write_text(tomli_w.dumps(data))
+        self.store_and_cloud = FakeStoreAndCloud()
+        self.machine_count = machine_count
+        self.fleet = FakeAgents(
+            {CONTROLLER: self.settings.bind}, FIRST_AGENT_PORT, every=heartbeat_s
+        )
+        self.settings_file = Path(tempfile.mkdtemp()) / "node.toml"
+        self.settings_file.write_text(tomli_w.dumps(data))
         self.process: subprocess.Popen[bytes] | None = None
-        self.jobs = 0
-        self.starts: list[tuple[float, str]] = []  # of tasks: when, and of which job
-        began = self.fleet.started
+        self.job_count = 0
+
+    async def run(self, delays_s: list[float], repetitions: int) -> list[RestartDelay]:
+        """Measure all delays, each several times, while jobs are submitted."""
+        measured = []
+        async with anyio.create_task_group() as tasks:
+            self.fleet.tasks = tasks
+            tasks.start_soon(Server(self.store_and_cloud.handle, 100).run, *self.settings.store)
+            tasks.start_soon(Server(self.fleet.handle, 100).run, *self.settings.cloud)
+            self.start_process()
+            try:
+                while not await self.is_healthy():
+                    await anyio.sleep(FIRST_START_POLL_S)
+                self.fleet.pleas["here"] = [
+                    self.fleet.boot({"marsh": "a", "driftwood": False})
+                    for _ in range(self.machine_count)
+                ]
+                tasks.start_soon(self.submit_jobs)
+                await anyio.sleep(3.0)
+                for delay_s in delays_s:
+                    measured.append(await self.measure_delay(delay_s, repetitions))
+            finally:
+                self.kill_process()
+                tasks.cancel_scope.cancel()
+        return measured
+
+    async def measure_delay(self, delay_s: float, repetitions: int) -> RestartDelay:
+        """Several restarts with one delay."""
+        restarts = []
+        for _ in range(repetitions):
+            restarts.append(await self.measure_restart(delay_s))
+            await anyio.sleep(SETTLE_S)
+        return RestartDelay(delay_s, restarts)
 
-        def started(w: Any, key: Any) -> None:
-            self.starts.append((self.fleet.clock(), key[0]))
-            began(w, key)
+    async def measure_restart(self, delay_s: float) -> RestartMarks:
+        """Kill the process, start a new one after the delay, and time its marks."""
+        self.kill_process()
+        await anyio.sleep(delay_s)
+        answered_at = {name: agent.answered_sent for name, agent in self.fleet.workers.items()}
+        begun = ProcessStart(self.fleet.now, f"j-{self.job_count + 1:06d}", answered_at)
+        self.start_process()
+        marks = RestartMarks()
+        with anyio.fail_after(ALL_MARKS_WITHIN_S):
+            while not marks.complete:
+                await self._update_marks(marks, begun)
+                await anyio.sleep(MARKS_POLL_S)
+        return marks
 
-        self.fleet.started = started  # type: ignore[method-assign]
+    async def _update_marks(self, marks: RestartMarks, begun: ProcessStart) -> None:
+        """Take in what the new process has reached since the last look."""
+        elapsed_s = self.fleet.now - begun.at
+        if marks.listening is None and await self.is_listening():
+            marks.listening = elapsed_s
+        if marks.healthy is None and marks.listening is not None and await self.is_healthy():
+            marks.healthy = elapsed_s
+        answered = self._agents_answered_since(begun)
+        if answered and marks.first_agent_answered is None:
+            marks.first_agent_answered = elapsed_s
+        if answered == len(self.fleet.workers) and marks.all_agents_answered is None:
+            marks.all_agents_answered = elapsed_s
+        if marks.first_task_started is None and self._new_job_started_since(begun):
+            marks.first_task_started = elapsed_s
 
-    def start(self) -> None:
-        """A new process, as the platform starts it."""
-        run = Path(__file__).resolve().parent.parent / "run.py"
-        self.process = subprocess.Popen(
-            [sys.executable, str(run), "--config", str(self.file)], stderr=subprocess.DEVNULL
+    def _agents_answered_since(self, begun: ProcessStart) -> int:
+        """How many agents had a heartbeat answered that they sent to the new process."""
+        return sum(
+            agent.answered_sent > max(begun.answered_at.get(name, 0.0), begun.at)
+            for name, agent in self.fleet.workers.items()
         )
 
-    def end(self) -> None:
-        """End it at once."""
+    def _new_job_started_since(self, begun: ProcessStart) -> bool:
+        """Whether a task of a job runs that only the new process can have permitted."""
+        return any(
+            at > begun.at and attempt_id[0] >= begun.next_job
+            for at, attempt_id, _ in self.fleet.starts_of[-RECENT_STARTS:]
+        )
+
+    def start_process(self) -> None:
+        """Start a new process, as the platform starts it."""
+        command = [sys.executable, str(ROOT / "run.py"), "--config", str(self.settings_file)]
+        self.process = subprocess.Popen(command, stderr=subprocess.DEVNULL)
+
+    def kill_process(self) -> None:
+        """End the process at once."""
         assert self.process is not None
         self.process.kill()
         self.process.wait()
 
-    async def healthy(self, path: str = "/healthz") -> bool:
-        """Whether it answers; any answer counts for another path."""
+    async def is_healthy(self) -> bool:
+        """Whether the controller says that it is healthy."""
+        return await self._status("/healthz") == 200
+
+    async def is_listening(self) -> bool:
+        """Whether the controller gives any answer."""
+        return await self._status("/") is not None
+
+    async def _status(self, path: str) -> int | None:
+        """The status of an answer over a new connection; None without one."""
+        client = Client(*self.settings.bind, keep=0)
         try:
-            status, _ = await Client(*self.settings.bind, keep=0).call("GET", path, None, 1.0)
+            status, _ = await client.call("GET", path, None, 1.0)
         except UnreachableError:
-            return False
-        return status == 200 or path != "/healthz"
+            return None
+        return status
 
-    async def flow(self) -> None:
-        """A small job every 50 ms, whether it is accepted or not."""
+    async def submit_jobs(self) -> None:
+        """Submit a small job every 50 ms, whether it is accepted or not."""
         client = Client(*self.settings.bind)
         while True:
-            self.jobs += 1
-            spec = test_loopback.spec(f"j-{self.jobs:06d}", "array", 1, flightS=0.05, pullGb=0.01)
-            self.fleet.specs[spec["id"]] = jobs.parse_submission(spec, 0.0)
+            self.job_count += 1
+            job_id = f"j-{self.job_count:06d}"
+            body = test_loopback.spec(job_id, "array", 1, flightS=0.05, pullGb=0.01)
+            self.fleet.specs[job_id] = jobs.parse_submission(body, 0.0)
             with suppress(UnreachableError):
-                await client.call("POST", "/api/jobs", spec, 1.0)
-            await anyio.sleep(0.05)
-
-    async def measure(self, after: float) -> tuple[float, ...]:
-        """One end and one start."""
-        clock = self.fleet.clock
-        self.end()
-        await anyio.sleep(after)
-        begun, first = clock(), f"j-{self.jobs + 1:06d}"
-        seen = {n: w.answered_sent for n, w in self.fleet.workers.items()}
-        self.start()
-        found: dict[str, float] = {}
-        with anyio.fail_after(30):
-            while len(found) < len(COLUMNS):
-                now = clock() - begun
-                if "listening" not in found and await self.healthy("/"):
-                    found["listening"] = now
-                if "healthy" not in found and "listening" in found and await self.healthy():
-                    found["healthy"] = now
-                fresh = [
-                    n
-                    for n, w in self.fleet.workers.items()
-                    if w.answered_sent > max(seen.get(n, 0.0), begun)
-                ]
-                if fresh:
-                    found.setdefault("first worker", now)
-                if len(fresh) == len(self.fleet.workers):
-                    found.setdefault("all workers", now)
-                if any(
-                    t > begun and jid >= first for t, jid in self.starts[-200:]
-                ):  # permitted by the new life
-                    found.setdefault("first start", now)
-                await anyio.sleep(0.005)
-        return tuple(found[c] for c in COLUMNS)
-
-    async def run(
-        self, afters: list[float], times: int
-    ) -> list[tuple[float, list[tuple[float, ...]]]]:
-        """All of it."""
-        out: list[tuple[float, list[tuple[float, ...]]]] = []
-        async with anyio.create_task_group() as tg:
-            self.fleet.tasks = tg
-            tg.start_soon(Server(self.state.handle, 100).run, *self.settings.store)
-            tg.start_soon(Server(self.fleet.handle, 100).run, *self.settings.cloud)
-            self.start()
-            try:
-                while not await self.healthy():
-                    await anyio.sleep(0.05)
-                self.fleet.pleas["here"] = [
-                    self.fleet.boot({"marsh": "a", "driftwood": False})
-                    for _ in range(self.machines)
-                ]
-                tg.start_soon(self.flow)
-                await anyio.sleep(3.0)
-                for after in afters:
-                    rows: list[tuple[float, ...]] = []
-                    for _ in range(times):
-                        rows.append(await self.measure(after))
-                        await anyio.sleep(2.5)
-                    out.append((after, rows))
-            finally:
-                self.end()
-                tg.cancel_scope.cancel()
-        return out
+                await client.call("POST", "/api/jobs", body, 1.0)
+            await anyio.sleep(JOB_EVERY_S)
 
 
-def main() -> int:
-    """Print the table."""
-    p = argparse.ArgumentParser(
+def print_table(measured: list[RestartDelay]) -> None:
+    """A row for each delay: of each mark the soonest and the latest."""
+    print("| back after s | " + " | ".join(COLUMNS) + " |\n| --- |" + " --- |" * len(COLUMNS))
+    for delay in measured:
+        times_by_mark = zip(*(marks.times() for marks in delay.restarts), strict=True)
+        cells = []
+        for times in times_by_mark:
+            known = [time for time in times if time is not None]
+            cells.append(f"{min(known):.2f} to {max(known):.2f}")
+        print(f"| {delay.delay_s:g} | " + " | ".join(cells) + " |")
+
+
+def option_parser() -> argparse.ArgumentParser:
+    """The options of this script."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    p.add_argument("--after", type=float, nargs="+", default=[0.1, 0.3, 1.0, 3.9, 4.1])
-    p.add_argument("--times", type=int, default=3)
-    p.add_argument("--machines", type=int, default=12)
-    p.add_argument("--report", type=float, default=1.0)
-    args = p.parse_args()
-    bench = Bench(args.machines, args.report)
-    found: list[Any] = anyio.run(bench.run, args.after, args.times)
-    print("| back after s | " + " | ".join(COLUMNS) + " |\n| --- |" + " --- |" * len(COLUMNS))
-    for after, rows in found:
-        cells = [
-            f"{min(r[i] for r in rows):.2f} to {max(r[i] for r in rows):.2f}"
-            for i in range(len(COLUMNS))
-        ]
-        print(f"| {after:g} | " + " | ".join(cells) + " |")
+    parser.add_argument("--after", type=float, nargs="+", default=[0.1, 0.3, 1.0, 3.9, 4.1])
+    parser.add_argument("--times", type=int, default=3)
+    parser.add_argument("--machines", type=int, default=12)
+    parser.add_argument("--heartbeat", "--report", type=float, default=1.0)
+    return parser
+
+
+def main() -> int:
+    """Print the table; 1 if a rule was broken."""
+    args = option_parser().parse_args()
+    benchmark = RestartBenchmark(args.machines, args.heartbeat)
+    print_table(anyio.run(benchmark.run, args.after, args.times))
     print(
-        f"rules broken, by the workers' own account: {len(bench.fleet.broken)}; "
-        f"killed by a lease: {bench.fleet.killed_by_lease}"
+        f"rules broken, by the workers' own account: {len(benchmark.fleet.broken)}; "
+        f"killed by a lease: {benchmark.fleet.killed_by_lease}"
     )
-    return 1 if bench.fleet.broken else 0
+    return 1 if benchmark.fleet.broken else 0
 
 
 if __name__ == "__main__":
