--- a/scripts/__main__.py
+++ b/scripts/__main__.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 FOLDER = Path(__file__).resolve().parent
-NOT_RUN_ALONE = ("day_runs", "git_revisions", "side_by_side", "known_red")
+NOT_RUN_ALONE = ("day_runs", "git_revisions", "job_log", "known_red", "side_by_side")
 
 
 def runnable() -> dict[str, str]:
--- a/scripts/benchmark_hot_paths/simulated_fleet.py
+++ b/scripts/benchmark_hot_paths/simulated_fleet.py
@@ -18,6 +18,7 @@
     owner_with_idle_machines,
 )
 
+TEAMS = 8
 # States and exit reasons of a task in a heartbeat
 RUNNING = "running"
 ENDED = "ended"
@@ -48,7 +49,7 @@
         self.permit_count = 0
         self.job_count = 0
         self.owner = owner_with_idle_machines(size)
-        teams = [Team(f"t{i}", 0.0, 0.0, float(size), 4.0 * size) for i in range(8)]
+        teams = [Team(f"t{index}", 0.0, 0.0, float(size), 4.0 * size) for index in range(TEAMS)]
         self.source = JobSource(0, EPOCH, teams, (ZONE,), 4096, 48)
         self.tasks: dict[str, dict[AttemptId, SimulatedTask]] = {
             name: {} for name in self.owner.machines
@@ -63,7 +64,7 @@
         job = Job(
             job_id,
             kind,
-            f"t{self.job_count % 8}",
+            f"t{self.job_count % TEAMS}",
             kind,
             priority,
             count,
--- a/scripts/custom_days/results.py
+++ b/scripts/custom_days/results.py
@@ -17,6 +17,7 @@
     tasks_killed_by_lease,
     worst_service_availability,
 )
+from scripts.job_log import read_jobs
 
 
 @dataclass(frozen=True)
@@ -40,7 +41,7 @@
 def read_figures(report: Report, log: Path, day: Day) -> DayFigures:
     """The figures of a played day, from its report and its controllers' logs."""
     with log.open(errors="replace") as lines:
-        jobs = served_by_class.read_jobs(lines)
+        jobs = read_jobs(lines)
     served = served_by_class.served_rows(report, jobs)
     least = min(served, key=lambda row: row.least_share, default=None)
     largest = served_by_class.largest_jobs_rows(jobs)
--- a/scripts/day_runs.py
+++ b/scripts/day_runs.py
@@ -30,16 +30,16 @@
     @classmethod
     def titles(cls) -> list[str]:
         """The titles of all columns, in order."""
-        return [column.metadata["title"] for column in fields(cls)]
+        return [figure.metadata["title"] for figure in fields(cls)]
 
     @classmethod
     def from_row(cls, row: dict[str, Any]) -> Self:
         """The figures from their titles and values."""
-        return cls(**{column.name: row[column.metadata["title"]] for column in fields(cls)})
+        return cls(**{figure.name: row[figure.metadata["title"]] for figure in fields(cls)})
 
     def to_row(self) -> dict[str, Any]:
         """The values by the titles of their columns."""
-        return {column.metadata["title"]: getattr(self, column.name) for column in fields(self)}
+        return {figure.metadata["title"]: getattr(self, figure.name) for figure in fields(self)}
 
 
 FiguresType = TypeVar("FiguresType", bound=Figures)
--- a/tests/test_served_by_class.py
+++ b/tests/test_served_by_class.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from scripts import served_by_class
+from scripts import job_log, served_by_class
 
 LOG = """
   100.0 c0 info accepted job=j-000001 team=a kind=array tasks=4 class=x
@@ -24,7 +24,7 @@
 
 
 def test_half_of_everyone() -> None:
-    found = served_by_class.read_jobs(LOG.splitlines())
+    found = job_log.read_jobs(LOG.splitlines())
     table = served_by_class.table({"classes": CLASSES}, found)
     rows = {text.split()[1]: text for text in table.lines[1:] if not text.startswith("largest")}
     assert table.least_share == 0.0 and rows["x"].endswith("FAILS") and rows["a"].endswith("FAILS")
@@ -44,9 +44,7 @@
     older = LOG.replace(" class=", " klass=").replace(" reason=", " why=")
     older = older.replace(" cancelled ", " withdrawn ")
     assert older != LOG
-    assert served_by_class.read_jobs(older.splitlines()) == served_by_class.read_jobs(
-        LOG.splitlines()
-    )
+    assert job_log.read_jobs(older.splitlines()) == job_log.read_jobs(LOG.splitlines())
 
 
 def test_a_class_that_was_never_accepted_shows_without_any_line_of_the_log() -> None:
@@ -73,7 +71,7 @@
             for i, at in enumerate((first, last))
         ]
         log += [f" {ended} c0 debug done job={jid}"] if ended else []
-    found = served_by_class.read_jobs("\n".join(log).splitlines())
+    found = job_log.read_jobs("\n".join(log).splitlines())
     largest = served_by_class.largest_jobs(
         "z", [job for job in found.values() if job.class_name == "z"]
     )
