--- a/ploverhall/connectivity/failback_backoff.py
+++ b/ploverhall/connectivity/failback_backoff.py
@@ -1,7 +1,7 @@
 """When a shard fails back to its preferred controller: later after each recent loss.
 
 Without that, a controller whose link comes and goes loses its shard and gets it back over and over,
-and every move interrupts scheduling in that shard. Used by `controller.shard_leases`.
+and every move interrupts scheduling in that shard. Used by `controller.shard_claims`.
 """
 
 from __future__ import annotations
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -18,12 +18,14 @@
 from ploverhall.controller.allocation_writer import AllocationWriter
 from ploverhall.controller.archiver import Archiver
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
+from ploverhall.controller.cancellation_state import CancellationState
 from ploverhall.controller.context import (
     STORE_CONNECTIONS,
     STORE_LIMIT_SHARE,
     ControllerContext,
     HeldShard,
 )
+from ploverhall.controller.controller_lease import ControllerLease
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
 from ploverhall.controller.http_routes import HttpRoutes, is_report
 from ploverhall.controller.image_writer import ImageWriter
@@ -35,7 +37,7 @@
 from ploverhall.controller.relay import Relay
 from ploverhall.controller.routing import Routing
 from ploverhall.controller.scheduling_loop import SchedulingLoop
-from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_claims import ShardClaims
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.controller.shard_status import ShardStatus
 from ploverhall.controller.status_report import StatusReport
@@ -147,15 +149,29 @@
             lambda read_started_at: self.shard_roles.confirm_epochs(read_started_at),
         )
         self.shard_roles = ShardRoles(context, self.routing, self._start_shard_tasks)
-        self.shard_leases = ShardLeases(
+        self.controller_lease = ControllerLease(
             context,
-            self.peer_liveness,
             self.store_watch,
             self.shard_roles,
             self.cancellation_barrier,
+            all_peers_connected=lambda: len(self.peer_links.connected()) == len(settings.peers),
+            on_granted=lambda: self.shard_claims.wake.set(),
+        )
+        self.cancellation_state = CancellationState(
+            context,
+            self.peer_liveness,
+            self.store_watch,
+            self.controller_lease,
+            self.cancellation_barrier,
+        )
+        self.shard_claims = ShardClaims(
+            context,
+            self.peer_liveness,
+            self.shard_roles,
+            self.controller_lease,
+            self.cancellation_state,
             self.relay_routes,
             self.agent_commands,
-            lambda: len(self.peer_links.connected()) == len(settings.peers),
         )
 
     def _compose_store_writers(self) -> None:
@@ -170,7 +186,7 @@
             on_superseded=self._on_superseded,
         )
         self.image_writer = ImageWriter(context, store_reader)
-        self.archiver = Archiver(context, may_archive=self.shard_leases.may_archive)
+        self.archiver = Archiver(context, may_archive=self.cancellation_state.may_archive)
 
     def _compose_status(self) -> None:
         self.shard_status = ShardStatus(
@@ -200,7 +216,7 @@
 
     def _compose_scheduling(self) -> None:
         self.autoscaling_loop = AutoscalingLoop(
-            self.context, self.routing, lambda: self.shard_leases.lease_id, self.cloud_service
+            self.context, self.routing, lambda: self.controller_lease.lease_id, self.cloud_service
         )
         self.scheduling_loop = SchedulingLoop(
             self.context,
@@ -209,7 +225,7 @@
             notify_peers=self.peer_links.notify,
             request_read=self.store_watch.request_read,
             on_stall=self._on_event_loop_stall,
-            renewal_grant=self.shard_leases.renewal_grant,
+            renewal_grant=self.cancellation_state.renewal_grant,
             send_direct_command=self._send_direct_command,
         )
 
@@ -217,14 +233,15 @@
         """Make what answers the requests of users, operators and agents."""
         context = self.context
         answers = JobAnswers(
-            context.store_cache, self.shard_leases.may_acknowledge, self.routing.task_counts
+            context.store_cache, self.cancellation_state.may_acknowledge, self.routing.task_counts
         )
         self.job_requests = JobRequests(context, self.store_watch, answers, self.on_store_changed)
         self.heartbeat_requests = HeartbeatRequests(
             context,
             self.peer_liveness,
             self.routing,
-            self.shard_leases,
+            self.cancellation_state,
+            self.shard_claims,
             self.relay_routes,
             self.relay,
             self.agent_commands,
@@ -235,7 +252,7 @@
         self.http_routes = HttpRoutes(
             context,
             self.peer_liveness,
-            self.shard_leases,
+            self.cancellation_state,
             self.status_report,
             self.job_requests,
             self.heartbeat_requests,
@@ -284,10 +301,10 @@
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
         """Return what runs for as long as the process does."""
         return [
-            self.shard_leases.lease_loop,
+            self.controller_lease.lease_loop,
             self.store_watch.watch_loop,
             self.store_watch.fresh_read_loop,
-            self.shard_leases.shard_loop,
+            self.shard_claims.shard_loop,
             self.scheduling_loop.loop,
             self.autoscaling_loop.loop,
             self.status_report.loop,
@@ -368,7 +385,7 @@
     def _on_superseded(self, shard: int) -> None:
         """A write failed because another controller holds the shard."""
         self.shard_roles.release(shard, "compare-and-swap failed")
-        self.shard_leases.wake.set()
+        self.shard_claims.wake.set()
 
     def _on_event_loop_stall(self, seconds: float, now: float) -> None:
         self.shard_roles.on_event_loop_stall(seconds, now)
@@ -395,12 +412,12 @@
     def on_store_changed(self) -> None:
         """Pass on what is new in the store cache."""
         now = self.context.clock()
-        self.shard_leases.update_peers(now)
+        self.cancellation_state.update_peers(now)
         self._record_cancellations()
         self._log_unreadable_jobs()
         self.shard_roles.on_store_changed(now)
         self.routing.update_routes()
-        self.shard_leases.wake.set()
+        self.shard_claims.wake.set()
         self.context.wake_scheduling()
 
     def _record_cancellations(self) -> None:
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -13,11 +13,12 @@
 from ploverhall import log
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
+from ploverhall.controller.cancellation_state import CancellationState
 from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.relay import MAX_HOPS, Relay
 from ploverhall.controller.routing import Routing
-from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_claims import ShardClaims
 from ploverhall.coordination import fencing_tokens
 from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError, UnreachableError
 from ploverhall.protocol import agents
@@ -43,7 +44,8 @@
         context: ControllerContext,
         peer_liveness: PeerLiveness,
         routing: Routing,
-        shard_leases: ShardLeases,
+        cancellation_state: CancellationState,
+        shard_claims: ShardClaims,
         relay_routes: RelayRoutes,
         relay: Relay,
         agent_commands: AgentCommands,
@@ -51,7 +53,8 @@
         self.context = context
         self.peer_liveness = peer_liveness
         self.routing = routing
-        self.shard_leases = shard_leases
+        self.cancellation_state = cancellation_state
+        self.shard_claims = shard_claims
         self.relay_routes = relay_routes
         self.relay = relay
         self.agent_commands = agent_commands
@@ -91,7 +94,7 @@
     ) -> tuple[Reply, Machine | None]:
         """Return the shard owner's answer, and the machine if the answer renews its lease."""
         now = self.context.clock()
-        if self.shard_leases.isolated(now):
+        if self.cancellation_state.isolated(now):
             return Reply(421, {}), None
         if (other := self._isolation_redirect(heartbeat, held, now)) is not None:
             return Reply(421, agents.redirect(other)), None
@@ -101,7 +104,7 @@
         if machine.stale_heartbeat:
             # An old copy of a heartbeat: nobody waits for its answer
             return Reply(200, agents.heartbeat_answer(machine.token, [])), None
-        held.owner.renewal_grant = self.shard_leases.renewal_grant(now)
+        held.owner.renewal_grant = self.cancellation_state.renewal_grant(now)
         commands = held.owner.commands_for(machine, now)
         # The agent's lease counts from when it sent the heartbeat, which was before now,
         # whichever way the answer takes
@@ -132,7 +135,7 @@
 
         See `coordination.isolation`.
         """
-        redirects = self.shard_leases.isolated_redirects
+        redirects = self.cancellation_state.isolated_redirects
         if redirects.isolated_since is None:
             return None
         known = held.owner.machines.get(heartbeat.machine) if held is not None else None
@@ -166,8 +169,8 @@
                     return relayed
                 now = self.context.clock()
         if holder is not None and holder != own_name and token_epoch <= epoch:
-            self.shard_leases.orphaned_machines.record(shard, heartbeat.machine, served, now)
-            self.shard_leases.wake.set()
+            self.shard_claims.orphaned_machines.record(shard, heartbeat.machine, served, now)
+            self.shard_claims.wake.set()
             if self.peer_liveness.holder_without_heartbeats(holder, shard, now):
                 # Sent back to that holder it would hang; the shard is about to be acquired
                 return Reply(421, {})
@@ -178,7 +181,7 @@
         older_token = 0 < fencing_tokens.epoch_of(heartbeat.token) < epoch
         if older_token and self.routing.settled(shard, now):
             return True
-        return self.shard_leases.orphaned_machines.returned(shard, heartbeat.machine, now)
+        return self.shard_claims.orphaned_machines.returned(shard, heartbeat.machine, now)
 
     # -- restart recovery ----------------------------------------------------------------------
 
@@ -197,7 +200,7 @@
         self, heartbeat: Heartbeat, shard: int, now: float
     ) -> dict[str, Any] | None:
         """The body of a recovery answer, before the shard is held again; None if none is due."""
-        answer = self.shard_leases.renewal_grants.answer_heartbeat(
+        answer = self.cancellation_state.renewal_grants.answer_heartbeat(
             heartbeat,
             self.context.controller_index,
             self.context.store_cache.holder(shard)[1],
--- a/ploverhall/controller/http_routes.py
+++ b/ploverhall/controller/http_routes.py
@@ -7,12 +7,12 @@
 from __future__ import annotations
 
 from ploverhall import log
+from ploverhall.controller.cancellation_state import CancellationState
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.controller.maintenance_requests import MaintenanceRequests
 from ploverhall.controller.peer_liveness import PeerLiveness
-from ploverhall.controller.shard_leases import ShardLeases
 from ploverhall.controller.status_report import StatusReport
 from ploverhall.coordination.job_answers import JobStatus, Unavailable
 from ploverhall.log import raised_at
@@ -40,7 +40,7 @@
         self,
         context: ControllerContext,
         peer_liveness: PeerLiveness,
-        shard_leases: ShardLeases,
+        cancellation_state: CancellationState,
         status_report: StatusReport,
         job_requests: JobRequests,
         heartbeat_requests: HeartbeatRequests,
@@ -48,7 +48,7 @@
     ) -> None:
         self.context = context
         self.peer_liveness = peer_liveness
-        self.shard_leases = shard_leases
+        self.cancellation_state = cancellation_state
         self.status_report = status_report
         self.job_requests = job_requests
         self.heartbeat_requests = heartbeat_requests
@@ -102,7 +102,7 @@
         if (
             not self.context.store_cache.ready
             or self.context.machine_types is None
-            or self.shard_leases.isolated_redirects.isolated_since is not None
+            or self.cancellation_state.isolated_redirects.isolated_since is not None
         ):
             return False
         return (
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -1,6 +1,6 @@
 """Starts and ends the roles of held shards, and tells them what has changed in the store.
 
-`shard_leases` acquires and releases shards through it; `controller` and `peer_links` pass on store
+`shard_claims` acquires and releases shards through it; `controller` and `peer_links` pass on store
 changes, event-loop stalls, and what other controllers say that they hold.
 """
 
--- a/ploverhall/coordination/cancellation_barrier.py
+++ b/ploverhall/coordination/cancellation_barrier.py
@@ -8,7 +8,7 @@
 agents only while every peer's obligation to it is no older than `max_contact_age_s`.
 
 docs/design.md, "Cancellation barrier", defines the terms and shows that the two rules fit together;
-change neither without it. `controller.shard_leases`, `controller.peer_links` and
+change neither without it. `controller.cancellation_state`, `controller.peer_links` and
 `controller.job_requests` call this module. No I/O: what peers show and send is passed in, and times
 are seconds of the process's steady clock.
 """
--- a/ploverhall/coordination/restart_recovery.py
+++ b/ploverhall/coordination/restart_recovery.py
@@ -4,7 +4,7 @@
 unless somebody answers. An agent accepts an equal token from any controller, so the new incarnation
 may answer with its predecessor's tokens, for as long as the renewal grant in the token says. It
 issues no commands but stops of what it knows to be over, and places nothing.
-`controller.heartbeat_requests` asks for answers, `controller.shard_leases` for grants.
+`controller.heartbeat_requests` asks for answers, `controller.cancellation_state` for grants.
 docs/design.md, "Restart recovery", shows why this is safe. No I/O; times are seconds, and
 wall-clock time is kept within a bound by the platform.
 """
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -1,7 +1,7 @@
 """Client of the consensus-backed key-value store, within this controller's share of its limits.
 
 Owns the published names of the store's interface. Reads, watches and leases for
-`controller.store_watch` and `controller.shard_leases`, writes for the controller's writers.
+`controller.store_watch` and `controller.controller_lease`, writes for the controller's writers.
 """
 
 from __future__ import annotations
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ploverhall.autoscaling.autoscaler import Autoscaler
-from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_claims import ShardClaims
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
@@ -745,10 +745,10 @@
     lost: float, late: float, without: Any, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All three controllers end one after another, with answers of the state service lost, or with writes carried out late."""
-    real, real_take = ShardLeases.__init__, ShardRoles.acquire
+    real, real_take = ShardClaims.__init__, ShardRoles.acquire
     taken: list[tuple[str, int, int]] = []
 
-    def init(self: ShardLeases, *a: Any, **kw: Any) -> None:
+    def init(self: ShardClaims, *a: Any, **kw: Any) -> None:
         real(self, *a, **kw)
         if without is not None:
             self.epochs = without()
@@ -757,7 +757,7 @@
         taken.append((self.context.settings.name, shard, epoch))
         real_take(self, shard, epoch)
 
-    monkeypatch.setattr(ShardLeases, "__init__", init)
+    monkeypatch.setattr(ShardClaims, "__init__", init)
     monkeypatch.setattr(ShardRoles, "acquire", take)
     claims: list[int] = []
 
--- a/tests/test_controller_loops.py
+++ b/tests/test_controller_loops.py
@@ -39,12 +39,12 @@
         )
         node.context.held_shards[1] = HeldShard(1, 7, owner)
         node.context.store_cache.entries[f"{SHARD_PREFIX}1"] = ({"node": "c0"}, 7)
-        await node.shard_leases.reconcile_shard(1, 10.0)
+        await node.shard_claims.reconcile_shard(1, 10.0)
         assert 1 in node.context.held_shards
         node.context.store_cache.entries[CONTROLLER_PREFIX + "c1"] = ({}, 9)
-        await node.shard_leases.reconcile_shard(1, 11.0)
+        await node.shard_claims.reconcile_shard(1, 11.0)
         node.peer_liveness.peer_status["c1"] = (12.0, PeerStatus(0.0, {}, {}))
-        await node.shard_leases.reconcile_shard(1, 12.0)
+        await node.shard_claims.reconcile_shard(1, 12.0)
         assert 1 in node.context.held_shards, "its home is back, but not steady yet"
 
     anyio.run(play)
@@ -55,33 +55,34 @@
 
     async def play() -> None:
         node = a_node()
-        member, follow, st = node.shard_leases, node.store_watch, node.settings
-        follow.read_at = member.renewed_at = 100.0
-        assert member.isolated(100.0), "its key was not in what it read: others count it as gone"
+        lease, state, follow = node.controller_lease, node.cancellation_state, node.store_watch
+        st = node.settings
+        follow.read_at = lease.renewed_at = 100.0
+        assert state.isolated(100.0), "its key was not in what it read: others count it as gone"
         node.context.store_cache.entries[CONTROLLER_PREFIX + "c0"] = ({}, 1)
-        assert not member.isolated(105.0)
+        assert not state.isolated(105.0)
         early = 100.0 + st.cancel_s - st.lease_s
-        assert member.isolated(early), (
+        assert state.isolated(early), (
             "the other one may tell at once: a release before this one, or not heard of yet"
         )
-        member.cancellation_barrier.peer_present("c1", True, 0)
-        assert not member.isolated(early) and member.isolated(100.0 + st.options.cut_off_s)
+        state.cancellation_barrier.peer_present("c1", True, 0)
+        assert not state.isolated(early) and state.isolated(100.0 + st.options.cut_off_s)
         del node.context.store_cache.entries[CONTROLLER_PREFIX + "c0"]
-        follow.read_at = member.renewed_at = 101.0
-        assert member.isolated(100.0 + st.options.cut_off_s), (
+        follow.read_at = lease.renewed_at = 101.0
+        assert state.isolated(100.0 + st.options.cut_off_s), (
             "its key has gone: that it reads is no contact any more"
         )
         node.peer_liveness.peer_status["c1"] = (119.5, PeerStatus(60.0, {}, {}))
-        assert member.isolated(165.0), (
+        assert state.isolated(165.0), (
             "that it is heard proves nothing: what was cancelled before an outage may be told in it"
         )
-        life, node.context.clock = member.cancellation_barrier.incarnation, lambda: 119.5
+        life, node.context.clock = state.cancellation_barrier.incarnation, lambda: 119.5
         said = {"seen": 1, "life": "x", "at": 1.0, "up": 99.0, "read": True, "echo": [life, 119.0]}
         node.peer_links.deliver("c1", [["k", 1, 0, 0, True, said, 1]])
-        assert member.isolated(119.0 + st.options.cut_off_s), (
+        assert state.isolated(119.0 + st.options.cut_off_s), (
             "it has answered, and owes until so long after what it has answered"
         )
-        assert not member.isolated(119.0 + st.options.cut_off_s - 0.1)
+        assert not state.isolated(119.0 + st.options.cut_off_s - 0.1)
 
     anyio.run(play)
 
@@ -200,7 +201,7 @@
 
     async def play() -> None:
         node = a_node()
-        member, written = node.shard_leases, []
+        member, written = node.controller_lease, []
         member.lease_id, node.context.cancelled_revision = 7, 5
 
         async def renew(lease: int) -> bool:
@@ -271,7 +272,7 @@
 
     async def play() -> None:
         node = a_node()
-        member, shown = node.shard_leases, []
+        member, shown = node.controller_lease, []
         member.lease_id, member.key_written_at, node.store_watch.read_at = 7, 100.0, 101.0
         node.context.store_cache.ready = True
 
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -124,7 +124,7 @@
             node = p.nodes[name]
             assert (
                 node.context.held_shards
-                and not node.shard_leases.isolated(now)
+                and not node.cancellation_state.isolated(now)
                 and now - node.cancellation_barrier.last_contact(now) < 3.0
             )
         await anyio.sleep(25.0)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -79,7 +79,7 @@
             await p.crash("c1", back)
         await anyio.sleep(30.0)
         if not back:
-            assert p.nodes["c1"].shard_leases.isolated_redirects.round_interval_s > 15.0, (
+            assert p.nodes["c1"].cancellation_state.isolated_redirects.round_interval_s > 15.0, (
                 "scouts were sent, and came back"
             )
         await anyio.sleep(45.0)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -21,7 +21,7 @@
 
 from ploverhall import settings
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
-from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_claims import ShardClaims
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
 from ploverhall.transport.http_server import Reply
@@ -219,16 +219,16 @@
 
 def claims_once() -> Any:
     """Without: who finds itself as the holder, and does not hold it, leaves it at that."""
-    real = ShardLeases.reconcile_shard
+    real = ShardClaims.reconcile_shard
 
-    async def check(self: ShardLeases, shard: int, now: float) -> None:
+    async def check(self: ShardClaims, shard: int, now: float) -> None:
         if (
             self.context.store_cache.holder(shard)[0] != self.context.settings.name
             or shard in self.context.held_shards
         ):
             await real(self, shard, now)
 
-    return ShardLeases, "reconcile_shard", check
+    return ShardClaims, "reconcile_shard", check
 
 
 def types_once() -> Any:
