--- a/ploverhall/autoscaling/fleet_state.py
+++ b/ploverhall/autoscaling/fleet_state.py
@@ -14,7 +14,7 @@
 from ploverhall.maintenance.orders import MaintenanceOrder
 from ploverhall.protocol.cloud import CloudMachine, MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peer_messages import MachineUpdate
+from ploverhall.protocol.peer_messages import UNPROVABLE_MACHINES_KEY, MachineUpdate
 from ploverhall.scheduling.machines import MachinePool
 from ploverhall.scheduling.objectives import Objectives
 
@@ -33,7 +33,6 @@
 # Values of `MachineUpdate.draining`
 DRAINING_FOR_GOOD = 1
 DRAINING_BY_ORDER = 2
-UNPROVABLE_KEY = "?"  # key on the state channel of machines of which the owner can't prove the fate
 
 
 @dataclass(slots=True)
@@ -150,8 +149,8 @@
 
         `full` says that `changes` holds all of the shard's machines.
         """
-        unprovable = changes.get(UNPROVABLE_KEY) or ()
-        if full or UNPROVABLE_KEY in changes:
+        unprovable = changes.get(UNPROVABLE_MACHINES_KEY) or ()
+        if full or UNPROVABLE_MACHINES_KEY in changes:
             self.unprovable_by_shard[shard] = tuple(unprovable)
         for name in unprovable:
             if name not in self.deleted:
@@ -165,7 +164,7 @@
                 ):
                     self._on_agent_lost(machine, now)
         for name, value in changes.items():
-            if name == UNPROVABLE_KEY:
+            if name == UNPROVABLE_MACHINES_KEY:
                 continue
             if value is not None:
                 self._update_machine(shard, name, MachineUpdate(*value), now)
--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -18,15 +18,16 @@
 from ploverhall.controller.store_reader import StoreReader
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
+from ploverhall.protocol import peer_messages
 from ploverhall.scheduling.pending_write import PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.settings import Team
 from ploverhall.storage.schema import (
     JOB_PREFIX,
-    SHARD_PREFIX,
     allocation_prefix,
     grants_key,
     progress_prefix,
+    shard_key,
 )
 
 # A write leaves one change for the next submission, unless it has waited for so long
@@ -139,7 +140,7 @@
 
     def _replay_owner_updates(self, held: HeldShard) -> None:
         """Repeat what owners sent: the source may not have known the allocations it was about."""
-        self.routing.replay(held.shard, ("o",))
+        self.routing.replay(held.shard, (peer_messages.OWNER_TO_SOURCE,))
 
     async def _write_loop(self, held: HeldShard, source: JobSource) -> None:
         """Commit what the source has decided, one transaction at a time."""
@@ -190,7 +191,7 @@
     ) -> bool:
         """Reload what the write was based on; return false if the shard is another's now."""
         log.info("compare-and-swap failed", shard=held.shard, keys=",".join(failed))
-        if f"{SHARD_PREFIX}{held.shard}" in failed:
+        if shard_key(held.shard) in failed:
             self.on_superseded(held.shard)
             return False
         await self._reload(held, source, write, source.on_compare_failed(write, failed))
--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -21,9 +21,15 @@
 from ploverhall.coordination import state_channel
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
 from ploverhall.maintenance import orders
-from ploverhall.protocol import cloud
+from ploverhall.protocol import cloud, peer_messages
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.storage.schema import AUTOSCALER_KEY, MACHINE_TYPE_COUNT_KEY, MACHINE_TYPE_PREFIX
+from ploverhall.storage.schema import (
+    AUTOSCALER_KEY,
+    MACHINE_TYPE_COUNT_KEY,
+    MACHINE_TYPE_PREFIX,
+    autoscaler_record,
+    machine_type_count_record,
+)
 from ploverhall.transport.http_client import Caller
 
 STEP_INTERVAL_S = 0.25
@@ -38,7 +44,8 @@
 CLOUD_PAUSE_REQUESTS = 1.2  # pause after a change, in requests at the cloud's limit
 CLAIM_DELAY_S = 0.1  # a role without holder is claimed after this, and a step per controller
 CLAIM_DELAY_STEP_S = 0.5
-NO_CAPACITY = "no capacity"  # the cloud's error where a pool has no machines left
+# Kinds of state channels that the autoscaler receives
+AUTOSCALER_CHANNEL_KINDS = (peer_messages.SOURCE_TO_AUTOSCALER, peer_messages.OWNER_TO_AUTOSCALER)
 
 
 class AutoscalingLoop:
@@ -94,7 +101,9 @@
             self.context.autoscaler = None
         if self.context.autoscaler is not None:
             return True
-        self.context.outbound.drop(("r",), state_channel.AUTOSCALER_ENDPOINT)
+        self.context.outbound.drop(
+            (peer_messages.AUTOSCALER_TO_OWNER,), state_channel.AUTOSCALER_ENDPOINT
+        )
         self.pending.clear()
         if not self._claim_due(holder, version, now):
             return False
@@ -162,12 +171,8 @@
         body = cloud.rental_request(request_id, *rental.pool, rental.count)
         status, answer = await self.cloud.call("POST", "/hosts", body, timeout=CLOUD_TIMEOUT_S)
         if status == HTTPStatus.OK:
-            self._on_rented(autoscaler, rental, list(answer["perches"]))  # type: ignore[index]
-        elif (
-            status == HTTPStatus.SERVICE_UNAVAILABLE
-            and isinstance(answer, dict)
-            and answer.get("error") == NO_CAPACITY
-        ):
+            self._on_rented(autoscaler, rental, cloud.decode_rented_names(answer))
+        elif status == HTTPStatus.SERVICE_UNAVAILABLE and cloud.says_no_capacity(answer):
             self._on_no_capacity(autoscaler, rental)
         elif status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             return False
@@ -199,7 +204,7 @@
 
     async def _claim(self, version: int, now: float) -> bool:
         """Try to acquire the role whose key has this version; return whether it was acquired."""
-        value = {"node": self.context.settings.name}
+        value = autoscaler_record(self.context.settings.name)
         try:
             epoch, failed = await self.context.store.compare_and_swap(
                 {AUTOSCALER_KEY: version},
@@ -218,7 +223,7 @@
         self.unheld_since = 0.0
         log.info("autoscaler acquired", epoch=epoch)
         self.routing.update_routes()
-        self.routing.replay(state_channel.AUTOSCALER_ENDPOINT, ("d", "m"))
+        self.routing.replay(state_channel.AUTOSCALER_ENDPOINT, AUTOSCALER_CHANNEL_KINDS)
         self.context.wake_scheduling()
         return True
 
@@ -276,7 +281,7 @@
                     {}, {MACHINE_TYPE_PREFIX + machine_type.name: machine_type.record()}, []
                 )
             await self.context.store.compare_and_swap(
-                {}, {MACHINE_TYPE_COUNT_KEY: {"n": len(types)}}, []
+                {}, {MACHINE_TYPE_COUNT_KEY: machine_type_count_record(len(types))}, []
             )
         except (RequestRefusedError, OutcomeUnknownError):
             return False
@@ -313,7 +318,7 @@
             if name in autoscaler.machines:
                 autoscaler.machines[name].returning = True
         status, _ = await self.cloud.call(
-            "POST", "/hosts/return", {"perches": names}, timeout=CLOUD_TIMEOUT_S
+            "POST", "/hosts/return", cloud.return_request(names), timeout=CLOUD_TIMEOUT_S
         )
         if status == HTTPStatus.OK:
             log.info("scaled in", machines=",".join(names))
--- a/ploverhall/controller/cancellation_state.py
+++ b/ploverhall/controller/cancellation_state.py
@@ -19,7 +19,7 @@
 from ploverhall.coordination.isolation import IsolatedRedirects
 from ploverhall.coordination.restart_recovery import RenewalGrants
 from ploverhall.protocol.jobs import DONE
-from ploverhall.storage.schema import EndedJob
+from ploverhall.storage.schema import EndedJob, controller_from_record
 
 ISOLATION_MARGIN_S = 1.0  # the store may end a lease this much later than its time to live
 
@@ -60,14 +60,14 @@
         """Tell the cancellation barrier which controllers' keys exist and what they say."""
         for name in self.cancellation_barrier.peers:
             value, removed_at_revision = self.context.store_cache.controller_entry(name)
-            if not isinstance(value, dict):
+            record = controller_from_record(value)
+            if record is None:
                 self.cancellation_barrier.peer_absent(name, now, removed_at_revision)
                 continue
-            features, revision = value.get("can"), value.get("seen")
             self.cancellation_barrier.peer_present(
                 name,
-                isinstance(features, list) and FEATURE_CANCELLATION_ACK in features,
-                revision if isinstance(revision, int) else 0,
+                FEATURE_CANCELLATION_ACK in record.features,
+                record.revision_read,
             )
 
     def may_acknowledge(self, end: EndedJob) -> bool:
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -13,6 +13,7 @@
 import anyio.abc
 
 from ploverhall import log
+from ploverhall.connectivity import relay_routes
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.allocation_writer import AllocationWriter
@@ -375,9 +376,13 @@
         relays = self._service_relays()
         services = (self.store_service, self.cloud_service)
         return {
-            "good": [service.service for service in services if service.health.healthy],
-            "through": relays,
-            "cut": self.agent_commands.unreachable_shards(self.context.clock()),
+            relay_routes.REACHABLE_SERVICES_FIELD: [
+                service.service for service in services if service.health.healthy
+            ],
+            relay_routes.RELAYS_IN_USE_FIELD: relays,
+            relay_routes.UNREACHABLE_SHARDS_FIELD: self.agent_commands.unreachable_shards(
+                self.context.clock()
+            ),
         }
 
     # Events that concern several parts
--- a/ploverhall/controller/controller_lease.py
+++ b/ploverhall/controller/controller_lease.py
@@ -21,7 +21,7 @@
 )
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance import orders
-from ploverhall.storage.schema import controller_key
+from ploverhall.storage.schema import ControllerRecord, controller_key, controller_record
 
 CONTACT_READ_INTERVAL_S = 2.5  # the store cache is read afresh at least this often
 LEASE_RENEWALS_PER_TTL = 4
@@ -138,14 +138,11 @@
         revision = max(
             self.context.store_cache.revision, self.cancellation_barrier.informed_revision
         )
-        value = {
-            "zone": self.context.settings.zone,
-            "can": [FEATURE_CANCELLATION_ACK, orders.FEATURE_MAINTENANCE],
-            "seen": revision,
-        }
+        features = [FEATURE_CANCELLATION_ACK, orders.FEATURE_MAINTENANCE]
+        record = ControllerRecord(self.context.settings.zone, features, revision)
         key = self.key
         _, failed = await self.context.store.compare_and_swap(
-            {}, {key: value}, [], lease, frozenset({key}), urgent=True
+            {}, {key: controller_record(record)}, [], lease, frozenset({key}), urgent=True
         )
         if not failed:
             self.published_revision = revision
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -32,7 +32,6 @@
 RECOVERY_LOG_INTERVAL_S = 10.0  # one log line when restart recovery begins, not one per heartbeat
 # An agent waits 4 s for an answer, and has to learn within them that there is none
 RELAY_TIMEOUT_S = 2.4
-ANSWER_TOKEN_FIELD = "crest"  # wire name of the fencing token in an answer to an agent
 RELAYED_STATUSES = (200, 421)  # the only answers that a shard's holder gives to a heartbeat
 
 
@@ -278,7 +277,7 @@
 
         The agent would drop such an answer, and stay here while its lease runs out.
         """
-        token = answer.get(ANSWER_TOKEN_FIELD, 0)
+        token = agents.token_of_answer(answer)
         return fencing_tokens.epoch_of(token) < self.context.store_cache.holder(shard)[1]
 
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
--- a/ploverhall/controller/image_writer.py
+++ b/ploverhall/controller/image_writer.py
@@ -15,7 +15,7 @@
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES
 from ploverhall.storage import image_index
-from ploverhall.storage.schema import SHARD_PREFIX
+from ploverhall.storage.schema import image_prefix, shard_key
 
 IMAGE_WRITE_INTERVAL_S = 4.0
 MAX_DELETES_PER_WRITE = 2  # stale image records removed together with one batch
@@ -39,7 +39,7 @@
 
     async def _restore(self, held: HeldShard) -> set[str]:
         """Load what the previous owner saved; return the keys that exist."""
-        found = await self.reader.list_prefix(image_index.image_prefix(held.shard))
+        found = await self.reader.list_prefix(image_prefix(held.shard))
         values = [value for value, _ in found.values()]
         held.owner.inventory.restore_images(image_index.unpack(values))
         return set(found)
@@ -64,7 +64,7 @@
             stale_keys = sorted(stored_keys - records.keys())[:MAX_DELETES_PER_WRITE]
             try:
                 _, failed = await self.context.store.compare_and_swap(
-                    {f"{SHARD_PREFIX}{held.shard}": held.epoch}, puts, stale_keys
+                    {shard_key(held.shard): held.epoch}, puts, stale_keys
                 )
             except (RequestRefusedError, OutcomeUnknownError):
                 inventory.images_changed = True
@@ -80,5 +80,5 @@
             {machine.name: machine.images for machine in machines},
             self.context.settings.max_value_bytes,
         )
-        prefix = image_index.image_prefix(held.shard)
+        prefix = image_prefix(held.shard)
         return {f"{prefix}{index}": value for index, value in enumerate(values)}
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -20,7 +20,7 @@
 from ploverhall.maintenance import orders
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
 from ploverhall.maintenance.orders import ORDER_PREFIX, STATE_BY_VERB, MaintenanceOrder
-from ploverhall.storage.schema import CONTROLLER_PREFIX
+from ploverhall.storage.schema import controller_from_record, controller_key
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
@@ -128,9 +128,9 @@
         """Controllers of releases without orders: their shards would not keep to the budgets."""
         unsupported = []
         for name in self.context.shard_map.controllers:
-            value, _ = self.context.store_cache.entries.get(CONTROLLER_PREFIX + name, (None, 0))
-            features = value.get("can") if isinstance(value, dict) else None
-            supported = isinstance(features, list) and orders.FEATURE_MAINTENANCE in features
+            value, _ = self.context.store_cache.entries.get(controller_key(name), (None, 0))
+            record = controller_from_record(value)
+            supported = record is not None and orders.FEATURE_MAINTENANCE in record.features
             if value is not None and not supported:
                 unsupported.append(name)
         return unsupported
--- a/ploverhall/controller/peer_links.py
+++ b/ploverhall/controller/peer_links.py
@@ -17,10 +17,11 @@
 from ploverhall.controller.routing import Routing
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.controller.status_report import StatusReport
+from ploverhall.coordination import state_channel
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.state_channel import Message
 from ploverhall.errors import InvalidPeerMessageError
-from ploverhall.protocol import relay_messages
+from ploverhall.protocol import peer_messages, relay_messages
 from ploverhall.protocol.peer_messages import Cancellation, PeerStatus, decode_gossip, encode_gossip
 from ploverhall.runtime import NEVER
 from ploverhall.transport.peer_stream import PeerLink, PeerListener
@@ -28,11 +29,7 @@
 STATUS_INTERVAL_S = 0.5
 REJECTED_LOG_INTERVAL_S = 60.0  # at most one log line per peer and interval
 
-# Kinds of messages: the first field on the wire
-PEER_STATUS = "n"
-CANCELLATION_GOSSIP = "k"
 RELAY_KINDS = (relay_messages.CONNECTIVITY, relay_messages.REQUEST, relay_messages.RESPONSE)
-STATUS_REPORT_KINDS = ("v", "q", "a")  # report, question, answer
 
 
 class PeerLinks:
@@ -99,7 +96,12 @@
         status_due = now - self.status_sent_at.get(controller, NEVER) > STATUS_INTERVAL_S
         if status_due:
             self.status_sent_at[controller] = now
-            messages.append(self._message(PEER_STATUS, self.peer_liveness.own_status(now), 0))
+            own_status = self.peer_liveness.own_status(now)
+            messages.append(
+                state_channel.peer_message(
+                    peer_messages.PEER_STATUS, self.context.controller_index, own_status
+                )
+            )
         if status_due or self._gossip_due(controller):
             messages.append(self._gossip_message(controller, now))
         return (
@@ -108,13 +110,6 @@
             + self.relay.collect(controller, now)
         )
 
-    def _message(self, kind: str, value: Any, sequence: int) -> Message:
-        """A message in the state channel's form, which is that of all messages on a link.
-
-        A release that does not know a kind takes it for the state of an endpoint that nobody holds.
-        """
-        return [kind, self.context.controller_index, 0, 0, True, value, sequence]
-
     def _gossip_due(self, controller: str) -> bool:
         """Whether there are cancellations that this peer has not been told of."""
         known_revision = max(
@@ -131,7 +126,12 @@
         )
         self.gossiped_revision[controller] = gossip.known_revision
         self.gossip_sequence += 1
-        return self._message(CANCELLATION_GOSSIP, encode_gossip(gossip), self.gossip_sequence)
+        return state_channel.peer_message(
+            peer_messages.CANCELLATION_GOSSIP,
+            self.context.controller_index,
+            encode_gossip(gossip),
+            self.gossip_sequence,
+        )
 
     # -- receiving -----------------------------------------------------------------------------
 
@@ -140,13 +140,13 @@
         channels_changed = False
         for message in batch:
             kind = message[0]
-            if kind == PEER_STATUS:
+            if kind == peer_messages.PEER_STATUS:
                 self._receive_status(controller, message[5])
-            elif kind == CANCELLATION_GOSSIP:
+            elif kind == peer_messages.CANCELLATION_GOSSIP:
                 self._receive_gossip(controller, message[5])
             elif kind in RELAY_KINDS:
                 self.relay.deliver(controller, message)
-            elif kind in STATUS_REPORT_KINDS:
+            elif kind in peer_messages.STATUS_KINDS:
                 self.status_report.deliver(controller, message)
             elif self.routing.accept(message):
                 channels_changed = True
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -14,10 +14,12 @@
 import anyio
 
 from ploverhall import log
+from ploverhall.connectivity import relay_routes
 from ploverhall.connectivity.pending_relays import PendingRelays, deadline_passed
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.peer_liveness import PeerLiveness
+from ploverhall.coordination import state_channel
 from ploverhall.coordination.state_channel import Message
 from ploverhall.errors import InvalidRelayMessageError, RelayRefusedError, UnreachableError
 from ploverhall.log import raised_at
@@ -221,20 +223,14 @@
         heard = [name for name in self.routes.peers if self.peer_liveness.is_alive(name, now)]
         can = list(relay_messages.KINDS) if self.context.settings.options.carry else []
         value = {
-            "life": self.pending.incarnation,
-            "can": can,
-            "hears": heard,
+            relay_routes.INCARNATION_FIELD: self.pending.incarnation,
+            relay_routes.RELAY_KINDS_FIELD: can,
+            relay_routes.HEARD_PEERS_FIELD: heard,
             **self.own_connectivity(),
         }
-        return [
-            relay_messages.CONNECTIVITY,
-            self.context.controller_index,
-            0,
-            0,
-            True,
-            value,
-            0,
-        ]
+        return state_channel.peer_message(
+            relay_messages.CONNECTIVITY, self.context.controller_index, value
+        )
 
     def deliver(self, controller: str, message: Message) -> None:
         """Take in a peer's connectivity, request or response; a malformed one is dropped."""
--- a/ploverhall/controller/routing.py
+++ b/ploverhall/controller/routing.py
@@ -12,6 +12,7 @@
 from ploverhall.controller.peer_liveness import SHARD_CLAIM_MAX_AGE_S, PeerLiveness
 from ploverhall.coordination import state_channel
 from ploverhall.coordination.state_channel import Message
+from ploverhall.protocol import peer_messages
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
@@ -97,12 +98,12 @@
         if held is None:
             return
         now = self.context.clock()
-        if kind == "s":
+        if kind == peer_messages.SOURCE_TO_OWNER:
             held.owner.on_source_update(source, full, changes, now)
-        elif kind == "o" and held.source is not None:
+        elif kind == peer_messages.OWNER_TO_SOURCE and held.source is not None:
             held.source.on_owner_update(source, epoch, full, changes, now)
             held.write_wake.set()
-        elif kind == "r":
+        elif kind == peer_messages.AUTOSCALER_TO_OWNER:
             channel = self.context.inbound.channels.get((kind, source, destination))
             self._apply_autoscaler_state(held.owner, channel[1] if channel else changes)
 
@@ -112,18 +113,18 @@
         autoscaler = self.context.autoscaler
         if autoscaler is None:
             return
-        if kind == "d":
+        if kind == peer_messages.SOURCE_TO_AUTOSCALER:
             autoscaler.on_source_update(source, full, changes)
         else:
             autoscaler.on_owner_update(source, full, changes, self.context.clock())
 
     def _apply_autoscaler_state(self, owner: ShardOwner, state: dict[str, Any]) -> None:
         """Tell an owner which machines the autoscaler drains, cordons, and has deleted."""
-        owner.set_draining(state.get("drain") or [])
+        owner.set_draining(state.get(peer_messages.DRAIN_KEY) or [])
         # without the field the autoscaler is new and does not know yet what was cordoned
-        if "empty" in state:
-            owner.set_cordoned(state["empty"])
-        owner.on_machines_deleted(state.get("gone") or [])
+        if peer_messages.CORDON_KEY in state:
+            owner.set_cordoned(state[peer_messages.CORDON_KEY])
+        owner.on_machines_deleted(state.get(peer_messages.DELETED_KEY) or [])
 
     def task_counts(self, job: Job) -> tuple[int, int]:
         """Return how many tasks of a live job are done and running, as far as known here.
@@ -136,7 +137,9 @@
             return held.source.task_counts(job.id)
         # only endpoints still held here: what was sent to a released shard is outdated
         for destination in self.context.held_shards:
-            counts = self.context.inbound.channels.get(("c", shard, destination))
+            counts = self.context.inbound.channels.get(
+                (peer_messages.SOURCE_TASK_COUNTS, shard, destination)
+            )
             if counts is not None and job.id in counts[1]:
                 done, running = counts[1][job.id]
                 return done, running
@@ -160,6 +163,8 @@
         updates = source.take_owner_updates(shard_count, now)
         for shard in range(shard_count):
             # an empty channel is sent once, too: it shows the owner that this source is connected
-            outbound.channel("s", held.shard, shard, held.epoch)
+            outbound.channel(peer_messages.SOURCE_TO_OWNER, held.shard, shard, held.epoch)
         for (shard, key), value in updates.items():
-            outbound.channel("s", held.shard, shard, held.epoch).put(key, value)
+            outbound.channel(peer_messages.SOURCE_TO_OWNER, held.shard, shard, held.epoch).put(
+                key, value
+            )
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -17,6 +17,7 @@
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.routing import Routing
 from ploverhall.coordination import state_channel
+from ploverhall.protocol import peer_messages
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
@@ -149,7 +150,9 @@
             for machine, body in owner.direct_commands(now):
                 self.send_direct_command(owner, machine, body)
         for (source_shard, key), value in owner.take_source_updates().items():
-            channel = self.context.outbound.channel("o", held.shard, source_shard, held.epoch)
+            channel = self.context.outbound.channel(
+                peer_messages.OWNER_TO_SOURCE, held.shard, source_shard, held.epoch
+            )
             channel.put(key, value)
 
     def _step_source(self, held: HeldShard, source: JobSource, now: float) -> None:
@@ -174,32 +177,45 @@
     def _update_autoscaler(self, held: HeldShard, now: float) -> None:
         """Queue what the autoscaler has to hear of a shard's machines."""
         channel = self.context.outbound.channel(
-            "m", held.shard, state_channel.AUTOSCALER_ENDPOINT, held.epoch
+            peer_messages.OWNER_TO_AUTOSCALER,
+            held.shard,
+            state_channel.AUTOSCALER_ENDPOINT,
+            held.epoch,
         )
         channel.update(held.owner.take_machine_updates(now))
-        channel.put("?", held.owner.unprovable_machines(now) or None)
+        channel.put(
+            peer_messages.UNPROVABLE_MACHINES_KEY, held.owner.unprovable_machines(now) or None
+        )
 
     def _update_from_source(self, held: HeldShard, source: JobSource, now: float) -> None:
         """Queue a source's demand for the autoscaler, and its task counts for every shard."""
         outbound = self.context.outbound
         demand_channel = outbound.channel(
-            "d", held.shard, state_channel.AUTOSCALER_ENDPOINT, held.epoch
+            peer_messages.SOURCE_TO_AUTOSCALER,
+            held.shard,
+            state_channel.AUTOSCALER_ENDPOINT,
+            held.epoch,
         )
         demand_channel.replace(source.demand(now, self.context.wall_clock()))
         task_counts = source.take_task_counts()
         for shard in range(len(self.context.shard_map.controllers)):
-            outbound.channel("c", held.shard, shard, held.epoch).update(task_counts)
+            outbound.channel(
+                peer_messages.SOURCE_TASK_COUNTS, held.shard, shard, held.epoch
+            ).update(task_counts)
 
     def _update_from_autoscaler(self, autoscaler: Autoscaler) -> None:
         """Queue for every shard which of its machines are drained, maintained, or deleted."""
         for shard in range(len(self.context.shard_map.controllers)):
             channel = self.context.outbound.channel(
-                "r", state_channel.AUTOSCALER_ENDPOINT, shard, autoscaler.epoch
+                peer_messages.AUTOSCALER_TO_OWNER,
+                state_channel.AUTOSCALER_ENDPOINT,
+                shard,
+                autoscaler.epoch,
             )
-            channel.put("drain", autoscaler.draining_machines(shard))
+            channel.put(peer_messages.DRAIN_KEY, autoscaler.draining_machines(shard))
             if autoscaler.orders_evaluated:
-                channel.put("empty", autoscaler.machines_under_maintenance(shard))
-            channel.put("gone", autoscaler.deleted_for(shard))
+                channel.put(peer_messages.CORDON_KEY, autoscaler.machines_under_maintenance(shard))
+            channel.put(peer_messages.DELETED_KEY, autoscaler.deleted_for(shard))
 
     def capacity_shortages(self) -> dict[str, float]:
         """Return what this controller is short of, and by how much; without what it has enough of.
--- a/ploverhall/controller/shard_claims.py
+++ b/ploverhall/controller/shard_claims.py
@@ -20,7 +20,7 @@
 from ploverhall.coordination.orphaned_machines import OrphanedMachines
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.protocol.key_value_store import NO_SUCH_LEASE
-from ploverhall.storage.schema import controller_key, shard_key
+from ploverhall.storage.schema import claimed_with_lease, controller_key, shard_key, shard_record
 
 SHARD_CHECK_INTERVAL_S = 0.2
 # A shard acquired from a live holder and lost again is not acquired like that again for this long
@@ -154,9 +154,8 @@
     async def _recover_own_claim(self, shard: int, version: int) -> None:
         """Handle a shard that the store lists as this controller's, though it isn't held here."""
         value, _ = self.context.store_cache.entries[shard_key(shard)]
-        if value.get("lease") == self.controller_lease.lease_id and version > self.epochs.get(
-            shard, 0
-        ):
+        own_lease = claimed_with_lease(value, self.controller_lease.lease_id)
+        if own_lease and version > self.epochs.get(shard, 0):
             # This process's own claim, whose answer was lost: nobody has held that epoch yet.
             # Claimed again, it could lose the answer again, and agents would wait for longer
             self._on_claimed(shard, version)
@@ -205,7 +204,7 @@
     async def _claim(self, shard: int, version: int) -> None:
         """Try to become holder of a shard whose key has this version; 0 where there is no key."""
         key = shard_key(shard)
-        value = {"node": self.context.settings.name, "lease": self.controller_lease.lease_id}
+        value = shard_record(self.context.settings.name, self.controller_lease.lease_id)
         try:
             epoch, failed = await self.context.store.compare_and_swap(
                 {key: version},
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -11,13 +11,21 @@
 from ploverhall import log
 from ploverhall.controller.context import ControllerContext, HeldShard
 from ploverhall.controller.routing import Routing
+from ploverhall.protocol import peer_messages
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.storage.schema import MACHINE_TYPE_COUNT_KEY
 
 # Kinds of state channels (coordination.state_channel) that a role of a shard sends
-SHARD_CHANNEL_KINDS = ("s", "o", "d", "m", "c")
-OWNER_CHANNEL_KINDS = ("s", "r")  # and those that a shard's owner receives
+SHARD_CHANNEL_KINDS = (
+    peer_messages.SOURCE_TO_OWNER,
+    peer_messages.OWNER_TO_SOURCE,
+    peer_messages.SOURCE_TO_AUTOSCALER,
+    peer_messages.OWNER_TO_AUTOSCALER,
+    peer_messages.SOURCE_TASK_COUNTS,
+)
+# and those that a shard's owner receives
+OWNER_CHANNEL_KINDS = (peer_messages.SOURCE_TO_OWNER, peer_messages.AUTOSCALER_TO_OWNER)
 
 
 class ShardRoles:
--- a/ploverhall/controller/status_report.py
+++ b/ploverhall/controller/status_report.py
@@ -17,15 +17,13 @@
 from ploverhall import log, status
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.shard_status import ShardStatus
+from ploverhall.coordination import state_channel
 from ploverhall.coordination.state_channel import Message
+from ploverhall.protocol.peer_messages import STATUS_ANSWER, STATUS_QUERY, STATUS_REPORT
 from ploverhall.runtime import NEVER
 
 REPORT_INTERVAL_S = 5.0
 PEER_ANSWER_TIMEOUT_S = 1.0  # how long an operator waits for the other controllers
-# Kinds of messages: the first field on the wire
-REPORT = "v"
-QUESTION = "q"
-ANSWER = "a"
 
 
 @dataclass(slots=True)
@@ -87,16 +85,16 @@
         messages = self.outbound.pop(controller, [])
         if self.own_report and now - self.sent_at.get(controller, NEVER) > REPORT_INTERVAL_S:
             self.sent_at[controller] = now
-            messages.append(self._message(REPORT, self.own_report, 0))
+            messages.append(self._message(STATUS_REPORT, self.own_report, 0))
         return messages
 
     def deliver(self, controller: str, message: Message) -> None:
         """Take in a peer's report, question or answer."""
         kind, value, number = message[0], message[5], message[6]
-        if kind == REPORT:
+        if kind == STATUS_REPORT:
             self.peer_reports[controller] = (self.context.clock(), value)
-        elif kind == QUESTION:
-            self._send(controller, ANSWER, self.shard_status.report(value), number)
+        elif kind == STATUS_QUERY:
+            self._send(controller, STATUS_ANSWER, self.shard_status.report(value), number)
         elif number in self.open_questions:
             self._receive_answer(controller, self.open_questions[number], value)
 
@@ -116,8 +114,7 @@
         self.notify_peer(controller)
 
     def _message(self, kind: str, value: Any, number: int) -> Message:
-        """A message in the state channel's form, which is that of all messages on a link."""
-        return [kind, self.context.controller_index, 0, 0, True, value, number]
+        return state_channel.peer_message(kind, self.context.controller_index, value, number)
 
     # -- operators -----------------------------------------------------------------------------
 
@@ -149,7 +146,7 @@
         self.open_questions[number] = question
         connected = self.connected_peers()
         for name in connected:
-            self._send(name, QUESTION, selection, number)
+            self._send(name, STATUS_QUERY, selection, number)
         try:
             if connected:
                 with anyio.move_on_after(PEER_ANSWER_TIMEOUT_S):
@@ -163,7 +160,7 @@
         """Remove a question that nobody waits for from the queues."""
         for queue in self.outbound.values():
             queue[:] = [
-                message for message in queue if message[0] != QUESTION or message[6] != number
+                message for message in queue if message[0] != STATUS_QUERY or message[6] != number
             ]
 
 
--- a/ploverhall/coordination/state_channel.py
+++ b/ploverhall/coordination/state_channel.py
@@ -32,6 +32,15 @@
     sequence: int
 
 
+def peer_message(kind: str, sender: int, value: Any, sequence: int = 0) -> Message:
+    """Return a message between controllers that belongs to no channel, in the channels' form.
+
+    `sender`: the controller's index. A release that does not know the kind takes it for the state
+    of an endpoint that nobody holds.
+    """
+    return [kind, sender, 0, 0, True, value, sequence]
+
+
 @dataclass(slots=True)
 class StateChannel:
     """The state that one role sends to another."""
--- a/ploverhall/protocol/agents.py
+++ b/ploverhall/protocol/agents.py
@@ -219,6 +219,12 @@
     return {TOKEN_FIELD: token, COMMANDS_FIELD: commands}
 
 
+def token_of_answer(answer: dict[str, Any]) -> int:
+    """Return the fencing token in an answer to a heartbeat; 0 where there is none."""
+    token: int = answer.get(TOKEN_FIELD, 0)
+    return token
+
+
 def direct_request(token: int, incarnation: int, commands: list[AgentCommand]) -> dict[str, Any]:
     """Return the body of a direct request (POST /do), meant for one incarnation of the agent."""
     return {TOKEN_FIELD: token, INCARNATION_FIELD: incarnation, COMMANDS_FIELD: commands}
--- a/ploverhall/protocol/cloud.py
+++ b/ploverhall/protocol/cloud.py
@@ -18,6 +18,8 @@
 SPOT_FIELD = "driftwood"
 REQUEST_ID_FIELD = "plea"  # makes a rental idempotent
 COUNT_FIELD = "count"
+ERROR_FIELD = "error"
+NO_CAPACITY = "no capacity"  # the error where a pool has no machines left
 
 MACHINE_TYPE_WIRE_NAMES = {
     "name": "name",
@@ -158,3 +160,21 @@
         SPOT_FIELD: spot,
         COUNT_FIELD: count,
     }
+
+
+def decode_rented_names(body: Any) -> list[str]:
+    """Return the names of the machines rented, from the answer to POST /hosts.
+
+    Raises KeyError or TypeError for another form.
+    """
+    return list(body[MACHINES_FIELD])
+
+
+def says_no_capacity(body: Any) -> bool:
+    """Return whether the answer to POST /hosts says that the pool has no machines left."""
+    return isinstance(body, dict) and body.get(ERROR_FIELD) == NO_CAPACITY
+
+
+def return_request(names: list[str]) -> dict[str, list[str]]:
+    """Return the body of POST /hosts/return."""
+    return {MACHINES_FIELD: names}
--- a/ploverhall/storage/image_index.py
+++ b/ploverhall/storage/image_index.py
@@ -3,7 +3,7 @@
 Agents do not report their images. A shard's owner learns them from the tasks it starts, and the
 index hands them on to the next owner: without it every start after a takeover fetches an image that
 a neighbouring machine holds. It is only a hint for placement, so it is written seldom, and a lost
-or late write costs one more fetch. `controller.store_writing` reads and writes it; there is no I/O
+or late write costs one more fetch. `controller.image_writer` reads and writes it; there is no I/O
 here.
 """
 
@@ -13,9 +13,6 @@
 
 import orjson
 
-# A key like all others, and re-exported as part of this module's interface
-from ploverhall.storage.schema import image_prefix as image_prefix
-
 WRITE_OVERHEAD_BYTES = 100  # what a write of one key takes besides key and value
 EMPTY_VALUE_BYTES = 8
 MACHINE_OVERHEAD_BYTES = 4
--- a/ploverhall/storage/schema.py
+++ b/ploverhall/storage/schema.py
@@ -26,6 +26,10 @@
 FIELD_OUTCOME = "s"
 FIELD_TASKS_DONE = "n"
 FIELD_HOLDER = "node"
+FIELD_LEASE = "lease"
+FIELD_ZONE = "zone"
+FIELD_FEATURES = "can"
+FIELD_REVISION_READ = "seen"
 FIELD_MACHINE_TYPE_COUNT = "n"
 
 MAX_KEY_PART_LENGTH = 120
@@ -124,6 +128,59 @@
     return Holder(value[FIELD_HOLDER], version)
 
 
+def autoscaler_record(controller: str) -> dict[str, object]:
+    """Return the value of the autoscaler's key when this controller holds the role."""
+    return {FIELD_HOLDER: controller}
+
+
+def shard_record(controller: str, lease_id: int | None) -> dict[str, object]:
+    """Return the value of a shard's key when a controller claims it with its lease."""
+    return {FIELD_HOLDER: controller, FIELD_LEASE: lease_id}
+
+
+def claimed_with_lease(value: dict[str, object], lease_id: int | None) -> bool:
+    """Return whether a shard's record, made by `shard_record`, names this lease."""
+    return value.get(FIELD_LEASE) == lease_id
+
+
+class ControllerRecord(NamedTuple):
+    """What a controller's membership key says of it."""
+
+    zone: str
+    features: list[str]  # what its release can do that an older one can't
+    revision_read: int  # up to this revision it has read the store
+
+
+def controller_record(record: ControllerRecord) -> dict[str, object]:
+    """Return the stored form of a controller's membership key."""
+    return {
+        FIELD_ZONE: record.zone,
+        FIELD_FEATURES: record.features,
+        FIELD_REVISION_READ: record.revision_read,
+    }
+
+
+def controller_from_record(value: Any) -> ControllerRecord | None:
+    """Decode a membership key; None if there is none, or its value is of another form.
+
+    Fields that are missing or malformed, as in other releases, are empty and 0.
+    """
+    if not isinstance(value, dict):
+        return None
+    zone, features = value.get(FIELD_ZONE), value.get(FIELD_FEATURES)
+    revision_read = value.get(FIELD_REVISION_READ)
+    return ControllerRecord(
+        zone if isinstance(zone, str) else "",
+        features if isinstance(features, list) else [],
+        revision_read if isinstance(revision_read, int) else 0,
+    )
+
+
+def machine_type_count_record(count: int) -> dict[str, int]:
+    """Return the record that states how many machine types are stored."""
+    return {FIELD_MACHINE_TYPE_COUNT: count}
+
+
 def machine_type_count(value: dict[str, Any]) -> int:
     """Decode how many machine types are stored under `MACHINE_TYPE_PREFIX` once all are written.
 
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -435,7 +435,7 @@
             )
             for t in ("t", "a b", team)
         ]
-        + [image_index.image_prefix(3)],
+        + [schema.image_prefix(3)],
         "tokens": [
             _token(epoch, holder)
             for epoch, holder in ((5, 0), (5, 30), (5, 31), (5, None), (1 << 43, 2))
