--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -13,7 +13,6 @@
 import anyio.abc
 
 from ploverhall import log
-from ploverhall.connectivity import relay_routes
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.allocation_writer import AllocationWriter
@@ -33,6 +32,7 @@
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.controller.maintenance_requests import MaintenanceRequests
 from ploverhall.controller.outbound import OutsideService
+from ploverhall.controller.own_connectivity import OwnConnectivity
 from ploverhall.controller.peer_links import PeerLinks
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.relay import Relay
@@ -132,6 +132,12 @@
         self.agent_commands = AgentCommands(
             self.context, self.relay, self._probe_agent, self.limiter.room_for_outgoing
         )
+        self.own_connectivity = OwnConnectivity(
+            self.context,
+            (self.store_service, self.cloud_service),
+            self.agent_commands,
+            self.relay.pending,
+        )
 
     def _compose_coordination(self) -> None:
         """Make what decides which shards are held here, and who may be told of cancellations."""
@@ -194,7 +200,7 @@
             self.context,
             self.peer_liveness,
             lambda: self.scheduling_loop.capacity_shortages(),
-            self._connectivity_status,
+            self.own_connectivity.status,
         )
         self.status_report = StatusReport(
             self.context,
@@ -262,7 +268,7 @@
 
     def _connect_relay(self) -> None:
         """Give the relay what it tells peers, and what executes relayed requests."""
-        self.relay.own_connectivity = self._connectivity_gossip
+        self.relay.own_connectivity = self.own_connectivity.gossip
         self.relay.scheduling_lag = lambda: self.scheduling_loop.last_step_lag_s
         self.relay.handlers = {
             relay_messages.STORE: self.store_service.serve_relayed,
@@ -352,39 +358,6 @@
     def _is_connected(self, name: str) -> bool:
         return self.peer_links.links[name].connected
 
-    def _service_relays(self) -> dict[str, str]:
-        """Return through which peer each service is reached; without those reached directly."""
-        return {
-            service.service: relay_peer
-            for service in (self.store_service, self.cloud_service)
-            if (relay_peer := service.current_relay()) is not None
-        }
-
-    def _connectivity_status(self) -> dict[str, Any]:
-        """Return this controller's links for the status report."""
-        relays = self._service_relays()
-        pending = self.relay.pending
-        return {
-            "through": relays,
-            "away": len(self.agent_commands.failback.relayed_agents),
-            "carried": pending.relayed_count,
-            "not_carried": pending.refused_count,
-        }
-
-    def _connectivity_gossip(self) -> dict[str, Any]:
-        """Return this controller's links as they are told to its peers."""
-        relays = self._service_relays()
-        services = (self.store_service, self.cloud_service)
-        return {
-            relay_routes.REACHABLE_SERVICES_FIELD: [
-                service.service for service in services if service.health.healthy
-            ],
-            relay_routes.RELAYS_IN_USE_FIELD: relays,
-            relay_routes.UNREACHABLE_SHARDS_FIELD: self.agent_commands.unreachable_shards(
-                self.context.clock()
-            ),
-        }
-
     # Events that concern several parts
 
     def _on_superseded(self, shard: int) -> None:
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -9,7 +9,6 @@
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
-from typing import Any
 
 import anyio
 
@@ -71,7 +70,7 @@
         # By how much this controller's own scheduling is late (seconds)
         self.scheduling_lag: Callable[[], float] = float
         # What this controller reaches, as its connectivity message says it
-        self.own_connectivity: Callable[[], dict[str, Any]] = dict
+        self.own_connectivity: Callable[[], dict[str, object]] = dict
         self.connectivity_sent_at: dict[str, float] = {}
 
     # -- sending -------------------------------------------------------------------------------
--- a/ploverhall/controller/status_report.py
+++ b/ploverhall/controller/status_report.py
@@ -8,15 +8,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypedDict
 
 import anyio
 
 from ploverhall import log, status
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.shard_status import ShardStatus
+from ploverhall.controller.status_fields import Selection
 from ploverhall.coordination import state_channel
 from ploverhall.coordination.state_channel import Message
 from ploverhall.protocol.peer_messages import STATUS_ANSWER, STATUS_QUERY, STATUS_REPORT
@@ -26,12 +27,29 @@
 PEER_ANSWER_TIMEOUT_S = 1.0  # how long an operator waits for the other controllers
 
 
+Report = Mapping[str, Any]  # `StatusFields`, or what a peer of another release sent in its place
+
+
+class ControllerView(TypedDict):
+    """A controller's entry in the JSON of `/status`."""
+
+    age_s: float | None  # of the report; None where there is none
+    view: Report | None
+
+
+class FleetStatus(TypedDict):
+    """All controllers' reports: the JSON of `/status`."""
+
+    asked: str  # the controller that answers
+    controllers: dict[str, ControllerView]
+
+
 @dataclass(slots=True)
 class OpenQuestion:
     """A question to all connected peers, whose answers are awaited."""
 
-    selection: dict[str, str]
-    answers: dict[str, Any] = field(default_factory=dict)  # by peer
+    selection: Selection
+    answers: dict[str, Report] = field(default_factory=dict)  # by peer
     complete: anyio.Event = field(default_factory=anyio.Event)
 
 
@@ -51,9 +69,9 @@
         self.connected_peers = connected_peers
         self.notify_peer = notify_peer
         # By peer: when its report was received (steady clock, seconds), and the report
-        self.peer_reports: dict[str, tuple[float, dict[str, Any]]] = {}
+        self.peer_reports: dict[str, tuple[float, Report]] = {}
         self.sent_at: dict[str, float] = {}
-        self.own_report: dict[str, Any] = {}
+        self.own_report: Report = {}
         self.open_questions: dict[int, OpenQuestion] = {}  # by number
         self.question_count = 0
         self.outbound: dict[str, list[Message]] = {}  # questions and answers to send, by peer
@@ -98,7 +116,7 @@
         elif number in self.open_questions:
             self._receive_answer(controller, self.open_questions[number], value)
 
-    def _receive_answer(self, controller: str, question: OpenQuestion, report: Any) -> None:
+    def _receive_answer(self, controller: str, question: OpenQuestion, report: Report) -> None:
         """Take in a peer's answer; one to a question about everything is its report, too."""
         question.answers[controller] = report
         if not question.selection:
@@ -118,7 +136,7 @@
 
     # -- operators -----------------------------------------------------------------------------
 
-    async def answer(self, selection: dict[str, str]) -> dict[str, Any]:
+    async def answer(self, selection: Selection) -> FleetStatus:
         """All controllers' reports: asked for now, or as last received with their age in seconds.
 
         `selection`: a job, team or machine, or empty for the whole fleet. The JSON of `/status`.
@@ -126,7 +144,7 @@
         answers = await self._ask_peers(selection)
         now = self.context.clock()
         own_report = self.shard_status.report(selection)
-        views: dict[str, Any] = {self.context.settings.name: _view(0.0, own_report)}
+        views: dict[str, ControllerView] = {self.context.settings.name: _view(0.0, own_report)}
         for peer in self.context.settings.peers:
             if peer.name in answers:
                 views[peer.name] = _view(0.0, answers[peer.name])
@@ -139,7 +157,7 @@
                 views[peer.name] = _view(None, None)
         return {"asked": self.context.settings.name, "controllers": views}
 
-    async def _ask_peers(self, selection: dict[str, str]) -> dict[str, Any]:
+    async def _ask_peers(self, selection: Selection) -> dict[str, Report]:
         """The reports of the peers that answer within `PEER_ANSWER_TIMEOUT_S`."""
         self.question_count += 1
         number, question = self.question_count, OpenQuestion(selection)
@@ -164,6 +182,6 @@
             ]
 
 
-def _view(age_s: float | None, report: dict[str, Any] | None) -> dict[str, Any]:
+def _view(age_s: float | None, report: Report | None) -> ControllerView:
     """A controller's entry in the JSON of `/status`."""
     return {"age_s": age_s, "view": report}
--- a/ploverhall/status.py
+++ b/ploverhall/status.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 import sys
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from typing import Any
 
 MAX_ROWS = 40  # rows of one kind in a report
@@ -26,7 +26,7 @@
 AGE_IN_MINUTES_FROM_S = 120
 
 
-def select(report: dict[str, Any], selection: dict[str, str]) -> dict[str, Any]:
+def select(report: Mapping[str, Any], selection: dict[str, str]) -> Mapping[str, Any]:
     """The part of an older, whole report that matches a selected job, team or machine."""
     if not selection or not report:
         return report
@@ -54,7 +54,7 @@
 # -- conditions --------------------------------------------------------------------------------
 
 
-def conditions(report: dict[str, Any]) -> dict[str, str]:
+def conditions(report: Mapping[str, Any]) -> dict[str, str]:
     """What is wrong in one controller's report: texts by a key that stays while a condition lasts.
 
     Conditions whose key begins with `~` are short-lived: they are shown, but not logged.
@@ -72,7 +72,7 @@
     return found
 
 
-def _add_controller_conditions(found: dict[str, str], report: dict[str, Any]) -> None:
+def _add_controller_conditions(found: dict[str, str], report: Mapping[str, Any]) -> None:
     """Add what is wrong with a controller itself and its links."""
     controller = report["node"]
     state_age_s = report["state_age_s"]
@@ -97,7 +97,7 @@
         found["~lag"] = f"controller {controller} is short of processor: late by {lag_s:g} s"
 
 
-def _add_link_conditions(found: dict[str, str], report: dict[str, Any]) -> None:
+def _add_link_conditions(found: dict[str, str], report: Mapping[str, Any]) -> None:
     """Add what a controller does not reach, or only through a peer."""
     controller = report["node"]
     connectivity = report.get("reach") or {}  # older releases do not report it
