--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -1,7 +1,7 @@
 """Runs the autoscaler where this controller holds that role, and calls the cloud for it.
 
-Owns the claim of the role in the key-value store and all requests to the cloud: reading machine
-types and machines, renting and returning. `controller` runs `AutoscalingLoop.loop`.
+Owns all requests to the cloud: reading machine types and machines, renting and returning.
+`autoscaler_role` claims the role; `controller` runs `AutoscalingLoop.loop`.
 """
 
 from __future__ import annotations
@@ -16,18 +16,16 @@
 from ploverhall import log
 from ploverhall.autoscaling.autoscaler import Autoscaler
 from ploverhall.autoscaling.fleet_state import RentalRequest
+from ploverhall.controller.autoscaler_role import AutoscalerRole
 from ploverhall.controller.context import ControllerContext
 from ploverhall.controller.routing import Routing
-from ploverhall.coordination import state_channel
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError, UnreachableError
 from ploverhall.maintenance import orders
-from ploverhall.protocol import cloud, peer_messages
+from ploverhall.protocol import cloud
 from ploverhall.protocol.cloud import MachineType
 from ploverhall.storage.schema import (
-    AUTOSCALER_KEY,
     MACHINE_TYPE_COUNT_KEY,
     MACHINE_TYPE_PREFIX,
-    autoscaler_record,
     machine_type_count_record,
 )
 from ploverhall.transport.http_client import Caller
@@ -42,14 +40,10 @@
 MAX_RETURNS_PER_REQUEST = 100
 CLOUD_TIMEOUT_S = 3
 CLOUD_PAUSE_REQUESTS = 1.2  # pause after a change, in requests at the cloud's limit
-CLAIM_DELAY_S = 0.1  # a role without holder is claimed after this, and a step per controller
-CLAIM_DELAY_STEP_S = 0.5
-# Kinds of state channels that the autoscaler receives
-AUTOSCALER_CHANNEL_KINDS = (peer_messages.SOURCE_TO_AUTOSCALER, peer_messages.OWNER_TO_AUTOSCALER)
 
 
 class AutoscalingLoop:
-    """Holds the autoscaler's role by lease, and executes the autoscaler's plans."""
+    """Executes the plans of the autoscaler while its role is held here."""
 
     def __init__(
         self,
@@ -60,10 +54,9 @@
     ) -> None:
         """`current_lease`: id of this controller's lease, None while it has none."""
         self.context = context
-        self.routing = routing
         self.cloud = cloud
         self.current_lease = current_lease
-        self.unheld_since = 0.0
+        self.role = AutoscalerRole(context, routing, current_lease)
         # Rental requests to be made, each with the name under which it is repeated
         self.pending: list[tuple[str, RentalRequest]] = []
         self.list_every_s = LIST_EVERY_S
@@ -96,34 +89,14 @@
 
     async def _hold_role(self, now: float) -> bool:
         """Keep the role or claim it; return whether it is held here."""
-        holder, version = self.context.store_cache.autoscaler()
-        if self.context.autoscaler is not None and version > self.context.autoscaler.epoch:
-            self.context.autoscaler = None
-        if self.context.autoscaler is not None:
+        if self.role.keep():
             return True
-        self.context.outbound.drop(
-            (peer_messages.AUTOSCALER_TO_OWNER,), state_channel.AUTOSCALER_ENDPOINT
-        )
         self.pending.clear()
-        if not self._claim_due(holder, version, now):
-            return False
-        if not await self._claim(version, now):
+        if not await self.role.claim_if_due(now):
             return False
         self.listed_at = self.types_read_at = 0.0
         return True
 
-    def _claim_due(self, holder: str | None, version: int, now: float) -> bool:
-        """Return whether to claim the role now; the delay spreads the controllers' claims."""
-        if holder is None:
-            self.unheld_since = self.unheld_since or now
-            controller_count = len(self.context.shard_map.controllers)
-            position = (self.context.controller_index + version) % controller_count
-            return now - self.unheld_since >= CLAIM_DELAY_S + CLAIM_DELAY_STEP_S * position
-        if holder != self.context.settings.name:
-            self.unheld_since = 0.0
-            return False
-        return True  # claimed by an earlier process
-
     async def _step(self, autoscaler: Autoscaler, now: float) -> None:
         """Do what is due; raises UnreachableError if the cloud does not answer."""
         if now - self.types_read_at > MACHINE_TYPES_INTERVAL_S or not autoscaler.machine_types:
@@ -202,49 +175,6 @@
     async def _pause_after_change(self) -> None:
         await anyio.sleep(CLOUD_PAUSE_REQUESTS / self.context.settings.cloud_rps)
 
-    async def _claim(self, version: int, now: float) -> bool:
-        """Try to acquire the role whose key has this version; return whether it was acquired."""
-        value = autoscaler_record(self.context.settings.name)
-        try:
-            epoch, failed = await self.context.store.compare_and_swap(
-                {AUTOSCALER_KEY: version},
-                {AUTOSCALER_KEY: value},
-                [],
-                self.current_lease(),
-                frozenset({AUTOSCALER_KEY}),
-                urgent=True,
-            )
-        except (RequestRefusedError, OutcomeUnknownError):
-            return False
-        if failed:
-            return False
-        self.context.store_cache.apply_own_write(AUTOSCALER_KEY, value, epoch)
-        self.context.autoscaler = self._new_autoscaler(epoch, now)
-        self.unheld_since = 0.0
-        log.info("autoscaler acquired", epoch=epoch)
-        self.routing.update_routes()
-        self.routing.replay(state_channel.AUTOSCALER_ENDPOINT, AUTOSCALER_CHANNEL_KINDS)
-        self.context.wake_scheduling()
-        return True
-
-    def _new_autoscaler(self, epoch: int, now: float) -> Autoscaler:
-        """Return an autoscaler that knows the machine types and the live jobs."""
-        settings = self.context.settings
-        autoscaler = Autoscaler(
-            epoch,
-            settings.options.idle_return_s,
-            settings.options.spare,
-            settings.list_lag_s,
-            settings.lease_s,
-            now,
-        )
-        autoscaler.machine_types = self.context.machine_types or {}
-        autoscaler.objectives = self.context.objectives
-        for job, _ in self.context.store_cache.live_jobs.values():
-            age_s = max(0.0, self.context.wall_clock() - job.submitted_at)
-            autoscaler.on_job(job, now - age_s)
-        return autoscaler
-
     async def _finish_orders(self, autoscaler: Autoscaler, now: float) -> None:
         """Mark one finished maintenance order as done, and delete one that is past retention."""
         wall_time = self.context.wall_clock()
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -26,6 +26,7 @@
     HeldShard,
 )
 from ploverhall.controller.controller_lease import ControllerLease
+from ploverhall.controller.heartbeat_relay import HeartbeatRelay
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
 from ploverhall.controller.http_routes import HttpRoutes, is_report
 from ploverhall.controller.image_writer import ImageWriter
@@ -250,7 +251,7 @@
             self.cancellation_state,
             self.shard_claims,
             self.relay_routes,
-            self.relay,
+            HeartbeatRelay(context, self.relay_routes, self.relay),
             self.agent_commands,
         )
         maintenance_requests = MaintenanceRequests(
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -15,24 +15,21 @@
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.cancellation_state import CancellationState
 from ploverhall.controller.context import ControllerContext, HeldShard
+from ploverhall.controller.heartbeat_relay import HeartbeatRelay
 from ploverhall.controller.peer_liveness import PeerLiveness
-from ploverhall.controller.relay import MAX_HOPS, Relay
 from ploverhall.controller.routing import Routing
 from ploverhall.controller.shard_claims import ShardClaims
 from ploverhall.coordination import fencing_tokens
-from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError, UnreachableError
+from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError
 from ploverhall.protocol import agents
 from ploverhall.protocol.agents import Heartbeat
-from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
+from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.runtime import NEVER
 from ploverhall.scheduling.machines import Machine
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
 RECOVERY_LOG_INTERVAL_S = 10.0  # one log line when restart recovery begins, not one per heartbeat
-# An agent waits 4 s for an answer, and has to learn within them that there is none
-RELAY_TIMEOUT_S = 2.4
-RELAYED_STATUSES = (200, 421)  # the only answers that a shard's holder gives to a heartbeat
 
 
 class HeartbeatRequests:
@@ -46,7 +43,7 @@
         cancellation_state: CancellationState,
         shard_claims: ShardClaims,
         relay_routes: RelayRoutes,
-        relay: Relay,
+        heartbeat_relay: HeartbeatRelay,
         agent_commands: AgentCommands,
     ) -> None:
         self.context = context
@@ -55,7 +52,7 @@
         self.cancellation_state = cancellation_state
         self.shard_claims = shard_claims
         self.relay_routes = relay_routes
-        self.relay = relay
+        self.heartbeat_relay = heartbeat_relay
         self.agent_commands = agent_commands
         # When restart recovery last answered an agent (steady clock, seconds)
         self.recovered_answer_at = NEVER
@@ -163,7 +160,7 @@
             if cannot_reach_holder or self.relay_routes.reports_unreachable_shard(
                 controller, shard
             ):
-                relayed = await self._relay(body, heartbeat, shard, controller)
+                relayed = await self.heartbeat_relay.relay(body, heartbeat, shard, controller)
                 if relayed is not None:
                     return relayed
                 now = self.context.clock()
@@ -232,53 +229,7 @@
             or (store_cache.ready and job_id not in store_cache.live_jobs)
         }
 
-    # -- relaying ------------------------------------------------------------------------------
-
-    async def _relay(
-        self,
-        body: bytes,
-        heartbeat: Heartbeat,
-        shard: int,
-        controller: str,
-        avoided_relays: frozenset[str] = frozenset(),
-        hops: int = MAX_HOPS,
-    ) -> Reply | None:
-        """Relay a heartbeat to its shard's holder; return that one's answer, None if there is none.
-
-        `avoided_relays`: peers that it must not go through; `hops`: how many relays it may take.
-        """
-        if not self.context.settings.options.carry:
-            return None
-        via = self.relay_routes.route_to_peer(
-            controller, HEARTBEAT, self.context.clock(), avoided_relays, hops
-        )
-        if via is None:
-            return None
-        try:
-            status, raw = await self.relay.send(
-                via,
-                HEARTBEAT,
-                timeout=RELAY_TIMEOUT_S * hops / MAX_HOPS,
-                destination=controller,
-                body=body,
-                hops=hops,
-            )
-            answer = orjson.loads(raw)
-        except (RelayRefusedError, UnreachableError, orjson.JSONDecodeError):
-            return None
-        if status not in RELAYED_STATUSES or not isinstance(answer, dict):
-            return None
-        if status == 200 and self._answer_superseded(answer, shard):
-            return None
-        return Reply(status, answer)
-
-    def _answer_superseded(self, answer: dict[str, Any], shard: int) -> bool:
-        """Whether a relayed answer came from a holder that has been superseded meanwhile.
-
-        The agent would drop such an answer, and stay here while its lease runs out.
-        """
-        token = agents.token_of_answer(answer)
-        return fencing_tokens.epoch_of(token) < self.context.store_cache.holder(shard)[1]
+    # -- relayed by peers ----------------------------------------------------------------------
 
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
         """Answer a heartbeat that a peer relays: the HTTP status and the body for the agent.
@@ -293,7 +244,7 @@
         shard = self.context.shard_map.shard_of_machine(heartbeat.zone, heartbeat.machine)
         held = self.context.held_shards.get(shard)
         if held is None:
-            reply = await self._relay_further(peer, request, heartbeat, shard)
+            reply = await self.heartbeat_relay.relay_further(peer, request, heartbeat, shard)
             return reply.status, orjson.dumps(reply.body)
         reply, machine = self._answer_held(held, heartbeat, relayed=True)
         if machine is not None and self.agent_commands.failback.heartbeat_relayed(
@@ -302,21 +253,3 @@
             # Its heartbeat has been taken in; its commands it gets when it reports here directly
             return 421, orjson.dumps(agents.redirect(self.context.settings.name))
         return reply.status, orjson.dumps(reply.body)
-
-    async def _relay_further(
-        self, peer: str, request: RelayRequest, heartbeat: Heartbeat, shard: int
-    ) -> Reply:
-        """Relay a peer's heartbeat by one more hop; raises `RelayRefusedError` if it cannot be."""
-        if request.hops < 2 or request.destination in ("", self.context.settings.name):
-            raise RelayRefusedError("not held here")
-        reply = await self._relay(
-            request.body,
-            heartbeat,
-            shard,
-            request.destination,
-            frozenset((peer,)),
-            request.hops - 1,
-        )
-        if reply is None:
-            raise RelayRefusedError("no way from here either")
-        return reply
