--- a/ploverhall/autoscaling/machine_maintenance.py
+++ b/ploverhall/autoscaling/machine_maintenance.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import math
-from typing import Any
+from typing import TypedDict
 
 from ploverhall.autoscaling.fleet_state import (
     DRAINING_BY_ORDER,
@@ -23,6 +23,14 @@
 MAX_MACHINES_SHOWN = 20  # by name, in an order's progress
 
 
+class OrderProgress(TypedDict):
+    """What operators are shown of a maintenance order's progress."""
+
+    left: int  # machines still there
+    being_emptied: list[str]  # machines that are drained now, by name
+    waits: str  # why no more machines are drained
+
+
 class MaintenancePlanning(ScaleOut):
     """Plans the draining of machines by order."""
 
@@ -179,9 +187,9 @@
             if machine.shard == shard and machine.order_id is not None
         )
 
-    def order_progress(self) -> dict[str, dict[str, Any]]:
+    def order_progress(self) -> dict[str, OrderProgress]:
         """Return by order id what operators are shown of its progress."""
-        progress = {}
+        progress: dict[str, OrderProgress] = {}
         for order in self.orders:
             matching = [
                 machine
--- a/ploverhall/controller/image_writer.py
+++ b/ploverhall/controller/image_writer.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import anyio
 
 from ploverhall.controller.context import ControllerContext, HeldShard
@@ -15,6 +13,7 @@
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES
 from ploverhall.storage import image_index
+from ploverhall.storage.image_index import PackedRecord
 from ploverhall.storage.schema import image_prefix, shard_key
 
 IMAGE_WRITE_INTERVAL_S = 4.0
@@ -73,7 +72,7 @@
                 stored_keys = (stored_keys | puts.keys()) - set(stale_keys)
         return stored_keys
 
-    def _records(self, held: HeldShard) -> dict[str, Any]:
+    def _records(self, held: HeldShard) -> dict[str, PackedRecord]:
         """Return the shard's image index as records by key."""
         machines = held.owner.inventory.machines.values()
         values = image_index.pack(
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -14,7 +14,8 @@
 
 from ploverhall import log
 from ploverhall.controller.context import ControllerContext
-from ploverhall.controller.status_report import StatusReport
+from ploverhall.controller.status_fields import Selection
+from ploverhall.controller.status_report import Report, StatusReport
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.errors import InvalidOrderError, OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance import orders
@@ -170,7 +171,7 @@
 
     # -- showing -------------------------------------------------------------------------------
 
-    async def _controller_reports(self, selection: dict[str, str]) -> dict[str, Any]:
+    async def _controller_reports(self, selection: Selection) -> dict[str, Report]:
         """The reports of all controllers that have one, by name."""
         answer = await self.status_report.answer(selection)
         return {
--- a/ploverhall/controller/status_fields.py
+++ b/ploverhall/controller/status_fields.py
@@ -6,7 +6,9 @@
 
 from __future__ import annotations
 
-from typing import Any, TypedDict
+from typing import TypedDict
+
+from ploverhall.autoscaling.machine_maintenance import OrderProgress
 
 Selection = dict[str, str]  # "job", "team", "machine" or "would" (a maintenance order as JSON)
 HistoryRow = list[float | str | int]  # age in seconds, job, and what happened
@@ -95,7 +97,7 @@
 
     renter: bool
     late: list[tuple[str, int, float]]  # where machines boot late, how many, age of the oldest
-    orders: dict[str, dict[str, Any]]  # progress of maintenance orders
+    orders: dict[str, OrderProgress]  # by order id
 
 
 class ShardFields(TypedDict):
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -9,7 +9,7 @@
 import contextlib
 import math
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
 from typing import Any
 from urllib.parse import quote
@@ -163,7 +163,7 @@
     async def compare_and_swap(
         self,
         compare: dict[str, int],
-        puts: dict[str, Any],
+        puts: Mapping[str, object],
         deletes: list[str],
         lease: int | None = None,
         leased: frozenset[str] = frozenset(),
@@ -241,11 +241,11 @@
 
 
 def _put_operations(
-    puts: dict[str, Any], lease: int | None, leased: frozenset[str]
-) -> list[dict[str, Any]]:
-    operations: list[dict[str, Any]] = []
+    puts: Mapping[str, object], lease: int | None, leased: frozenset[str]
+) -> list[dict[str, object]]:
+    operations: list[dict[str, object]] = []
     for key, value in puts.items():
-        operation = {PUT_FIELD: key, VALUE_FIELD: value}
+        operation: dict[str, object] = {PUT_FIELD: key, VALUE_FIELD: value}
         if key in leased:
             operation[LEASE_FIELD] = lease
         operations.append(operation)
--- a/ploverhall/storage/image_index.py
+++ b/ploverhall/storage/image_index.py
@@ -9,6 +9,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import Any
 
 import orjson
@@ -18,13 +19,16 @@
 MACHINE_OVERHEAD_BYTES = 4
 IMAGE_REFERENCE_BYTES = 4
 ImagesByMachine = dict[str, dict[str, float]]  # machine -> image -> GB, least recently used first
+ImageRow = list[str | float]  # image, GB
+# A stored value: a table of images, and for each machine the positions in that table
+PackedRecord = list[list[ImageRow] | dict[str, list[int]]]
 
 
 class _PackedValue:
     """One stored value: a table of images, and for each machine the positions in that table."""
 
     def __init__(self) -> None:
-        self.table: list[list[Any]] = []  # [image, GB]
+        self.table: list[ImageRow] = []
         self.machines: dict[str, list[int]] = {}
         self.positions: dict[str, int] = {}
         self.size = EMPTY_VALUE_BYTES
@@ -48,17 +52,17 @@
                 self.table.append([image, gigabytes])
         self.machines[machine] = [self.positions[image] for image in machine_images]
 
-    def record(self) -> list[Any]:
+    def record(self) -> PackedRecord:
         """Return the stored form."""
         return [self.table, self.machines]
 
 
-def pack(images: ImagesByMachine, max_bytes: int) -> list[Any]:
+def pack(images: ImagesByMachine, max_bytes: int) -> list[PackedRecord]:
     """Return the index as values of at most `max_bytes` bytes, each of which can be decoded alone.
 
     A machine whose images do not fit into one value is left out.
     """
-    values: list[Any] = []
+    values: list[PackedRecord] = []
     current = _PackedValue()
     for machine, machine_images in sorted(images.items()):
         if not machine_images:
@@ -87,13 +91,15 @@
     return images
 
 
-def batches(values: dict[str, Any], max_operations: int, max_bytes: int) -> list[dict[str, Any]]:
+def batches(
+    values: Mapping[str, PackedRecord], max_operations: int, max_bytes: int
+) -> list[dict[str, PackedRecord]]:
     """Return keys and values in groups, each of which fits into one transaction.
 
     There is always one group, which is empty when there are no values. A value that is larger than
     `max_bytes` by itself gets a group of its own.
     """
-    groups: list[dict[str, Any]] = [{}]
+    groups: list[dict[str, PackedRecord]] = [{}]
     group_bytes = 0
     for key, value in values.items():
         write_bytes = len(orjson.dumps(value)) + 2 * len(key) + WRITE_OVERHEAD_BYTES
--- a/ploverhall/transport/peer_stream.py
+++ b/ploverhall/transport/peer_stream.py
@@ -11,7 +11,7 @@
 import struct
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import anyio
 import anyio.abc
@@ -49,6 +49,14 @@
 )
 
 
+class Greeting(NamedTuple):
+    """What the sender says of itself at the beginning of a connection."""
+
+    sender: str  # name of the controller
+    # Acknowledging every frame doubles the packets; only older releases wait for that
+    sparse_acks: bool
+
+
 class PeerLink:
     """The sending side of the link to one peer."""
 
@@ -160,25 +168,23 @@
         try:
             async with stream:
                 buffer = bytearray()
-                greeting = await self._read_frame(stream, buffer)
-                if _is_greeting(greeting):
+                greeting = _decode_greeting(await self._read_frame(stream, buffer))
+                if greeting is not None:
                     await stream.send(ACK)
                     await self._receive_batches(stream, buffer, greeting)
         except (cbor2.CBORDecodeError, ValueError, *_CONNECTION_ERRORS):
             pass
 
     async def _receive_batches(
-        self, stream: anyio.abc.ByteStream, buffer: bytearray, greeting: dict[str, Any]
+        self, stream: anyio.abc.ByteStream, buffer: bytearray, greeting: Greeting
     ) -> None:
-        # Acknowledging every frame doubles the packets; only older releases wait for that
-        sparse_acks = greeting.get(ACKS_FIELD) == FEATURE_SPARSE_ACKS
         last_ack_at = 0.0
         while True:
             batch = await self._read_frame(stream, buffer)
             if isinstance(batch, list) and batch:
-                self.deliver(greeting[SENDER_FIELD], batch)
+                self.deliver(greeting.sender, batch)
             now = self.clock()
-            if not sparse_acks or now - last_ack_at > ACK_INTERVAL_S:
+            if not greeting.sparse_acks or now - last_ack_at > ACK_INTERVAL_S:
                 last_ack_at = now
                 await stream.send(ACK)
 
@@ -201,9 +207,11 @@
                 buffer += await stream.receive(READ_BYTES)
 
 
-def _is_greeting(value: Any) -> bool:
-    return (
-        isinstance(value, dict)
-        and value.get(VERSION_FIELD) == PROTOCOL_VERSION
-        and isinstance(value.get(SENDER_FIELD), str)
-    )
+def _decode_greeting(value: Any) -> Greeting | None:
+    """Return the greeting; None if it is none, or of another protocol version."""
+    if not isinstance(value, dict) or value.get(VERSION_FIELD) != PROTOCOL_VERSION:
+        return None
+    sender = value.get(SENDER_FIELD)
+    if not isinstance(sender, str):
+        return None
+    return Greeting(sender, value.get(ACKS_FIELD) == FEATURE_SPARSE_ACKS)
