--- a/ploverhall/controller/cancellation_state.py
+++ b/ploverhall/controller/cancellation_state.py
@@ -1,9 +1,9 @@
 """What this controller may say and do about cancellations, by its contact with store and peers.
 
-`controller` passes on what the store shows of the peers. `job_requests` and `archiver` ask what may
-be told or forgotten, `heartbeat_requests` and `scheduling_loop` whether agents may still be
-answered, and with which grant for a restart. The rules are in `coordination.cancellation_barrier`,
-`coordination.isolation` and `coordination.restart_recovery`.
+`store_changes` calls `update_peers` for what the store shows of them. `job_requests` and `archiver`
+ask what may be told or forgotten, `heartbeat_requests` and `scheduling_loop` whether agents may
+still be answered, and with which grant for a restart. The rules are in
+`coordination.cancellation_barrier`, `coordination.isolation` and `coordination.restart_recovery`.
 """
 
 from __future__ import annotations
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -43,20 +43,19 @@
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.controller.shard_status import ShardStatus
 from ploverhall.controller.status_report import StatusReport
+from ploverhall.controller.store_changes import StoreChanges
 from ploverhall.controller.store_reader import StoreReader
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.job_answers import JobAnswers
 from ploverhall.log import raised_at
 from ploverhall.protocol import relay_messages
-from ploverhall.protocol.jobs import CANCELLED
-from ploverhall.protocol.peer_messages import Cancellation
 from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.runtime import Runtime
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
-from ploverhall.storage.schema import AUTOSCALER_KEY, JOB_PREFIX, end_record
+from ploverhall.storage.schema import AUTOSCALER_KEY
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http_server import Server
 
@@ -72,12 +71,11 @@
         self.settings = settings
         self.context = ControllerContext(settings, runtime or Runtime())
         self.tasks: anyio.abc.TaskGroup
-        # Jobs with unreadable records that have been logged
-        self.logged_unreadable_jobs: set[str] = set()
         self._compose_relay()
         self._compose_outside_services()
         self._compose_agent_links()
         self._compose_coordination()
+        self._compose_shard_claims()
         self._compose_store_writers()
         self._compose_status()
         self._compose_peer_links()
@@ -141,7 +139,7 @@
         )
 
     def _compose_coordination(self) -> None:
-        """Make what decides which shards are held here, and who may be told of cancellations."""
+        """Make the lease, the roles, and what decides who may be told of cancellations."""
         settings, context = self.settings, self.context
         self.cancellation_barrier = CancellationBarrier(
             [peer.name for peer in settings.peers],
@@ -153,7 +151,7 @@
         )
         self.store_watch = StoreWatch(
             context,
-            self.on_store_changed,
+            lambda: self.store_changes.on_store_changed(),
             lambda read_started_at: self.shard_roles.confirm_epochs(read_started_at),
         )
         self.shard_roles = ShardRoles(context, self.routing, self._start_shard_tasks)
@@ -172,6 +170,10 @@
             self.controller_lease,
             self.cancellation_barrier,
         )
+
+    def _compose_shard_claims(self) -> None:
+        """Make what decides which shards are held here, and what passes on changes in the store."""
+        context = self.context
         self.shard_claims = ShardClaims(
             context,
             self.peer_liveness,
@@ -181,6 +183,15 @@
             self.relay_routes,
             self.agent_commands,
         )
+        self.store_changes = StoreChanges(
+            context,
+            self.routing,
+            self.shard_roles,
+            self.cancellation_barrier,
+            self.cancellation_state,
+            self.shard_claims,
+            notify_all_peers=lambda: self.peer_links.notify(*self.peer_links.links),
+        )
 
     def _compose_store_writers(self) -> None:
         context = self.context
@@ -190,7 +201,7 @@
             self.routing,
             store_reader,
             is_current=self.store_watch.is_current,
-            on_store_changed=self.on_store_changed,
+            on_store_changed=self.store_changes.on_store_changed,
             on_superseded=self._on_superseded,
         )
         self.image_writer = ImageWriter(context, store_reader)
@@ -219,7 +230,7 @@
             self.status_report,
             self.cancellation_barrier,
             self.relay,
-            self._on_cancellations,
+            self.store_changes.on_cancellations,
         )
 
     def _compose_scheduling(self) -> None:
@@ -243,7 +254,9 @@
         answers = JobAnswers(
             context.store_cache, self.cancellation_state.may_acknowledge, self.routing.task_counts
         )
-        self.job_requests = JobRequests(context, self.store_watch, answers, self.on_store_changed)
+        self.job_requests = JobRequests(
+            context, self.store_watch, answers, self.store_changes.on_store_changed
+        )
         self.heartbeat_requests = HeartbeatRequests(
             context,
             self.peer_liveness,
@@ -255,7 +268,7 @@
             self.agent_commands,
         )
         maintenance_requests = MaintenanceRequests(
-            context, self.store_watch, self.status_report, self.on_store_changed
+            context, self.store_watch, self.status_report, self.store_changes.on_store_changed
         )
         self.http_routes = HttpRoutes(
             context,
@@ -370,57 +383,3 @@
         self.shard_roles.on_event_loop_stall(seconds, now)
         self.autoscaling_loop.on_event_loop_stall()
         self.store_watch.request_read()
-
-    def _on_cancellations(self, named: list[Cancellation]) -> None:
-        """A peer has named cancelled jobs: they end here, too, before the store has been read."""
-        store_cache = self.context.store_cache
-        new = [
-            cancellation
-            for cancellation in named
-            if cancellation.revision > store_cache.revision
-            and cancellation.job_id not in store_cache.ended_jobs
-        ]
-        for cancellation in new:
-            store_cache.apply_own_write(
-                JOB_PREFIX + cancellation.job_id, end_record(CANCELLED, 0), cancellation.revision
-            )
-        if new:
-            log.info("cancellations learned from peer", jobs=len(new), revision=new[-1].revision)
-            self.on_store_changed()
-
-    def on_store_changed(self) -> None:
-        """Pass on what is new in the store cache."""
-        now = self.context.clock()
-        self.cancellation_state.update_peers(now)
-        self._record_cancellations()
-        self._log_unreadable_jobs()
-        self.shard_roles.on_store_changed(now)
-        self.routing.update_routes()
-        self.shard_claims.wake.set()
-        self.context.wake_scheduling()
-
-    def _record_cancellations(self) -> None:
-        """Give new cancellations to the barrier, and tell peers that they have been read here.
-
-        Answers to users wait until every controller has told that.
-        """
-        ended_jobs = self.context.store_cache.ended_jobs
-        newest_revision = 0
-        for job_id in self.context.store_cache.changed_jobs:
-            ended = ended_jobs.get(job_id)
-            if ended is None or ended.outcome != CANCELLED:
-                continue
-            self.cancellation_barrier.record_cancellation(job_id, ended.version)
-            # logged here as well: the writer may not know that its write was committed
-            log.debug("cancelled", job=job_id)
-            newest_revision = max(newest_revision, ended.version)
-        if newest_revision > self.context.cancelled_revision:
-            self.context.cancelled_revision = newest_revision
-            self.peer_links.notify(*self.peer_links.links)
-
-    def _log_unreadable_jobs(self) -> None:
-        """Log each job whose record can't be read, once."""
-        unreadable_jobs = self.context.store_cache.unreadable_jobs
-        for job_id in sorted(unreadable_jobs - self.logged_unreadable_jobs):
-            self.logged_unreadable_jobs.add(job_id)
-            log.error("unreadable job record", job=job_id)
--- a/ploverhall/controller/job_rows.py
+++ b/ploverhall/controller/job_rows.py
@@ -1,7 +1,7 @@
 """The rows of jobs and teams in one controller's status report.
 
-`shard_status` calls it for every job source held here. What a job waits for (`wait_reason_of`) is text
-for operators.
+`shard_status` calls it for every job source held here. What a job waits for (`wait_reason_of`) is
+text for operators.
 """
 
 from __future__ import annotations
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -52,7 +52,8 @@
         `notify_peers`: called with names of peers for which messages are queued;
         `request_read`: asks for a fresh read of the store;
         `on_stall`: called with the seconds of an event-loop stall and the time;
-        `renewal_grant`: what fencing tokens sent at a time grant (`CancellationState.renewal_grant`);
+        `renewal_grant`: what fencing tokens sent at a time grant
+        (`CancellationState.renewal_grant`);
         `send_direct_command`: sends a command to an agent without waiting for its heartbeat.
         """
         self.context = context
--- a/ploverhall/coordination/isolation.py
+++ b/ploverhall/coordination/isolation.py
@@ -3,9 +3,9 @@
 It may go on answering its agents for `cut_off_s`, but whoever has claimed its shard could serve
 them in full. So a few agents (scouts) are redirected first. If none of them comes back, somebody
 serves them, and the others follow; if one does, all stay, and another round begins later.
-`controller.cancellation_state` updates this state, `controller.heartbeat_requests` asks for targets.
-docs/design.md, "Isolation", has the reasons. No I/O; times are seconds of the process's steady
-clock.
+`controller.cancellation_state` updates this state, and `controller.heartbeat_requests` asks for
+targets. docs/design.md, "Isolation", has the reasons. No I/O; times are seconds of the process's
+steady clock.
 """
 
 from __future__ import annotations
