--- a/ploverhall/controller/agent_commands.py
+++ b/ploverhall/controller/agent_commands.py
@@ -101,7 +101,7 @@
         except ValueError as error:  # the host is no name that can be resolved
             raise UnreachableError(f"{address!r}: {error}") from error
 
-    async def send(self, owner: ShardOwner, machine: Machine, body: dict[str, Any]) -> None:
+    async def send(self, owner: ShardOwner, machine: Machine, body: dict[str, object]) -> None:
         """Send one `/do`, and hand the answer, or that there was none, to the shard's owner.
 
         An agent that does not reach this controller gets it through the peer it reports to. Either
@@ -123,7 +123,7 @@
         owner.on_direct_answer(machine, heartbeat, self.context.clock())
         self.context.wake_scheduling()
 
-    async def _send_command(self, machine: Machine, body: dict[str, Any]) -> tuple[int, object]:
+    async def _send_command(self, machine: Machine, body: dict[str, object]) -> tuple[int, object]:
         """Send one `/do` directly or through a peer; return the HTTP status and the JSON."""
         now = self.context.clock()
         via = self.failback.relay_for(
--- a/ploverhall/controller/archiver.py
+++ b/ploverhall/controller/archiver.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Callable
 from itertools import islice
-from typing import Any
 from zlib import crc32
 
 import anyio
@@ -81,7 +80,7 @@
         Only the watch removes them from the cache, together with the archive's marker: removed
         sooner, a poll would be answered that there is no such job.
         """
-        puts: dict[str, Any] = {
+        puts: dict[str, object] = {
             ARCHIVE_PREFIX + job_id: end_record(ended.outcome, ended.tasks_done)
             for job_id, ended in batch.items()
         }
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import anyio
 import anyio.abc
@@ -357,7 +356,7 @@
         self.tasks.start_soon(self.image_writer.run, held)
 
     def _send_direct_command(
-        self, owner: ShardOwner, machine: Machine, body: dict[str, Any]
+        self, owner: ShardOwner, machine: Machine, body: dict[str, object]
     ) -> None:
         self.tasks.start_soon(self.agent_commands.send, owner, machine, body)
 
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 import anyio
 
@@ -45,7 +44,7 @@
         request_read: Callable[[], None],
         on_stall: Callable[[float, float], None],
         renewal_grant: Callable[[float], int],
-        send_direct_command: Callable[[ShardOwner, Machine, dict[str, Any]], None],
+        send_direct_command: Callable[[ShardOwner, Machine, dict[str, object]], None],
     ) -> None:
         """Compose the loop.
 
--- a/ploverhall/protocol/agents.py
+++ b/ploverhall/protocol/agents.py
@@ -65,7 +65,7 @@
 REAP_COMMAND = "reap"
 REDIRECT_FIELD = "homing"  # the controller to send heartbeats to
 
-AgentCommand = dict[str, Any]  # one command as JSON
+AgentCommand = dict[str, str | int | float]  # one command as JSON
 
 
 @dataclass(slots=True)
@@ -214,7 +214,7 @@
     return _task_command(REAP_COMMAND, attempt_id)
 
 
-def heartbeat_answer(token: int, commands: list[AgentCommand]) -> dict[str, Any]:
+def heartbeat_answer(token: int, commands: list[AgentCommand]) -> dict[str, object]:
     """Return the answer to a heartbeat; agents obey the highest fencing token they have seen."""
     return {TOKEN_FIELD: token, COMMANDS_FIELD: commands}
 
@@ -225,11 +225,11 @@
     return token
 
 
-def direct_request(token: int, incarnation: int, commands: list[AgentCommand]) -> dict[str, Any]:
+def direct_request(token: int, incarnation: int, commands: list[AgentCommand]) -> dict[str, object]:
     """Return the body of a direct request (POST /do), meant for one incarnation of the agent."""
     return {TOKEN_FIELD: token, INCARNATION_FIELD: incarnation, COMMANDS_FIELD: commands}
 
 
-def redirect(controller: str | None) -> dict[str, Any]:
+def redirect(controller: str | None) -> dict[str, str]:
     """Return the body of a 421: which controller to send heartbeats to, empty if none is known."""
     return {REDIRECT_FIELD: controller} if controller else {}
--- a/ploverhall/protocol/cloud.py
+++ b/ploverhall/protocol/cloud.py
@@ -151,7 +151,7 @@
 
 def rental_request(
     request_id: str, machine_type: str, zone: str, spot: bool, count: int
-) -> dict[str, Any]:
+) -> dict[str, object]:
     """Return the body of POST /hosts; repeated with the same id it rents nothing more."""
     return {
         REQUEST_ID_FIELD: request_id,
--- a/ploverhall/protocol/jobs.py
+++ b/ploverhall/protocol/jobs.py
@@ -270,6 +270,6 @@
     )
 
 
-def status_body(job_id: str, state: str, done: int = 0, running: int = 0) -> dict[str, Any]:
+def status_body(job_id: str, state: str, done: int = 0, running: int = 0) -> dict[str, object]:
     """Return what users are answered about a job: its state, and numbers of tasks."""
     return {ID_FIELD: job_id, STATE_FIELD: state, DONE_FIELD: done, RUNNING_FIELD: running}
--- a/ploverhall/protocol/peer_messages.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -178,7 +178,7 @@
     cancellations: list[Cancellation]  # those that the receiver may not know, by revision
 
 
-def encode_gossip(gossip: CancellationGossip) -> dict[str, Any]:
+def encode_gossip(gossip: CancellationGossip) -> dict[str, object]:
     """Return the gossip as it is sent. Older releases read only the known revision."""
     return {
         KNOWN_REVISION_FIELD: gossip.known_revision,
--- a/ploverhall/storage/schema.py
+++ b/ploverhall/storage/schema.py
@@ -91,7 +91,7 @@
     version: int
 
 
-def end_record(outcome: str, tasks_done: int) -> dict[str, Any]:
+def end_record(outcome: str, tasks_done: int) -> dict[str, object]:
     """Return the stored form of a job's end.
 
     It replaces the job's description under the same key: one write, and no moment without either.
