--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import anyio
 import anyio.abc
@@ -18,41 +17,44 @@
 from ploverhall.controller.allocation_writer import AllocationWriter
 from ploverhall.controller.archiver import Archiver
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
+from ploverhall.controller.cancellation_state import CancellationState
 from ploverhall.controller.context import (
     STORE_CONNECTIONS,
     STORE_LIMIT_SHARE,
     ControllerContext,
     HeldShard,
 )
+from ploverhall.controller.controller_lease import ControllerLease
+from ploverhall.controller.heartbeat_relay import HeartbeatRelay
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
 from ploverhall.controller.http_routes import HttpRoutes, is_report
 from ploverhall.controller.image_writer import ImageWriter
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.controller.maintenance_requests import MaintenanceRequests
 from ploverhall.controller.outbound import OutsideService
+from ploverhall.controller.own_connectivity import OwnConnectivity
 from ploverhall.controller.peer_links import PeerLinks
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.relay import Relay
 from ploverhall.controller.routing import Routing
 from ploverhall.controller.scheduling_loop import SchedulingLoop
-from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_claims import ShardClaims
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.controller.shard_status import ShardStatus
 from ploverhall.controller.status_report import StatusReport
+from ploverhall.controller.store_changes import StoreChanges
 from ploverhall.controller.store_reader import StoreReader
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.job_answers import JobAnswers
 from ploverhall.log import raised_at
 from ploverhall.protocol import relay_messages
-from ploverhall.protocol.jobs import CANCELLED
-from ploverhall.protocol.peer_messages import Cancellation
 from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.runtime import Runtime
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.settings import Settings
-from ploverhall.storage.schema import AUTOSCALER_KEY, JOB_PREFIX, end_record
+from ploverhall.storage.schema import AUTOSCALER_KEY
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http_server import Server
 
@@ -68,12 +70,11 @@
         self.settings = settings
         self.context = ControllerContext(settings, runtime or Runtime())
         self.tasks: anyio.abc.TaskGroup
-        # Jobs with unreadable records that have been logged
-        self.logged_unreadable_jobs: set[str] = set()
         self._compose_relay()
         self._compose_outside_services()
         self._compose_agent_links()
         self._compose_coordination()
+        self._compose_shard_claims()
         self._compose_store_writers()
         self._compose_status()
         self._compose_peer_links()
@@ -129,9 +130,15 @@
         self.agent_commands = AgentCommands(
             self.context, self.relay, self._probe_agent, self.limiter.room_for_outgoing
         )
+        self.own_connectivity = OwnConnectivity(
+            self.context,
+            (self.store_service, self.cloud_service),
+            self.agent_commands,
+            self.relay.pending,
+        )
 
     def _compose_coordination(self) -> None:
-        """Make what decides which shards are held here, and who may be told of cancellations."""
+        """Make the lease, the roles, and what decides who may be told of cancellations."""
         settings, context = self.settings, self.context
         self.cancellation_barrier = CancellationBarrier(
             [peer.name for peer in settings.peers],
@@ -143,19 +150,46 @@
         )
         self.store_watch = StoreWatch(
             context,
-            self.on_store_changed,
+            lambda: self.store_changes.on_store_changed(),
             lambda read_started_at: self.shard_roles.confirm_epochs(read_started_at),
         )
         self.shard_roles = ShardRoles(context, self.routing, self._start_shard_tasks)
-        self.shard_leases = ShardLeases(
+        self.controller_lease = ControllerLease(
             context,
-            self.peer_liveness,
             self.store_watch,
             self.shard_roles,
             self.cancellation_barrier,
+            all_peers_connected=lambda: len(self.peer_links.connected()) == len(settings.peers),
+            on_granted=lambda: self.shard_claims.wake.set(),
+        )
+        self.cancellation_state = CancellationState(
+            context,
+            self.peer_liveness,
+            self.store_watch,
+            self.controller_lease,
+            self.cancellation_barrier,
+        )
+
+    def _compose_shard_claims(self) -> None:
+        """Make what decides which shards are held here, and what passes on changes in the store."""
+        context = self.context
+        self.shard_claims = ShardClaims(
+            context,
+            self.peer_liveness,
+            self.shard_roles,
+            self.controller_lease,
+            self.cancellation_state,
             self.relay_routes,
             self.agent_commands,
-            lambda: len(self.peer_links.connected()) == len(settings.peers),
+        )
+        self.store_changes = StoreChanges(
+            context,
+            self.routing,
+            self.shard_roles,
+            self.cancellation_barrier,
+            self.cancellation_state,
+            self.shard_claims,
+            notify_all_peers=lambda: self.peer_links.notify(*self.peer_links.links),
         )
 
     def _compose_store_writers(self) -> None:
@@ -166,18 +200,18 @@
             self.routing,
             store_reader,
             is_current=self.store_watch.is_current,
-            on_store_changed=self.on_store_changed,
+            on_store_changed=self.store_changes.on_store_changed,
             on_superseded=self._on_superseded,
         )
         self.image_writer = ImageWriter(context, store_reader)
-        self.archiver = Archiver(context, may_archive=self.shard_leases.may_archive)
+        self.archiver = Archiver(context, may_archive=self.cancellation_state.may_archive)
 
     def _compose_status(self) -> None:
         self.shard_status = ShardStatus(
             self.context,
             self.peer_liveness,
             lambda: self.scheduling_loop.capacity_shortages(),
-            self._connectivity_status,
+            self.own_connectivity.status,
         )
         self.status_report = StatusReport(
             self.context,
@@ -195,12 +229,12 @@
             self.status_report,
             self.cancellation_barrier,
             self.relay,
-            self._on_cancellations,
+            self.store_changes.on_cancellations,
         )
 
     def _compose_scheduling(self) -> None:
         self.autoscaling_loop = AutoscalingLoop(
-            self.context, self.routing, lambda: self.shard_leases.lease_id, self.cloud_service
+            self.context, self.routing, lambda: self.controller_lease.lease_id, self.cloud_service
         )
         self.scheduling_loop = SchedulingLoop(
             self.context,
@@ -209,7 +243,7 @@
             notify_peers=self.peer_links.notify,
             request_read=self.store_watch.request_read,
             on_stall=self._on_event_loop_stall,
-            renewal_grant=self.shard_leases.renewal_grant,
+            renewal_grant=self.cancellation_state.renewal_grant,
             send_direct_command=self._send_direct_command,
         )
 
@@ -217,25 +251,28 @@
         """Make what answers the requests of users, operators and agents."""
         context = self.context
         answers = JobAnswers(
-            context.store_cache, self.shard_leases.may_acknowledge, self.routing.task_counts
+            context.store_cache, self.cancellation_state.may_acknowledge, self.routing.task_counts
+        )
+        self.job_requests = JobRequests(
+            context, self.store_watch, answers, self.store_changes.on_store_changed
         )
-        self.job_requests = JobRequests(context, self.store_watch, answers, self.on_store_changed)
         self.heartbeat_requests = HeartbeatRequests(
             context,
             self.peer_liveness,
             self.routing,
-            self.shard_leases,
+            self.cancellation_state,
+            self.shard_claims,
             self.relay_routes,
-            self.relay,
+            HeartbeatRelay(context, self.relay_routes, self.relay),
             self.agent_commands,
         )
         maintenance_requests = MaintenanceRequests(
-            context, self.store_watch, self.status_report, self.on_store_changed
+            context, self.store_watch, self.status_report, self.store_changes.on_store_changed
         )
         self.http_routes = HttpRoutes(
             context,
             self.peer_liveness,
-            self.shard_leases,
+            self.cancellation_state,
             self.status_report,
             self.job_requests,
             self.heartbeat_requests,
@@ -244,7 +281,7 @@
 
     def _connect_relay(self) -> None:
         """Give the relay what it tells peers, and what executes relayed requests."""
-        self.relay.own_connectivity = self._connectivity_gossip
+        self.relay.own_connectivity = self.own_connectivity.gossip
         self.relay.scheduling_lag = lambda: self.scheduling_loop.last_step_lag_s
         self.relay.handlers = {
             relay_messages.STORE: self.store_service.serve_relayed,
@@ -284,10 +321,10 @@
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
         """Return what runs for as long as the process does."""
         return [
-            self.shard_leases.lease_loop,
+            self.controller_lease.lease_loop,
             self.store_watch.watch_loop,
             self.store_watch.fresh_read_loop,
-            self.shard_leases.shard_loop,
+            self.shard_claims.shard_loop,
             self.scheduling_loop.loop,
             self.autoscaling_loop.loop,
             self.status_report.loop,
@@ -319,7 +356,7 @@
         self.tasks.start_soon(self.image_writer.run, held)
 
     def _send_direct_command(
-        self, owner: ShardOwner, machine: Machine, body: dict[str, Any]
+        self, owner: ShardOwner, machine: Machine, body: dict[str, object]
     ) -> None:
         self.tasks.start_soon(self.agent_commands.send, owner, machine, body)
 
@@ -334,97 +371,14 @@
     def _is_connected(self, name: str) -> bool:
         return self.peer_links.links[name].connected
 
-    def _service_relays(self) -> dict[str, str]:
-        """Return through which peer each service is reached; without those reached directly."""
-        return {
-            service.service: relay_peer
-            for service in (self.store_service, self.cloud_service)
-            if (relay_peer := service.current_relay()) is not None
-        }
-
-    def _connectivity_status(self) -> dict[str, Any]:
-        """Return this controller's links for the status report."""
-        relays = self._service_relays()
-        pending = self.relay.pending
-        return {
-            "through": relays,
-            "away": len(self.agent_commands.failback.relayed_agents),
-            "carried": pending.relayed_count,
-            "not_carried": pending.refused_count,
-        }
-
-    def _connectivity_gossip(self) -> dict[str, Any]:
-        """Return this controller's links as they are told to its peers."""
-        relays = self._service_relays()
-        services = (self.store_service, self.cloud_service)
-        return {
-            "good": [service.service for service in services if service.health.healthy],
-            "through": relays,
-            "cut": self.agent_commands.unreachable_shards(self.context.clock()),
-        }
-
     # Events that concern several parts
 
     def _on_superseded(self, shard: int) -> None:
         """A write failed because another controller holds the shard."""
         self.shard_roles.release(shard, "compare-and-swap failed")
-        self.shard_leases.wake.set()
+        self.shard_claims.wake.set()
 
     def _on_event_loop_stall(self, seconds: float, now: float) -> None:
         self.shard_roles.on_event_loop_stall(seconds, now)
         self.autoscaling_loop.on_event_loop_stall()
         self.store_watch.request_read()
-
-    def _on_cancellations(self, named: list[Cancellation]) -> None:
-        """A peer has named cancelled jobs: they end here, too, before the store has been read."""
-        store_cache = self.context.store_cache
-        new = [
-            cancellation
-            for cancellation in named
-            if cancellation.revision > store_cache.revision
-            and cancellation.job_id not in store_cache.ended_jobs
-        ]
-        for cancellation in new:
-            store_cache.apply_own_write(
-                JOB_PREFIX + cancellation.job_id, end_record(CANCELLED, 0), cancellation.revision
-            )
-        if new:
-            log.info("cancellations learned from peer", jobs=len(new), revision=new[-1].revision)
-            self.on_store_changed()
-
-    def on_store_changed(self) -> None:
-        """Pass on what is new in the store cache."""
-        now = self.context.clock()
-        self.shard_leases.update_peers(now)
-        self._record_cancellations()
-        self._log_unreadable_jobs()
-        self.shard_roles.on_store_changed(now)
-        self.routing.update_routes()
-        self.shard_leases.wake.set()
-        self.context.wake_scheduling()
-
-    def _record_cancellations(self) -> None:
-        """Give new cancellations to the barrier, and tell peers that they have been read here.
-
-        Answers to users wait until every controller has told that.
-        """
-        ended_jobs = self.context.store_cache.ended_jobs
-        newest_revision = 0
-        for job_id in self.context.store_cache.changed_jobs:
-            ended = ended_jobs.get(job_id)
-            if ended is None or ended.outcome != CANCELLED:
-                continue
-            self.cancellation_barrier.record_cancellation(job_id, ended.version)
-            # logged here as well: the writer may not know that its write was committed
-            log.debug("cancelled", job=job_id)
-            newest_revision = max(newest_revision, ended.version)
-        if newest_revision > self.context.cancelled_revision:
-            self.context.cancelled_revision = newest_revision
-            self.peer_links.notify(*self.peer_links.links)
-
-    def _log_unreadable_jobs(self) -> None:
-        """Log each job whose record can't be read, once."""
-        unreadable_jobs = self.context.store_cache.unreadable_jobs
-        for job_id in sorted(unreadable_jobs - self.logged_unreadable_jobs):
-            self.logged_unreadable_jobs.add(job_id)
-            log.error("unreadable job record", job=job_id)
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -13,26 +13,23 @@
 from ploverhall import log
 from ploverhall.connectivity.relay_routes import RelayRoutes
 from ploverhall.controller.agent_commands import AgentCommands
+from ploverhall.controller.cancellation_state import CancellationState
 from ploverhall.controller.context import ControllerContext, HeldShard
+from ploverhall.controller.heartbeat_relay import HeartbeatRelay
 from ploverhall.controller.peer_liveness import PeerLiveness
-from ploverhall.controller.relay import MAX_HOPS, Relay
 from ploverhall.controller.routing import Routing
-from ploverhall.controller.shard_leases import ShardLeases
+from ploverhall.controller.shard_claims import ShardClaims
 from ploverhall.coordination import fencing_tokens
-from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError, UnreachableError
+from ploverhall.errors import InvalidHeartbeatError, RelayRefusedError
 from ploverhall.protocol import agents
 from ploverhall.protocol.agents import Heartbeat
-from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
+from ploverhall.protocol.relay_messages import RelayRequest
 from ploverhall.runtime import NEVER
 from ploverhall.scheduling.machines import Machine
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
 RECOVERY_LOG_INTERVAL_S = 10.0  # one log line when restart recovery begins, not one per heartbeat
-# An agent waits 4 s for an answer, and has to learn within them that there is none
-RELAY_TIMEOUT_S = 2.4
-ANSWER_TOKEN_FIELD = "crest"  # wire name of the fencing token in an answer to an agent
-RELAYED_STATUSES = (200, 421)  # the only answers that a shard's holder gives to a heartbeat
 
 
 class HeartbeatRequests:
@@ -43,17 +40,19 @@
         context: ControllerContext,
         peer_liveness: PeerLiveness,
         routing: Routing,
-        shard_leases: ShardLeases,
+        cancellation_state: CancellationState,
+        shard_claims: ShardClaims,
         relay_routes: RelayRoutes,
-        relay: Relay,
+        heartbeat_relay: HeartbeatRelay,
         agent_commands: AgentCommands,
     ) -> None:
         self.context = context
         self.peer_liveness = peer_liveness
         self.routing = routing
-        self.shard_leases = shard_leases
+        self.cancellation_state = cancellation_state
+        self.shard_claims = shard_claims
         self.relay_routes = relay_routes
-        self.relay = relay
+        self.heartbeat_relay = heartbeat_relay
         self.agent_commands = agent_commands
         # When restart recovery last answered an agent (steady clock, seconds)
         self.recovered_answer_at = NEVER
@@ -91,7 +90,7 @@
     ) -> tuple[Reply, Machine | None]:
         """Return the shard owner's answer, and the machine if the answer renews its lease."""
         now = self.context.clock()
-        if self.shard_leases.isolated(now):
+        if self.cancellation_state.isolated(now):
             return Reply(421, {}), None
         if (other := self._isolation_redirect(heartbeat, held, now)) is not None:
             return Reply(421, agents.redirect(other)), None
@@ -101,7 +100,7 @@
         if machine.stale_heartbeat:
             # An old copy of a heartbeat: nobody waits for its answer
             return Reply(200, agents.heartbeat_answer(machine.token, [])), None
-        held.owner.renewal_grant = self.shard_leases.renewal_grant(now)
+        held.owner.renewal_grant = self.cancellation_state.renewal_grant(now)
         commands = held.owner.commands_for(machine, now)
         # The agent's lease counts from when it sent the heartbeat, which was before now,
         # whichever way the answer takes
@@ -132,7 +131,7 @@
 
         See `coordination.isolation`.
         """
-        redirects = self.shard_leases.isolated_redirects
+        redirects = self.cancellation_state.isolated_redirects
         if redirects.isolated_since is None:
             return None
         known = held.owner.machines.get(heartbeat.machine) if held is not None else None
@@ -161,13 +160,13 @@
             if cannot_reach_holder or self.relay_routes.reports_unreachable_shard(
                 controller, shard
             ):
-                relayed = await self._relay(body, heartbeat, shard, controller)
+                relayed = await self.heartbeat_relay.relay(body, heartbeat, shard, controller)
                 if relayed is not None:
                     return relayed
                 now = self.context.clock()
         if holder is not None and holder != own_name and token_epoch <= epoch:
-            self.shard_leases.orphaned_machines.record(shard, heartbeat.machine, served, now)
-            self.shard_leases.wake.set()
+            self.shard_claims.orphaned_machines.record(shard, heartbeat.machine, served, now)
+            self.shard_claims.wake.set()
             if self.peer_liveness.holder_without_heartbeats(holder, shard, now):
                 # Sent back to that holder it would hang; the shard is about to be acquired
                 return Reply(421, {})
@@ -178,7 +177,7 @@
         older_token = 0 < fencing_tokens.epoch_of(heartbeat.token) < epoch
         if older_token and self.routing.settled(shard, now):
             return True
-        return self.shard_leases.orphaned_machines.returned(shard, heartbeat.machine, now)
+        return self.shard_claims.orphaned_machines.returned(shard, heartbeat.machine, now)
 
     # -- restart recovery ----------------------------------------------------------------------
 
@@ -197,7 +196,7 @@
         self, heartbeat: Heartbeat, shard: int, now: float
     ) -> dict[str, Any] | None:
         """The body of a recovery answer, before the shard is held again; None if none is due."""
-        answer = self.shard_leases.renewal_grants.answer_heartbeat(
+        answer = self.cancellation_state.renewal_grants.answer_heartbeat(
             heartbeat,
             self.context.controller_index,
             self.context.store_cache.holder(shard)[1],
@@ -230,53 +229,7 @@
             or (store_cache.ready and job_id not in store_cache.live_jobs)
         }
 
-    # -- relaying ------------------------------------------------------------------------------
-
-    async def _relay(
-        self,
-        body: bytes,
-        heartbeat: Heartbeat,
-        shard: int,
-        controller: str,
-        avoided_relays: frozenset[str] = frozenset(),
-        hops: int = MAX_HOPS,
-    ) -> Reply | None:
-        """Relay a heartbeat to its shard's holder; return that one's answer, None if there is none.
-
-        `avoided_relays`: peers that it must not go through; `hops`: how many relays it may take.
-        """
-        if not self.context.settings.options.carry:
-            return None
-        via = self.relay_routes.route_to_peer(
-            controller, HEARTBEAT, self.context.clock(), avoided_relays, hops
-        )
-        if via is None:
-            return None
-        try:
-            status, raw = await self.relay.send(
-                via,
-                HEARTBEAT,
-                timeout=RELAY_TIMEOUT_S * hops / MAX_HOPS,
-                destination=controller,
-                body=body,
-                hops=hops,
-            )
-            answer = orjson.loads(raw)
-        except (RelayRefusedError, UnreachableError, orjson.JSONDecodeError):
-            return None
-        if status not in RELAYED_STATUSES or not isinstance(answer, dict):
-            return None
-        if status == 200 and self._answer_superseded(answer, shard):
-            return None
-        return Reply(status, answer)
-
-    def _answer_superseded(self, answer: dict[str, Any], shard: int) -> bool:
-        """Whether a relayed answer came from a holder that has been superseded meanwhile.
-
-        The agent would drop such an answer, and stay here while its lease runs out.
-        """
-        token = answer.get(ANSWER_TOKEN_FIELD, 0)
-        return fencing_tokens.epoch_of(token) < self.context.store_cache.holder(shard)[1]
+    # -- relayed by peers ----------------------------------------------------------------------
 
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
         """Answer a heartbeat that a peer relays: the HTTP status and the body for the agent.
@@ -291,7 +244,7 @@
         shard = self.context.shard_map.shard_of_machine(heartbeat.zone, heartbeat.machine)
         held = self.context.held_shards.get(shard)
         if held is None:
-            reply = await self._relay_further(peer, request, heartbeat, shard)
+            reply = await self.heartbeat_relay.relay_further(peer, request, heartbeat, shard)
             return reply.status, orjson.dumps(reply.body)
         reply, machine = self._answer_held(held, heartbeat, relayed=True)
         if machine is not None and self.agent_commands.failback.heartbeat_relayed(
@@ -300,21 +253,3 @@
             # Its heartbeat has been taken in; its commands it gets when it reports here directly
             return 421, orjson.dumps(agents.redirect(self.context.settings.name))
         return reply.status, orjson.dumps(reply.body)
-
-    async def _relay_further(
-        self, peer: str, request: RelayRequest, heartbeat: Heartbeat, shard: int
-    ) -> Reply:
-        """Relay a peer's heartbeat by one more hop; raises `RelayRefusedError` if it cannot be."""
-        if request.hops < 2 or request.destination in ("", self.context.settings.name):
-            raise RelayRefusedError("not held here")
-        reply = await self._relay(
-            request.body,
-            heartbeat,
-            shard,
-            request.destination,
-            frozenset((peer,)),
-            request.hops - 1,
-        )
-        if reply is None:
-            raise RelayRefusedError("no way from here either")
-        return reply
--- a/ploverhall/controller/image_writer.py
+++ b/ploverhall/controller/image_writer.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import anyio
 
 from ploverhall.controller.context import ControllerContext, HeldShard
@@ -15,7 +13,8 @@
 from ploverhall.errors import OutcomeUnknownError, RequestRefusedError
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES
 from ploverhall.storage import image_index
-from ploverhall.storage.schema import SHARD_PREFIX
+from ploverhall.storage.image_index import PackedRecord
+from ploverhall.storage.schema import image_prefix, shard_key
 
 IMAGE_WRITE_INTERVAL_S = 4.0
 MAX_DELETES_PER_WRITE = 2  # stale image records removed together with one batch
@@ -39,7 +38,7 @@
 
     async def _restore(self, held: HeldShard) -> set[str]:
         """Load what the previous owner saved; return the keys that exist."""
-        found = await self.reader.list_prefix(image_index.image_prefix(held.shard))
+        found = await self.reader.list_prefix(image_prefix(held.shard))
         values = [value for value, _ in found.values()]
         held.owner.inventory.restore_images(image_index.unpack(values))
         return set(found)
@@ -64,7 +63,7 @@
             stale_keys = sorted(stored_keys - records.keys())[:MAX_DELETES_PER_WRITE]
             try:
                 _, failed = await self.context.store.compare_and_swap(
-                    {f"{SHARD_PREFIX}{held.shard}": held.epoch}, puts, stale_keys
+                    {shard_key(held.shard): held.epoch}, puts, stale_keys
                 )
             except (RequestRefusedError, OutcomeUnknownError):
                 inventory.images_changed = True
@@ -73,12 +72,12 @@
                 stored_keys = (stored_keys | puts.keys()) - set(stale_keys)
         return stored_keys
 
-    def _records(self, held: HeldShard) -> dict[str, Any]:
+    def _records(self, held: HeldShard) -> dict[str, PackedRecord]:
         """Return the shard's image index as records by key."""
         machines = held.owner.inventory.machines.values()
         values = image_index.pack(
             {machine.name: machine.images for machine in machines},
             self.context.settings.max_value_bytes,
         )
-        prefix = image_index.image_prefix(held.shard)
+        prefix = image_prefix(held.shard)
         return {f"{prefix}{index}": value for index, value in enumerate(values)}
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -14,13 +14,14 @@
 
 from ploverhall import log
 from ploverhall.controller.context import ControllerContext
-from ploverhall.controller.status_report import StatusReport
+from ploverhall.controller.status_fields import Selection
+from ploverhall.controller.status_report import Report, StatusReport
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.errors import InvalidOrderError, OutcomeUnknownError, RequestRefusedError
 from ploverhall.maintenance import orders
 from ploverhall.maintenance.disruption_budget import DisruptionBudgets
 from ploverhall.maintenance.orders import ORDER_PREFIX, STATE_BY_VERB, MaintenanceOrder
-from ploverhall.storage.schema import CONTROLLER_PREFIX
+from ploverhall.storage.schema import controller_from_record, controller_key
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
@@ -128,9 +129,9 @@
         """Controllers of releases without orders: their shards would not keep to the budgets."""
         unsupported = []
         for name in self.context.shard_map.controllers:
-            value, _ = self.context.store_cache.entries.get(CONTROLLER_PREFIX + name, (None, 0))
-            features = value.get("can") if isinstance(value, dict) else None
-            supported = isinstance(features, list) and orders.FEATURE_MAINTENANCE in features
+            value, _ = self.context.store_cache.entries.get(controller_key(name), (None, 0))
+            record = controller_from_record(value)
+            supported = record is not None and orders.FEATURE_MAINTENANCE in record.features
             if value is not None and not supported:
                 unsupported.append(name)
         return unsupported
@@ -170,7 +171,7 @@
 
     # -- showing -------------------------------------------------------------------------------
 
-    async def _controller_reports(self, selection: dict[str, str]) -> dict[str, Any]:
+    async def _controller_reports(self, selection: Selection) -> dict[str, Report]:
         """The reports of all controllers that have one, by name."""
         answer = await self.status_report.answer(selection)
         return {
