--- a/ploverhall/transport/http_server.py
+++ b/ploverhall/transport/http_server.py
@@ -116,6 +116,8 @@
             for connection in self.connections:
                 if now > connection.due:
                     connection.scope.cancel()
+            if self.limiter is not None:
+                self.limiter.evict(now)
 
     async def _serve(self, stream: anyio.abc.ByteStream) -> None:
         connection = Connection(self.clock() + self.idle_s)
