--- a/ploverhall/transport/http_server.py
+++ b/ploverhall/transport/http_server.py
@@ -117,6 +117,7 @@
                 if now > connection.due:
                     connection.scope.cancel()
             if self.limiter is not None:
+                # Connections that fell idle since the last answer, while others still wait for theirs
                 self.limiter.evict(now)
 
     async def _serve(self, stream: anyio.abc.ByteStream) -> None:
