--- a/ploverhall/transport/network.py
+++ b/ploverhall/transport/network.py
@@ -1,7 +1,7 @@
 """The interface between a controller and the network, and its implementation with TCP.
 
 HTTP and the links between controllers are written against `Network`. Tests run whole clusters over
-a simulated one in virtual time, where every directed link has a state (tests/simulation/cluster.py).
+a simulated one in virtual time, where every directed link has a state (tests/simulation/simulated_network.py).
 """
 
 from __future__ import annotations
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -15,7 +15,9 @@
 from ploverhall import settings
 from ploverhall.errors import UnreachableError
 from ploverhall.transport.http_client import Client
-from tests.simulation.cluster import DEAF, SILENT, SimulatedCluster, VirtualTimeLoop
+from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.simulated_network import DEAF, SILENT
+from tests.simulation.virtual_time import VirtualTimeLoop
 
 from . import inputs
 from .traffic import Recording, http_messages
--- a/tests/golden/traffic.py
+++ b/tests/golden/traffic.py
@@ -15,7 +15,7 @@
 import cbor2
 import orjson
 
-from tests.simulation.cluster import Network, Stream
+from tests.simulation.simulated_network import SimulatedNetwork, SimulatedStream
 
 from .shapes import Kinds, pattern
 
@@ -75,26 +75,26 @@
     """All bytes of every connection, in the order in which the connections were opened."""
 
     controllers: tuple[str, ...]
-    sent: dict[Stream, bytearray] = field(default_factory=dict)
+    sent: dict[SimulatedStream, bytearray] = field(default_factory=dict)
 
     @contextlib.contextmanager
     def on(self) -> Iterator[None]:
         """Record until left."""
-        carry = Network.carry
+        transmit = SimulatedNetwork.transmit
 
-        def recorded(net: Network, stream: Stream, data: bytes | None) -> None:
+        def recorded(net: SimulatedNetwork, stream: SimulatedStream, data: bytes | None) -> None:
             self.sent.setdefault(stream, bytearray()).extend(data or b"")
-            carry(net, stream, data)
+            transmit(net, stream, data)
 
-        with mock.patch.object(Network, "carry", recorded):
+        with mock.patch.object(SimulatedNetwork, "transmit", recorded):
             yield
 
-    def _connections(self) -> Iterator[tuple[Stream, bytes, bytes]]:
+    def _connections(self) -> Iterator[tuple[SimulatedStream, bytes, bytes]]:
         for stream, data in self.sent.items():
             if stream.opened:
                 yield stream, bytes(data), bytes(self.sent.get(stream.other, b""))
 
-    def _side(self, stream: Stream) -> str:
+    def _side(self, stream: SimulatedStream) -> str:
         here, there = stream.here, stream.there
         if there not in self.controllers:
             return there if there in ("state", "cloud") else "agent"
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -32,9 +32,18 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol.peer_messages import ATTEMPT, AttemptUpdate
 
-from .simulation import cluster, decision_model
-from .simulation.cluster import HOLD, MODES, RESET, SILENT, Network, SimulatedCluster, Stream
+from .simulation import decision_model, deployment
+from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import CANCEL, LEASE, ActiveFault, begin, draw
+from .simulation.scene import run as run_scene
+from .simulation.simulated_network import (
+    HOLD,
+    MODES,
+    RESET,
+    SILENT,
+    SimulatedNetwork,
+    SimulatedStream,
+)
 
 RECORDED = Path(__file__).with_name("packet_checksums.json")
 INTERVAL_S = 10.0  # of virtual time between two kept values of the running checksum
@@ -99,7 +108,7 @@
     return [*value[:REASON_FIELD], "", *value[REASON_FIELD + 1 :]]
 
 
-class ComparedNetwork(Network):
+class ComparedNetwork(SimulatedNetwork):
     """The simulated network, with a history of its checksum."""
 
     def __init__(self, rng: Random, clock: Callable[[], float]) -> None:
@@ -108,13 +117,13 @@
         self.history: list[str] = []
         self.packets = 0
 
-    def carry(self, stream: Stream, data: bytes | None) -> None:
+    def transmit(self, stream: SimulatedStream, data: bytes | None) -> None:
         while self.clock() >= self.began_at + INTERVAL_S * (len(self.history) + 1):
             self.history.append(self.digest())
         self.packets += 1
-        super().carry(stream, data)
+        super().transmit(stream, data)
 
-    def checked_content(self, stream: Stream, data: bytes | None) -> bytes:
+    def checked_content(self, stream: SimulatedStream, data: bytes | None) -> bytes:
         between_controllers = (stream.here, 81) in self.listeners and (
             stream.there,
             81,
@@ -265,11 +274,11 @@
         await SCENES[scene_run.kind](p, Random(f"{scene_run.name}"))
 
     with (
-        mock.patch.object(cluster, "Network", ComparedNetwork),
+        mock.patch.object(deployment, "SimulatedNetwork", ComparedNetwork),
         mock.patch.object(decision_model, "LEASE", LEASE),
         mock.patch.object(decision_model, "CANCEL", CANCEL),
     ):
-        result = cluster.run(scene, scene_run.seed, options=OPTIONS.get(scene_run.kind))
+        result = run_scene(scene, scene_run.seed, options=OPTIONS.get(scene_run.kind))
     net = result.net
     assert isinstance(net, ComparedNetwork)
     return Course([*net.history, net.digest()], net.packets, repr(result.loop.time()))
--- a/tests/simulation/fault_schedules.py
+++ b/tests/simulation/fault_schedules.py
@@ -26,7 +26,9 @@
 from ploverhall.errors import UnreachableError
 
 from . import decision_model
-from .cluster import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW, SimulatedCluster, play
+from .cluster import SimulatedCluster
+from .scene import play
+from .simulated_network import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW
 
 KNOWN_S = 75.0
 # The deployments' own; a worker that tries two silent controllers is back after 11 s
--- /dev/null
+++ b/tests/simulation/users.py
@@ -0,0 +1,334 @@
+"""Users of a simulated deployment: what they submit, cancel and ask, and whether the answers agree with each other."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+from typing import Any
+
+import anyio
+
+from ploverhall import settings
+from ploverhall.errors import UnreachableError
+from ploverhall.protocol import jobs
+from ploverhall.transport.http_client import Client
+
+from . import decision_model
+from .deployment import HTTP_PORT, SimulatedDeployment
+
+SUBMIT_FOR_S = 60.0  # a user who has not been accepted by then gives up
+RETRY_S = 1.0
+# Fields without which a submission must be refused
+REQUIRED_FIELDS = frozenset(
+    (
+        "id",
+        "flock",
+        "keeper",
+        "gait",
+        "rank",
+        "chicks",
+        "cores",
+        "gpus",
+        "ramGb",
+        "plumage",
+        "pullGb",
+        "together",
+        "scatter",
+        "driftwood",
+        "flightS",
+        "nestS",
+        "tuckS",
+    )
+)
+FINAL_STATES = (jobs.DONE, jobs.CANCELLED)
+STATES = (jobs.QUEUED, jobs.RUNNING, *FINAL_STATES)
+
+
+@dataclass
+class SubmittedJob:
+    """One user's job."""
+
+    at: float  # of the first submission
+    accepted: float | None = None
+    refusals: int = 0
+
+
+class SimulatedUsers(SimulatedDeployment):
+    """A deployment with users, who remember what they were told."""
+
+    def __init__(
+        self,
+        seed: int = 1,
+        options: settings.Options | None = None,
+        machines: int = 12,
+        teams: int = 4,
+    ) -> None:
+        super().__init__(seed, options, machines, teams)
+        network = self.net.of("user")
+        self.users = {
+            name: Client(name, HTTP_PORT, 2, network, self.loop.time) for name in self.names
+        }
+        self.asked: dict[str, SubmittedJob] = {}
+        self.bodies: dict[str, dict[str, Any]] = {}  # what was submitted
+        # While users look closely: what their moments are drawn from
+        self.closely: Random | None = None
+        self.cancelled: dict[str, float] = {}  # when their users were told so
+        self.withdrawing: set[str] = set()  # whose users have asked to cancel them
+        self.told: dict[str, str] = {}  # final states that users have been told
+        self.asker = Random(seed + 7)  # draws of its own: asking changes nothing else that is drawn
+
+    # -- submissions ---------------------------------------------------------------------------
+
+    def spec(self, n: int, **fields: Any) -> dict[str, Any]:
+        """A submission, drawn; `fields` are taken instead of what is drawn."""
+        kind = fields.pop("gait", None) or self.rng.choice(["array", "array", "group"])
+        return {
+            "id": f"j-{n:06d}",
+            "flock": kind,
+            "keeper": f"team-{n % len(self.teams)}",
+            "gait": kind,
+            "rank": "normal",
+            "chicks": self.rng.choice([1, 2, 3]) if kind == "array" else 2,
+            "cores": 1.0,
+            "gpus": 1.0,
+            "ramGb": 1.0,
+            "plumage": "i",
+            "pullGb": 0.1,
+            "breeds": None,
+            "marsh": None,
+            "together": False,
+            "scatter": False,
+            "driftwood": False,
+            "flightS": self.rng.choice([1.0, 3.0]),
+            "nestS": 0.0,
+            "tuckS": 0.0,
+            "duskS": None,
+            **fields,
+        }
+
+    async def flow(self, s: float, every: float = 1.0, first: int = 1) -> None:
+        """Submit jobs of all kinds for s seconds: services, arrays and gangs."""
+        until, number = self.now + s, first
+        while self.now < until:
+            self.tasks.start_soon(self.submit, self.spec(number))
+            number += 1
+            await anyio.sleep(every * (0.5 + self.rng.random()))
+
+    async def submit(self, spec: dict[str, Any], to: str | None = None) -> None:
+        """Submit until it is accepted, to any controller or always to one."""
+        job_id = spec["id"]
+        submitted = self.asked[job_id] = SubmittedJob(self.now)
+        self.bodies[job_id] = spec
+        self.fleet.specs[job_id] = jobs.parse_submission(spec, 0.0)
+        while submitted.accepted is None and self.now - submitted.at < SUBMIT_FOR_S:
+            name = to or self.rng.choice(self.names)
+            status = await self.call(name, "POST", "/api/jobs", job_id, spec)
+            if status in (200, 201):
+                return
+            submitted.refusals += 1
+            await anyio.sleep(RETRY_S)
+
+    async def resubmit(self, jid: str, name: str) -> bool:
+        """Repeat a submission that may have been accepted; whether it was."""
+        return await self.call(name, "POST", "/api/jobs", jid, self.bodies[jid]) == 200
+
+    async def withdraw(self, jid: str, to: str | None = None) -> None:
+        """Cancel a job until the answer says that it is cancelled, or done."""
+        self.withdrawing.add(jid)
+        while True:
+            name = to or self.rng.choice(self.names)
+            if await self.call(name, "POST", f"/api/jobs/{jid}/withdraw", jid, {}) == 200:
+                return
+            await anyio.sleep(RETRY_S)
+
+    async def try_odd(self, body: dict[str, Any], name: str) -> int:
+        """Submit what must not be accepted; the status, or 0 without an answer."""
+        try:
+            status, answer = await self.users[name].call("POST", "/api/jobs", body, 5.0)
+        except UnreachableError:
+            return 0
+        if status in (200, 201):
+            reason = self.rejection_reason(body) or "is odd"
+            self.broken.append(
+                f"accepted though it {reason}: {body} by {name} at {self.now}: {answer}"
+            )
+        return status
+
+    def rejection_reason(self, body: dict[str, Any]) -> str | None:
+        """Why a submission must not be accepted, by the protocol's lines on 400 and 422; None if it may be."""
+        missing = sorted(REQUIRED_FIELDS - body.keys())
+        if missing:
+            return f"lacks {missing[0]}"
+        team, machine_type = self.teams.get(body["keeper"]), decision_model.TYPE
+        zones = {zone for zone in machine_type.zones if body.get("marsh") in (None, zone)}
+        if team is None:
+            return "unknown team"
+        requested = (body["cores"], body["gpus"], body["ramGb"])
+        too_large = any(
+            wanted > there for wanted, there in zip(requested, machine_type.resources, strict=True)
+        )
+        if too_large or not zones:
+            return "fits no machine"
+        if body.get("breeds") is not None and machine_type.name not in body["breeds"]:
+            return "fits no allowed type"
+        at_once = 1 if body["gait"] == "array" else body["chicks"]
+        if body["gpus"] * at_once > team.max_gpus:
+            return "more than the team's limit"
+        spread = body["gait"] == "group" and body["scatter"] and body["chicks"] > 1
+        if spread and (body["together"] or len(zones) < 2):
+            return "a gang that no zones can hold"
+        return None
+
+    # -- questions -----------------------------------------------------------------------------
+
+    async def ask(self, jid: str, name: str) -> bool:
+        """Ask a controller about a job that was accepted; whether there was an answer, which must be no older than the last."""
+        return await self.call(name, "GET", f"/api/jobs/{jid}", jid, None, 2.0) == 200
+
+    async def ask_now_and_then(self) -> None:
+        """Ask about one accepted job a second, until cancelled."""
+        while True:
+            await anyio.sleep(1.0)
+            accepted = self._accepted()
+            if accepted:
+                job_id, name = self.asker.choice(accepted), self.asker.choice(self.names)
+                self.tasks.start_soon(self.ask, job_id, name)
+
+    async def all_answered(self, within: float) -> list[str]:
+        """Ask every controller for every accepted job until each has answered; what is missing after so many seconds."""
+        until = self.now + within
+        left = [(job_id, name) for job_id in self._accepted() for name in self.names]
+        while left and self.now < until:
+            left = [(job_id, name) for job_id, name in left if not await self.ask(job_id, name)]
+            await anyio.sleep(0.5)
+        return [f"{job_id} by {name}" for job_id, name in left]
+
+    def _accepted(self) -> list[str]:
+        return [job_id for job_id, job in self.asked.items() if job.accepted is not None]
+
+    async def close_looks(self, s: float) -> None:
+        """For s seconds, look closely after each acceptance, end (the last task's, too) and cancellation; cancel some jobs at once."""
+        self.closely, until, seen = Random(self.late.random()), self.now + s, set(self.told)
+        while self.now < until and self.closely is not None:
+            await anyio.sleep(0.01)
+            ended = {job_id for job_id, _ in self.fleet.results} - seen
+            for job_id in sorted(job_id for job_id in ended if self._all_tasks_done(job_id)):
+                seen.add(job_id)
+                self.look_closely(job_id)
+        self.closely = None
+
+    def look_closely(self, jid: str) -> None:
+        """Where close looks are on: ask every controller, and repeat the submission, at moments of the next 50 ms."""
+        if (rng := self.closely) is None:
+            return
+
+        async def look(name: str, after: float, again: bool) -> None:
+            await anyio.sleep(after)
+            await (self.resubmit if again else self.ask)(jid, name)
+
+        for name in self.names:
+            for again in (False, True, rng.random() < 0.5):
+                self.tasks.start_soon(look, name, 0.05 * rng.random(), again)
+
+    # -- answers -------------------------------------------------------------------------------
+
+    async def call(
+        self, name: str, method: str, path: str, jid: str, body: object, s: float = 5.0
+    ) -> int:
+        """One request about a job, whatever it is: its status, or 0 without an answer. The one place that judges what users are told.
+
+        What was told before the request left must not be older in its answer; the first answer that says that the job is
+        cancelled, whichever request brought it, is the acknowledgement that `cancel_s` counts from.
+        """
+        told_before, accepted = self.told.get(jid), self.asked[jid].accepted is not None
+        try:
+            status, answer = await self.users[name].call(method, path, body, s)
+        except UnreachableError:
+            return 0
+        where = f"{jid} by {name} at {self.now:.3f} ({method} {path}: {status} {answer})"
+        if status in (400, 404, 422) and accepted:
+            self.broken.append(f"forgotten: {where}")
+        if status == 201 and accepted:
+            self.broken.append(f"went_back: accepted once more, {where}")
+        if status not in (200, 201):
+            return status
+        state = answer.get("stance") if isinstance(answer, dict) else None
+        if state not in STATES or answer["id"] != jid:  # type: ignore[index]
+            self.broken.append(f"no answer: {where}")
+            return 0
+        if path.endswith("/withdraw") and state not in FINAL_STATES:
+            self.broken.append(f"no answer to a cancellation: {where}")
+        self._judge_state(jid, state, told_before, where)
+        if not accepted and self.asked[jid].accepted is None:
+            self._accept(jid)
+        if state in FINAL_STATES and self.told.get(jid) is None:
+            self._remember_final_state(jid, state)
+        return status
+
+    def _judge_state(self, jid: str, state: str, told_before: str | None, where: str) -> None:
+        """Whether a job's state may be told after what was told before, and agrees with what machines did."""
+        told = self.told.get(jid)
+        went_back = told_before is not None and state != told_before
+        if went_back or (state in FINAL_STATES and told not in (None, state)):
+            self.broken.append(f"went_back: was {told}, {where}")
+        if state == jobs.CANCELLED and jid not in self.withdrawing:
+            self.broken.append(f"went_back: nobody cancelled {where}")
+        if state == jobs.DONE and not self._all_tasks_done(jid):
+            self.broken.append(f"not_done: {where}")
+
+    def _accept(self, jid: str) -> None:
+        self.asked[jid].accepted = self.now
+        self.look_closely(jid)
+        if self.closely and self.closely.random() < 0.3:
+            self.tasks.start_soon(self.withdraw, jid)
+
+    def _remember_final_state(self, jid: str, state: str) -> None:
+        self.told[jid] = state
+        if state == jobs.CANCELLED:
+            self.cancelled[jid] = self.now
+        self.look_closely(jid)
+
+    # -- what became of the jobs ---------------------------------------------------------------
+
+    def _all_tasks_done(self, jid: str) -> bool:
+        return all((jid, i) in self.fleet.results for i in range(self.specs[jid].task_count))
+
+    def served(self, jid: str) -> bool:
+        """Whether a job is complete; of a service, whether all replicas were started."""
+        spec = self.specs[jid]
+        done = self.fleet.first_starts if spec.kind == "service" else self.fleet.results
+        return all((jid, i) in done for i in range(spec.task_count))
+
+    def begun_at(self, jid: str) -> float | None:
+        """When a job first had a task on a machine, a gang all of them; None: it has not begun."""
+        spec, started = self.specs[jid], self.fleet.first_at
+        times = [started[jid, i] for i in range(spec.task_count) if (jid, i) in started]
+        if spec.kind == "gang":
+            return max(times) if len(times) == spec.task_count else None
+        return min(times, default=None)
+
+    def services(self) -> set[str]:
+        """Teams whose services still run."""
+        return {
+            spec.team
+            for spec in self.specs.values()
+            if spec.kind == "service" and spec.id not in self.cancelled
+        }
+
+    def starts_after_told(self) -> list[tuple[str, float]]:
+        """Starts of a job after its user was told that it is cancelled, and how long after; those later than CANCEL break a rule."""
+        return [
+            (attempt[0], at - self.cancelled[attempt[0]])
+            for at, attempt, _ in self.fleet.starts_of
+            if at > self.cancelled.get(attempt[0], 1e18)
+        ]
+
+    def longest_pause(self, since: float, until: float) -> float:
+        """The longest time in which nothing started."""
+        starts = [at for at in self.fleet.started_at if since <= at <= until]
+        times = [since, *starts, until]
+        return max(later - earlier for earlier, later in zip(times, times[1:], strict=False))
+
+    def slowest_accepted(self) -> float:
+        """Seconds from a submission's first attempt to its acceptance, at most."""
+        return max((job.accepted or 1e9) - job.at for job in self.asked.values())
--- a/tests/test_accepted_jobs_known.py
+++ b/tests/test_accepted_jobs_known.py
@@ -19,7 +19,9 @@
 from ploverhall.storage.schema import JOB_PREFIX
 from ploverhall.storage.store_cache import StoreCache
 
-from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET
 from .test_relay import busy
 
 KNOWN_S = 75.0
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -27,8 +27,10 @@
 from ploverhall.scheduling.shard_state import ShardState
 
 from .simulation import decision_model
-from .simulation.cluster import HOLD, RESET, SILENT, SLOW, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import MACHINES, meet
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET, SILENT, SLOW
 from .test_fault_schedules import always
 from .test_stale_heartbeats import _check_without_tokens, copies_are_news
 
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -25,7 +25,8 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply, Server
 
-from .simulation.cluster import Network, VirtualTimeLoop
+from .simulation.simulated_network import SimulatedNetwork
+from .simulation.virtual_time import VirtualTimeLoop
 
 MAX_SOCKETS = 200
 REPORT_S = 2.0
@@ -39,7 +40,7 @@
 
     tasks: anyio.abc.TaskGroup
     loop: VirtualTimeLoop
-    net: Network
+    net: SimulatedNetwork
     limiter: ConnectionLimiter | None
     most_open: int = 0
     answered: dict[str, int] = field(default_factory=dict)
@@ -104,7 +105,7 @@
         assert isinstance(loop, VirtualTimeLoop)
         async with anyio.create_task_group() as tasks:
             limiter = ConnectionLimiter(LIMITS, is_report, LEASE_S) if limited else None
-            controller = Controller(tasks, loop, Network(Random(1), loop.time), limiter)
+            controller = Controller(tasks, loop, SimulatedNetwork(Random(1), loop.time), limiter)
             out.append(controller)
             await controller.start()
             await scene(controller)
--- a/tests/test_determinism.py
+++ b/tests/test_determinism.py
@@ -10,8 +10,10 @@
 
 import anyio
 
-from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import meet
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, SILENT
 
 
 def course(seed: int) -> str:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -20,7 +20,9 @@
 from ploverhall.scheduling.allocations import AllocationStore
 
 from .simulation import decision_model
-from .simulation.cluster import HOLD, RESET, SLOW, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET, SLOW
 from .test_lost_answers import innermost
 from .test_relay import busy
 from .test_shard_claims import Hook
@@ -355,7 +357,7 @@
     """
     if without is not None:
         monkeypatch.setattr(*without())
-    real = SimulatedCluster._state_for
+    real = SimulatedCluster._store_handler
 
     def state_for(self: SimulatedCluster, name: str) -> Any:
         inner = real(self, name)
@@ -370,7 +372,7 @@
 
         return handle
 
-    monkeypatch.setattr(SimulatedCluster, "_state_for", state_for)
+    monkeypatch.setattr(SimulatedCluster, "_store_handler", state_for)
 
     async def scene(p: SimulatedCluster) -> None:
         for n in range(900, 916):
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -22,7 +22,7 @@
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.permit_table import PermitTable
 
-from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import (
     KNOWN_S,
     ActiveFault,
@@ -34,6 +34,8 @@
     rule,
     shrink,
 )
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET
 from .test_stale_heartbeats import _check_without_tokens
 
 
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -13,8 +13,10 @@
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 
 from .simulation import decision_model
-from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import meet
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET, SILENT
 from .test_relay import busy
 
 LEASE, CANCEL = 16.0, 46.0
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -8,7 +8,9 @@
 from ploverhall.coordination.isolation import IsolatedRedirects
 from ploverhall.errors import UnreachableError
 
-from .simulation.cluster import HOLD, REFUSE, RESET, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, REFUSE, RESET
 from .test_relay import busy
 from .test_restart import soonest
 
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -24,8 +24,10 @@
 from ploverhall.storage.store_cache import StoreCache
 
 from .simulation import decision_model
-from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import CANCEL, KNOWN_S, LEASE
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET
 
 
 @pytest.fixture
--- a/tests/test_job_requests.py
+++ b/tests/test_job_requests.py
@@ -29,9 +29,12 @@
 from ploverhall.transport.http_server import Reply
 
 from .simulation import decision_model
-from .simulation.cluster import RESET, SLOW, Network, SimulatedCluster, SubmittedJob, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fakes import FakeStoreAndCloud
 from .simulation.fault_schedules import KNOWN_S
+from .simulation.scene import play
+from .simulation.simulated_network import RESET, SLOW, SimulatedNetwork
+from .simulation.users import SubmittedJob
 
 JOB_ID = re.compile(r"j-\d{1,18}")
 
@@ -106,7 +109,7 @@
         assert not await p.all_answered(KNOWN_S)
         store = p.state.store
         seen["changes"] = Counter(e.key.split("/")[0] for e in store.log)
-        seen["bytes"] = carried[0]
+        seen["bytes"] = transmitted[0]
         archived = {k[2:] for k in store.kv if k.startswith("e/")}
         await anyio.sleep(
             max(0.0, 130.0 - (p.now - begun - s))
@@ -120,14 +123,14 @@
         }
         seen["ended"] = max(len(node.context.store_cache.ended_jobs) for node in p.nodes.values())
 
-    carried = [0]
-    real_carry = Network.carry
+    transmitted = [0]
+    real_transmit = SimulatedNetwork.transmit
 
-    def carry(self: Network, stream: Any, data: bytes | None) -> None:
-        carried[0] += len(data or b"")
-        real_carry(self, stream, data)
+    def transmit(self: SimulatedNetwork, stream: Any, data: bytes | None) -> None:
+        transmitted[0] += len(data or b"")
+        real_transmit(self, stream, data)
 
-    seen["carry"] = carry
+    seen["transmit"] = transmit
     return scene
 
 
@@ -135,7 +138,7 @@
     """Play it, and hold what every swarm must come to."""
     seen: dict[str, Any] = {}
     scene = swarm(seed, s, crash, seen)
-    monkeypatch.setattr(Network, "carry", seen.pop("carry"))
+    monkeypatch.setattr(SimulatedNetwork, "transmit", seen.pop("transmit"))
     p = play(scene, seed, options=settings.Options(keep_ended=KEPT))
     assert all(a.accepted is not None for a in p.asked.values()), "every one is accepted"
     rest = [j for j in p.specs if j not in p.cancelled]
@@ -333,7 +336,7 @@
                 answer,
             )
             assert len(str(answer)) < 200, "bounded, whatever was sent"
-            assert status == 400 or p.never(spec) is not None, (
+            assert status == 400 or p.rejection_reason(spec) is not None, (
                 "the plain judge has it from the protocol, too"
             )
         for body in RAW:
--- a/tests/test_largest_jobs.py
+++ b/tests/test_largest_jobs.py
@@ -7,7 +7,8 @@
 
 from ploverhall.scheduling import allocations, permitting
 
-from .simulation.cluster import SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
 
 
 @pytest.mark.parametrize("guarded", [True, False])
--- a/tests/test_link_partitions.py
+++ b/tests/test_link_partitions.py
@@ -8,11 +8,13 @@
 from ploverhall.protocol.agents import Heartbeat
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-from .simulation import cluster
-from .simulation.cluster import SceneError, SimulatedCluster, play
+from .simulation import simulated_network, virtual_time
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.virtual_time import SceneError
 
 
-@pytest.mark.parametrize("mode", cluster.MODES)
+@pytest.mark.parametrize("mode", simulated_network.MODES)
 def test_every_single_link_in_every_mode_breaks_no_rule(mode: str) -> None:
     """Each directed link of one controller in turn, while jobs come, are cancelled and end."""
 
@@ -34,7 +36,7 @@
 
 def test_a_scene_that_never_ends_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     """CI waited 90 minutes for a scene whose submissions were never accepted."""
-    monkeypatch.setattr(cluster, "SCENE_LIMIT_S", 20.0)
+    monkeypatch.setattr(virtual_time, "SCENE_LIMIT_S", 20.0)
 
     async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(60.0)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -26,8 +26,9 @@
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
 from ploverhall.transport.http_server import Reply
 
-from .simulation.cluster import SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fakes import FakeStoreAndCloud, unguarded
+from .simulation.scene import play
 from .test_relay import busy
 from .test_restart_recovery import breaks
 
@@ -566,7 +567,7 @@
         monkeypatch.setattr(*without())
     wanted: list[str] = []
     kept: list[tuple[str, Any]] = []
-    real = SimulatedCluster._state_for
+    real = SimulatedCluster._store_handler
 
     def state_for(self: SimulatedCluster, name: str) -> Any:
         inner = real(self, name)
@@ -580,7 +581,7 @@
 
         return handle
 
-    monkeypatch.setattr(SimulatedCluster, "_state_for", state_for)
+    monkeypatch.setattr(SimulatedCluster, "_store_handler", state_for)
     landed: dict[str, int] = {}
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -28,7 +28,9 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage.schema import CONTROLLER_PREFIX
 
-from .simulation.cluster import HOLD, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD
 from .test_permitting import source
 
 RULES = DisruptionBudgets(
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -15,7 +15,8 @@
 from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
 from . import test_shard_owner
-from .simulation.cluster import SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
 from .test_relay import busy
 from .test_shard_owner import EPOCH, report
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -26,9 +26,11 @@
 from ploverhall.protocol import relay_messages
 from ploverhall.transport.http_server import Reply
 
-from .simulation import cluster
-from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
+from .simulation import simulated_network
+from .simulation.cluster import SimulatedCluster
 from .simulation.fakes import unguarded
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET, SILENT
 
 
 async def busy(p: SimulatedCluster, s: float = 60.0, services: int = 3) -> float:
@@ -515,7 +517,7 @@
         for _ in range(rng.choice([2, 3])):
             name, mode, s = (
                 rng.choice(p.names),
-                rng.choice(cluster.MODES),
+                rng.choice(simulated_network.MODES),
                 6.0 + 20.0 * rng.random(),
             )
             kind = rng.choice(["state", "state", "workers", "workers", "peer", "cloud"])
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -14,8 +14,9 @@
 
 from ploverhall.storage.schema import CONTROLLER_PREFIX, SHARD_PREFIX
 
-from .simulation.cluster import SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.fakes import unguarded
+from .simulation.scene import play
 from .test_relay import busy
 
 
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -21,7 +21,9 @@
 from ploverhall.coordination.restart_recovery import GRANT_FROM_ANSWER, NO_GRANT, RenewalGrants
 
 from .simulation import decision_model
-from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, SILENT
 from .test_relay import busy
 
 Scene = Callable[[SimulatedCluster], Awaitable[None]]
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -11,7 +11,8 @@
 
 from ploverhall.storage.schema import SHARD_PREFIX
 
-from .simulation.cluster import SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
 from .test_relay import busy
 
 STEPS = ("lease gone", "claim sent", "claim landed", "cells read")
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -15,8 +15,9 @@
 
 from . import test_decision_model
 from .simulation import decision_model
-from .simulation.cluster import SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
 from .simulation.decision_model import RuleBrokenError
+from .simulation.scene import play
 from .test_permitting import a_job
 from .test_relay import busy
 
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -12,7 +12,9 @@
 
 from ploverhall.scheduling.allocations import AllocationStore
 
-from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, SILENT
 
 
 def over_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
