--- a/scripts/benchmark_hot_paths.py
+++ b/scripts/benchmark_hot_paths.py
@@ -398,9 +398,10 @@
 
 def beside(verb: str, size: int, ports: list[int]) -> None:
     """Store, cloud and one user, for `users_cost`; prints a line where a stretch begins or ends."""
-    from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
+    from tests.simulation.fake_agents import FakeAgents
+    from tests.simulation.fake_key_value_store import FakeKeyValueStore
 
-    state = FakeStoreAndCloud()
+    state = FakeKeyValueStore()
     state.store.kv = {
         f"{JOB_PREFIX}j-{i:06d}": (end_record("withdrawn", 0), 1) for i in range(1, size + 1)
     }
--- a/scripts/mixed_versions.py
+++ b/scripts/mixed_versions.py
@@ -40,8 +40,11 @@
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
 from tests import test_loopback
-from tests.simulation import decision_model
-from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
+from tests.simulation import parameters
+from tests.simulation.fake_agents import FakeAgents
+from tests.simulation.fake_key_value_store import FakeKeyValueStore
+from tests.simulation.model_agent import ModelAgent
+from tests.simulation.task_rules import RuleBrokenError, check_machines
 
 ROOT = Path(__file__).resolve().parent.parent
 OLD = "old"
@@ -177,7 +180,7 @@
     def __init__(self, controllers: Controllers, seed: int) -> None:
         self.controllers = controllers
         self.rng = Random(seed)
-        self.state = FakeStoreAndCloud()
+        self.state = FakeKeyValueStore()
         addresses = {name: s.bind for name, s in controllers.settings.items()}
         self.fleet = FakeAgents(
             addresses, FIRST_AGENT_PORT, every=0.5, zones=tuple(sorted(set(ZONES)))
@@ -186,7 +189,7 @@
         self.submitted: dict[str, Submitted] = {}
         self.wrong: list[str] = []
         self.restarts = 0
-        # read by decision_model.DecisionModel.judge
+        # read by task_rules.check_machines
         self.cancelled: dict[str, float] = {}
         self.teams = {team.name: team for team in controllers.settings["c0"].teams}
 
@@ -196,7 +199,7 @@
         return self.fleet.now
 
     @property
-    def workers(self) -> dict[str, decision_model.ModelAgent]:
+    def workers(self) -> dict[str, ModelAgent]:
         """The agents, by machine."""
         return self.fleet.workers
 
@@ -276,8 +279,8 @@
         while True:
             await anyio.sleep(0.25)
             try:
-                decision_model.DecisionModel.judge(self)  # type: ignore[arg-type]
-            except decision_model.RuleBrokenError as e:
+                check_machines(self)
+            except RuleBrokenError as e:
                 self.wrong.append(str(e))
 
     async def healthy(self, name: str) -> None:
@@ -434,7 +437,7 @@
         extract(args.base, old)
         ports = test_loopback.free_ports(8)
         cluster = Upgrade(Controllers({OLD: old, NEW: ROOT}, folder, ports), args.seed)
-        with mock.patch.object(decision_model, "CANCEL", CANCEL_S):
+        with mock.patch.object(parameters, "CANCEL_S", CANCEL_S):
             wrong = anyio.run(cluster.run)
     for line in wrong[:20]:
         print(f"wrong: {line}")
--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -29,7 +29,8 @@
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
 from tests import test_loopback
-from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
+from tests.simulation.fake_agents import FakeAgents
+from tests.simulation.fake_key_value_store import FakeKeyValueStore
 
 COLUMNS = ("listening", "healthy", "first worker", "first start", "all workers")
 
@@ -43,7 +44,7 @@
         data["deployment"]["workers"]["report_s"] = report_s
         data["deployment"]["teams"][0].update(gpus=400, gpus_max=400)
         self.settings = settings.parse(data)
-        self.state, self.machines, self.answered = FakeStoreAndCloud(), machines, dict[str, float]()
+        self.state, self.machines, self.answered = FakeKeyValueStore(), machines, dict[str, float]()
         self.fleet = FakeAgents({"c0": self.settings.bind}, 31_000, every=report_s)
         self.file = Path(tempfile.mkdtemp()) / "node.toml"
         self.file.write_text(tomli_w.dumps(data))
@@ -52,9 +53,9 @@
         self.starts: list[tuple[float, str]] = []  # of tasks: when, and of which job
         began = self.fleet.started
 
-        def started(w: Any, key: Any) -> None:
-            self.starts.append((self.fleet.clock(), key[0]))
-            began(w, key)
+        def started(agent: Any, attempt: Any) -> None:
+            self.starts.append((self.fleet.clock(), attempt[0]))
+            began(agent, attempt)
 
         self.fleet.started = started  # type: ignore[method-assign]
 
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -32,7 +32,7 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol.peer_messages import ATTEMPT, AttemptUpdate
 
-from .simulation import decision_model, deployment
+from .simulation import deployment, parameters
 from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import CANCEL, LEASE, ActiveFault, begin, draw
 from .simulation.scene import run as run_scene
@@ -275,8 +275,8 @@
 
     with (
         mock.patch.object(deployment, "SimulatedNetwork", ComparedNetwork),
-        mock.patch.object(decision_model, "LEASE", LEASE),
-        mock.patch.object(decision_model, "CANCEL", CANCEL),
+        mock.patch.object(parameters, "LEASE_S", LEASE),
+        mock.patch.object(parameters, "CANCEL_S", CANCEL),
     ):
         result = run_scene(scene, scene_run.seed, options=OPTIONS.get(scene_run.kind))
     net = result.net
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -11,7 +11,7 @@
 
 from ploverhall import settings
 
-from . import decision_model
+from . import task_rules
 from .machine_faults import MachineFaults
 from .users import SimulatedUsers
 from .waiting_jobs import startable_jobs
@@ -49,8 +49,8 @@
         while True:
             await anyio.sleep(JUDGE_INTERVAL_S)
             try:
-                decision_model.DecisionModel.judge(self)  # type: ignore[arg-type]
-            except decision_model.RuleBrokenError as error:
+                task_rules.check_machines(self)
+            except task_rules.RuleBrokenError as error:
                 self.broken.append(str(error))
 
     def calm(self) -> None:
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -18,8 +18,10 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply, Server
 
-from . import decision_model
-from .fakes import FakeAgents, FakeStoreAndCloud
+from . import parameters
+from .fake_agents import FakeAgents
+from .fake_key_value_store import FakeKeyValueStore
+from .model_agent import ModelAgent
 from .simulated_network import SimulatedNetwork
 
 HTTP_PORT = 80
@@ -49,7 +51,7 @@
         self.rng = Random(seed)
         self.net = SimulatedNetwork(self.rng, self.loop.time)
         self.names = [f"c{i}" for i in range(len(self.zones))]
-        self.state = FakeStoreAndCloud(self.loop.time)
+        self.state = FakeKeyValueStore(self.loop.time)
         self.refused: set[str] = set()  # controllers that the key-value store refuses
         self.fleet = FakeAgents(
             {name: (name, HTTP_PORT) for name in self.names},
@@ -82,7 +84,7 @@
         return self.loop.time()
 
     @property
-    def workers(self) -> dict[str, decision_model.ModelAgent]:
+    def workers(self) -> dict[str, ModelAgent]:
         """The agents, by their machines' names."""
         return self.fleet.workers
 
@@ -127,10 +129,10 @@
             ],
             "workers": {
                 "report_s": HEARTBEAT_S,
-                "lease_s": decision_model.LEASE,
-                "gang_wait_s": decision_model.GANG_WAIT,
-                "gang_peer_s": decision_model.GANG_PEER,
-                "cancel_s": decision_model.CANCEL,
+                "lease_s": parameters.LEASE_S,
+                "gang_wait_s": parameters.GANG_WAIT_S,
+                "gang_peer_s": parameters.GANG_PEER_S,
+                "cancel_s": parameters.CANCEL_S,
             },
             "state": {"rps": 300.0, "write_rps": 150.0, "value_kb": 4.0, "txn_ops": 8},
             "cloud": {"rps": 20.0, "list_lag_s": self.list_lag_s},
--- /dev/null
+++ b/tests/simulation/event_queue.py
@@ -0,0 +1,28 @@
+"""A queue of events in virtual time."""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Callable
+from typing import Any
+
+
+class EventQueue:
+    """Calls functions at their times; those of one time in the order in which they were scheduled."""
+
+    def __init__(self) -> None:
+        self.now = 0.0
+        self._scheduled = 0
+        self._queue: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []
+
+    def schedule(self, after: float, call: Callable[..., Any], *args: Any) -> None:
+        """Call a function in so many seconds."""
+        self._scheduled += 1
+        heapq.heappush(self._queue, (self.now + after, self._scheduled, call, args))
+
+    def run(self, until: float) -> None:
+        """Make all calls that are due by then."""
+        while self._queue and self._queue[0][0] <= until:
+            self.now, _, call, args = heapq.heappop(self._queue)
+            call(*args)
+        self.now = until
--- a/tests/simulation/fault_schedules.py
+++ b/tests/simulation/fault_schedules.py
@@ -25,7 +25,7 @@
 
 from ploverhall.errors import UnreachableError
 
-from . import decision_model
+from . import parameters
 from .cluster import SimulatedCluster
 from .scene import play
 from .simulated_network import DEAF, HOLD, REFUSE, RESET, SILENT, SLOW
@@ -168,7 +168,7 @@
                 k
                 for w in self.p.workers.values()
                 for k, t in w.tasks.items()
-                if t["state"] == "running" and 0.0 <= t["until"] - self.p.now < 0.05
+                if t.state == "running" and 0.0 <= t.until - self.p.now < 0.05
             ]
             for jid, task, _ in ends:
                 others = all(
@@ -437,12 +437,12 @@
         assert not left, f"left waiting: {sorted(left)[:3]}"
         await anyio.sleep(max(CANCEL + 3.0, 200.0 + 35.0 - (p.now - p.settled_at)))
 
-    before = decision_model.LEASE, decision_model.CANCEL
-    decision_model.LEASE, decision_model.CANCEL = LEASE, CANCEL
+    before = parameters.LEASE_S, parameters.CANCEL_S
+    parameters.LEASE_S, parameters.CANCEL_S = LEASE, CANCEL
     try:
         return play(scene, seed)
     finally:
-        decision_model.LEASE, decision_model.CANCEL = before
+        parameters.LEASE_S, parameters.CANCEL_S = before
 
 
 def verdict(task: tuple[int, Sequence[str], Day | None]) -> tuple[int, str]:
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -14,8 +14,8 @@
 from ploverhall.storage.schema import SHARD_PREFIX
 from ploverhall.transport.http_client import Client
 
-from . import decision_model
 from .deployment import HTTP_PORT, SimulatedDeployment
+from .model_agent import ModelAgent
 from .simulated_network import DEAF, MUTE
 
 # Kept heartbeats are sent when a shard is claimed, and again so long after each time: in the
@@ -86,9 +86,7 @@
             await anyio.sleep(after)
             await self._send_copy(machine, name, body)
 
-        def on_heartbeat_sent(
-            agent: decision_model.ModelAgent, receiver: str, body: dict[str, Any]
-        ) -> None:
+        def on_heartbeat_sent(agent: ModelAgent, receiver: str, body: dict[str, Any]) -> None:
             if rng.random() < share and (chosen is None or agent.name in chosen):
                 name = receiver if rng.random() < 0.6 else rng.choice(self.names)
                 after = least + (most - least) * rng.random()
@@ -107,9 +105,7 @@
         chosen = None if machines is None else set(machines)
         kept: dict[str, list[dict[str, Any]]] = {}
 
-        def on_heartbeat_sent(
-            agent: decision_model.ModelAgent, receiver: str, body: dict[str, Any]
-        ) -> None:
+        def on_heartbeat_sent(agent: ModelAgent, receiver: str, body: dict[str, Any]) -> None:
             if (chosen is None or agent.name in chosen) and self.late.random() < share:
                 of_machine = kept.setdefault(agent.name, [])
                 of_machine[each:] = [body]
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -13,7 +13,7 @@
 from ploverhall.protocol import jobs
 from ploverhall.transport.http_client import Client
 
-from . import decision_model
+from . import parameters
 from .deployment import HTTP_PORT, SimulatedDeployment
 
 SUBMIT_FOR_S = 60.0  # a user who has not been accepted by then gives up
@@ -159,7 +159,7 @@
         missing = sorted(REQUIRED_FIELDS - body.keys())
         if missing:
             return f"lacks {missing[0]}"
-        team, machine_type = self.teams.get(body["keeper"]), decision_model.TYPE
+        team, machine_type = self.teams.get(body["keeper"]), parameters.MACHINE_TYPE
         zones = {zone for zone in machine_type.zones if body.get("marsh") in (None, zone)}
         if team is None:
             return "unknown team"
--- a/tests/simulation/waiting_jobs.py
+++ b/tests/simulation/waiting_jobs.py
@@ -7,7 +7,8 @@
 
 from ploverhall.protocol.jobs import Job
 
-from . import decision_model
+from . import parameters
+from .model_agent import ModelAgent
 from .users import SimulatedUsers
 
 ROUNDING = 1e-6
@@ -32,7 +33,7 @@
     usage = _Usage()
     for agent in cluster.workers.values():
         for (job_id, index, _), task in agent.tasks.items():
-            if task["state"] != "ended":
+            if task.state != "ended":
                 job = cluster.specs[job_id]
                 usage.gpus[job.team] = usage.gpus.get(job.team, 0.0) + job.gpus
                 usage.tasks.setdefault(job_id, set()).add(index)
@@ -59,9 +60,7 @@
     return _free_slots(job, agents, usage.zones.get(job_id)) >= needed
 
 
-def _free_slots(
-    job: Job, agents: Iterable[decision_model.ModelAgent], zones: set[str] | None
-) -> int:
+def _free_slots(job: Job, agents: Iterable[ModelAgent], zones: set[str] | None) -> int:
     """How many tasks of a job fit beside what is on the machines; in one zone, if the job asks for one."""
     slots: dict[str, int] = {}
     for agent in agents:
@@ -70,6 +69,6 @@
         if job.single_zone and zones is not None and zones != {agent.zone}:
             continue
         together = agent.zone if job.single_zone else "any"
-        free_gpus = decision_model.TYPE.gpus - agent.used()
+        free_gpus = parameters.MACHINE_TYPE.gpus - agent.used()
         slots[together] = slots.get(together, 0) + int(free_gpus / job.gpus + ROUNDING)
     return max(slots.values(), default=0)
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -26,7 +26,7 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.scheduling.shard_state import ShardState
 
-from .simulation import decision_model
+from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import MACHINES, meet
 from .simulation.scene import play
@@ -177,7 +177,7 @@
         dead = next(w for w in p.workers_of(leader) if p.fleet.workers[w].tasks)
         lost = {k[:2] for k in p.fleet.workers[dead].tasks}
         p.tasks.start_soon(p.crash, leader, 60.0)
-        p.fleet.machines.pop(dead)[2].cancel()
+        p.fleet.machines.pop(dead).scope.cancel()
         with anyio.move_on_after(55.0):
             while lost - {k[:2] for w in p.fleet.workers.values() for k in w.on_machine()}:
                 await anyio.sleep(0.2)
@@ -264,7 +264,7 @@
                 for n in range(904, 906):
                     await p.submit(p.spec(n, gait="daemon", chicks=6))
                 await anyio.sleep(6.0)
-                assert all(p.fleet.workers[w].session > 1 for w in mine) and any(
+                assert all(p.fleet.workers[w].incarnation > 1 for w in mine) and any(
                     p.fleet.workers[w].tasks for w in mine
                 )
             before = p.fleet.killed_by_lease
@@ -356,8 +356,8 @@
 @pytest.mark.parametrize("mute", [True, False])
 def test_a_stop_that_was_lost_is_sent_again(mute: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """By command, where that reaches the machine again: it need not wait for a report, or for its lease."""
-    monkeypatch.setattr(decision_model, "LEASE", 16.0)
-    monkeypatch.setattr(decision_model, "CANCEL", 46.0)
+    monkeypatch.setattr(parameters, "LEASE_S", 16.0)
+    monkeypatch.setattr(parameters, "CANCEL_S", 46.0)
     took: list[float] = []
 
     async def scene(p: SimulatedCluster) -> None:
@@ -565,7 +565,7 @@
             w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)
         )
         busy.remove(taken)
-        p.fleet.machines.pop(taken)[2].cancel()
+        p.fleet.machines.pop(taken).scope.cancel()
         for w in busy[:2]:
             for c in p.names:
                 p.net.cut(c, w, SILENT, 14.0)
@@ -621,7 +621,7 @@
         )
         lost = min(mine)
         if how == "taken":
-            p.fleet.machines.pop(lost)[2].cancel()
+            p.fleet.machines.pop(lost).scope.cancel()
         else:
             for c in p.names:
                 p.net.cut(c, lost, SILENT, 14.0)
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -12,16 +12,19 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-from .simulation.decision_model import DecisionModel, RuleBrokenError, job
+from .simulation.decision_model import DecisionModel, draw_job
+from .simulation.task_rules import RuleBrokenError
 
 
 def play(seed: int, chaos_s: float = 90.0, calm_s: float = 150.0, **kw: Any) -> DecisionModel:
     w = DecisionModel(seed, **kw)
     rng = Random(seed + 1)
     for i in range(16):
-        w.later(rng.random() * chaos_s * 0.7, lambda i=i: w.submit(job(rng, f"j-{i:06d}", w.now)))
+        w.schedule(
+            rng.random() * chaos_s * 0.7, lambda i=i: w.submit(draw_job(rng, f"j-{i:06d}", w.now))
+        )
         if rng.random() < 0.3:
-            w.later(chaos_s * (0.3 + 0.6 * rng.random()), w.withdraw, f"j-{i:06d}")
+            w.schedule(chaos_s * (0.3 + 0.6 * rng.random()), w.withdraw, f"j-{i:06d}")
     w.run(chaos_s)
     w.chaos = 0.0
     for node in w.nodes:
@@ -32,12 +35,12 @@
     w.cuts.clear()
     w.down_until = min(w.down_until, w.now)
     for node in w.nodes:
-        node.frozen_until, node.dark_until, node.refused_until = (
-            min(node.frozen_until, w.now),
-            min(node.dark_until, w.now),
+        node.stalled_until, node.partitioned_until, node.refused_until = (
+            min(node.stalled_until, w.now),
+            min(node.partitioned_until, w.now),
             0.0,
         )
-    w.later(
+    w.schedule(
         60.0, lambda: [w.withdraw(s.id) for s in w.specs.values() if s.kind == "service"]
     )  # some come after an outage only
     w.run(chaos_s + calm_s)
@@ -118,7 +121,7 @@
     w = DecisionModel(3, machines=16, chaos=0.0)
     team = next(t for t, shard in w.layout.team_shard.items() if shard == 2)
     for i in range(3):
-        one = job(Random(1), f"j-{i:06d}", 0.0)
+        one = draw_job(Random(1), f"j-{i:06d}", 0.0)
         w.submit(
             replace(
                 one,
@@ -139,7 +142,7 @@
     ), "nothing runs on the part in question"
     w.chaos = 1e-9  # watches may hang; nothing else goes wrong
     w.kinds = ()
-    first.frozen_until, first.blind_until, source.blind_until = (
+    first.stalled_until, first.watch_hangs_until, source.watch_hangs_until = (
         w.now + 13.0,
         w.now + 40.0,
         w.now + 40.0,
@@ -157,7 +160,7 @@
     """One controller and its zone are cut off for longer than a cancellation has; a job that runs there is cancelled."""
     w = DecisionModel(5, machines=16, chaos=0.0, cut_off=100.0)
     one = replace(
-        job(Random(1), "j-000001", 0.0),
+        draw_job(Random(1), "j-000001", 0.0),
         team="team-0",
         kind="service",
         task_count=4,
@@ -169,7 +172,7 @@
     w.submit(one)
     w.run(10.0)
     w.chaos, w.kinds = 1e-9, ()
-    w.darken(w.nodes[1], 80.0)
+    w.partition_zone(w.nodes[1], 80.0)
     w.run(15.0)
     w.withdraw(one.id)
     w.run(18.0)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -19,7 +19,7 @@
 from ploverhall.coordination.restart_recovery import RenewalGrants
 from ploverhall.scheduling.allocations import AllocationStore
 
-from .simulation import decision_model
+from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, RESET, SLOW
@@ -32,8 +32,8 @@
 
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decision_model, "LEASE", LEASE)
-    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
+    monkeypatch.setattr(parameters, "LEASE_S", LEASE)
+    monkeypatch.setattr(parameters, "CANCEL_S", CANCEL)
 
 
 class Tokens:
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -12,7 +12,7 @@
 from ploverhall import settings
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 
-from .simulation import decision_model
+from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import meet
 from .simulation.scene import play
@@ -24,8 +24,8 @@
 
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decision_model, "LEASE", LEASE)
-    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
+    monkeypatch.setattr(parameters, "LEASE_S", LEASE)
+    monkeypatch.setattr(parameters, "CANCEL_S", CANCEL)
 
 
 def hears_all(self: CancellationBarrier, now: float) -> bool:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -56,7 +56,7 @@
             assert await health(p, "c0") == 503, "the load balancer must not prefer it"
             await anyio.sleep(21.0)
             assert soonest(p, "c0", at + 6.0) < 24.0, "somebody else starts things on its machines"
-            assert not any(w.home == 0 for w in p.fleet.workers.values())
+            assert not any(w.controller_index == 0 for w in p.fleet.workers.values())
             await anyio.sleep(s - 30.0)
         else:
             await anyio.sleep(s)
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -23,9 +23,11 @@
 from ploverhall.storage.schema import ARCHIVE_MARKER_KEY, ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.storage.store_cache import StoreCache
 
-from .simulation import decision_model
+from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
+from .simulation.decision_model import draw_job
 from .simulation.fault_schedules import CANCEL, KNOWN_S, LEASE
+from .simulation.model_store import ModelStore
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, RESET
 
@@ -33,8 +35,8 @@
 @pytest.fixture
 def platform_times(monkeypatch: pytest.MonkeyPatch) -> None:
     """The deployments' own lease and time for a cancellation."""
-    monkeypatch.setattr(decision_model, "LEASE", LEASE)
-    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
+    monkeypatch.setattr(parameters, "LEASE_S", LEASE)
+    monkeypatch.setattr(parameters, "CANCEL_S", CANCEL)
 
 
 def told_at_once(self: JobAnswers, jid: str) -> JobStatus | None:
@@ -142,7 +144,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.store = decision_model.ModelStore()
+        self.store = ModelStore()
         self.copies = [StoreCache() for _ in range(3)]
         self.known = [0, 0, 0]  # the revision up to which each controller knows all cancellations
         self.answers = [
@@ -167,7 +169,7 @@
         copy, answers = self.copies[i], self.answers[i]
         match rng.randrange(9):
             case 0:  # a submission
-                job = decision_model.job(Random(1), jid, 0.0)
+                job = draw_job(Random(1), jid, 0.0)
                 rev, failed = s.txn(
                     {JOB_PREFIX + jid: 0, ARCHIVE_PREFIX + jid: 0},
                     {JOB_PREFIX + jid: job.record()},
--- a/tests/test_job_requests.py
+++ b/tests/test_job_requests.py
@@ -28,10 +28,11 @@
 from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http_server import Reply
 
-from .simulation import decision_model
 from .simulation.cluster import SimulatedCluster
-from .simulation.fakes import FakeStoreAndCloud
+from .simulation.decision_model import draw_job
+from .simulation.fake_key_value_store import FakeKeyValueStore
 from .simulation.fault_schedules import KNOWN_S
+from .simulation.model_store import ModelStore
 from .simulation.scene import play
 from .simulation.simulated_network import RESET, SLOW, SimulatedNetwork
 from .simulation.users import SubmittedJob
@@ -780,7 +781,7 @@
     """A store, and one controller's copy of it; what the plain model knows is what the store held at each revision."""
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.store, self.copy = Random(seed), decision_model.ModelStore(), StoreCache()
+        self.rng, self.store, self.copy = Random(seed), ModelStore(), StoreCache()
         # Watches that have been answered, and what they say; not here yet
         self.reads: list[tuple[int, int, list[WatchEvent]]] = []
         # The same, of a listing and the watch after it
@@ -810,7 +811,7 @@
             case 0 if not version and "e/" + jid not in s.kv:
                 self.write(
                     {JOB_PREFIX + jid: 0},
-                    {JOB_PREFIX + jid: decision_model.job(Random(1), jid, 0.0).record()},
+                    {JOB_PREFIX + jid: draw_job(Random(1), jid, 0.0).record()},
                     [],
                     own,
                 )
@@ -1007,7 +1008,7 @@
         await anyio.sleep(30.0)
         if not share:
             await burst(p, rng)
-        p.state.handle = FakeStoreAndCloud.handle.__get__(p.state)  # type: ignore[method-assign]
+        p.state.handle = FakeKeyValueStore.handle.__get__(p.state)  # type: ignore[method-assign]
         await anyio.sleep(5.0)
         assert not share or min(refused[429], refused[503]) > 10
         p.missing = await p.all_answered(KNOWN_S)  # type: ignore[attr-defined]
--- a/tests/test_largest_jobs.py
+++ b/tests/test_largest_jobs.py
@@ -47,7 +47,7 @@
                 k
                 for w in p.fleet.workers.values()
                 for k, t in w.tasks.items()
-                if k[0] == "j-000900" and t["state"] == "running"
+                if k[0] == "j-000900" and t.state == "running"
             ]
             if len(on) == 4:
                 began.append(p.now - since)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -19,7 +19,8 @@
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
 
-from .simulation.fakes import FakeAgents, FakeStoreAndCloud
+from .simulation.fake_agents import FakeAgents
+from .simulation.fake_key_value_store import FakeKeyValueStore
 
 
 def free_ports(n: int) -> list[int]:
@@ -97,7 +98,7 @@
     """A controller over real sockets, with stand-ins around it."""
 
     s: settings.Settings
-    state: FakeStoreAndCloud
+    state: FakeKeyValueStore
     fleet: FakeAgents
     user: Client
 
@@ -121,7 +122,7 @@
 async def running(options: settings.Options | None = None) -> AsyncIterator[Place]:
     ports = free_ports(40)
     s = settings.parse(config(ports), options)
-    at = Place(s, FakeStoreAndCloud(), FakeAgents({"c0": s.bind}, max(ports) + 1), Client(*s.bind))
+    at = Place(s, FakeKeyValueStore(), FakeAgents({"c0": s.bind}, max(ports) + 1), Client(*s.bind))
     async with anyio.create_task_group() as tg:
         at.fleet.tasks = tg
         tg.start_soon(Server(at.state.handle, 100).run, *s.store)
@@ -200,7 +201,7 @@
                 await anyio.sleep(0.1)
         assert answer[1]["stance"] == "withdrawn"
         with anyio.fail_after(10):
-            while any(w.tasks for w, _, _ in fleet.machines.values()):
+            while any(w.tasks for w in fleet.workers.values()):
                 await anyio.sleep(0.05)
         assert (await call("GET", "/api/jobs/j-000003"))[1]["stance"] == "withdrawn"
         status = (await call("GET", "/status"))[1]
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -27,7 +27,7 @@
 from ploverhall.transport.http_server import Reply
 
 from .simulation.cluster import SimulatedCluster
-from .simulation.fakes import FakeStoreAndCloud, unguarded
+from .simulation.fake_key_value_store import FakeKeyValueStore, unguarded
 from .simulation.scene import play
 from .test_relay import busy
 from .test_restart_recovery import breaks
@@ -97,10 +97,10 @@
         self.on = False
         self.met: Counter[str] = Counter()
         self.tasks: list[Any] = []
-        self.real = real = FakeStoreAndCloud.handle
+        self.real = real = FakeKeyValueStore.handle
         answers = self
 
-        async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
+        async def handle(self: FakeKeyValueStore, q: Any) -> Reply:
             lost = answers.on and not self.down and answers.kinds & kinds_of(q)
             if not lost or (
                 all(answers.met[k] for k in lost) and answers.rng.random() >= answers.share
@@ -118,9 +118,9 @@
                 status, {"error": "gateway"} if status != 200 else answers.rng.choice(NO_FORM)
             )
 
-        monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
+        monkeypatch.setattr(FakeKeyValueStore, "handle", handle)
 
-    async def _late(self, state: FakeStoreAndCloud, q: Any) -> None:
+    async def _late(self, state: FakeKeyValueStore, q: Any) -> None:
         await anyio.sleep(1.0 + 9.0 * self.rng.random())
         await self.real(state, q)
 
@@ -464,9 +464,9 @@
     """A gateway in trouble: nothing is concluded from it, nobody lets go of a part, and no job is unknown."""
     if without is not None:
         monkeypatch.setattr(*without())
-    real, on, rng, met = FakeStoreAndCloud.handle, [False], Random(3), [0]
+    real, on, rng, met = FakeKeyValueStore.handle, [False], Random(3), [0]
 
-    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
+    async def handle(self: FakeKeyValueStore, q: Any) -> Reply:
         if on[0] and q.path.startswith(path) and rng.random() < 0.4:
             met[0] += 1
             status = rng.choice((500, 502, 504, 200))
@@ -478,7 +478,7 @@
             )
         return await real(self, q)
 
-    monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
+    monkeypatch.setattr(FakeKeyValueStore, "handle", handle)
 
     async def scene(p: SimulatedCluster) -> None:
         await busy(p, 40.0)
@@ -511,15 +511,15 @@
     """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/upkeep/"))
-    real, kept = FakeStoreAndCloud.handle, list[Any]()
+    real, kept = FakeKeyValueStore.handle, list[Any]()
 
-    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
+    async def handle(self: FakeKeyValueStore, q: Any) -> Reply:
         if not kept and b"paused" in q.body and "order" in kinds_of(q):
             kept.append(q)
             return Reply(504, {"error": "gateway"})
         return await real(self, q)
 
-    monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
+    monkeypatch.setattr(FakeKeyValueStore, "handle", handle)
 
     async def scene(p: SimulatedCluster) -> None:
         async def change(verb: str) -> int:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -172,7 +172,7 @@
             up: dict[str, int] = {j.id: 0 for j in self.p.specs.values() if j.kind == "service"}
             for w in self.p.fleet.workers.values():
                 for key, t in w.tasks.items():
-                    if key[0] in up and t["state"] == "running":
+                    if key[0] in up and t.state == "running":
                         up[key[0]] += 1
             for jid, n in up.items():
                 self.least[jid] = min(self.least.get(jid, n), n)
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -124,7 +124,7 @@
                 await anyio.sleep(0.05)
         with anyio.fail_after(30):
             while any(
-                k[0] == gang[0] and k[2] == gang[2] and t["state"] != "ended"
+                k[0] == gang[0] and k[2] == gang[2] and t.state != "ended"
                 for w in others
                 for k, t in w.tasks.items()
             ):
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -12,7 +12,7 @@
 from ploverhall.settings import Team
 from ploverhall.storage.schema import JOB_PREFIX, SHARD_PREFIX
 
-from .simulation.decision_model import ModelStore
+from .simulation.model_store import ModelStore
 
 EPOCH = 9
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,13 +13,13 @@
 from ploverhall.scheduling.reservations import CandidateRequest
 from ploverhall.scheduling.resources import add_scaled, fits
 
-from .simulation.decision_model import TYPE
+from .simulation.parameters import MACHINE_TYPE
 from .test_permitting import a_job
 
 
 def fleet(n: int, now: float = 0.0) -> Placement:
     f = Inventory(1.0)
-    f.machine_types = {"t": TYPE}
+    f.machine_types = {"t": MACHINE_TYPE}
     for i in range(n):
         add_machine(f, i, now)
     return Placement(f, 5.0, 5, Random(1))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
 
 from .simulation import simulated_network
 from .simulation.cluster import SimulatedCluster
-from .simulation.fakes import unguarded
+from .simulation.fake_key_value_store import unguarded
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, RESET, SILENT
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -15,7 +15,7 @@
 from ploverhall.storage.schema import CONTROLLER_PREFIX, SHARD_PREFIX
 
 from .simulation.cluster import SimulatedCluster
-from .simulation.fakes import unguarded
+from .simulation.fake_key_value_store import unguarded
 from .simulation.scene import play
 from .test_relay import busy
 
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -20,7 +20,7 @@
 from ploverhall.coordination.cancellation_barrier import CLOCK_DRIFT
 from ploverhall.coordination.restart_recovery import GRANT_FROM_ANSWER, NO_GRANT, RenewalGrants
 
-from .simulation import decision_model
+from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, SILENT
@@ -32,8 +32,8 @@
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
     """A worker that tries two silent controllers in between is back after 11 s and a report's interval: a lease has to be longer."""
-    monkeypatch.setattr(decision_model, "LEASE", 16.0)
-    monkeypatch.setattr(decision_model, "CANCEL", 46.0)
+    monkeypatch.setattr(parameters, "LEASE_S", 16.0)
+    monkeypatch.setattr(parameters, "CANCEL_S", 46.0)
 
 
 def breaks(scene: Scene, rule: str, **kw: Any) -> None:
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -112,7 +112,7 @@
             name = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
             w = p.fleet.workers[name]
             w.tasks.clear()
-            w.session, w.seq, w.token, w.answered_sent = 1, 0, 0, p.now
+            w.incarnation, w.sequence, w.token, w.answered_sent = 1, 0, 0, p.now
             await anyio.sleep(14.0)
         await anyio.sleep(25.0)
         for n in p.nodes.values():
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -9,7 +9,7 @@
 from ploverhall.protocol.peer_messages import CandidateUpdate, JobUpdate, OfferUpdate, PermitUpdate
 from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 
-from .simulation.decision_model import TYPE
+from .simulation.parameters import MACHINE_TYPE
 
 EPOCH = 7
 KEY = ("j-000001", 0, 5)
@@ -40,7 +40,7 @@
 
 def owner(epoch: int = EPOCH) -> ShardOwner:
     o = ShardOwner(0, epoch, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
-    o.machine_types = {"t": TYPE}
+    o.machine_types = {"t": MACHINE_TYPE}
     return o
 
 
@@ -221,10 +221,10 @@
     assert o.take_source_updates() == {
         (0, peer_messages.offer_key(ticket)): OfferUpdate(KEY[0], "n-1", "a", 1.0, 0)
     }
-    assert o.inventory.free_capacity(m)[1] == TYPE.gpus - 1
+    assert o.inventory.free_capacity(m)[1] == MACHINE_TYPE.gpus - 1
     m.last_heartbeat_at = 5.0
     o.advance_time(5.1)
-    assert o.inventory.free_capacity(m)[1] == TYPE.gpus
+    assert o.inventory.free_capacity(m)[1] == MACHINE_TYPE.gpus
     assert o.take_source_updates() == {(0, peer_messages.offer_key(ticket)): None}
     m.draining = True
     o.on_source_update(0, False, permit(ticket=ticket), 5.2)
@@ -278,7 +278,7 @@
 def test_tokens_run_out_and_nothing_is_proved_by_one_that_was_not_raised() -> None:
     """A worker that takes reports' answers but no commands costs a token each; then a new epoch is asked for."""
     o = ShardOwner(0, EPOCH, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0, 2)
-    o.machine_types = {"t": TYPE}
+    o.machine_types = {"t": MACHINE_TYPE}
     m = o.on_heartbeat(report(1, o.initial_token), 0.0)
     assert m is not None
     now, last = 0.0, 0
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -14,10 +14,11 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 from . import test_decision_model
-from .simulation import decision_model
+from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
-from .simulation.decision_model import RuleBrokenError
+from .simulation.model_agent import ModelAgent
 from .simulation.scene import play
+from .simulation.task_rules import RuleBrokenError
 from .test_permitting import a_job
 from .test_relay import busy
 
@@ -51,7 +52,7 @@
         dead = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
         p.copy_reports(Random(5), 1.0, 8.0, 45.0, [dead])
         await anyio.sleep(10.0)
-        p.fleet.machines.pop(dead)[2].cancel()  # it is taken without notice
+        p.fleet.machines.pop(dead).scope.cancel()  # it is taken without notice
         at = p.now
         await anyio.sleep(14.0)
         owners = [h.owner for n in p.nodes.values() for h in n.context.held_shards.values()]
@@ -117,7 +118,7 @@
                 # As if what it is answered were its first
                 m.accepted_token, m.last_heartbeat_at, m.last_answer_at = (
                     True,
-                    now - 2 * decision_model.LEASE,
+                    now - 2 * parameters.LEASE_S,
                     0.0,
                 )
                 self.epoch_confirmed_at = now
@@ -157,19 +158,17 @@
         }
         self.results: set[Any] = set()
         self.longer: dict[tuple[str, int], float] = {}
-        self.workers = [decision_model.ModelAgent(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
+        self.workers = [ModelAgent(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
         # Reports that left, the oldest first
-        self.sent: list[tuple[decision_model.ModelAgent, dict[str, Any], float]] = []
-        self.commands: list[
-            tuple[decision_model.ModelAgent, dict[str, Any]]
-        ] = []  # that may still arrive
+        self.sent: list[tuple[ModelAgent, dict[str, Any], float]] = []
+        self.commands: list[tuple[ModelAgent, dict[str, Any]]] = []  # that may still arrive
         self.epoch = 0
         # Job -> attempt, machine: what the source has written
         self.entries: dict[str, tuple[int, int]] = {}
         self.attempt = 0
         self.claim()
 
-    def started(self, w: decision_model.ModelAgent, key: agents.AttemptId) -> None:
+    def started(self, w: ModelAgent, key: agents.AttemptId) -> None:
         for other in self.workers:
             if other is not w and any(k[:2] == key[:2] for k in other.on_machine()):
                 raise RuleBrokenError(f"ran_twice: {key}")
@@ -180,14 +179,14 @@
             0,
             self.epoch,
             1,
-            decision_model.LEASE,
-            decision_model.REPORT,
+            parameters.LEASE_S,
+            parameters.HEARTBEAT_S,
             5.0,
             5,
             self.rng,
             self.now,
         )
-        self.owner.machine_types = {"t": decision_model.TYPE}
+        self.owner.machine_types = {"t": parameters.MACHINE_TYPE}
         self.owner.epoch_confirmed_at = 1e9  # whoever asks the store is told that it holds the part
         changes: dict[str, Any] = {
             peer_messages.job_key(j): JobUpdate(s.record(), list(s.resources), 0)
@@ -199,9 +198,7 @@
             )
         self.owner.on_source_update(0, True, changes, self.now)
 
-    def receive(
-        self, w: decision_model.ModelAgent, body: dict[str, Any], sent: float, answered: bool
-    ) -> None:
+    def receive(self, w: ModelAgent, body: dict[str, Any], sent: float, answered: bool) -> None:
         m = self.owner.on_heartbeat(agents.heartbeat_from_json(body), self.now)
         if m is None or m.stale_heartbeat:
             return
@@ -262,7 +259,7 @@
         elif what == "claim" and n % 4 == 0:
             self.claim()
         elif what == "lease" and n % 2:
-            self.now += decision_model.LEASE + 2.0
+            self.now += parameters.LEASE_S + 2.0
         self.now += 0.1 + n / 40
         self.owner.advance_time(self.now)
         for (_, key), news in self.owner.take_source_updates().items():
