--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -33,8 +33,10 @@
 from ploverhall.protocol.peer_messages import ATTEMPT, AttemptUpdate
 
 from .simulation import deployment, parameters
+from .simulation.active_fault import ActiveFault
 from .simulation.cluster import SimulatedCluster
-from .simulation.fault_schedules import CANCEL, LEASE, ActiveFault, begin, draw
+from .simulation.fault_schedules import FaultSchedule, draw_schedule, run_faults
+from .simulation.parameters import DEPLOYED_CANCEL_S, DEPLOYED_LEASE_S
 from .simulation.scene import run as run_scene
 from .simulation.simulated_network import (
     HOLD,
@@ -148,8 +150,8 @@
 async def drawn_day(p: SimulatedCluster, rng: Random) -> None:
     """Two or three troubles that meet, with cancellations."""
     await work(p, 60.0, 1.0)
-    troubles, until = draw(rng.randrange(1_000_000), times=1)
-    await begin(p, (troubles, min(until, troubles[-1].at + 30.0)))
+    troubles, until = draw_schedule(rng.randrange(1_000_000), times=1)
+    await run_faults(p, FaultSchedule(troubles, min(until, troubles[-1].at + 30.0)))
     await anyio.sleep(10.0)
 
 
@@ -275,8 +277,8 @@
 
     with (
         mock.patch.object(deployment, "SimulatedNetwork", ComparedNetwork),
-        mock.patch.object(parameters, "LEASE_S", LEASE),
-        mock.patch.object(parameters, "CANCEL_S", CANCEL),
+        mock.patch.object(parameters, "LEASE_S", DEPLOYED_LEASE_S),
+        mock.patch.object(parameters, "CANCEL_S", DEPLOYED_CANCEL_S),
     ):
         result = run_scene(scene, scene_run.seed, options=OPTIONS.get(scene_run.kind))
     net = result.net
--- a/tests/simulation/parameters.py
+++ b/tests/simulation/parameters.py
@@ -13,3 +13,8 @@
 GANG_PEER_S = 4.0  # a gang's task that has lost one of the others so long ends
 CANCEL_S = 35.0  # from the acknowledgement of a cancellation until no task of the job runs
 MACHINE_TYPE = MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a", "b"))
+
+# The times of the project's own deployments. An agent that tries two silent controllers is back
+# with the third after 11 s
+DEPLOYED_LEASE_S = 16.0
+DEPLOYED_CANCEL_S = 46.0
--- /dev/null
+++ b/tests/simulation/user_actions.py
@@ -0,0 +1,105 @@
+"""What users do beside their ordinary submissions: cancel, look closely, and send what must be refused."""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import Awaitable, Callable
+
+import anyio
+
+from ploverhall.errors import UnreachableError
+from ploverhall.protocol.agents import AttemptId
+
+from .fault_context import FaultContext
+from .model_agent import RUNNING
+
+AROUND_END_S = 0.05
+ODD_JOB_NUMBERS = 990_000
+
+
+class UserActions(FaultContext):
+    """Cancellations at awkward moments, and odd requests."""
+
+    async def cancels(self, after: float = 0.0) -> None:
+        """Users cancel some of what runs."""
+        await anyio.sleep(after)
+        on_machines = {
+            attempt[0] for agent in self.cluster.workers.values() for attempt in agent.on_machine()
+        }
+        running = sorted(on_machines - self.cluster.withdrawing)
+        for job_id in self.rng.sample(running, min(3, len(running))):
+            self.cluster.tasks.start_soon(self.cluster.withdraw, job_id)
+
+    async def cancel_at_end(self) -> None:
+        """Jobs are cancelled in the 20 ms around the end of their last task."""
+        cluster = self.cluster
+        until, seen = cluster.now + self.seconds(15.0, 40.0), set[str]()
+        while cluster.now < until:
+            await anyio.sleep(0.02)
+            for job_id, index, _ in self._about_to_end():
+                if job_id in seen or job_id not in cluster.asked:
+                    continue
+                if cluster.specs[job_id].kind != "gang" and not self._is_last(job_id, index):
+                    continue
+                seen.add(job_id)
+                if self.rng.random() < 0.6:
+                    after = 0.07 * self.rng.random()
+                    cluster.tasks.start_soon(self._later, after, cluster.withdraw, job_id)
+
+    def _about_to_end(self) -> list[AttemptId]:
+        return [
+            attempt
+            for agent in self.cluster.workers.values()
+            for attempt, task in agent.tasks.items()
+            if task.state == RUNNING and 0.0 <= task.until - self.cluster.now < AROUND_END_S
+        ]
+
+    def _is_last(self, job_id: str, index: int) -> bool:
+        """Whether all other tasks of a job are done."""
+        return all(
+            (job_id, i) in self.cluster.fleet.results
+            for i in range(self.cluster.specs[job_id].task_count)
+            if i != index
+        )
+
+    async def _later(self, s: float, call: Callable[[str], Awaitable[None]], job_id: str) -> None:
+        """A user does something in so many seconds, whether the fault is over or not."""
+        await anyio.sleep(s)
+        await call(job_id)
+
+    async def close_looks(self) -> None:
+        """Users look closely at every change of a job."""
+        await self.cluster.close_looks(self.seconds(15.0, 40.0))
+
+    async def odd_requests(self) -> None:
+        """Repeated submissions of what is unfinished, cancellations of what is done, jobs that fit no machine or lack a field."""
+        cluster, rng = self.cluster, self.rng
+        until = cluster.now + self.seconds(15.0, 40.0)
+        while cluster.now < until:
+            await anyio.sleep(0.5 * rng.random())
+            accepted = sorted(
+                job_id for job_id, job in cluster.asked.items() if job.accepted is not None
+            )
+            if accepted:
+                cluster.tasks.start_soon(
+                    cluster.resubmit, rng.choice(accepted), rng.choice(cluster.names)
+                )
+            done = sorted(job_id for job_id, state in cluster.told.items() if state == "done")
+            if done:
+                cluster.tasks.start_soon(cluster.withdraw, rng.choice(done))
+            await self._submit_odd()
+
+    async def _submit_odd(self) -> None:
+        cluster, rng = self.cluster, self.rng
+        fields: dict[str, object] = rng.choice(
+            [{"gpus": 64.0}, {"keeper": "nobody"}, {"cores": None}]
+        )
+        odd = {
+            **cluster.spec(ODD_JOB_NUMBERS + rng.randrange(100), gait="array"),
+            **fields,
+        }
+        with contextlib.suppress(UnreachableError):
+            name = rng.choice(cluster.names)
+            status, _ = await cluster.users[name].call("POST", "/api/jobs", odd, 5.0)
+            if status in (200, 201):
+                cluster.broken.append(f"accepted though it can't run: {odd}")
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -27,8 +27,9 @@
 from ploverhall.scheduling.shard_state import ShardState
 
 from .simulation import parameters
+from .simulation.active_fault import MACHINE_KINDS
 from .simulation.cluster import SimulatedCluster
-from .simulation.fault_schedules import MACHINES, meet
+from .simulation.fault_schedules import run_schedule
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, RESET, SILENT, SLOW
 from .test_fault_schedules import always
@@ -714,7 +715,7 @@
 
     More by `python -m tests.simulation.fault_schedules --only mute --only hang ...`.
     """
-    meet(seed, (*MACHINES, "crash", "alone", "late_writes"))
+    run_schedule(seed, (*MACHINE_KINDS, "crash", "alone", "late_writes"))
 
 
 # -- lost without a rule broken: what keeps workers from being answered ----------------------------
--- a/tests/test_determinism.py
+++ b/tests/test_determinism.py
@@ -11,7 +11,7 @@
 import anyio
 
 from .simulation.cluster import SimulatedCluster
-from .simulation.fault_schedules import meet
+from .simulation.fault_schedules import run_schedule
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, SILENT
 
@@ -37,7 +37,7 @@
 
 def meeting(seed: int) -> str:
     """Three troubles that meet, with replicas, long work and machines that are given back."""
-    return str(meet(seed, ("alone", "gap", "peers")).net.checksum)
+    return str(run_schedule(seed, ("alone", "gap", "peers")).net.checksum)
 
 
 def elsewhere(call: str, hash_seed: str, compiled: Path | None = None) -> str:
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -22,17 +22,17 @@
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.permit_table import PermitTable
 
+from .simulation.active_fault import ActiveFault
 from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import (
-    KNOWN_S,
-    ActiveFault,
-    Day,
+    ANSWERED_WITHIN_S,
     Fault,
-    begin,
-    draw,
-    meet,
-    rule,
-    shrink,
+    FaultSchedule,
+    broken_rule,
+    draw_schedule,
+    minimize_schedule,
+    run_faults,
+    run_schedule,
 )
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, RESET
@@ -41,28 +41,28 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_troubles_that_meet(seed: int) -> None:
-    meet(seed)
+    run_schedule(seed)
 
 
 @pytest.mark.parametrize("seed", range(100, 106))
 def test_writes_and_reports_that_are_late_in_the_middle_of_ends_and_cuts(seed: int) -> None:
-    meet(seed, ("late_writes", "late_reports", "crash", "alone", "outage", "roll"))
+    run_schedule(seed, ("late_writes", "late_reports", "crash", "alone", "outage", "roll"))
 
 
 @pytest.mark.parametrize("seed", range(200, 206))
 def test_machines_that_hear_late_or_nothing_while_their_leader_changes(seed: int) -> None:
-    meet(seed, ("deaf", "held_up", "crash", "pause", "no_workers", "late_reports"))
+    run_schedule(seed, ("deaf", "held_up", "crash", "pause", "no_workers", "late_reports"))
 
 
 @pytest.mark.parametrize("seed", range(300, 304))
 def test_a_state_service_that_is_slow_while_users_cancel_and_ask(seed: int) -> None:
     """Neither done nor withdrawn is taken back, or told early, by any controller; every question is answered when it is over."""
-    meet(seed, ("slow", "refuse", "outage", "late_writes"))
+    run_schedule(seed, ("slow", "refuse", "outage", "late_writes"))
 
 
 @pytest.mark.parametrize("seed", range(400, 406))
 def test_lost_answers_close_looks_and_machines_that_are_mute_or_hang(seed: int) -> None:
-    meet(
+    run_schedule(
         seed,
         (
             "for_next",
@@ -113,7 +113,7 @@
             p.late_writes = 0.0
             await anyio.sleep(12.0)
         await anyio.sleep(45.0)
-        missing = await p.all_answered(KNOWN_S)
+        missing = await p.all_answered(ANSWERED_WITHIN_S)
         assert not missing
         assert all(p.told.get(j) == "done" for j in jobs), "every one of them is told to be done"
         assert all(p.fleet.begun[j, 0] == 1 for j in jobs), (
@@ -156,7 +156,7 @@
             await anyio.sleep(1.5)
         assert len(p.cancelled) == 4, "told outside, once it must have stopped"
         await anyio.sleep(50.0)
-        assert not await p.all_answered(KNOWN_S)
+        assert not await p.all_answered(ANSWERED_WITHIN_S)
 
     play(scene)
 
@@ -168,11 +168,11 @@
     after: list[str] = []
 
     async def scene(p: SimulatedCluster) -> None:
-        day: Day = ([Fault(0.0, kind, seed)], 1.0)
+        day = FaultSchedule([Fault(0.0, kind, seed)], 1.0)
         if own:
-            await begin(p, day)
+            await run_faults(p, day)
         else:
-            p.tasks.start_soon(getattr(ActiveFault(p, Random(seed)), kind))
+            p.tasks.start_soon(ActiveFault(p, Random(seed)).begin, kind)
             await anyio.sleep(day[1])
             p.calm()
             while p.down:
@@ -188,10 +188,10 @@
 
 def test_a_broken_day_is_shrunk_to_the_fewest_troubles_that_still_break_it() -> None:
     """Two of fourteen break it together; other rules broken by less don't count."""
-    troubles, until = draw(1000, times=3)
+    troubles, until = draw_schedule(1000, times=3)
     a, b, c = troubles[1], troubles[-2], troubles[4]
 
-    def broken(days: list[Day]) -> list[str]:
+    def broken(days: list[FaultSchedule]) -> list[str]:
         return [
             "AssertionError: ['quota: x']"
             if c in d and b not in d
@@ -201,7 +201,9 @@
             for d, _ in days
         ]
 
-    assert shrink((troubles, until), broken, rule("['ran_twice: j-1']")) == ([a, b], until)
+    assert minimize_schedule(
+        FaultSchedule(troubles, until), broken, broken_rule("['ran_twice: j-1']")
+    ) == ([a, b], until)
 
 
 async def always(self: StoreWatch) -> FreshRead:
@@ -304,4 +306,4 @@
     """
     monkeypatch.setattr(where, name, without)
     with pytest.raises(AssertionError, match=rule):
-        meet(seed, kinds)
+        run_schedule(seed, kinds)
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -14,7 +14,7 @@
 
 from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
-from .simulation.fault_schedules import meet
+from .simulation.fault_schedules import run_schedule
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, RESET, SILENT
 from .test_relay import busy
@@ -180,4 +180,4 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_drawn_gaps(seed: int) -> None:
     """Which controller is refused or cut off, which ends and when, when the outage begins, and what is cancelled."""
-    meet(seed, ("gap", "crash", "peers"))
+    run_schedule(seed, ("gap", "crash", "peers"))
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -26,8 +26,9 @@
 from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
 from .simulation.decision_model import draw_job
-from .simulation.fault_schedules import CANCEL, KNOWN_S, LEASE
+from .simulation.fault_schedules import ANSWERED_WITHIN_S
 from .simulation.model_store import ModelStore
+from .simulation.parameters import DEPLOYED_CANCEL_S, DEPLOYED_LEASE_S
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD, RESET
 
@@ -35,8 +36,8 @@
 @pytest.fixture
 def platform_times(monkeypatch: pytest.MonkeyPatch) -> None:
     """The deployments' own lease and time for a cancellation."""
-    monkeypatch.setattr(parameters, "LEASE_S", LEASE)
-    monkeypatch.setattr(parameters, "CANCEL_S", CANCEL)
+    monkeypatch.setattr(parameters, "LEASE_S", DEPLOYED_LEASE_S)
+    monkeypatch.setattr(parameters, "CANCEL_S", DEPLOYED_CANCEL_S)
 
 
 def told_at_once(self: JobAnswers, jid: str) -> JobStatus | None:
@@ -79,7 +80,7 @@
         await anyio.sleep(109.0)
         assert not early or not guarded
         assert len(p.cancelled) == len(wanted), "told, once the zone must have stopped"
-        assert not await p.all_answered(KNOWN_S)
+        assert not await p.all_answered(ANSWERED_WITHIN_S)
 
     if guarded:
         play(scene)
@@ -105,7 +106,7 @@
             p.tasks.start_soon(p.withdraw, f"j-{900 + i:06d}")
             await anyio.sleep(2.0)
         await anyio.sleep(45.0)
-        assert not await p.all_answered(KNOWN_S)
+        assert not await p.all_answered(ANSWERED_WITHIN_S)
         assert len(p.told) > 30
 
     play(scene, seed)
--- a/tests/test_job_requests.py
+++ b/tests/test_job_requests.py
@@ -31,7 +31,7 @@
 from .simulation.cluster import SimulatedCluster
 from .simulation.decision_model import draw_job
 from .simulation.fake_key_value_store import FakeKeyValueStore
-from .simulation.fault_schedules import KNOWN_S
+from .simulation.fault_schedules import ANSWERED_WITHIN_S
 from .simulation.model_store import ModelStore
 from .simulation.scene import play
 from .simulation.simulated_network import RESET, SLOW, SimulatedNetwork
@@ -107,7 +107,7 @@
                 p.tasks.start_soon(p.crash, rng.choice(p.names), 6.0)
             await anyio.sleep(0.25)
         await anyio.sleep(30.0)
-        assert not await p.all_answered(KNOWN_S)
+        assert not await p.all_answered(ANSWERED_WITHIN_S)
         store = p.state.store
         seen["changes"] = Counter(e.key.split("/")[0] for e in store.log)
         seen["bytes"] = transmitted[0]
@@ -640,7 +640,7 @@
                 p.tasks.start_soon(p.crash, p.names[n // 4], 1.5)
             await anyio.sleep(0.5)
         await anyio.sleep(35.0)
-        missing = await p.all_answered(KNOWN_S)
+        missing = await p.all_answered(ANSWERED_WITHIN_S)
         found.append((steps, missing))
 
     found: list[tuple[Steps, list[str]]] = []
@@ -772,7 +772,7 @@
             p.tasks.start_soon(p.ask, jid, "c1")
         p.calm()
         await anyio.sleep(45.0)
-        assert jid in p.cancelled and not await p.all_answered(KNOWN_S)
+        assert jid in p.cancelled and not await p.all_answered(ANSWERED_WITHIN_S)
 
     play(scene)
 
@@ -1011,7 +1011,7 @@
         p.state.handle = FakeKeyValueStore.handle.__get__(p.state)  # type: ignore[method-assign]
         await anyio.sleep(5.0)
         assert not share or min(refused[429], refused[503]) > 10
-        p.missing = await p.all_answered(KNOWN_S)  # type: ignore[attr-defined]
+        p.missing = await p.all_answered(ANSWERED_WITHIN_S)  # type: ignore[attr-defined]
 
     async def burst(p: SimulatedCluster, rng: Random) -> None:
         """Hundreds ask one controller at once, of jobs that run: one read answers those that came before it began."""
@@ -1132,7 +1132,7 @@
             assert (job.task_count, job.team) == (specs[won]["chicks"], specs[won]["keeper"])
             p.asked[jid], p.bodies[jid] = SubmittedJob(p.now, accepted=p.now), specs[won]
         await anyio.sleep(25.0)
-        assert not await p.all_answered(KNOWN_S) and set(p.told.values()) == {DONE}
+        assert not await p.all_answered(ANSWERED_WITHIN_S) and set(p.told.values()) == {DONE}
         assert {k[0]: 0 for k in p.fleet.begun if k[1] >= p.specs[k[0]].task_count} == {}
 
     play(scene, seed)
