--- a/tests/simulation/model_messages.py
+++ b/tests/simulation/model_messages.py
@@ -9,7 +9,8 @@
 
 from . import parameters
 from .model_agent import ModelAgent
-from .model_controller import ModelController, ModelShard, copied
+from .model_controller import ModelController
+from .model_shard import ModelShard, copied
 
 if TYPE_CHECKING:
     from .decision_model import DecisionModel
