--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1,7 +1,8 @@
 """The whole simulated cluster: controllers with all their parts, the services around them, faults and users.
 
-Nothing of a controller is left out or replaced: HTTP, the peer links and the loops run as in `serve`, in virtual time over a
-simulated network. The fakes speak the published protocol; the rules are judged from the machines' and the users' side only.
+Nothing of a controller is left out or replaced: HTTP, the peer links and the loops run as in
+`serve`, in virtual time over a simulated network. The fakes speak the published protocol; the rules
+are judged from the machines' and the users' side only.
 """
 
 from __future__ import annotations
--- a/tests/simulation/controller_faults.py
+++ b/tests/simulation/controller_faults.py
@@ -42,7 +42,10 @@
                 cluster.net.cut(name, other, HOLD, s)
 
     async def isolate(self) -> None:
-        """Cut one from the store and from the other controllers; its machines and users reach it."""
+        """Cut one from the store and from the other controllers.
+
+        Its machines and users reach it.
+        """
         name, s = self.leader(), self.seconds(6.0, 14.0, 40.0, 80.0)
         mode = self.rng.choice([HOLD, RESET, SILENT])
         for other in ("state", *self.cluster.names):
@@ -50,7 +53,10 @@
                 self.cluster.net.cut(name, other, mode, s)
 
     async def partition_zone(self) -> None:
-        """A zone is cut off with its machines and its controller, for longer than a lease; now and then that one ends meanwhile."""
+        """A zone is cut off with its machines and its controller, for longer than a lease.
+
+        Now and then that one ends meanwhile.
+        """
         s = self.seconds(1.5 * DEPLOYED_LEASE_S, 4.0 * DEPLOYED_LEASE_S, 8.0 * DEPLOYED_LEASE_S)
         self.cluster.cut_zone("b", self.rng.choice([HOLD, RESET, SILENT]), s)
         if self.rng.random() < 0.4:
@@ -73,7 +79,10 @@
         self.cluster.net.cut(a, b, REFUSE, self.seconds(8.0, 25.0))
 
     async def refused_then_outage(self) -> None:
-        """One is refused, or cut off, until its key is gone or nearly so; then the store is down for all."""
+        """One is refused, or cut off, until its key is gone or nearly so.
+
+        Then the store is down for all.
+        """
         cluster, rng = self.cluster, self.rng
         name, outage_s = self.leader(), DEPLOYED_CANCEL_S + rng.choice([12.0, 30.0])
         cut_off = rng.random() < 0.7
--- a/tests/simulation/decision_model.py
+++ b/tests/simulation/decision_model.py
@@ -1,7 +1,8 @@
 """A slow, plain model in virtual time: store, agents and network as the protocol describes them.
 
-It runs the real decision code (ShardOwner, JobSource, state channels, StoreCache) under seeded losses, delays, crashes, partitions
-and late messages, and notices every broken rule itself, from the machines' side only.
+It runs the real decision code (ShardOwner, JobSource, state channels, StoreCache) under seeded
+losses, delays, crashes, partitions and late messages, and notices every broken rule itself, from
+the machines' side only.
 """
 
 from __future__ import annotations
@@ -95,7 +96,10 @@
         return 0.002 + ((rng or self.rng).random() ** 6) * 0.5 * self.chaos
 
     def deferred(self, controller: ModelController, call: Any, *args: Any) -> bool:
-        """Whether a call is put off because the controller's event loop stalls; in which order it goes on is drawn."""
+        """Whether a call is put off because the controller's event loop stalls.
+
+        The order in which such calls are made later is drawn.
+        """
         if not controller.stalled:
             return False
         after = controller.stalled_until - self.now + 0.06 * self.rng.random()
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -221,7 +221,10 @@
         await self.state.handle(request)
 
     async def outage(self, s: float) -> None:
-        """The store refuses everybody for s seconds; after that every lease has its full time again."""
+        """The store refuses everybody for s seconds.
+
+        After that every lease has its full time again.
+        """
         self.state.down_until = max(self.state.down_until, self.now + s)
         while self.now < self.state.down_until:
             self.state.down = True
--- a/tests/simulation/event_queue.py
+++ b/tests/simulation/event_queue.py
@@ -8,7 +8,10 @@
 
 
 class EventQueue:
-    """Calls functions at their times; those of one time in the order in which they were scheduled."""
+    """Calls functions at their times.
+
+    Those that are due together are called in the order in which they were scheduled.
+    """
 
     def __init__(self) -> None:
         self.now = 0.0
--- a/tests/simulation/fake_agents.py
+++ b/tests/simulation/fake_agents.py
@@ -1,6 +1,7 @@
 """Agents on a fake cloud's machines, which report to the controllers over whatever network they are given.
 
-On loopback sockets in real time (tests/test_loopback.py), and in virtual time over a simulated network (deployment).
+On loopback sockets in real time (tests/test_loopback.py), and in virtual time over a simulated
+network (deployment).
 """
 
 from __future__ import annotations
--- a/tests/simulation/fake_cloud.py
+++ b/tests/simulation/fake_cloud.py
@@ -137,7 +137,10 @@
             self.was = [*self.was[-KEPT_LISTS:], (self.now, listed)]
 
     def _lagging_list(self) -> list[dict[str, Any]]:
-        """A list as it was some time ago; a machine that has been listed stays so until it is gone."""
+        """A list as it was some time ago.
+
+        A machine that has been listed stays so until it is gone.
+        """
         self._note()
         as_of = self.now - 2.0 * self.list_lag_s * self.cloud_rng.random()
         then = next((listed for at, listed in reversed(self.was) if at <= as_of), self.was[0][1])
--- a/tests/simulation/fault_schedules.py
+++ b/tests/simulation/fault_schedules.py
@@ -1,14 +1,15 @@
 """Schedules of faults that overlap, two or three at once, drawn from a seed, over three whole controllers.
 
-Every rule is judged from outside all along; at the end every controller must answer for every accepted job within
-`ANSWERED_WITHIN_S`.
+Every rule is judged from outside all along; at the end every controller must answer for every
+accepted job within `ANSWERED_WITHIN_S`.
 
     python -m tests.simulation.fault_schedules --seeds 200 [--first 1000] [--only gap] [--jobs 7]
     python -m tests.simulation.fault_schedules --of 2 [--first 1000]
     python -m tests.simulation.fault_schedules --shrink 1017 [--only gap]
 
-The first runs many schedules and names the seeds that broke a rule; the second every pair (`--of 3`: every triple) of kinds
-once; the third finds the fewest faults of a seed's schedule that still break the same rule.
+The first runs many schedules and names the seeds that broke a rule; the second every pair
+(`--of 3`: every triple) of kinds once; the third finds the fewest faults of a seed's schedule that
+still break the same rule.
 """
 
 from __future__ import annotations
@@ -116,7 +117,10 @@
 
 
 async def run_faults(cluster: SimulatedCluster, schedule: FaultSchedule) -> None:
-    """Run a schedule's faults; all of them are over then, those too that were still to do something."""
+    """Run a schedule's faults.
+
+    All of them are over then, those too that were still to do something.
+    """
     began_at = cluster.now
     async with anyio.create_task_group() as tasks:
         for fault in schedule.faults:
@@ -136,7 +140,10 @@
     times: int = 2,
     schedule: FaultSchedule | None = None,
 ) -> SimulatedCluster:
-    """Run a schedule, or one that is drawn, while jobs come, end and are cancelled; every rule is judged."""
+    """Run a schedule, or one that is drawn, while jobs come, end and are cancelled.
+
+    Every rule is judged.
+    """
     faults = schedule or draw_schedule(seed, kinds, times)
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -200,8 +207,8 @@
 ) -> FaultSchedule:
     """The schedule without those faults that are not needed to break the same rule.
 
-    `failures` runs schedules and says what each broke. Each try leaves out a part of the faults, halves
-    first and then ever smaller parts; in the end none can be left out alone.
+    `failures` runs schedules and says what each broke. Each try leaves out a part of the faults,
+    halves first and then ever smaller parts; in the end none can be left out alone.
     """
     faults, until = schedule
     size = max(1, len(faults) // 2)
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -57,13 +57,19 @@
                 self.net.cut(name, machine, DEAF, s, both=False)
 
     def mute(self, machines: Iterable[str], s: float) -> None:
-        """These machines can open no connection to any controller; what is sent straight to them arrives, and is answered."""
+        """These machines can open no connection to any controller.
+
+        What is sent straight to them arrives, and is answered.
+        """
         for machine in machines:
             for name in self.names:
                 self.net.cut(machine, name, MUTE, s, both=False)
 
     def hang(self, machines: Iterable[str], s: float) -> None:
-        """These machines execute and answer nothing for s seconds; then they go on with what has come meanwhile."""
+        """These machines execute and answer nothing for s seconds.
+
+        Then they go on with what has come meanwhile.
+        """
         for machine in machines:
             agent = self.fleet.workers[machine]
             agent.hung_until = max(agent.hung_until, self.now + s)
@@ -78,7 +84,8 @@
     ) -> None:
         """From now on a share of the heartbeats comes a second time.
 
-        The copy comes `least` to `most` seconds later, to the controller that the heartbeat was sent to or to another.
+        The copy comes `least` to `most` seconds later, to the controller that the heartbeat was
+        sent to or to another.
         """
         chosen = None if machines is None else set(machines)
 
@@ -99,8 +106,9 @@
     ) -> None:
         """Old heartbeats reach every controller in the moment in which a shard is claimed.
 
-        Of each machine these are the first `each` that are kept and its newest. They have older incarnations, task lists and fencing
-        tokens than what the machine says by then; no heartbeat of its own need ever follow.
+        Of each machine these are the first `each` that are kept and its newest. They have older
+        incarnations, task lists and fencing tokens than what the machine says by then; no heartbeat
+        of its own need ever follow.
         """
         chosen = None if machines is None else set(machines)
         kept: dict[str, list[dict[str, Any]]] = {}
--- a/tests/simulation/model_faults.py
+++ b/tests/simulation/model_faults.py
@@ -104,7 +104,10 @@
             agent.not_receiving_until = model.now + model.rng.choice([3.0, 8.0, 12.0, 40.0])
 
     def _refuse_then_outage(self) -> None:
-        """The store refuses one controller, and then everybody; an outage gives every lease its full time again."""
+        """The store refuses one controller, and then everybody.
+
+        An outage gives every lease its full time again.
+        """
         model = self.model
         controller = self._any_controller()
         refused_s = model.rng.choice([0.5, 3.0, 7.0])
--- a/tests/simulation/model_messages.py
+++ b/tests/simulation/model_messages.py
@@ -35,7 +35,8 @@
 
     def write(self, controller: ModelController, held: ModelShard, transaction: Any) -> None:
         """Send a shard's transaction to the store; its outcome follows."""
-        # A partition does not hold a write back until it ends: the outcome is unknown, and it is not carried out
+        # A partition does not hold a write back until it ends: the outcome is unknown, and it is
+        # not carried out
         model = self.model
         fate = model.rng.random() if controller.reaches_store else 1.0
         starts = controller.starts
@@ -159,7 +160,8 @@
                 self._redirect(controller, agent, shard)
             return
         if machine.stale_heartbeat:
-            return  # as in controller.heartbeat_requests: an answer without commands, for which nobody waits
+            # as in controller.heartbeat_requests: an answer without commands, for which nobody waits
+            return
         token = machine.token  # before the commands are built, which may raise it
         commands = held.owner.commands_for(machine, model.now)
         answer = copied(agents.heartbeat_answer(token, commands))
--- a/tests/simulation/model_store.py
+++ b/tests/simulation/model_store.py
@@ -12,7 +12,10 @@
 
 
 class ModelStore:
-    """Keys with values and versions; the revision rises by one with each transaction that is carried out."""
+    """Keys with values and versions.
+
+    The revision rises by one with each transaction that is carried out.
+    """
 
     def __init__(self) -> None:
         self.rev = 1
--- a/tests/simulation/parameters.py
+++ b/tests/simulation/parameters.py
@@ -1,6 +1,7 @@
 """Times of the simulated deployments and the type of their machines.
 
-Tests put others in place with `monkeypatch.setattr(parameters, ...)`: read them as `parameters.LEASE_S`, never by `from`.
+Tests put others in place with `monkeypatch.setattr(parameters, ...)`: read them as
+`parameters.LEASE_S`, never by `from`.
 """
 
 from __future__ import annotations
--- a/tests/simulation/scene.py
+++ b/tests/simulation/scene.py
@@ -23,7 +23,8 @@
 def play(scene: Scene, seed: int = 1, **kwargs: Any) -> SimulatedCluster:
     """Run a scene in virtual time and judge it: the rules all along, service at its end.
 
-    The keyword arguments are those of SimulatedCluster. Raises AssertionError, or what `run` raises.
+    The keyword arguments are those of SimulatedCluster. Raises AssertionError, or what `run`
+    raises.
     """
     cluster = run(scene, seed, **kwargs)
     check(cluster)
@@ -34,7 +35,8 @@
     """Run a scene in virtual time, without the verdict at its end.
 
     Raises SceneError if the scene never ends, or if a controller logs an error that is a mistake in
-    code: then whatever the test sees comes from that mistake and not from the guard that it is about.
+    code: then whatever the test sees comes from that mistake and not from the guard that it is
+    about.
     """
     made: list[SimulatedCluster] = []
     mistakes: list[str] = []
--- a/tests/simulation/simulated_network.py
+++ b/tests/simulation/simulated_network.py
@@ -187,7 +187,10 @@
         return data or b""
 
     async def connect(self, source: str, target: str, port: int) -> SimulatedStream:
-        """Open a connection; returns the end at `source`. Raises ConnectionError as the operating system does."""
+        """Open a connection.
+
+        Returns the end at `source`. Raises ConnectionError as the operating system does.
+        """
         await self._handshake_packet(source, target, source)
         await self._handshake_packet(target, source, source)
         handler, group = self.listeners.get((target, port)), self.groups.get((target, port))
--- a/tests/simulation/submission_rules.py
+++ b/tests/simulation/submission_rules.py
@@ -34,7 +34,10 @@
 
 
 def rejection_reason(body: dict[str, Any], teams: Mapping[str, Team]) -> str | None:
-    """Why a submission must not be accepted, by the protocol's lines on 400 and 422; None if it may be."""
+    """Why a submission must not be accepted, by the protocol's lines on 400 and 422.
+
+    Returns None if it may be accepted.
+    """
     missing = sorted(REQUIRED_FIELDS - body.keys())
     if missing:
         return f"lacks {missing[0]}"
--- a/tests/simulation/task_rules.py
+++ b/tests/simulation/task_rules.py
@@ -56,7 +56,10 @@
 
 
 def check_start(machines: Machines, agent: ModelAgent, attempt: AttemptId) -> None:
-    """A task that has started runs nowhere else, and where its job allows it; raises RuleBrokenError."""
+    """A task that has started runs nowhere else, and where its job allows it.
+
+    Raises RuleBrokenError.
+    """
     job = machines.specs[attempt[0]]
     zones: dict[str, int] = {}
     for other in machines.workers.values():
@@ -79,7 +82,10 @@
 
 
 def check_machines(machines: JudgedMachines) -> None:
-    """No team uses more than its limit, and nothing runs that was cancelled too long ago; raises RuleBrokenError."""
+    """No team uses more than its limit, and nothing runs that was cancelled too long ago.
+
+    Raises RuleBrokenError.
+    """
     used: dict[str, float] = {}
     for agent in machines.workers.values():
         for attempt in agent.on_machine():
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -139,7 +139,10 @@
     # -- questions -----------------------------------------------------------------------------
 
     async def ask(self, jid: str, name: str) -> bool:
-        """Ask a controller about a job that was accepted; whether there was an answer, which must be no older than the last."""
+        """Ask a controller about a job that was accepted.
+
+        Returns whether there was an answer; it must be no older than the last.
+        """
         return await self.call(name, "GET", f"/api/jobs/{jid}", jid, None, 2.0) == 200
 
     async def ask_now_and_then(self) -> None:
@@ -152,7 +155,10 @@
                 self.tasks.start_soon(self.ask, job_id, name)
 
     async def all_answered(self, within: float) -> list[str]:
-        """Ask every controller for every accepted job until each has answered; what is missing after so many seconds."""
+        """Ask every controller for every accepted job until each has answered.
+
+        Returns which answers are missing after so many seconds.
+        """
         until = self.now + within
         left = [(job_id, name) for job_id in self._accepted() for name in self.names]
         while left and self.now < until:
@@ -192,10 +198,13 @@
     async def call(
         self, name: str, method: str, path: str, jid: str, body: object, s: float = 5.0
     ) -> int:
-        """One request about a job, whatever it is: its status, or 0 without an answer. The one place that judges what users are told.
+        """Make a request about a job; returns its status, or 0 without an answer.
 
-        What was told before the request left must not be older in its answer; the first answer that says that the job is
-        cancelled, whichever request brought it, is the acknowledgement that `cancel_s` counts from.
+        This is the one place that judges what users are told.
+
+        What was told before the request left must not be older in its answer; the first answer that
+        says that the job is cancelled, whichever request brought it, is the acknowledgement that
+        `cancel_s` counts from.
         """
         told_before, accepted = self.told.get(jid), self.asked[jid].accepted is not None
         try:
@@ -273,7 +282,10 @@
         }
 
     def starts_after_told(self) -> list[tuple[str, float]]:
-        """Starts of a job after its user was told that it is cancelled, and how long after; those later than CANCEL break a rule."""
+        """Starts of a job after its user was told that it is cancelled, and how long after.
+
+        Those later than `parameters.CANCEL_S` break a rule.
+        """
         return [
             (attempt[0], at - self.cancelled[attempt[0]])
             for at, attempt, _ in self.fleet.starts_of
--- a/tests/simulation/verdicts.py
+++ b/tests/simulation/verdicts.py
@@ -51,8 +51,8 @@
 def check_largest(cluster: SimulatedUsers) -> None:
     """Of each class's accepted jobs the tenth with the most tasks, three at least: half of them served, each begun within 240 s.
 
-    As scripts.served_by_class counts them; users who gave up in an outage before they were
-    accepted are counted with their class and team.
+    As scripts.served_by_class counts them; users who gave up in an outage before they were accepted
+    are counted with their class and team.
     """
     classes: dict[str, list[str]] = {}
     for job_id, spec in cluster.specs.items():
--- a/tests/simulation/virtual_time.py
+++ b/tests/simulation/virtual_time.py
@@ -30,7 +30,8 @@
                 raise RuntimeError("no timer is set: nothing will ever happen again")
             self.loop.at += max(0.0, timeout)
             if self.loop.at > self.loop.limit:
-                # Not by a timer: one more in the loop's heap changes the order of those that are due together
+                # Not by a timer: one more in the loop's heap changes the order of those that are due
+                # together
                 self.loop.limit = math.inf  # the scene's own clean-up may still run
                 raise SceneError(f"the scene has not ended after {SCENE_LIMIT_S} s")
         return found
@@ -39,9 +40,10 @@
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop whose clock jumps to the next timer, with a reproducible order of tasks.
 
-    anyio keeps tasks and cancel scopes in sets and cancels them in the sets' order, which is by address unless their hashes are
-    counted. Without the counted hashes, the order in which a controller's parts end (what is still sent, which random number is
-    drawn next) differs from run to run of one seed.
+    anyio keeps tasks and cancel scopes in sets and cancels them in the sets' order, which is by
+    address unless their hashes are counted. Without the counted hashes, the order in which a
+    controller's parts end (what is still sent, which random number is drawn next) differs from run
+    to run of one seed.
     """
 
     def __init__(self) -> None:
--- a/tests/simulation/waiting_jobs.py
+++ b/tests/simulation/waiting_jobs.py
@@ -61,7 +61,10 @@
 
 
 def _free_slots(job: Job, agents: Iterable[ModelAgent], zones: set[str] | None) -> int:
-    """How many tasks of a job fit beside what is on the machines; in one zone, if the job asks for one."""
+    """How many tasks of a job fit beside what is on the machines.
+
+    In one zone, if the job asks for one.
+    """
     slots: dict[str, int] = {}
     for agent in agents:
         if (agent.spot and not job.spot) or job.zone not in (None, agent.zone):
