--- a/scripts/benchmark_hot_paths/user_load.py
+++ b/scripts/benchmark_hot_paths/user_load.py
@@ -63,12 +63,12 @@
     """The fakes, and a user who asks for one job that waits."""
 
     def __init__(self, question: str, ended_jobs: int, ports: LoadPorts) -> None:
-        from tests.simulation.fakes import FakeStoreAndCloud
+        from tests.simulation.fake_key_value_store import FakeKeyValueStore
 
         self.question = question
         self.ports = ports
-        self.store_and_cloud = FakeStoreAndCloud()
-        self.store_and_cloud.store.kv = {
+        self.key_value_store = FakeKeyValueStore()
+        self.key_value_store.store.kv = {
             f"{JOB_PREFIX}j-{number:06d}": (end_record("withdrawn", 0), 1)
             for number in range(1, ended_jobs + 1)
         }
@@ -95,7 +95,7 @@
 
     def _start_fakes(self, tasks: TaskGroup) -> None:
         """Serve store and cloud; no machine is ever rented."""
-        from tests.simulation.fakes import FakeAgents
+        from tests.simulation.fake_agents import FakeAgents
 
         fleet = FakeAgents({}, 0)
         fleet.tasks = tasks
@@ -106,8 +106,8 @@
     async def _handle_store(self, request: Request) -> Reply:
         """A request to the store; lists are read in pages."""
         if request.path != "/kv":
-            return await self.store_and_cloud.handle(request)
-        store = self.store_and_cloud.store
+            return await self.key_value_store.handle(request)
+        store = self.key_value_store.store
         after_key = request.query.get("from", "")
         found = [
             (key, entry)
--- a/scripts/mixed_versions/__main__.py
+++ b/scripts/mixed_versions/__main__.py
@@ -38,7 +38,7 @@
 )
 from scripts.mixed_versions.rolling_upgrade import RollingUpgrade
 from tests import test_loopback
-from tests.simulation import decision_model
+from tests.simulation import parameters
 
 PORTS = 8
 PRINTED_VIOLATIONS = 20
@@ -51,7 +51,7 @@
     extract_with_libraries(base, old)
     controllers = Controllers({OLD: old, NEW: ROOT}, folder, test_loopback.free_ports(PORTS))
     upgrade = RollingUpgrade(controllers, seed)
-    with mock.patch.object(decision_model, "CANCEL", CANCEL_S):
+    with mock.patch.object(parameters, "CANCEL_S", CANCEL_S):
         return upgrade, anyio.run(upgrade.run)
 
 
--- a/scripts/mixed_versions/rolling_upgrade.py
+++ b/scripts/mixed_versions/rolling_upgrade.py
@@ -20,8 +20,10 @@
     Controllers,
 )
 from scripts.mixed_versions.users import Users
-from tests.simulation import decision_model
-from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
+from tests.simulation.fake_agents import FakeAgents
+from tests.simulation.fake_key_value_store import FakeKeyValueStore
+from tests.simulation.model_agent import ModelAgent
+from tests.simulation.task_rules import RuleBrokenError, check_machines
 
 MACHINES = 9
 FIRST_AGENT_PORT = 27_000
@@ -40,7 +42,7 @@
     def __init__(self, controllers: Controllers, seed: int) -> None:
         self.controllers = controllers
         addresses = {name: parsed.bind for name, parsed in controllers.settings.items()}
-        self.store_and_cloud = FakeStoreAndCloud()
+        self.key_value_store = FakeKeyValueStore()
         self.fleet = FakeAgents(
             addresses, FIRST_AGENT_PORT, every=HEARTBEAT_S, zones=tuple(sorted(set(ZONES)))
         )
@@ -48,7 +50,7 @@
         self.users = Users(self.clients, self.fleet, Random(seed))
         self.violations: list[str] = []
         self.restarts = 0
-        # Read by decision_model.DecisionModel.judge, as are the three properties
+        # Read by task_rules.check_machines, as are the three properties
         self.cancelled = self.users.cancelled_at
         self.teams = {team.name: team for team in controllers.settings["c0"].teams}
 
@@ -58,7 +60,7 @@
         return self.fleet.now
 
     @property
-    def workers(self) -> dict[str, decision_model.ModelAgent]:
+    def workers(self) -> dict[str, ModelAgent]:
         """The agents, by machine."""
         return self.fleet.workers
 
@@ -72,7 +74,7 @@
         async with anyio.create_task_group() as tasks:
             self.fleet.tasks = tasks
             any_settings = self.controllers.settings["c0"]
-            tasks.start_soon(Server(self.store_and_cloud.handle, 100).run, *any_settings.store)
+            tasks.start_soon(Server(self.key_value_store.handle, 100).run, *any_settings.store)
             tasks.start_soon(Server(self.fleet.handle, 100).run, *any_settings.cloud)
             try:
                 with anyio.move_on_after(WHOLE_RUN_S) as whole:
@@ -162,8 +164,8 @@
         while True:
             await anyio.sleep(JUDGE_EVERY_S)
             try:
-                decision_model.DecisionModel.judge(self)  # type: ignore[arg-type]
-            except decision_model.RuleBrokenError as error:
+                check_machines(self)
+            except RuleBrokenError as error:
                 self.violations.append(str(error))
 
     async def _wait_until_healthy(self, name: str) -> None:
--- a/scripts/mixed_versions/users.py
+++ b/scripts/mixed_versions/users.py
@@ -13,7 +13,7 @@
 from scripts.mixed_versions.clients import ControllerClients
 from scripts.mixed_versions.controllers import NAMES
 from tests import test_loopback
-from tests.simulation.fakes import FakeAgents
+from tests.simulation.fake_agents import FakeAgents
 
 JOB_EVERY_S = 0.2
 CANCELLED_SHARE = 0.25
--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -31,7 +31,8 @@
 from ploverhall.transport.http_server import Server
 from scripts.git_revisions import ROOT
 from tests import test_loopback
-from tests.simulation.fakes import FakeAgents, FakeStoreAndCloud
+from tests.simulation.fake_agents import FakeAgents
+from tests.simulation.fake_key_value_store import FakeKeyValueStore
 
 CONTROLLER = "c0"
 FIRST_AGENT_PORT = 31_000
@@ -90,7 +91,7 @@
         data["deployment"]["workers"]["report_s"] = heartbeat_s
         data["deployment"]["teams"][0].update(gpus=400, gpus_max=400)
         self.settings = settings.parse(data)
-        self.store_and_cloud = FakeStoreAndCloud()
+        self.key_value_store = FakeKeyValueStore()
         self.machine_count = machine_count
         self.fleet = FakeAgents(
             {CONTROLLER: self.settings.bind}, FIRST_AGENT_PORT, every=heartbeat_s
@@ -105,7 +106,7 @@
         measured = []
         async with anyio.create_task_group() as tasks:
             self.fleet.tasks = tasks
-            tasks.start_soon(Server(self.store_and_cloud.handle, 100).run, *self.settings.store)
+            tasks.start_soon(Server(self.key_value_store.handle, 100).run, *self.settings.store)
             tasks.start_soon(Server(self.fleet.handle, 100).run, *self.settings.cloud)
             self.start_process()
             try:
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -12,9 +12,11 @@
 from ploverhall import settings
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 
-from .simulation import decision_model
-from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
-from .simulation.fault_schedules import meet
+from .simulation import parameters
+from .simulation.cluster import SimulatedCluster
+from .simulation.fault_schedules import run_schedule
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET, SILENT
 from .test_relay import busy
 
 LEASE, CANCEL = 16.0, 46.0
@@ -22,8 +24,8 @@
 
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decision_model, "LEASE", LEASE)
-    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
+    monkeypatch.setattr(parameters, "LEASE_S", LEASE)
+    monkeypatch.setattr(parameters, "CANCEL_S", CANCEL)
 
 
 def hears_all(self: CancellationBarrier, now: float) -> bool:
@@ -178,4 +180,4 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_drawn_gaps(seed: int) -> None:
     """Which controller is refused or cut off, which ends and when, when the outage begins, and what is cancelled."""
-    meet(seed, ("gap", "crash", "peers"))
+    run_schedule(seed, ("gap", "crash", "peers"))
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -23,16 +23,21 @@
 from ploverhall.storage.schema import ARCHIVE_MARKER_KEY, ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.storage.store_cache import StoreCache
 
-from .simulation import decision_model
-from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
-from .simulation.fault_schedules import CANCEL, KNOWN_S, LEASE
+from .simulation import parameters
+from .simulation.cluster import SimulatedCluster
+from .simulation.decision_model import draw_job
+from .simulation.fault_schedules import ANSWERED_WITHIN_S
+from .simulation.model_store import ModelStore
+from .simulation.parameters import DEPLOYED_CANCEL_S, DEPLOYED_LEASE_S
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD, RESET
 
 
 @pytest.fixture
 def platform_times(monkeypatch: pytest.MonkeyPatch) -> None:
     """The deployments' own lease and time for a cancellation."""
-    monkeypatch.setattr(decision_model, "LEASE", LEASE)
-    monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
+    monkeypatch.setattr(parameters, "LEASE_S", DEPLOYED_LEASE_S)
+    monkeypatch.setattr(parameters, "CANCEL_S", DEPLOYED_CANCEL_S)
 
 
 def told_at_once(self: JobAnswers, jid: str) -> JobStatus | None:
@@ -75,7 +80,7 @@
         await anyio.sleep(109.0)
         assert not early or not guarded
         assert len(p.cancelled) == len(wanted), "told, once the zone must have stopped"
-        assert not await p.all_answered(KNOWN_S)
+        assert not await p.all_answered(ANSWERED_WITHIN_S)
 
     if guarded:
         play(scene)
@@ -101,7 +106,7 @@
             p.tasks.start_soon(p.withdraw, f"j-{900 + i:06d}")
             await anyio.sleep(2.0)
         await anyio.sleep(45.0)
-        assert not await p.all_answered(KNOWN_S)
+        assert not await p.all_answered(ANSWERED_WITHIN_S)
         assert len(p.told) > 30
 
     play(scene, seed)
@@ -140,7 +145,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.store = decision_model.ModelStore()
+        self.store = ModelStore()
         self.copies = [StoreCache() for _ in range(3)]
         self.known = [0, 0, 0]  # the revision up to which each controller knows all cancellations
         self.answers = [
@@ -165,7 +170,7 @@
         copy, answers = self.copies[i], self.answers[i]
         match rng.randrange(9):
             case 0:  # a submission
-                job = decision_model.job(Random(1), jid, 0.0)
+                job = draw_job(Random(1), jid, 0.0)
                 rev, failed = s.txn(
                     {JOB_PREFIX + jid: 0, ARCHIVE_PREFIX + jid: 0},
                     {JOB_PREFIX + jid: job.record()},
--- a/tests/test_job_requests.py
+++ b/tests/test_job_requests.py
@@ -28,10 +28,14 @@
 from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http_server import Reply
 
-from .simulation import decision_model
-from .simulation.cluster import RESET, SLOW, Network, SimulatedCluster, SubmittedJob, play
-from .simulation.fakes import FakeStoreAndCloud
-from .simulation.fault_schedules import KNOWN_S
+from .simulation.cluster import SimulatedCluster
+from .simulation.decision_model import draw_job
+from .simulation.fake_key_value_store import FakeKeyValueStore
+from .simulation.fault_schedules import ANSWERED_WITHIN_S
+from .simulation.model_store import ModelStore
+from .simulation.scene import play
+from .simulation.simulated_network import RESET, SLOW, SimulatedNetwork
+from .simulation.users import SubmittedJob
 
 JOB_ID = re.compile(r"j-\d{1,18}")
 
@@ -103,10 +107,10 @@
                 p.tasks.start_soon(p.crash, rng.choice(p.names), 6.0)
             await anyio.sleep(0.25)
         await anyio.sleep(30.0)
-        assert not await p.all_answered(KNOWN_S)
+        assert not await p.all_answered(ANSWERED_WITHIN_S)
         store = p.state.store
         seen["changes"] = Counter(e.key.split("/")[0] for e in store.log)
-        seen["bytes"] = carried[0]
+        seen["bytes"] = transmitted[0]
         archived = {k[2:] for k in store.kv if k.startswith("e/")}
         await anyio.sleep(
             max(0.0, 130.0 - (p.now - begun - s))
@@ -120,14 +124,14 @@
         }
         seen["ended"] = max(len(node.context.store_cache.ended_jobs) for node in p.nodes.values())
 
-    carried = [0]
-    real_carry = Network.carry
+    transmitted = [0]
+    real_transmit = SimulatedNetwork.transmit
 
-    def carry(self: Network, stream: Any, data: bytes | None) -> None:
-        carried[0] += len(data or b"")
-        real_carry(self, stream, data)
+    def transmit(self: SimulatedNetwork, stream: Any, data: bytes | None) -> None:
+        transmitted[0] += len(data or b"")
+        real_transmit(self, stream, data)
 
-    seen["carry"] = carry
+    seen["transmit"] = transmit
     return scene
 
 
@@ -135,7 +139,7 @@
     """Play it, and hold what every swarm must come to."""
     seen: dict[str, Any] = {}
     scene = swarm(seed, s, crash, seen)
-    monkeypatch.setattr(Network, "carry", seen.pop("carry"))
+    monkeypatch.setattr(SimulatedNetwork, "transmit", seen.pop("transmit"))
     p = play(scene, seed, options=settings.Options(keep_ended=KEPT))
     assert all(a.accepted is not None for a in p.asked.values()), "every one is accepted"
     rest = [j for j in p.specs if j not in p.cancelled]
@@ -333,7 +337,7 @@
                 answer,
             )
             assert len(str(answer)) < 200, "bounded, whatever was sent"
-            assert status == 400 or p.never(spec) is not None, (
+            assert status == 400 or p.rejection_reason(spec) is not None, (
                 "the plain judge has it from the protocol, too"
             )
         for body in RAW:
@@ -636,7 +640,7 @@
                 p.tasks.start_soon(p.crash, p.names[n // 4], 1.5)
             await anyio.sleep(0.5)
         await anyio.sleep(35.0)
-        missing = await p.all_answered(KNOWN_S)
+        missing = await p.all_answered(ANSWERED_WITHIN_S)
         found.append((steps, missing))
 
     found: list[tuple[Steps, list[str]]] = []
@@ -768,7 +772,7 @@
             p.tasks.start_soon(p.ask, jid, "c1")
         p.calm()
         await anyio.sleep(45.0)
-        assert jid in p.cancelled and not await p.all_answered(KNOWN_S)
+        assert jid in p.cancelled and not await p.all_answered(ANSWERED_WITHIN_S)
 
     play(scene)
 
@@ -777,7 +781,7 @@
     """A store, and one controller's copy of it; what the plain model knows is what the store held at each revision."""
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.store, self.copy = Random(seed), decision_model.ModelStore(), StoreCache()
+        self.rng, self.store, self.copy = Random(seed), ModelStore(), StoreCache()
         # Watches that have been answered, and what they say; not here yet
         self.reads: list[tuple[int, int, list[WatchEvent]]] = []
         # The same, of a listing and the watch after it
@@ -807,7 +811,7 @@
             case 0 if not version and "e/" + jid not in s.kv:
                 self.write(
                     {JOB_PREFIX + jid: 0},
-                    {JOB_PREFIX + jid: decision_model.job(Random(1), jid, 0.0).record()},
+                    {JOB_PREFIX + jid: draw_job(Random(1), jid, 0.0).record()},
                     [],
                     own,
                 )
@@ -1004,10 +1008,10 @@
         await anyio.sleep(30.0)
         if not share:
             await burst(p, rng)
-        p.state.handle = FakeStoreAndCloud.handle.__get__(p.state)  # type: ignore[method-assign]
+        p.state.handle = FakeKeyValueStore.handle.__get__(p.state)  # type: ignore[method-assign]
         await anyio.sleep(5.0)
         assert not share or min(refused[429], refused[503]) > 10
-        p.missing = await p.all_answered(KNOWN_S)  # type: ignore[attr-defined]
+        p.missing = await p.all_answered(ANSWERED_WITHIN_S)  # type: ignore[attr-defined]
 
     async def burst(p: SimulatedCluster, rng: Random) -> None:
         """Hundreds ask one controller at once, of jobs that run: one read answers those that came before it began."""
@@ -1128,7 +1132,7 @@
             assert (job.task_count, job.team) == (specs[won]["chicks"], specs[won]["keeper"])
             p.asked[jid], p.bodies[jid] = SubmittedJob(p.now, accepted=p.now), specs[won]
         await anyio.sleep(25.0)
-        assert not await p.all_answered(KNOWN_S) and set(p.told.values()) == {DONE}
+        assert not await p.all_answered(ANSWERED_WITHIN_S) and set(p.told.values()) == {DONE}
         assert {k[0]: 0 for k in p.fleet.begun if k[1] >= p.specs[k[0]].task_count} == {}
 
     play(scene, seed)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -28,7 +28,9 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage.schema import CONTROLLER_PREFIX
 
-from .simulation.cluster import HOLD, SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
+from .simulation.simulated_network import HOLD
 from .test_permitting import source
 
 RULES = DisruptionBudgets(
@@ -170,7 +172,7 @@
             up: dict[str, int] = {j.id: 0 for j in self.p.specs.values() if j.kind == "service"}
             for w in self.p.fleet.workers.values():
                 for key, t in w.tasks.items():
-                    if key[0] in up and t["state"] == "running":
+                    if key[0] in up and t.state == "running":
                         up[key[0]] += 1
             for jid, n in up.items():
                 self.least[jid] = min(self.least.get(jid, n), n)
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -15,7 +15,8 @@
 from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
 from . import test_shard_owner
-from .simulation.cluster import SimulatedCluster, play
+from .simulation.cluster import SimulatedCluster
+from .simulation.scene import play
 from .test_relay import busy
 from .test_shard_owner import EPOCH, report
 
@@ -123,7 +124,7 @@
                 await anyio.sleep(0.05)
         with anyio.fail_after(30):
             while any(
-                k[0] == gang[0] and k[2] == gang[2] and t["state"] != "ended"
+                k[0] == gang[0] and k[2] == gang[2] and t.state != "ended"
                 for w in others
                 for k, t in w.tasks.items()
             ):
