--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -222,7 +222,7 @@
         missing from the store cache means something only once the cache is ready.
         """
         store_cache = self.context.store_cache
-        job_ids = {attempt_id[0] for attempt_id in heartbeat.tasks()}
+        job_ids = {attempt_id.job_id for attempt_id in heartbeat.tasks()}
         return {
             job_id
             for job_id in job_ids
--- a/ploverhall/controller/shard_status.py
+++ b/ploverhall/controller/shard_status.py
@@ -293,7 +293,7 @@
 def _add_drained_tasks(preview: dict[str, Any], held: HeldShard, machine: Machine) -> None:
     """Count the tasks of one machine by team and kind of job."""
     for attempt_id, permit in machine.permits.items():
-        traits = held.owner.inventory.job_traits.get(attempt_id[0])
+        traits = held.owner.inventory.job_traits.get(attempt_id.job_id)
         if traits is not None and not permit.gone and not permit.refused:
             kinds = preview.setdefault("teams", {}).setdefault(traits.team, {})
             kinds[traits.kind] = kinds.get(traits.kind, 0) + 1
--- a/ploverhall/coordination/restart_recovery.py
+++ b/ploverhall/coordination/restart_recovery.py
@@ -119,7 +119,7 @@
         commands = [
             agents.kill_command(attempt_id, 0.0)
             for attempt_id, task in heartbeat.tasks().items()
-            if task.state != EXITED and attempt_id[0] in ended_jobs
+            if task.state != EXITED and attempt_id.job_id in ended_jobs
         ]
         return agents.heartbeat_answer(token, commands)
 
--- a/ploverhall/protocol/agents.py
+++ b/ploverhall/protocol/agents.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 from functools import lru_cache
-from typing import Annotated, Any
+from typing import Annotated, Any, NamedTuple
 
 import msgspec
 
@@ -28,7 +28,6 @@
 TASK_NAMES = 65_536  # parsed task names that are cached: 16 tasks on each of 4,000 machines
 MAX_TASK_INDEX_DIGITS = 9
 COUNT_LIMIT = 1 << 64  # counters on the wire are unsigned 64-bit integers
-AttemptId = tuple[str, int, int]  # job, task, attempt
 
 # Published field names that stand in more than one message
 TASK_NAME_FIELD = "chick"
@@ -68,6 +67,18 @@
 AgentCommand = dict[str, Any]  # one command as JSON
 
 
+class AttemptId(NamedTuple):
+    """Identifies one attempt to run one task of a job.
+
+    As a tuple it sorts by job, task and attempt, and goes into stored records and peer messages as
+    an array. `orjson` refuses named tuples: what is sent as JSON is made a plain list first.
+    """
+
+    job_id: str
+    task: int
+    attempt: int
+
+
 @dataclass(slots=True)
 class TaskStatus:
     """One task as its agent describes it."""
@@ -130,7 +141,7 @@
         tasks: dict[AttemptId, TaskStatus] = {}
         for listed in self.listed_tasks:
             job, index = split_task(listed.task_name)
-            tasks[job, index, listed.attempt] = TaskStatus(
+            tasks[AttemptId(job, index, listed.attempt)] = TaskStatus(
                 TASK_STATES.get(listed.state, RUNNING),
                 listed.exit_reason or "",
                 bool(listed.checkpoint_saved),
@@ -195,8 +206,11 @@
 
 
 def _task_command(command: str, attempt_id: AttemptId) -> AgentCommand:
-    job, task, attempt = attempt_id
-    return {COMMAND_FIELD: command, TASK_NAME_FIELD: f"{job}/{task}", ATTEMPT_FIELD: attempt}
+    return {
+        COMMAND_FIELD: command,
+        TASK_NAME_FIELD: f"{attempt_id.job_id}/{attempt_id.task}",
+        ATTEMPT_FIELD: attempt_id.attempt,
+    }
 
 
 def run_command(attempt_id: AttemptId) -> AgentCommand:
--- a/ploverhall/protocol/peer_messages.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -288,12 +288,12 @@
 
 def permit_key(attempt_id: AttemptId) -> str:
     """Return the key of a PermitUpdate."""
-    return f"{PERMIT}{attempt_id[0]}/{attempt_id[1]}/{attempt_id[2]}"
+    return f"{PERMIT}{attempt_id.job_id}/{attempt_id.task}/{attempt_id.attempt}"
 
 
 def attempt_key(attempt_id: AttemptId) -> str:
     """Return the key of an AttemptUpdate."""
-    return f"{ATTEMPT}{attempt_id[0]}/{attempt_id[1]}/{attempt_id[2]}"
+    return f"{ATTEMPT}{attempt_id.job_id}/{attempt_id.task}/{attempt_id.attempt}"
 
 
 def offer_key(reservation_id: int) -> str:
@@ -303,5 +303,5 @@
 
 def attempt_id_of_key(key: str) -> AttemptId:
     """Return the attempt in a PermitUpdate's or AttemptUpdate's key, else raise ValueError."""
-    job, task, attempt = key[1:].rsplit("/", 2)
-    return job, int(task), int(attempt)
+    job_id, task, attempt = key[1:].rsplit("/", 2)
+    return AttemptId(job_id, int(task), int(attempt))
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -160,7 +160,7 @@
                 for record in records:
                     job_state = self._job_of_record(job_id, team, resources, now)
                     allocation = self._install_record(job_state, chunk, record)
-                    stored_attempts.add((job_id, allocation.task, allocation.attempt))
+                    stored_attempts.add(allocation.attempt_id)
                     if allocation.finished:
                         self.dirty_chunks.setdefault(chunk, False)
         self._remove_unstored(old_chunks, stored_attempts)
@@ -221,8 +221,7 @@
                 if (
                     job_state is not None
                     and job_state.allocations.get(allocation.task) is allocation
-                    and (allocation.job_id, allocation.task, allocation.attempt)
-                    not in stored_attempts
+                    and allocation.attempt_id not in stored_attempts
                 ):
                     self._remove(job_state, allocation)
                     job_state.requeue(allocation.task)
@@ -351,7 +350,7 @@
         else:
             self.permit_updates[
                 allocation.shard,
-                peer_messages.permit_key((allocation.job_id, allocation.task, allocation.attempt)),
+                peer_messages.permit_key(allocation.attempt_id),
             ] = None
         self.used[job_state.team] = add_scaled(self.used[job_state.team], job_state.resources, -1)
         allocation.chunk.remove(allocation, job_state.resources)
@@ -384,7 +383,7 @@
         if allocation.committed:
             self.permit_updates[
                 allocation.shard,
-                peer_messages.permit_key((allocation.job_id, allocation.task, allocation.attempt)),
+                peer_messages.permit_key(allocation.attempt_id),
             ] = PermitUpdate(
                 allocation.machine,
                 allocation.epoch,
--- a/ploverhall/scheduling/command_builder.py
+++ b/ploverhall/scheduling/command_builder.py
@@ -107,7 +107,7 @@
                 # Without its source's permits a task may be permitted all the same. Only if its job
                 # is over it needs no source to be stopped: else cancelled work runs on while a new
                 # owner is cut off from the source
-                if all_synced or self.state.job_ended_in_store(attempt_id[0]):
+                if all_synced or self.state.job_ended_in_store(attempt_id.job_id):
                     commands.append(agents.kill_command(attempt_id, 0.0))
             elif all_synced and self._may_reap(attempt_id, machine):
                 commands.append(agents.reap_command(attempt_id))
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -65,14 +65,14 @@
 
     def request_eviction(self, allocation: Allocation, requested: bool, now: float) -> None:
         """A shard owner requests the eviction of an attempt, or takes the request back."""
-        key = (allocation.job_id, allocation.task, allocation.attempt)
+        attempt_id = allocation.attempt_id
         if requested:
-            self.requested_since.setdefault(key, now)
-        elif self.requested_since.pop(key, None) is not None:
-            self.denial_reasons.pop(key, None)
+            self.requested_since.setdefault(attempt_id, now)
+        elif self.requested_since.pop(attempt_id, None) is not None:
+            self.denial_reasons.pop(attempt_id, None)
             granted = self.grants_by_team[self.jobs[allocation.job_id].team]
-            if granted.get(key) is False:
-                del granted[key]  # not written yet
+            if granted.get(attempt_id) is False:
+                del granted[attempt_id]  # not written yet
 
     # -- granting ----------------------------------------------------------------------------
 
@@ -85,21 +85,21 @@
             return
         self.next_grant_at = now + GRANT_INTERVAL_S
         unavailable_per_team: dict[str, int] = {}
-        for key in sorted(
+        for attempt_id in sorted(
             self.requested_since,
-            key=lambda attempt_id: (self.requested_since[attempt_id], attempt_id),
+            key=lambda waiting: (self.requested_since[waiting], waiting),
         ):
-            job_state = self.jobs.get(key[0])
-            allocation = self._outstanding_allocation(key)
+            job_state = self.jobs.get(attempt_id.job_id)
+            allocation = self._outstanding_allocation(attempt_id)
             if (
                 job_state is None
                 or job_state.job is None
                 or allocation is None
                 or allocation.stop_grace_s is not None
             ):
-                del self.requested_since[key]  # it has ended, or is stopping already
-                self.denial_reasons.pop(key, None)
-            elif key not in self.grants_by_team[job_state.team]:
+                del self.requested_since[attempt_id]  # it has ended, or is stopping already
+                self.denial_reasons.pop(attempt_id, None)
+            elif attempt_id not in self.grants_by_team[job_state.team]:
                 if job_state.team not in unavailable_per_team:
                     unavailable_per_team[job_state.team] = self._team_unavailable(job_state.team)
                 self._grant_or_deny(
@@ -116,7 +116,7 @@
         wall_time: float,
     ) -> None:
         """Grant one eviction, of a gang with all its attempts, or record why it is denied."""
-        key = (allocation.job_id, allocation.task, allocation.attempt)
+        attempt_id = allocation.attempt_id
         team = job_state.team
         granted = self.grants_by_team[team]
         disruptions = self.recent_disruptions[team]
@@ -135,11 +135,11 @@
         if not reason and len(granted) + len(attempts) > self.max_grants:
             reason = REASON_TOO_MANY_GRANTS
         if reason:
-            self.denial_reasons[key] = reason
+            self.denial_reasons[attempt_id] = reason
             return
-        self.denial_reasons.pop(key, None)
+        self.denial_reasons.pop(attempt_id, None)
         for other in attempts:
-            granted[other.job_id, other.task, other.attempt] = False
+            granted[other.attempt_id] = False
         disruptions.record(int(job.kind == "gang"), request.lost_work_s, now)
         if job.kind == "service":
             unavailable_per_team[team] += 1
@@ -168,7 +168,7 @@
             for allocation in job_state.allocations.values()
             if allocation.running
             and allocation.stop_grace_s is None
-            and (allocation.job_id, allocation.task, allocation.attempt) not in granted
+            and allocation.attempt_id not in granted
         )
 
     def _eviction_request(
@@ -188,7 +188,7 @@
             team_unavailable,
             lost_work_s,
             remaining_s,
-            now - self.requested_since[allocation.job_id, allocation.task, allocation.attempt],
+            now - self.requested_since[allocation.attempt_id],
         )
 
     def _stop_granted(self, job_state: JobState, allocation: Allocation) -> None:
@@ -241,10 +241,13 @@
 
     def _known_allocation(self, attempt_id: AttemptId) -> Allocation | None:
         """Return the allocation of an attempt, finished or not; None if there is none."""
-        job_id, task, attempt = attempt_id
-        job_state = self.jobs.get(job_id)
-        allocation = job_state.allocations.get(task) if job_state is not None else None
-        return allocation if allocation is not None and allocation.attempt == attempt else None
+        job_state = self.jobs.get(attempt_id.job_id)
+        if job_state is None:
+            return None
+        allocation = job_state.allocations.get(attempt_id.task)
+        if allocation is None or allocation.attempt != attempt_id.attempt:
+            return None
+        return allocation
 
     def _outstanding_allocation(self, attempt_id: AttemptId) -> Allocation | None:
         """Return the allocation of an attempt that has not finished."""
@@ -277,7 +280,11 @@
         for attempt_id in [attempt_id for attempt_id, written in granted.items() if written]:
             del granted[attempt_id]
         self._apply_grants(
-            team, [(str(job_id), int(task), int(attempt)) for job_id, task, attempt in value or []]
+            team,
+            [
+                AttemptId(str(job_id), int(task), int(attempt))
+                for job_id, task, attempt in value or []
+            ],
         )
         if granted or value:
             self.teams_with_unwritten_grants.add(team)
--- a/ploverhall/scheduling/inventory.py
+++ b/ploverhall/scheduling/inventory.py
@@ -94,7 +94,7 @@
         for attempt_id, task in machine.tasks.items():
             if attempt_id not in machine.permits and task.state != EXITED:
                 # What is not known may take the whole machine
-                resources = self.resources_of_job(attempt_id[0]) or machine_type.resources
+                resources = self.resources_of_job(attempt_id.job_id) or machine_type.resources
                 free = add_scaled(free, resources, -1)
         for reservation in machine.reservations.values():
             free = add_scaled(free, reservation.resources, -1)
@@ -103,7 +103,7 @@
     def capacity_for_services(self, machine: Machine, free: ResourceVector) -> ResourceVector:
         """What services could have: `free`, and what is taken by work that yields to services."""
         for attempt_id, permit in machine.permits.items():
-            traits = self.job_traits.get(attempt_id[0])
+            traits = self.job_traits.get(attempt_id.job_id)
             task = machine.tasks.get(attempt_id)
             if (
                 traits is not None
@@ -188,7 +188,7 @@
         """The tasks on a machine that somebody might stop, with their preemption classes."""
         preemptible: dict[AttemptId, PreemptionClass] = {}
         for attempt_id, permit in machine.permits.items():
-            traits = self.job_traits.get(attempt_id[0])
+            traits = self.job_traits.get(attempt_id.job_id)
             if traits is None or traits.priority == 0 or traits.kind == "service":
                 continue  # a replica is never stopped for others: its user feels it at once
             task = machine.tasks.get(attempt_id)
--- a/ploverhall/scheduling/machine_health.py
+++ b/ploverhall/scheduling/machine_health.py
@@ -145,7 +145,7 @@
     def _evict_unstarted_gang_tasks(self, machine: Machine) -> None:
         """Ask the sources for gang tasks back that can't start here: the others wait in vain."""
         for permit in machine.permits.values():
-            traits = self.state.inventory.job_traits.get(permit.attempt_id[0])
+            traits = self.state.inventory.job_traits.get(permit.attempt_id.job_id)
             if (
                 traits is not None
                 and traits.kind == "gang"
--- a/ploverhall/scheduling/permit_table.py
+++ b/ploverhall/scheduling/permit_table.py
@@ -59,19 +59,19 @@
     def _add(
         self, attempt_id: AttemptId, source_shard: int, update: PermitUpdate, now: float
     ) -> Permit:
-        job = self.state.jobs.get(attempt_id[0])
+        job = self.state.jobs.get(attempt_id.job_id)
         permit = Permit(
             attempt_id,
             source_shard,
             update.machine,
             update.epoch,
             update.reservation_id,
-            self.state.resources_by_job.get(attempt_id[0], NO_RESOURCES),
+            self.state.resources_by_job.get(attempt_id.job_id, NO_RESOURCES),
             job.image if job else "",
             job.image_gb if job else 0.0,
         )
         self._admit(permit, update.stop_grace_s, now)
-        if self.state.job_ended_in_store(attempt_id[0]) or job is None:
+        if self.state.job_ended_in_store(attempt_id.job_id) or job is None:
             permit.stop_grace_s = 0.0  # it was over before this owner heard of the permit
         return permit
 
@@ -80,10 +80,10 @@
         attempt_id = permit.attempt_id
         del self.permits[attempt_id]
         self.waiting_for_victims.pop(attempt_id, None)
-        of_job = self.permits_by_job[attempt_id[0]]
+        of_job = self.permits_by_job[attempt_id.job_id]
         del of_job[attempt_id]
         if not of_job:
-            del self.permits_by_job[attempt_id[0]]
+            del self.permits_by_job[attempt_id.job_id]
         on_machine = self.inventory.permits_by_machine[permit.machine]
         on_machine.pop(attempt_id, None)
         if not on_machine and permit.machine not in self.machines:
@@ -99,7 +99,7 @@
         """Admit a new permit to its reservation's capacity; without capacity it is refused."""
         attempt_id = permit.attempt_id
         self.permits[attempt_id] = permit
-        self.permits_by_job.setdefault(attempt_id[0], {})[attempt_id] = permit
+        self.permits_by_job.setdefault(attempt_id.job_id, {})[attempt_id] = permit
         self.changed_attempts.add(attempt_id)
         machine = self.machines.get(permit.machine)
         reservation = self._reservation_of(permit)
@@ -122,7 +122,7 @@
         """The reservation that a permit takes up; None for a permit of an earlier epoch."""
         if permit.epoch != self.state.epoch:
             return None
-        of_job = self.reservations.by_job.get(permit.attempt_id[0], {})
+        of_job = self.reservations.by_job.get(permit.attempt_id.job_id, {})
         if (reservation := of_job.get(permit.reservation_id)) is not None:
             return reservation
         # The hold time may have ended while the permit was written, and the same machine may be
@@ -149,7 +149,7 @@
             self.waiting_for_victims[permit.attempt_id] = permit
         for attempt_id in victims:
             victim = machine.permits.get(attempt_id)
-            traits = self.inventory.job_traits.get(attempt_id[0])
+            traits = self.inventory.job_traits.get(attempt_id.job_id)
             if victim is None or victim.gone or traits is None:
                 continue
             if traits.kind == "gang":
@@ -157,7 +157,7 @@
             elif victim.stop_grace_s is None:
                 victim.stop_grace_s = traits.preemption_grace_s
             self.changed_attempts.add(attempt_id)
-            self._claim_guarantee(permit.attempt_id[0], traits)
+            self._claim_guarantee(permit.attempt_id.job_id, traits)
 
     def _claim_guarantee(self, job_id: str, victim: JobTraits) -> None:
         """Note that a job stops others by its team's guarantee, so that it keeps the capacity.
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -70,13 +70,15 @@
                     shard, epoch, int(key[1:]), OfferUpdate(*value) if value is not None else None
                 )
             elif key[0] == peer_messages.ATTEMPT and value is not None:
-                job_id, task, attempt = peer_messages.attempt_id_of_key(key)
-                job_state = self.jobs.get(job_id)
-                allocation = job_state.allocations.get(task) if job_state is not None else None
+                attempt_id = peer_messages.attempt_id_of_key(key)
+                job_state = self.jobs.get(attempt_id.job_id)
+                allocation = (
+                    job_state.allocations.get(attempt_id.task) if job_state is not None else None
+                )
                 if (
                     job_state is not None
                     and allocation is not None
-                    and allocation.attempt == attempt
+                    and allocation.attempt == attempt_id.attempt
                     and allocation.shard == shard
                     and allocation.committed
                     and epoch >= allocation.epoch
--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -354,7 +354,7 @@
         victims: list[PossibleVictim] = []
         for attempt_id, permit in machine.permits.items():
             preemption_class = machine.preemptible.get(attempt_id)
-            traits = self.inventory.job_traits.get(attempt_id[0])
+            traits = self.inventory.job_traits.get(attempt_id.job_id)
             if (
                 preemption_class is None
                 or traits is None
--- a/ploverhall/scheduling/record_chunks.py
+++ b/ploverhall/scheduling/record_chunks.py
@@ -12,6 +12,7 @@
 
 import orjson
 
+from ploverhall.protocol.agents import AttemptId
 from ploverhall.scheduling.resources import ResourceVector
 from ploverhall.storage.schema import allocation_prefix
 
@@ -51,6 +52,11 @@
             self.reservation_id,
         ]
 
+    @property
+    def attempt_id(self) -> AttemptId:
+        """The task attempt that is permitted."""
+        return AttemptId(self.job_id, self.task, self.attempt)
+
     @property
     def running(self) -> bool:
         """Whether users see it as running."""
--- a/ploverhall/scheduling/scoring.py
+++ b/ploverhall/scheduling/scoring.py
@@ -79,7 +79,7 @@
     permitted = sum(
         1
         for attempt_id, permit in machine.permits.items()
-        if attempt_id[0] == job.id and not permit.gone
+        if attempt_id.job_id == job.id and not permit.gone
     )
     reserved = sum(
         1 for reservation in machine.reservations.values() if reservation.job_id == job.id
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -339,7 +339,7 @@
                 permit.running_since = now
         elif task.state == EXITED and task.reason == "error":
             if old is None or old.state != EXITED:
-                self.failures.record_failure(machine, attempt_id[0], now)
+                self.failures.record_failure(machine, attempt_id.job_id, now)
 
     # -- time --------------------------------------------------------------------------------
 
--- a/ploverhall/scheduling/shard_updates.py
+++ b/ploverhall/scheduling/shard_updates.py
@@ -31,7 +31,7 @@
         notice = NOTICE_PREEMPTED if permit.evict_requested else NO_NOTICE
         return AttemptUpdate("permitted", "", 0, notice)
     suspect = task.reason == "error" and any(
-        job_id != permit.attempt_id[0] for job_id in machine.failures_by_job
+        job_id != permit.attempt_id.job_id for job_id in machine.failures_by_job
     )
     return AttemptUpdate(
         task.state,
@@ -93,7 +93,7 @@
 def _has_ordinary_work(inventory: Inventory, machine: Machine) -> bool:
     """Whether there is work on a machine that may not run on spot machines."""
     for attempt_id in machine.permits:
-        traits = inventory.job_traits.get(attempt_id[0])
+        traits = inventory.job_traits.get(attempt_id.job_id)
         if traits is not None and not traits.spot_allowed:
             return True
     return False
--- a/scripts/benchmark_hot_paths.py
+++ b/scripts/benchmark_hot_paths.py
@@ -138,7 +138,7 @@
     owner = an_owner(size)
     for i, machine in enumerate(owner.machines.values()):
         for task in range(4):
-            attempt_id = (f"j-{i * 4 + task:06d}", task, 1)
+            attempt_id = AttemptId(f"j-{i * 4 + task:06d}", task, 1)
             permit = Permit(
                 attempt_id,
                 0,
@@ -152,7 +152,7 @@
                 run_incarnation=1,
             )
             owner.permits[attempt_id] = machine.permits[attempt_id] = permit
-            owner.permit_table.permits_by_job.setdefault(attempt_id[0], {})[attempt_id] = permit
+            owner.permit_table.permits_by_job.setdefault(attempt_id.job_id, {})[attempt_id] = permit
     asked, token = min(size, 1000), EPOCH << TOKEN_BITS
     spent = 0.0
     for sequence in range(2, 7):
@@ -235,9 +235,9 @@
         """Do what an agent is told."""
         here = self.tasks[name]
         for command in commands:
-            attempt_id = (*agents.split_task(command["chick"]), command["hatch"])
+            attempt_id = AttemptId(*agents.split_task(command["chick"]), command["hatch"])
             if command["call"] == "run":
-                ends_at = self.now + self.duration_s[attempt_id[0]]
+                ends_at = self.now + self.duration_s[attempt_id.job_id]
                 here.setdefault(attempt_id, ["running", "", ends_at])
             elif command["call"] == "reap":
                 here.pop(attempt_id, None)
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -114,7 +114,7 @@
 
 def commands() -> list[Any]:
     """Commands to machines."""
-    key = ("j-000412", 3, 2)
+    key = agents.AttemptId("j-000412", 3, 2)
     calls = [agents.run_command(key), agents.kill_command(key, 1.5), agents.reap_command(key)]
     return [
         agents.heartbeat_answer(5, calls),
@@ -317,7 +317,7 @@
 
 def channel_values() -> dict[str, Any]:
     """Keys and values of state channels; the older values lack their last places."""
-    key = ("j-000412", 3, 2)
+    key = agents.AttemptId("j-000412", 3, 2)
     values: list[Any] = [
         peer_messages.JobUpdate(None, [1.0], 1),
         peer_messages.JobUpdate([1], [1.0], 1, 1),
--- a/tests/simulation/decision_model.py
+++ b/tests/simulation/decision_model.py
@@ -144,7 +144,7 @@
     def execute(self, calls: list[dict[str, Any]]) -> None:
         for c in calls:
             job, index = agents.split_task(c["chick"])
-            key = (job, index, c["hatch"])
+            key = agents.AttemptId(job, index, c["hatch"])
             if c["call"] == "run":
                 if key in self.tasks:
                     continue
--- a/tests/test_controller_loops.py
+++ b/tests/test_controller_loops.py
@@ -12,6 +12,7 @@
 from ploverhall.controller.context import HeldShard
 from ploverhall.controller.controller import Controller
 from ploverhall.protocol import peer_messages
+from ploverhall.protocol.agents import AttemptId
 from ploverhall.protocol.peer_messages import PeerStatus
 from ploverhall.protocol.rate_limiter import RateLimiter
 from ploverhall.scheduling.machines import Machine
@@ -151,7 +152,7 @@
 
     anyio.run(play)
     (to_part_1,) = [m for m in sent if m[0] == "s" and m[3] == 1]
-    assert to_part_1[4] and peer_messages.permit_key(("j-000001", 3, 11)) in to_part_1[5]
+    assert to_part_1[4] and peer_messages.permit_key(AttemptId("j-000001", 3, 11)) in to_part_1[5]
 
 
 def test_what_other_controllers_leave_of_the_changes_is_lent() -> None:
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -63,11 +63,7 @@
                         0,
                         3,
                         False,
-                        {
-                            peer_messages.attempt_key((e.job_id, e.task, e.attempt)): AttemptUpdate(
-                                state, why, 0, 0
-                            )
-                        },
+                        {peer_messages.attempt_key(e.attempt_id): AttemptUpdate(state, why, 0, 0)},
                         now,
                     )
     return starts
@@ -135,7 +131,9 @@
     board: dict[str, Any] = {
         peer_messages.job_key(job): JobUpdate(record, [1.0, 1.0, 1.0], 0, broken)
     }
-    board[peer_messages.permit_key((job, 0, seq))] = PermitUpdate(machine, EPOCH, 0, None)
+    board[peer_messages.permit_key(agents.AttemptId(job, 0, seq))] = PermitUpdate(
+        machine, EPOCH, 0, None
+    )
     o.on_source_update(0, False, board, float(seq))
     o.on_heartbeat(
         agents.heartbeat_from_json(
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -24,6 +24,7 @@
     RecentDisruptions,
     denial_reason,
 )
+from ploverhall.protocol.agents import AttemptId
 from ploverhall.scheduling.eviction_grants import EvictionGrants
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage.schema import CONTROLLER_PREFIX
@@ -124,7 +125,7 @@
     """The writer was woken a hundred times a second for a value that was never written."""
     s = source(30.0)
     team = next(iter(s.teams))
-    s.grants_by_team[team]["j-000001", 0, 1] = False
+    s.grants_by_team[team][AttemptId("j-000001", 0, 1)] = False
     s.teams_with_unwritten_grants.add(team)
     assert (
         s.next_write() is None and not s.teams_with_unwritten_grants and not s.grants_by_team[team]
@@ -312,7 +313,7 @@
         source.request_eviction(one, True, p.now)
         source.next_grant_at = 0.0
         source.grant_evictions(p.now, 0.0)
-        key = (one.job_id, one.task, one.attempt)
+        key = one.attempt_id
         assert source.grants_by_team[js.team] == {key: False}
         carried = source._stop_granted
         source._stop_granted = lambda js, e: None  # type: ignore[method-assign]  # it is written, and its owner does not hear of it
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -65,7 +65,7 @@
         "20 run, 20 wait, two turns: but the job still shows that it needs its room"
     )
     for e in txn.added[:10]:
-        key = peer_messages.attempt_key((e.job_id, e.task, e.attempt))
+        key = peer_messages.attempt_key(e.attempt_id)
         s.on_owner_update(0, 3, False, {key: AttemptUpdate("running", "", 0, 0)}, 2.0)
         s.on_owner_update(0, 3, False, {key: AttemptUpdate("exited", "done", 0, 0)}, 52.0)
     exits = s.next_write()
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -191,9 +191,7 @@
             s.on_committed(txn, rev, now)
         js = s.jobs["j-000001"]
         exits = {
-            peer_messages.attempt_key((e.job_id, e.task, e.attempt)): AttemptUpdate(
-                "exited", "done", 0, 0
-            )
+            peer_messages.attempt_key(e.attempt_id): AttemptUpdate("exited", "done", 0, 0)
             for e in js.allocations.values()
         }
         s.on_owner_update(0, 3, True, exits, now)
@@ -258,11 +256,7 @@
             0,
             3,
             False,
-            {
-                peer_messages.attempt_key((e.job_id, e.task, e.attempt)): AttemptUpdate(
-                    "exited", "done", 0, 0
-                )
-            },
+            {peer_messages.attempt_key(e.attempt_id): AttemptUpdate("exited", "done", 0, 0)},
             3.1,
         )
         settle(s, 3.1, rev)
@@ -326,11 +320,7 @@
         0,
         3,
         False,
-        {
-            peer_messages.attempt_key((e.job_id, e.task, e.attempt)): AttemptUpdate(
-                "exited", "halted", 0, 0
-            )
-        },
+        {peer_messages.attempt_key(e.attempt_id): AttemptUpdate("exited", "halted", 0, 0)},
         3.1,
     )
     txn = s.next_write()
@@ -385,11 +375,7 @@
         0,
         3,
         False,
-        {
-            peer_messages.attempt_key((e.job_id, e.task, e.attempt)): AttemptUpdate(
-                "running", "", 0, 0
-            )
-        },
+        {peer_messages.attempt_key(e.attempt_id): AttemptUpdate("running", "", 0, 0)},
         365.0,
     )
     assert first()[-1] == "j-000001" and s.candidate_count(s.jobs["j-000001"], 365.0) == 49, (
@@ -430,11 +416,7 @@
         0,
         3,
         False,
-        {
-            peer_messages.attempt_key((key.job_id, key.task, key.attempt)): AttemptUpdate(
-                "exited", "done", 0, 0
-            )
-        },
+        {peer_messages.attempt_key(key.attempt_id): AttemptUpdate("exited", "done", 0, 0)},
         3.0,
     )
     write()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from ploverhall.protocol.agents import TaskStatus
+from ploverhall.protocol.agents import AttemptId, TaskStatus
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import CandidateUpdate
 from ploverhall.scheduling.inventory import Inventory
@@ -94,7 +94,7 @@
         warm = p.inventory.machines["n-0"]
         p.inventory.record_image(warm, "i", 5.0)
         p.inventory.job_traits["j-000009"] = JobTraits(2, False, "u", "array", 0.0, 0.0, True)
-        key = ("j-000009", 0, 1)
+        key = AttemptId("j-000009", 0, 1)
         warm.permits[key] = Permit(
             key, 0, "n-0", 1, 1, (16.0, 4.0, 64.0), "k", 1.0, run_token=1, running_since=100.0 - ran
         )
@@ -133,7 +133,7 @@
     for size in (40, 400):
         p = fleet(size)
         for i, m in enumerate(p.inventory.machines.values()):
-            key = ("j-000009", i, 1)
+            key = AttemptId("j-000009", i, 1)
             m.permits[key] = Permit(
                 key, 0, m.name, 1, 1, (16.0 if i else 12.0, 2.0, 8.0), "k", 1.0, run_token=1
             )
@@ -148,7 +148,7 @@
 
 def work(p: Placement, m: Machine, job: str, attempt: int, vec: tuple[float, float, float]) -> None:
     """A running task on a machine."""
-    key = (job, attempt, attempt)
+    key = AttemptId(job, attempt, attempt)
     m.permits[key] = Permit(key, 0, m.name, 1, 1, vec, "k", 1.0, run_token=1, running_since=0.0)
     m.tasks[key] = TaskStatus("running", "", False)
     p.inventory.mark_changed(m)
@@ -158,7 +158,7 @@
     """The slow model: whether stopping everything that may be stopped there makes room; held and leaving work counted once."""
     room, any_one = p.inventory.free_capacity(m), False
     for key, permit in m.permits.items():
-        info = p.inventory.job_traits[key[0]]
+        info = p.inventory.job_traits[key.job_id]
         stoppable = info.priority > w.job.priority or (
             w.within_guarantee
             and not info.within_guarantee
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -12,7 +12,7 @@
 from .simulation.decision_model import TYPE
 
 EPOCH = 7
-KEY = ("j-000001", 0, 5)
+KEY = agents.AttemptId("j-000001", 0, 5)
 RECORD = [
     "j-000001",
     "c",
@@ -67,7 +67,7 @@
     return [{"chick": "j-000001/0", "hatch": 5, "stance": state, "cause": why}]
 
 
-JOB_NEWS = {peer_messages.job_key(KEY[0]): JobUpdate(RECORD, [2.0, 1.0, 8.0], 1)}
+JOB_NEWS = {peer_messages.job_key(KEY.job_id): JobUpdate(RECORD, [2.0, 1.0, 8.0], 1)}
 
 
 def permit(stop: float | None = None, epoch: int = EPOCH, ticket: int = 0) -> dict[str, Any]:
@@ -77,7 +77,7 @@
 def candidate(n: int = 1) -> dict[str, Any]:
     return {
         **JOB_NEWS,
-        peer_messages.candidate_key(KEY[0]): CandidateUpdate(n, [1.0, 0.0, 2.0, 0.0], None, []),
+        peer_messages.candidate_key(KEY.job_id): CandidateUpdate(n, [1.0, 0.0, 2.0, 0.0], None, []),
     }
 
 
@@ -219,7 +219,7 @@
     o.place_candidates(0.0)
     (ticket,) = m.reservations
     assert o.take_source_updates() == {
-        (0, peer_messages.offer_key(ticket)): OfferUpdate(KEY[0], "n-1", "a", 1.0, 0)
+        (0, peer_messages.offer_key(ticket)): OfferUpdate(KEY.job_id, "n-1", "a", 1.0, 0)
     }
     assert o.inventory.free_capacity(m)[1] == TYPE.gpus - 1
     m.last_heartbeat_at = 5.0
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -193,7 +193,7 @@
             for j, s in self.specs.items()
         }
         for j, (attempt, m) in self.entries.items():
-            changes[peer_messages.permit_key((j, 0, attempt))] = PermitUpdate(
+            changes[peer_messages.permit_key(agents.AttemptId(j, 0, attempt))] = PermitUpdate(
                 f"n-{m}", self.epoch - 1, 1, None
             )
         self.owner.on_source_update(0, True, changes, self.now)
@@ -246,7 +246,7 @@
             ):
                 self.attempt += 1
                 self.entries[job] = (self.attempt, i)
-                key = peer_messages.permit_key((job, 0, self.attempt))
+                key = peer_messages.permit_key(agents.AttemptId(job, 0, self.attempt))
                 self.owner.on_source_update(
                     0, False, {key: PermitUpdate(name, self.epoch, 1, None)}, self.now
                 )
@@ -254,7 +254,7 @@
             job = f"j-{n % 3:06d}"
             if job in self.entries:
                 attempt, m_i = self.entries[job]
-                key = peer_messages.permit_key((job, 0, attempt))
+                key = peer_messages.permit_key(agents.AttemptId(job, 0, attempt))
                 self.owner.on_source_update(
                     0, False, {key: PermitUpdate(f"n-{m_i}", self.epoch, 1, 0.0)}, self.now
                 )
@@ -276,7 +276,10 @@
                         job
                     ]  # proven gone, or exited and recorded: it may start elsewhere
                     self.owner.on_source_update(
-                        0, False, {peer_messages.permit_key((job, 0, attempt)): None}, self.now
+                        0,
+                        False,
+                        {peer_messages.permit_key(agents.AttemptId(job, 0, attempt)): None},
+                        self.now,
                     )
 
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -154,7 +154,7 @@
         3,
         False,
         {
-            peer_messages.attempt_key((e.job_id, 0, e.attempt)): AttemptUpdate(
+            peer_messages.attempt_key(e.attempt_id): AttemptUpdate(
                 "gone", "its machine is gone", 0, 0
             )
         },
