--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -48,12 +48,9 @@
     victims: tuple[AttemptId, ...]
 
 
-class PossibleVictim(NamedTuple):
-    """A task attempt that may be stopped; orders by what is lost with it."""
-
-    cost_s: float
-    attempt_id: AttemptId
-    resources: ResourceVector
+# A task attempt that may be stopped: seconds of work lost with it, which orders them, the attempt,
+# and its resources. A plain tuple, since a search makes one for every task that it looks at.
+PossibleVictim = tuple[float, AttemptId, ResourceVector]
 
 
 class ExhaustedSearch(NamedTuple):
@@ -314,19 +311,20 @@
     ) -> PreemptionPlan | None:
         """The cheapest plan on a machine; None if nothing has to stop, or it is not enough."""
         self.checks += 1
-        job = request.job
+        need = request.job.resources
         free = self._free_after_victims_in_progress(machine, victims_in_progress)
         chosen: list[AttemptId] = []
         lost_work_s = 0.0
-        for victim in sorted(self._possible_victims(machine, request, victims_in_progress, now)):
-            if fits(job.resources, free):
+        victims = self._possible_victims(machine, request, victims_in_progress, now)
+        for victim_cost_s, attempt_id, resources in sorted(victims):
+            if fits(need, free):
                 break
-            free = add_scaled(free, victim.resources)
-            chosen.append(victim.attempt_id)
-            lost_work_s += victim.cost_s
-        if not chosen or not fits(job.resources, free):
+            free = add_scaled(free, resources)
+            chosen.append(attempt_id)
+            lost_work_s += victim_cost_s
+        if not chosen or not fits(need, free):
             return None
-        start_cost_s, _ = score_machine(self.inventory, job, machine)
+        start_cost_s, _ = score_machine(self.inventory, request.job, machine)
         cost_s = PREEMPTION_DELAY_S + LOST_WORK_WEIGHT * lost_work_s + start_cost_s
         return PreemptionPlan(cost_s, machine.name, machine, tuple(chosen))
 
@@ -354,22 +352,22 @@
         victims: list[PossibleVictim] = []
         for attempt_id, permit in machine.permits.items():
             preemption_class = machine.preemptible.get(attempt_id)
-            traits = self.inventory.job_traits.get(attempt_id.job_id)
             if (
                 preemption_class is None
-                or traits is None
                 or attempt_id in victims_in_progress
                 or permit.gone
                 or permit.refused
                 or permit.stop_grace_s is not None
                 or permit.evict_requested
+                or not self.may_preempt(request, preemption_class)
             ):
                 continue
-            if self.may_preempt(request, preemption_class):
+            traits = self.inventory.job_traits.get(attempt_id.job_id)
+            if traits is not None:
                 cost_s = _lost_work_s(permit, traits, now)
                 if traits.kind == "gang":
                     cost_s += GANG_VICTIM_COST_S
-                victims.append(PossibleVictim(cost_s, attempt_id, permit.resources))
+                victims.append((cost_s, attempt_id, permit.resources))
         return victims
 
 
