--- a/ploverhall/scheduling/command_builder.py
+++ b/ploverhall/scheduling/command_builder.py
@@ -53,7 +53,7 @@
             ):
                 # A run may be on its way: only a list under a higher token shows that it is not
                 self.state.raise_token(machine)
-        if not direct and machine.tasks:
+        if not direct and not machine.tasks.keys() <= machine.permits.keys():
             commands += self._unpermitted_task_commands(machine)
         for permit in runs:
             commands.append(self._run_command(permit, machine, direct))
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -192,7 +192,8 @@
             machine = self._add_machine(heartbeat, now)
             if machine.stale_heartbeat:
                 return machine
-        machine.token = max(machine.token, heartbeat.token)
+        if heartbeat.token > machine.token:
+            machine.token = heartbeat.token
         number = (heartbeat.incarnation, heartbeat.sequence)
         if machine.lease_expired:
             self._accept_lower_number(machine, number, now)
