--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -87,9 +87,9 @@
             now = self.context.clock()
             self._add_live_jobs(held, source, now)
             for team_name, stored_team in stored.items():
-                source.install_allocations(team_name, stored_team.allocations, now)
-                source.install_progress(team_name, stored_team.progress)
-                source.install_grants(team_name, *stored_team.eviction_grants)
+                source.store.install_allocations(team_name, stored_team.allocations, now)
+                source.store.install_progress(team_name, stored_team.progress)
+                source.grants.install_grants(team_name, *stored_team.eviction_grants)
             self._publish_source(held, source, now)
             await self._write_loop(held, source)
 
@@ -107,11 +107,11 @@
             settings.max_value_bytes,
             settings.max_transaction_ops,
         )
-        source.log_debug = log.debug
-        source.log_info = log.info
-        source.budgets = self.budgets
-        source.objectives = self.context.objectives
-        source.machine_types = self.context.machine_types or {}
+        source.store.log_debug = log.debug
+        source.store.log_info = log.info
+        source.grants.budgets = self.budgets
+        source.store.objectives = self.context.objectives
+        source.unmet_demand.machine_types = self.context.machine_types or {}
         return source
 
     async def _load_team(self, team_name: str) -> StoredTeam:
@@ -162,8 +162,8 @@
                 await anyio.sleep(REFUSED_WRITE_PAUSE_S + REFUSED_WRITE_PAUSE_S * jitter)
                 continue
             except OutcomeUnknownError:
-                source.on_outcome_unknown(write)
-                await self._reload(held, source, write, source.teams_of(write))
+                source.writer.on_outcome_unknown(write)
+                await self._reload(held, source, write, source.writer.teams_of(write))
                 continue
             if not failed:
                 self._on_committed(source, write, revision)
@@ -193,7 +193,7 @@
         if f"{SHARD_PREFIX}{held.shard}" in failed:
             self.on_superseded(held.shard)
             return False
-        await self._reload(held, source, write, source.on_compare_failed(write, failed))
+        await self._reload(held, source, write, source.writer.on_compare_failed(write, failed))
         return True
 
     async def _reload(
@@ -205,9 +205,11 @@
         """
         for team_name in teams:
             found = await self.reader.list_prefix(allocation_prefix(team_name))
-            source.install_allocations(team_name, found, self.context.clock())
+            source.store.install_allocations(team_name, found, self.context.clock())
         for team_name in write.eviction_grants:
-            source.install_grants(team_name, *await self.reader.read_key(grants_key(team_name)))
+            source.grants.install_grants(
+                team_name, *await self.reader.read_key(grants_key(team_name))
+            )
         self._replay_owner_updates(held)
         if write.ended_jobs:
             await self.is_current()
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -155,8 +155,12 @@
     def _step_source(self, held: HeldShard, source: JobSource, now: float) -> None:
         """Decide on candidates and evictions, wake the writer, and queue what owners must hear."""
         source.decide(now)
-        source.grant_evictions(now, self.context.wall_clock())
-        if source.dirty_chunks or source.jobs_to_end or source.teams_with_unwritten_grants:
+        source.grants.grant_evictions(now, self.context.wall_clock())
+        if (
+            source.store.dirty_chunks
+            or source.store.jobs_to_end
+            or source.grants.teams_with_unwritten_grants
+        ):
             held.write_wake.set()
         self.routing.update_owners(held, source, now)
 
@@ -185,7 +189,7 @@
         demand_channel = outbound.channel(
             "d", held.shard, state_channel.AUTOSCALER_ENDPOINT, held.epoch
         )
-        demand_channel.replace(source.demand(now, self.context.wall_clock()))
+        demand_channel.replace(source.unmet_demand.demand(now, self.context.wall_clock()))
         task_counts = source.take_task_counts()
         for shard in range(len(self.context.shard_map.controllers)):
             outbound.channel("c", held.shard, shard, held.epoch).update(task_counts)
@@ -211,7 +215,9 @@
             held.source for held in self.context.held_shards.values() if held.source is not None
         ]
         write_delay_s = self.context.store.writes.delay(1)
-        backlog = sum(len(source.dirty_chunks) + len(source.jobs_to_end) for source in sources)
+        backlog = sum(
+            len(source.store.dirty_chunks) + len(source.store.jobs_to_end) for source in sources
+        )
         max_backlog = self.context.settings.max_transaction_ops
         shortages = {
             "processor_lag_s": _reported_lag(self.max_lag_s),
@@ -239,6 +245,6 @@
     return sum(
         job_state.waiting_count()
         for source in sources
-        for waiting in source.waiting_jobs.values()
+        for waiting in source.store.waiting_jobs.values()
         for job_state in waiting.values()
     )
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -130,7 +130,7 @@
         for held in context.held_shards.values():
             held.owner.machine_types = machine_types
             if held.source is not None:
-                held.source.machine_types = machine_types
+                held.source.unmet_demand.machine_types = machine_types
 
     def _on_live_job(self, job_id: str, job: Job, version: int, now: float) -> None:
         """Tell the autoscaler and the source of the job's team of a new or changed job."""
--- a/ploverhall/controller/shard_status.py
+++ b/ploverhall/controller/shard_status.py
@@ -145,7 +145,7 @@
 ) -> None:
     """Add one shard's teams and jobs."""
     _add_teams(report, source)
-    for reason in source.denial_reasons.values():
+    for reason in source.grants.denial_reasons.values():
         report["asked"][reason] = report["asked"].get(reason, 0) + 1
     for job_state in source.jobs.values():
         if selection and not _is_selected(job_state, selection):
@@ -171,14 +171,14 @@
     """By what jobs are sorted: those that fail everywhere first, then as they are scheduled."""
     if job_state.job is None:
         return JOB_OVER_ORDER
-    return (not job_state.failing_everywhere, *source.queue_order(job_state))
+    return (not job_state.failing_everywhere, *source.store.queue_order(job_state))
 
 
 def _add_failed_attempts(
     rows: list[Any], source: JobSource, now: float, selection: Selection | None
 ) -> None:
     """Add the attempts that failed lately: age in seconds, job, task, machine, reason."""
-    for failed in source.failed_attempts:
+    for failed in source.store.failed_attempts:
         if (
             not selection
             or selection.get("job") == failed.job_id
@@ -192,7 +192,7 @@
     rows: list[Any], source: JobSource, now: float, selection: Selection | None
 ) -> None:
     """Add the jobs that ended lately: age in seconds, and the entry's other fields."""
-    for entry in source.recently_ended:
+    for entry in source.store.recently_ended:
         if (
             not selection
             or selection.get("job") == entry.job_id
@@ -317,8 +317,8 @@
 
 def _add_teams(report: dict[str, Any], source: JobSource) -> None:
     """Add what the teams of a source use, are guaranteed and may use at most."""
-    for name, team in source.teams.items():
-        used = source.used[name]
+    for name, team in source.store.teams.items():
+        used = source.store.used[name]
         report["teams"][name] = {
             "cpus": round(used[0], 2),
             "gpus": round(used[1], 2),
@@ -344,7 +344,7 @@
         if job_state.job is not None and job_state.waiting_count()
         else 0.0
     )
-    typical_wait_s = source.typical_wait_s.get(job_class)
+    typical_wait_s = source.store.typical_wait_s.get(job_class)
     return {
         "id": job_state.id,
         "team": job_state.team,
@@ -384,7 +384,7 @@
         return "tasks of its last attempt are still somewhere: " + ", ".join(
             machines[:MAX_NAMED_MACHINES]
         )
-    if source.quota_headroom(job_state) < (job_state.task_count if is_gang else 1):
+    if source.quotas.quota_headroom(job_state) < (job_state.task_count if is_gang else 1):
         return "its team is at its limit"
     if job_state.offers:
         return f"part of its room is ready: {len(job_state.offers)} of {job_state.waiting_count()}"
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -1,8 +1,8 @@
 """The jobs of one shard's teams, their allocations, and the record chunks that hold these.
 
-`AllocationStore` holds state and its bookkeeping only. `StoreWriter` plans what is written,
-`EvictionGrants` adds the granted evictions, and `JobSource` decides which task is permitted; the
-three build on it as subclasses, since they change the same state. No I/O.
+`AllocationStore` holds state and its bookkeeping only. `JobSource` has one, and hands it to the
+components that decide on that state: `StoreWriter` plans what is written, `EvictionGrants` adds the
+granted evictions, `TeamQuotas` says how much may be permitted. No I/O.
 """
 
 from __future__ import annotations
@@ -16,7 +16,6 @@
 
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.agents import AttemptId
-from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import PermitUpdate
 from ploverhall.scheduling.job_state import TASKS_PER_PROGRESS_VALUE, JobState
@@ -67,23 +66,11 @@
 class AllocationStore:
     """The jobs of one shard's teams, and each of their attempts that may be on a machine.
 
-    `max_value_bytes` and `max_transaction_ops` are the limits of the key-value store.
+    `max_value_bytes` is the key-value store's limit for a value.
     """
 
-    def __init__(
-        self,
-        shard: int,
-        epoch: int,
-        teams: list[Team],
-        zones: tuple[str, ...],
-        max_value_bytes: int,
-        max_transaction_ops: int,
-    ) -> None:
-        self.shard = shard
-        self.epoch = epoch
+    def __init__(self, teams: list[Team], max_value_bytes: int) -> None:
         self.teams = {team.name: team for team in teams}
-        self.zones = zones
-        self.max_transaction_ops = max_transaction_ops
         self.max_chunk_bytes = min(
             int(max_value_bytes * CHUNK_FILL_FACTOR), MAX_TRANSACTION_BYTES // 2
         )
@@ -99,19 +86,14 @@
         self.job_by_offer: dict[tuple[int, int], str] = {}
         # The share of a team's limit that is kept for waiting replicas
         self.reserved_for_services: dict[str, ResourceVector] = {}
-        self.attempt_count = 0  # attempts that this source has numbered
 
         # What is to be written
         self.chunks: dict[str, dict[int, RecordChunk]] = {team.name: {} for team in teams}
         # Chunks to be written; True: it holds permits that wait for that
         self.dirty_chunks: dict[RecordChunk, bool] = {}
-        # Chunks that a write of unknown outcome may still change
-        self.chunks_to_fence: set[tuple[str, int]] = set()
         # Complete jobs whose end is still to be written
         self.jobs_to_end: dict[str, JobState] = {}
         self.obsolete_keys: list[str] = []  # progress values of ended jobs
-        self.write_operation_limit = max_transaction_ops  # of the transaction being planned
-        self.crowded_writes = 0  # transactions that could not take all that waited
 
         # What is to be decided or sent
         self.changed_jobs: set[str] = set()  # jobs that shard owners must be sent
@@ -121,9 +103,7 @@
         self.jobs_to_decide: set[str] = set()  # jobs whose offers are to be looked at
         self.teams_with_changed_usage: set[str] = set()
         self.teams_to_reorder: set[str] = set(self.teams)  # their guarantees are to be divided anew
-        self.holding_back_offers = False  # costlier offers wait a moment for better ones
         self.timers: list[tuple[float, str]] = []  # a heap of times at which a job is looked at
-        self.next_team_check_at = self.next_revisit_at = self.next_service_check_at = 0.0
 
         # History
         self.failed_attempts: deque[FailedAttempt] = deque(maxlen=MAX_HISTORY)
@@ -137,7 +117,6 @@
 
         # Set by the controller
         self.objectives = Objectives()
-        self.machine_types: dict[str, MachineType] = {}  # that the cloud offers
         self.log_debug: Callable[..., None] = lambda *args, **fields: None
         self.log_info: Callable[..., None] = lambda *args, **fields: None
 
@@ -188,10 +167,10 @@
         known = job_state.allocations.get(task)
         if known is not None and known.attempt == attempt:
             chunk.add(known, job_state.resources)
-            self._mark_committed(job_state, known)
+            self.mark_committed(job_state, known)
             return known
         if known is not None:
-            self._remove(job_state, known)
+            self.remove(job_state, known)
             self.jobs[job_state.id] = job_state
         allocation = Allocation(
             job_state.id,
@@ -207,7 +186,7 @@
         )
         if job_state.job is None:
             allocation.stop_grace_s = 0.0
-        self._insert(job_state, allocation)
+        self.insert(job_state, allocation)
         self._update_permit(allocation)
         return allocation
 
@@ -223,7 +202,7 @@
                     and job_state.allocations.get(allocation.task) is allocation
                     and allocation.attempt_id not in stored_attempts
                 ):
-                    self._remove(job_state, allocation)
+                    self.remove(job_state, allocation)
                     job_state.requeue(allocation.task)
 
     def install_progress(self, team: str, found: dict[str, tuple[Any, int]]) -> None:
@@ -240,7 +219,7 @@
             self._install_progress_value(job_state, int(index), base64.b64decode(value))
             job_state.dirty_progress.clear()
             if job_state.job.kind == "array" and job_state.done_count == job_state.task_count:
-                self._mark_complete(job_state)
+                self.mark_complete(job_state)
 
     def _install_progress_value(
         self, job_state: JobState, value_index: int, done_bits: bytes
@@ -312,13 +291,13 @@
         job_state.version = 0
         self._drop_offers(job_state)
         for allocation in job_state.allocations.values():
-            self._request_stop(allocation, 0.0)
+            self.request_stop(allocation, 0.0)
         if not job_state.allocations:
             del self.jobs[job_id]
 
     # -- allocations -------------------------------------------------------------------------
 
-    def _insert(self, job_state: JobState, allocation: Allocation) -> None:
+    def insert(self, job_state: JobState, allocation: Allocation) -> None:
         """Add an allocation to its job, its chunk and the team's usage."""
         job_state.allocations[allocation.task] = allocation
         job_state.allocations_per_zone[allocation.zone] = (
@@ -336,8 +315,8 @@
         self.changed_jobs.add(job_state.id)
         self.teams_with_changed_usage.add(job_state.team)
 
-    def _remove(self, job_state: JobState, allocation: Allocation) -> None:
-        """Undo `_insert`; a job that has ended goes with its last allocation."""
+    def remove(self, job_state: JobState, allocation: Allocation) -> None:
+        """Undo `insert`; a job that has ended goes with its last allocation."""
         del job_state.allocations[allocation.task]
         job_state.allocations_per_zone[allocation.zone] -= 1
         if not job_state.allocations_per_zone[allocation.zone]:
@@ -368,7 +347,7 @@
         if not job_state.uncommitted_per_shard[allocation.shard]:
             del job_state.uncommitted_per_shard[allocation.shard]
 
-    def _mark_committed(self, job_state: JobState, allocation: Allocation) -> None:
+    def mark_committed(self, job_state: JobState, allocation: Allocation) -> None:
         """A permit is written: its shard owner may be sent it."""
         if not allocation.committed:
             self._decrement_uncommitted(job_state, allocation)
@@ -391,13 +370,13 @@
                 allocation.stop_grace_s,
             )
 
-    def _request_stop(self, allocation: Allocation, grace_s: float) -> None:
+    def request_stop(self, allocation: Allocation, grace_s: float) -> None:
         """Stop an attempt, with this much time to save before it is killed."""
         if allocation.stop_grace_s != grace_s:
             allocation.stop_grace_s = grace_s
             self._update_permit(allocation)
 
-    def _chunk_for(self, team: str, size_bytes: int) -> RecordChunk:
+    def chunk_for(self, team: str, size_bytes: int) -> RecordChunk:
         """Return a chunk with that much space: a dirty one, else any, else a new one."""
         chunks = self.chunks[team]
         best: RecordChunk | None = None
@@ -413,16 +392,18 @@
             best = chunks[index] = RecordChunk(team, index)
         return best
 
-    def _drop_offer(self, key: tuple[int, int]) -> None:
+    def drop_offer(self, key: tuple[int, int]) -> None:
+        """Forget an offer, given by shard and reservation id, if it is known."""
         job_id = self.job_by_offer.pop(key, None)
         if job_id is not None and (job_state := self.jobs.get(job_id)) is not None:
             job_state.offers.pop(key, None)
 
     def _drop_offers(self, job_state: JobState) -> None:
         for key in list(job_state.offers):
-            self._drop_offer(key)
+            self.drop_offer(key)
 
-    def _mark_complete(self, job_state: JobState) -> None:
+    def mark_complete(self, job_state: JobState) -> None:
+        """Every task of a job is done: its end is to be written."""
         job_state.complete = True
         self.jobs_to_end[job_state.id] = job_state
         self.changed_jobs.add(job_state.id)
--- a/ploverhall/scheduling/attempt_updates.py
+++ b/ploverhall/scheduling/attempt_updates.py
@@ -8,7 +8,7 @@
 import heapq
 
 from ploverhall.protocol.peer_messages import NOTICE_EVICTION_REQUESTED, AttemptUpdate
-from ploverhall.scheduling.allocations import FailedAttempt
+from ploverhall.scheduling.allocations import AllocationStore, FailedAttempt
 from ploverhall.scheduling.eviction_grants import EvictionGrants
 from ploverhall.scheduling.failure_attribution import FAILURE_REASONS, FailureAttribution
 from ploverhall.scheduling.job_state import (
@@ -33,10 +33,17 @@
 DURATION_AVERAGE_WEIGHT = 0.1  # of the newest task in its job's average
 
 
-class AttemptUpdates(FailureAttribution, EvictionGrants):
+class AttemptUpdates:
     """Takes in the states of attempts."""
 
-    def _update_attempt(
+    def __init__(
+        self, store: AllocationStore, failures: FailureAttribution, grants: EvictionGrants
+    ) -> None:
+        self.store = store
+        self.failures = failures
+        self.grants = grants
+
+    def update(
         self, job_state: JobState, allocation: Allocation, update: AttemptUpdate, now: float
     ) -> None:
         """Take in an attempt's state as its shard owner sees it."""
@@ -47,7 +54,7 @@
             and update.notice == allocation.notice
         ):
             return
-        self.log_debug(
+        self.store.log_debug(
             "task",
             job=allocation.job_id,
             task=allocation.task,
@@ -58,7 +65,9 @@
         )
         job_state.running_count -= allocation.running
         if NOTICE_EVICTION_REQUESTED in (update.notice, allocation.notice):
-            self.request_eviction(allocation, update.notice == NOTICE_EVICTION_REQUESTED, now)
+            self.grants.request_eviction(
+                allocation, update.notice == NOTICE_EVICTION_REQUESTED, now
+            )
         allocation.state = state
         allocation.reason = update.reason
         allocation.notice = update.notice
@@ -67,7 +76,7 @@
         if state == STATE_RUNNING and allocation.running_since is None:
             allocation.running_since = now
             self._on_attempt_running(job_state, now)
-        self.changed_counts.add(job_state.id)
+        self.store.changed_counts.add(job_state.id)
         if allocation.finished:
             self._on_attempt_finished(job_state, allocation, bool(update.machine_suspect), now)
         elif job_state.job is not None and update.notice in (
@@ -82,15 +91,17 @@
         all_running = job_state.running_count == job_state.task_count
         if not job_state.started and (job is None or job.kind != "gang" or all_running):
             job_state.started = True
-            self.changed_jobs.add(job_state.id)
+            self.store.changed_jobs.add(job_state.id)
         if job is not None and all_running and job.kind != "array" and not job_state.fully_ran:
             job_state.fully_ran = True
-            typical_s = self.typical_wait_s.get(job.job_class)
-            self.typical_wait_s[job.job_class] = moving_average(
+            typical_s = self.store.typical_wait_s.get(job.job_class)
+            self.store.typical_wait_s[job.job_class] = moving_average(
                 typical_s, now - job_state.arrived_at, WAIT_AVERAGE_WEIGHT
             )
         if job_state.failing_everywhere:
-            heapq.heappush(self.timers, (now + HEALTHY_RUN_S + HEALTH_CHECK_MARGIN_S, job_state.id))
+            heapq.heappush(
+                self.store.timers, (now + HEALTHY_RUN_S + HEALTH_CHECK_MARGIN_S, job_state.id)
+            )
 
     def _on_attempt_finished(
         self, job_state: JobState, allocation: Allocation, machine_suspect: bool, now: float
@@ -100,11 +111,11 @@
         reason = allocation.reason
         exited = allocation.state == STATE_EXITED
         job_state.waiting_since = now
-        self.dirty_chunks.setdefault(allocation.chunk, False)
+        self.store.dirty_chunks.setdefault(allocation.chunk, False)
         if job is None:
             return
         if reason != REASON_DONE:
-            self.failed_attempts.append(
+            self.store.failed_attempts.append(
                 FailedAttempt(
                     now,
                     allocation.job_id,
@@ -115,13 +126,13 @@
             )
         if exited and reason == REASON_DONE and job.kind != "service":
             if job.kind == "gang":
-                self._mark_complete(job_state)  # a gang completes as a whole
+                self.store.mark_complete(job_state)  # a gang completes as a whole
             else:
                 self._on_task_done(job_state, allocation, now)
-            self.teams_to_reorder.add(job_state.team)
+            self.store.teams_to_reorder.add(job_state.team)
             return
         if exited and reason in FAILURE_REASONS:
-            self._record_failure(job_state, allocation, reason, machine_suspect, now)
+            self.failures.record_failure(job_state, allocation, reason, machine_suspect, now)
         if job.kind == "gang":
             self._stop_gang(job_state, 0.0)  # it starts anew as a whole
 
@@ -132,15 +143,15 @@
                 job_state.task_duration_s, now - allocation.running_since, DURATION_AVERAGE_WEIGHT
             )
         if job_state.failing_everywhere:
-            self._set_failing_everywhere(job_state, False, now)
+            self.failures.set_failing_everywhere(job_state, False, now)
         if job_state.done_count == job_state.task_count:
-            self._mark_complete(job_state)
+            self.store.mark_complete(job_state)
 
     def _stop_gang(self, job_state: JobState, grace_s: float) -> None:
         """Stop those of a gang's attempts that are not stopping yet."""
         for allocation in job_state.allocations.values():
             if not allocation.finished and allocation.stop_grace_s is None:
-                self._request_stop(allocation, grace_s)
+                self.store.request_stop(allocation, grace_s)
 
     def _evict(self, job_state: JobState, allocation: Allocation, notice: int) -> None:
         """Stop an attempt that is preempted, or whose machine goes away, with time to save.
@@ -156,7 +167,7 @@
         elif allocation.stop_grace_s is None and (
             notice == NOTICE_PREEMPTION or grace_s > 0 or job.kind == "service"
         ):
-            self._request_stop(allocation, grace_s)
+            self.store.request_stop(allocation, grace_s)
 
 
 def moving_average(average: float | None, value: float, weight: float) -> float:
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -3,7 +3,7 @@
 A shard owner requests an eviction; the source grants it within the budget, writes the grant, and
 stops the attempt once that has landed. A new source reads the grants, counts them, and stops the
 attempts again if they still run: else two sources could spend the same budget. A grant that is over
-is removed with the team's next one. `JobSource` and the controller's write loop call this.
+is removed with the team's next one. `JobSource` calls this.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 )
 from ploverhall.protocol.agents import AttemptId
 from ploverhall.protocol.jobs import Job
+from ploverhall.scheduling.allocations import AllocationStore
 from ploverhall.scheduling.job_state import JobState, save_grace_s
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES, PendingWrite
 from ploverhall.scheduling.record_chunks import Allocation
 from ploverhall.scheduling.store_writer import StoreWriter
-from ploverhall.settings import Team
 from ploverhall.storage.schema import grants_key
 
 GRANT_INTERVAL_S = 0.5
@@ -33,19 +33,12 @@
 REASON_TOO_MANY_GRANTS = "so many of its team are being stopped"
 
 
-class EvictionGrants(StoreWriter):
+class EvictionGrants:
     """The evictions that shard owners have requested, and those that are granted."""
 
-    def __init__(
-        self,
-        shard: int,
-        epoch: int,
-        teams: list[Team],
-        zones: tuple[str, ...],
-        max_value_bytes: int,
-        max_transaction_ops: int,
-    ) -> None:
-        super().__init__(shard, epoch, teams, zones, max_value_bytes, max_transaction_ops)
+    def __init__(self, store: AllocationStore, writer: StoreWriter, max_value_bytes: int) -> None:
+        self.store = store
+        self.writer = writer
         self.budgets = DisruptionBudgets()
         self.max_grants = min(
             MAX_GRANTS_PER_TEAM, int(max_value_bytes * VALUE_FILL_FACTOR) // GRANT_BYTES
@@ -53,11 +46,11 @@
         self.requested_since: dict[AttemptId, float] = {}
         self.denial_reasons: dict[AttemptId, str] = {}  # for the maintenance status
         # By team and attempt; True: the grant is written
-        self.grants_by_team: dict[str, dict[AttemptId, bool]] = {team.name: {} for team in teams}
-        self.grant_versions: dict[str, int] = {team.name: 0 for team in teams}
+        self.grants_by_team: dict[str, dict[AttemptId, bool]] = {team: {} for team in store.teams}
+        self.grant_versions: dict[str, int] = dict.fromkeys(store.teams, 0)
         self.teams_with_unwritten_grants: set[str] = set()
         self.recent_disruptions: dict[str, RecentDisruptions] = {
-            team.name: RecentDisruptions() for team in teams
+            team: RecentDisruptions() for team in store.teams
         }
         self.next_grant_at = 0.0
 
@@ -70,7 +63,7 @@
             self.requested_since.setdefault(attempt_id, now)
         elif self.requested_since.pop(attempt_id, None) is not None:
             self.denial_reasons.pop(attempt_id, None)
-            granted = self.grants_by_team[self.jobs[allocation.job_id].team]
+            granted = self.grants_by_team[self.store.jobs[allocation.job_id].team]
             if granted.get(attempt_id) is False:
                 del granted[attempt_id]  # not written yet
 
@@ -89,7 +82,7 @@
             self.requested_since,
             key=lambda waiting: (self.requested_since[waiting], waiting),
         ):
-            job_state = self.jobs.get(attempt_id.job_id)
+            job_state = self.store.jobs.get(attempt_id.job_id)
             allocation = self._outstanding_allocation(attempt_id)
             if (
                 job_state is None
@@ -149,7 +142,7 @@
         """Return how many replicas of a team's services are unavailable, once they all ran."""
         return sum(
             self._unavailable_replicas(job_state)
-            for job_state in self.jobs.values()
+            for job_state in self.store.jobs.values()
             if job_state.team == team and job_state.fully_ran
         )
 
@@ -195,17 +188,19 @@
         """Stop an attempt whose grant is written, with time to save where its job can."""
         job = job_state.job
         if not allocation.finished and allocation.stop_grace_s is None and allocation.committed:
-            self._request_stop(allocation, save_grace_s(job) if job is not None else 0.0)
+            self.store.request_stop(allocation, save_grace_s(job) if job is not None else 0.0)
 
     # -- writing -----------------------------------------------------------------------------
 
-    def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
-        """Return the next transaction with the grants that wait for one; None: nothing waits."""
-        txn = super().next_write(max_operations)
-        if not self.teams_with_unwritten_grants or self.chunks_to_fence:
+    def add_to_write(self, txn: PendingWrite | None) -> PendingWrite | None:
+        """Return the next transaction with the grants that wait for one; None: nothing waits.
+
+        `txn` is the one that `StoreWriter.next_write` has just returned.
+        """
+        if not self.teams_with_unwritten_grants or self.writer.chunks_to_fence:
             return txn
         if txn is None:
-            txn = self._empty_write()
+            txn = self.writer.empty_write()
         for team in sorted(self.teams_with_unwritten_grants):
             if not self._add_grants(txn, team):
                 break
@@ -217,8 +212,8 @@
         key = grants_key(team)
         size_bytes = GRANT_BYTES * len(granted) + GRANTS_OVERHEAD_BYTES
         if (
-            txn.operation_count + 1 > self.write_operation_limit
-            or len(txn.compare) + 1 > self._max_comparisons
+            txn.operation_count + 1 > self.writer.write_operation_limit
+            or len(txn.compare) + 1 > self.writer.max_comparisons
             or txn.size_bytes + size_bytes > MAX_TRANSACTION_BYTES
         ):
             return False
@@ -241,7 +236,7 @@
 
     def _known_allocation(self, attempt_id: AttemptId) -> Allocation | None:
         """Return the allocation of an attempt, finished or not; None if there is none."""
-        job_state = self.jobs.get(attempt_id.job_id)
+        job_state = self.store.jobs.get(attempt_id.job_id)
         if job_state is None:
             return None
         allocation = job_state.allocations.get(attempt_id.task)
@@ -254,9 +249,8 @@
         allocation = self._known_allocation(attempt_id)
         return allocation if allocation is not None and not allocation.finished else None
 
-    def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
+    def on_committed(self, txn: PendingWrite, revision: int) -> None:
         """A transaction has landed: stop the attempts whose grants it holds."""
-        super().on_committed(txn, revision, now)
         for team, attempt_ids in txn.eviction_grants.items():
             self.grant_versions[team] = revision if grants_key(team) in txn.puts else 0
             if sorted(self.grants_by_team[team]) == attempt_ids:
@@ -268,7 +262,7 @@
             allocation = self._known_allocation(attempt_id)
             if allocation is not None:
                 self.grants_by_team[team][attempt_id] = True
-                self._stop_granted(self.jobs[allocation.job_id], allocation)
+                self._stop_granted(self.store.jobs[allocation.job_id], allocation)
 
     def install_grants(self, team: str, value: Any, version: int) -> None:
         """Take in a team's grants as read, at the start and after a write of unknown outcome.
--- a/ploverhall/scheduling/failure_attribution.py
+++ b/ploverhall/scheduling/failure_attribution.py
@@ -2,7 +2,7 @@
 
 A failed task is retried after a backoff while the job's other tasks go on. A job that fails on
 several machines, with no healthy task, is taken to be at fault itself: it is retried rarely, and
-its failures count against no machine. `JobSource` calls this for each failed attempt.
+its failures count against no machine. `AttemptUpdates` calls this for each failed attempt.
 """
 
 from __future__ import annotations
@@ -31,10 +31,13 @@
 ATTEMPT_STATES_BEFORE_RUNNING = ("permitted", "fetching")
 
 
-class FailureAttribution(AllocationStore):
+class FailureAttribution:
     """Failure counts and backoff of the jobs of one shard's teams."""
 
-    def _record_failure(
+    def __init__(self, store: AllocationStore) -> None:
+        self.store = store
+
+    def record_failure(
         self,
         job_state: JobState,
         allocation: Allocation,
@@ -48,7 +51,7 @@
         """
         job_state.failure_count += 1
         job_state.last_failure = f"{reason} on {allocation.machine}"
-        self.log_debug(
+        self.store.log_debug(
             "failed",
             job=allocation.job_id,
             task=allocation.task,
@@ -67,8 +70,10 @@
         elif backoff_s > 0:
             job_state.task_retry_at[allocation.task] = now + backoff_s
         if backoff_s > 0 or job_state.retry_at > now:
-            heapq.heappush(self.timers, (max(now + backoff_s, job_state.retry_at), job_state.id))
-        self.changed_jobs.add(job_state.id)
+            heapq.heappush(
+                self.store.timers, (max(now + backoff_s, job_state.retry_at), job_state.id)
+            )
+        self.store.changed_jobs.add(job_state.id)
 
     def _attribute_error(
         self, job_state: JobState, allocation: Allocation, machine_suspect: bool, now: float
@@ -91,24 +96,24 @@
             and not failed_there_before
             and not job_state.is_healthy(now)
         ):
-            self._set_failing_everywhere(job_state, True, now)
+            self.set_failing_everywhere(job_state, True, now)
         return task_backoff_s(failures)
 
-    def _set_failing_everywhere(self, job_state: JobState, failing: bool, now: float) -> None:
+    def set_failing_everywhere(self, job_state: JobState, failing: bool, now: float) -> None:
         """Record that a job is at fault itself, or that it has shown that it works."""
         if job_state.failing_everywhere == failing or job_state.job is None:
             return
         job_state.failing_everywhere = failing
-        self.log_info(
+        self.store.log_info(
             "job failing on all machines" if failing else "job recovered",
             job=job_state.id,
             team=job_state.team,
             machines=",".join(sorted(job_state.failed_on)),
             failures=job_state.failure_count,
         )
-        self.changed_jobs.add(job_state.id)
-        self.jobs_to_decide.add(job_state.id)
-        self.teams_to_reorder.add(job_state.team)
+        self.store.changed_jobs.add(job_state.id)
+        self.store.jobs_to_decide.add(job_state.id)
+        self.store.teams_to_reorder.add(job_state.team)
         if failing:
             job_state.failing_attempts = 0
             self._back_off(job_state, now)
@@ -128,7 +133,7 @@
                 and allocation.stop_grace_s is None
                 and allocation.state in ATTEMPT_STATES_BEFORE_RUNNING
             ):
-                self._request_stop(allocation, 0.0)
+                self.store.request_stop(allocation, 0.0)
 
     def _back_off(self, job_state: JobState, now: float) -> None:
         """Set the next retry of a job that fails everywhere, later each time."""
@@ -138,7 +143,7 @@
                 MAX_JOB_BACKOFF_S, INITIAL_JOB_BACKOFF_S * 2.0**doublings
             )
             job_state.failing_attempts += 1
-            heapq.heappush(self.timers, (job_state.retry_at, job_state.id))
+            heapq.heappush(self.store.timers, (job_state.retry_at, job_state.id))
 
 
 def task_backoff_s(failures: int) -> float:
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -23,17 +23,23 @@
     JobUpdate,
     OfferUpdate,
 )
-from ploverhall.scheduling.allocations import OVERDUE_START_S
+from ploverhall.scheduling.allocations import OVERDUE_START_S, AllocationStore
 from ploverhall.scheduling.attempt_updates import AttemptUpdates
+from ploverhall.scheduling.eviction_grants import EvictionGrants
+from ploverhall.scheduling.failure_attribution import FailureAttribution
 from ploverhall.scheduling.gangs import pick_gang_offers
 from ploverhall.scheduling.job_state import JobState, Offer
+from ploverhall.scheduling.pending_write import PendingWrite
+from ploverhall.scheduling.quota import TeamQuotas
 from ploverhall.scheduling.record_chunks import (
     Allocation,
     RecordChunk,
     allocation_bytes,
     header_bytes,
 )
+from ploverhall.scheduling.store_writer import StoreWriter
 from ploverhall.scheduling.unmet_demand import UnmetDemand
+from ploverhall.settings import Team
 
 ATTEMPT_BITS = 28  # of an attempt's number; the bits above hold the source's epoch
 # How long a costlier offer waits for a better one: a few round trips between controllers
@@ -44,8 +50,59 @@
 REVISIT_INTERVAL_S = 1.0  # between two looks at every job with offers, changed or not
 
 
-class JobSource(AttemptUpdates, UnmetDemand):
-    """Permits the tasks of one shard's teams."""
+class JobSource:
+    """Permits the tasks of one shard's teams.
+
+    Has the jobs and allocations (`store`), the plans of what is written (`writer`), the eviction
+    grants (`grants`), the teams' limits (`quotas`), what is known of failures (`failures`) and the
+    demand for machines (`unmet_demand`). `max_value_bytes` and `max_transaction_ops` are the limits
+    of the key-value store.
+    """
+
+    def __init__(
+        self,
+        shard: int,
+        epoch: int,
+        teams: list[Team],
+        zones: tuple[str, ...],
+        max_value_bytes: int,
+        max_transaction_ops: int,
+    ) -> None:
+        self.epoch = epoch
+        self.store = AllocationStore(teams, max_value_bytes)
+        self.writer = StoreWriter(self.store, shard, epoch, max_transaction_ops)
+        self.grants = EvictionGrants(self.store, self.writer, max_value_bytes)
+        self.quotas = TeamQuotas(self.store, zones)
+        self.failures = FailureAttribution(self.store)
+        self.unmet_demand = UnmetDemand(self.store, self.quotas)
+        self.attempt_updates = AttemptUpdates(self.store, self.failures, self.grants)
+        self.attempt_count = 0  # attempts that this source has numbered
+        self.holding_back_offers = False  # costlier offers wait a moment for better ones
+        self.next_team_check_at = 0.0
+        self.next_revisit_at = 0.0
+        self.next_service_check_at = 0.0
+
+    @property
+    def jobs(self) -> dict[str, JobState]:
+        """The jobs of the shard's teams, and ended ones that may still have tasks on machines."""
+        return self.store.jobs
+
+    def on_job(
+        self, job: Job | None, job_id: str, version: int, now: float, age: float = 0.0
+    ) -> None:
+        """Take in a job from the watch, submitted `age` seconds ago, or its end (`job` is None)."""
+        self.store.on_job(job, job_id, version, now, age)
+
+    # -- writing -----------------------------------------------------------------------------
+
+    def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
+        """Return the next transaction, of at most `max_operations` changes; None: nothing waits."""
+        return self.grants.add_to_write(self.writer.next_write(max_operations))
+
+    def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
+        """A transaction has landed."""
+        self.writer.on_committed(txn, revision, now)
+        self.grants.on_committed(txn, revision)
 
     # -- updates from shard owners -----------------------------------------------------------
 
@@ -59,11 +116,11 @@
         if full:
             missing_offers = [
                 offer_id
-                for offer_id in self.job_by_offer
+                for offer_id in self.store.job_by_offer
                 if offer_id[0] == shard and peer_messages.offer_key(offer_id[1]) not in changes
             ]
             for offer_id in missing_offers:
-                self._drop_offer(offer_id)
+                self.store.drop_offer(offer_id)
         for key, value in changes.items():
             if key[0] == peer_messages.OFFER:
                 self._update_offer(
@@ -71,7 +128,7 @@
                 )
             elif key[0] == peer_messages.ATTEMPT and value is not None:
                 attempt_id = peer_messages.attempt_id_of_key(key)
-                job_state = self.jobs.get(attempt_id.job_id)
+                job_state = self.store.jobs.get(attempt_id.job_id)
                 allocation = (
                     job_state.allocations.get(attempt_id.task) if job_state is not None else None
                 )
@@ -83,13 +140,13 @@
                     and allocation.committed
                     and epoch >= allocation.epoch
                 ):
-                    self._update_attempt(job_state, allocation, AttemptUpdate(*value), now)
+                    self.attempt_updates.update(job_state, allocation, AttemptUpdate(*value), now)
 
     def _update_offer(
         self, shard: int, epoch: int, reservation_id: int, update: OfferUpdate | None
     ) -> None:
-        self._drop_offer((shard, reservation_id))
-        job_state = self.jobs.get(update.job) if update is not None else None
+        self.store.drop_offer((shard, reservation_id))
+        job_state = self.store.jobs.get(update.job) if update is not None else None
         if (
             update is not None
             and job_state is not None
@@ -105,56 +162,56 @@
                 update.cost,
                 update.victim_count,
             )
-            self.job_by_offer[shard, reservation_id] = job_state.id
-            self.jobs_to_decide.add(job_state.id)
+            self.store.job_by_offer[shard, reservation_id] = job_state.id
+            self.store.jobs_to_decide.add(job_state.id)
 
     # -- deciding ----------------------------------------------------------------------------
 
     def decide(self, now: float) -> None:
         """Permit tasks in memory; their shard owners are sent them once they are written."""
         self._run_timers(now)
-        if self.teams_to_reorder:
-            self._update_guarantees()
+        if self.store.teams_to_reorder:
+            self.quotas.update_guarantees()
         self.holding_back_offers = False
-        if not self.jobs_to_decide:
+        if not self.store.jobs_to_decide:
             return
-        jobs_to_decide, self.jobs_to_decide = self.jobs_to_decide, set()
+        jobs_to_decide, self.store.jobs_to_decide = self.store.jobs_to_decide, set()
         with_offers = [
             job_state
             for job_id in sorted(jobs_to_decide)
-            if (job_state := self.jobs.get(job_id)) is not None
+            if (job_state := self.store.jobs.get(job_id)) is not None
             and job_state.offers
             and job_state.job is not None
         ]
-        for job_state in sorted(with_offers, key=self.queue_order):
+        for job_state in sorted(with_offers, key=self.store.queue_order):
             self._decide_job(job_state, now)
 
     def _run_timers(self, now: float) -> None:
         """Look at the jobs whose time has come, and at teams whose usage has changed."""
-        while self.timers and self.timers[0][0] <= now:
-            _, job_id = heapq.heappop(self.timers)
-            if (job_state := self.jobs.get(job_id)) is not None:
+        while self.store.timers and self.store.timers[0][0] <= now:
+            _, job_id = heapq.heappop(self.store.timers)
+            if (job_state := self.store.jobs.get(job_id)) is not None:
                 self._on_timer(job_state, now)
         if now >= self.next_service_check_at:
             self.next_service_check_at = now + SERVICE_CHECK_INTERVAL_S
-            self._free_quota_for_services(now)
-        if self.teams_with_changed_usage and now >= self.next_team_check_at:
+            self.quotas.free_quota_for_services(now)
+        if self.store.teams_with_changed_usage and now >= self.next_team_check_at:
             self.next_team_check_at = now + TEAM_CHECK_INTERVAL_S
-            for team in self.teams_with_changed_usage:
-                self.changed_jobs.update(self.waiting_jobs[team])
-                self.jobs_to_decide.update(
+            for team in self.store.teams_with_changed_usage:
+                self.store.changed_jobs.update(self.store.waiting_jobs[team])
+                self.store.jobs_to_decide.update(
                     job_id
-                    for job_id, job_state in self.waiting_jobs[team].items()
+                    for job_id, job_state in self.store.waiting_jobs[team].items()
                     if job_state.offers
                 )
-            self.teams_with_changed_usage.clear()
+            self.store.teams_with_changed_usage.clear()
         if now >= self.next_revisit_at:
             self.next_revisit_at = now + REVISIT_INTERVAL_S
-            self.jobs_to_decide.update(self.job_by_offer.values())
+            self.store.jobs_to_decide.update(self.store.job_by_offer.values())
 
     def _on_timer(self, job_state: JobState, now: float) -> None:
-        self.changed_jobs.add(job_state.id)
-        self.jobs_to_decide.add(job_state.id)
+        self.store.changed_jobs.add(job_state.id)
+        self.store.jobs_to_decide.add(job_state.id)
         job_state.release_backoff(now)
         if (
             not job_state.started
@@ -163,7 +220,7 @@
         ):
             self._toggle_overdue(job_state, now)
         if job_state.failing_everywhere and job_state.is_healthy(now):
-            self._set_failing_everywhere(job_state, False, now)
+            self.failures.set_failing_everywhere(job_state, False, now)
 
     def _toggle_overdue(self, job_state: JobState, now: float) -> None:
         """Put a job that waits too long to start ahead of others, in every second interval.
@@ -178,9 +235,9 @@
             and not job_state.done_count
             and not job_state.failing_everywhere
         )
-        heapq.heappush(self.timers, (job_state.overdue_check_at, job_state.id))
+        heapq.heappush(self.store.timers, (job_state.overdue_check_at, job_state.id))
         if job_state.overdue and job_state.job is not None:
-            self.log_info(
+            self.store.log_info(
                 "job start overdue",
                 job=job_state.id,
                 team=job_state.team,
@@ -193,11 +250,11 @@
         """Permit as many of a job's waiting tasks as its offers, limits and zones allow."""
         job = job_state.job
         assert job is not None
-        self.visit_count += 1
-        count = self.candidate_count(job_state, now)
+        self.store.visit_count += 1
+        count = self.quotas.candidate_count(job_state, now)
         if count <= 0:
             return
-        zone_limits = self.zone_limits(job_state)
+        zone_limits = self.quotas.zone_limits(job_state)
         offers = self._offers_by_preference(job_state, job)
         if now - job_state.waiting_since < OFFER_WAIT_S:
             offers = self._without_costly_offers(job_state, offers)
@@ -246,7 +303,7 @@
         ]
         if len(immediate) < len(offers):
             self.holding_back_offers = True
-            self.jobs_to_decide.add(job_state.id)
+            self.store.jobs_to_decide.add(job_state.id)
         return immediate
 
     def _permit_offers(self, job_state: JobState, chosen: list[Offer]) -> None:
@@ -271,7 +328,7 @@
                     unassigned_chunk,
                 )
             )
-            self._drop_offer((offer.shard, offer.reservation_id))
+            self.store.drop_offer((offer.shard, offer.reservation_id))
         self._assign_chunks(job_state, permitted)
 
     def _assign_chunks(self, job_state: JobState, permitted: list[Allocation]) -> None:
@@ -281,14 +338,14 @@
         total = header + sum(sizes)
         is_gang = job_state.job is not None and job_state.job.kind == "gang"
         shared_chunk = (
-            self._chunk_for(job_state.team, total)
-            if is_gang and total + 2 <= self.max_chunk_bytes
+            self.store.chunk_for(job_state.team, total)
+            if is_gang and total + 2 <= self.store.max_chunk_bytes
             else None
         )
         for allocation, size in zip(permitted, sizes, strict=True):
-            allocation.chunk = shared_chunk or self._chunk_for(job_state.team, header + size)
-            self._insert(job_state, allocation)
-            self.dirty_chunks[allocation.chunk] = True
+            allocation.chunk = shared_chunk or self.store.chunk_for(job_state.team, header + size)
+            self.store.insert(job_state, allocation)
+            self.store.dirty_chunks[allocation.chunk] = True
 
     def _next_attempt(self) -> int:
         """Return an attempt number that no source has used before."""
@@ -302,24 +359,24 @@
 
         Maps (shard, key on the state channel) to the new value, None to delete the key.
         """
-        updates: dict[tuple[int, str], Any] = dict(self.permit_updates)
-        self.permit_updates.clear()
-        for job_id in sorted(self.changed_jobs):
-            self.visit_count += 1
-            job_state = self.jobs.get(job_id)
+        updates: dict[tuple[int, str], Any] = dict(self.store.permit_updates)
+        self.store.permit_updates.clear()
+        for job_id in sorted(self.store.changed_jobs):
+            self.store.visit_count += 1
+            job_state = self.store.jobs.get(job_id)
             if job_state is None:
                 for shard in range(shard_count):
                     updates[shard, peer_messages.job_key(job_id)] = None
                     updates[shard, peer_messages.candidate_key(job_id)] = None
-                for waiting in self.waiting_jobs.values():
+                for waiting in self.store.waiting_jobs.values():
                     waiting.pop(job_id, None)
                 continue
             if job_state.waiting_count() > 0:
-                self.waiting_jobs[job_state.team][job_id] = job_state
+                self.store.waiting_jobs[job_state.team][job_id] = job_state
             else:
-                self.waiting_jobs[job_state.team].pop(job_id, None)
+                self.store.waiting_jobs[job_state.team].pop(job_id, None)
             self._add_job_updates(updates, job_state, shard_count, now)
-        self.changed_jobs.clear()
+        self.store.changed_jobs.clear()
         return updates
 
     def _add_job_updates(
@@ -336,9 +393,9 @@
             int(job_state.within_guarantee),
             int(job_state.failing_everywhere),
         )
-        count = self.candidate_count(job_state, now)
+        count = self.quotas.candidate_count(job_state, now)
         zone_limits = (
-            self.zone_limits(job_state) if count or job_state.uncommitted_per_shard else None
+            self.quotas.zone_limits(job_state) if count or job_state.uncommitted_per_shard else None
         )
         job_key = peer_messages.job_key(job_state.id)
         candidate_key = peer_messages.candidate_key(job_state.id)
@@ -350,7 +407,7 @@
             updates[shard, candidate_key] = (
                 CandidateUpdate(
                     wanted,
-                    list(self.queue_order(job_state)),
+                    list(self.store.queue_order(job_state)),
                     zone_limits,
                     sorted(job_state.failed_on),
                 )
@@ -360,17 +417,17 @@
 
     def take_task_counts(self) -> dict[str, list[int] | None]:
         """Return [done, running] of the jobs where it has changed; None for jobs that are gone."""
-        changed, self.changed_counts = self.changed_counts, set()
+        changed, self.store.changed_counts = self.store.changed_counts, set()
         return {
             job_id: [job_state.done_count, job_state.running_count]
-            if (job_state := self.jobs.get(job_id)) is not None and job_state.job
+            if (job_state := self.store.jobs.get(job_id)) is not None and job_state.job
             else None
             for job_id in sorted(changed)
         }
 
     def task_counts(self, job_id: str) -> tuple[int, int]:
         """Return a job's numbers of done and running tasks; zeros for an unknown job."""
-        job_state = self.jobs.get(job_id)
+        job_state = self.store.jobs.get(job_id)
         return (job_state.done_count, job_state.running_count) if job_state is not None else (0, 0)
 
 
--- a/ploverhall/scheduling/quota.py
+++ b/ploverhall/scheduling/quota.py
@@ -27,15 +27,21 @@
 UNLIMITED = 1e18  # of a resource for which a team has no limit
 
 
-class TeamQuotas(AllocationStore):
+class TeamQuotas:
     """Limits, guarantees and zone limits of the jobs of one shard's teams."""
 
+    def __init__(self, store: AllocationStore, zones: tuple[str, ...]) -> None:
+        self.store = store
+        self.zones = zones
+
     def quota_headroom(self, job_state: JobState) -> int:
         """Return how many more tasks of this job the team's limit allows."""
-        team = self.teams[job_state.team]
-        used = self.used[job_state.team]
+        team = self.store.teams[job_state.team]
+        used = self.store.used[job_state.team]
         if job_state.job is not None and job_state.job.kind != "service":
-            used = add_scaled(used, self.reserved_for_services.get(job_state.team, NO_RESOURCES))
+            used = add_scaled(
+                used, self.store.reserved_for_services.get(job_state.team, NO_RESOURCES)
+            )
         used_cpus, used_gpus, _ = used
         needed_cpus, needed_gpus, _ = job_state.resources
         count = UNBOUNDED
@@ -89,16 +95,16 @@
 
     # -- guarantees --------------------------------------------------------------------------
 
-    def _update_guarantees(self) -> None:
+    def update_guarantees(self) -> None:
         """Decide for the changed teams which of their jobs are within the guarantee."""
-        for team_name in sorted(self.teams_to_reorder):
-            within = self._jobs_that_fit_guarantee(self.teams[team_name])
-            for job_id in sorted(within ^ self.jobs_within_guarantee[team_name]):
-                if (job_state := self.jobs.get(job_id)) is not None:
+        for team_name in sorted(self.store.teams_to_reorder):
+            within = self._jobs_that_fit_guarantee(self.store.teams[team_name])
+            for job_id in sorted(within ^ self.store.jobs_within_guarantee[team_name]):
+                if (job_state := self.store.jobs.get(job_id)) is not None:
                     job_state.within_guarantee = job_id in within
-                    self.changed_jobs.add(job_id)
-            self.jobs_within_guarantee[team_name] = within
-        self.teams_to_reorder.clear()
+                    self.store.changed_jobs.add(job_id)
+            self.store.jobs_within_guarantee[team_name] = within
+        self.store.teams_to_reorder.clear()
 
     def _jobs_that_fit_guarantee(self, team: Team) -> set[str]:
         """Return the oldest unfinished jobs of a team that fit its guarantee together."""
@@ -106,9 +112,9 @@
         if team.guaranteed_cpus <= 0 and team.guaranteed_gpus <= 0:
             return within
         total = NO_RESOURCES
-        for _, job_id in self.jobs_by_age[team.name]:
-            job_state = self.jobs[job_id]
-            self.visit_count += 1
+        for _, job_id in self.store.jobs_by_age[team.name]:
+            job_state = self.store.jobs[job_id]
+            self.store.visit_count += 1
             if job_state.failing_everywhere:
                 continue  # else a broken job would use up the guarantee of the others
             unfinished = job_state.task_count - job_state.done_count
@@ -123,31 +129,31 @@
 
     # -- services within a limit -------------------------------------------------------------
 
-    def _free_quota_for_services(self, now: float) -> None:
+    def free_quota_for_services(self, now: float) -> None:
         """Stop arrays of teams whose replicas wait for the team's limit, least lost work first.
 
         The freed share of the limit is reserved for the replicas. Else a replica would wait for as
         long as an array of its own team, which arrived a moment earlier, holds the limit's rest.
         """
-        for team_name, team in self.teams.items():
-            reserved_before = self.reserved_for_services.pop(team_name, NO_RESOURCES)
+        for team_name, team in self.store.teams.items():
+            reserved_before = self.store.reserved_for_services.pop(team_name, NO_RESOURCES)
             if team.max_cpus <= 0 and team.max_gpus <= 0:
                 continue
             needed = self._resources_of_waiting_replicas(team_name, now)
             if needed == NO_RESOURCES:
                 if reserved_before != NO_RESOURCES:
-                    self.teams_with_changed_usage.add(team_name)
+                    self.store.teams_with_changed_usage.add(team_name)
                 continue
-            used = add_scaled(self.used[team_name], needed)
+            used = add_scaled(self.store.used[team_name], needed)
             limit = (team.max_cpus or UNLIMITED, team.max_gpus or UNLIMITED, UNLIMITED)
             if within_limit(used, limit):
                 continue
-            self.reserved_for_services[team_name] = needed
+            self.store.reserved_for_services[team_name] = needed
             self._stop_array_tasks(team_name, used, limit, now)
 
     def _resources_of_waiting_replicas(self, team_name: str, now: float) -> ResourceVector:
         needed = NO_RESOURCES
-        for job_state in self.waiting_jobs[team_name].values():
+        for job_state in self.store.waiting_jobs[team_name].values():
             if (
                 job_state.job is not None
                 and job_state.job.kind == "service"
@@ -168,7 +174,7 @@
                 break
             job = job_state.job
             assert job is not None
-            self._request_stop(allocation, save_grace_s(job, min_worthwhile_checkpoint_s(job)))
+            self.store.request_stop(allocation, save_grace_s(job, min_worthwhile_checkpoint_s(job)))
             stopping = add_scaled(stopping, job_state.resources)
 
     def _stoppable_array_tasks(
@@ -180,12 +186,12 @@
         """
         stopping = NO_RESOURCES
         candidates: list[tuple[float, int, Allocation, JobState]] = []
-        for job_state in self.jobs.values():
+        for job_state in self.store.jobs.values():
             job = job_state.job
             if job_state.team != team_name or job is None or job.kind != "array":
                 continue
             for allocation in job_state.allocations.values():
-                self.visit_count += 1
+                self.store.visit_count += 1
                 if allocation.finished or not allocation.committed:
                     continue
                 if allocation.stop_grace_s is not None:
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -37,8 +37,23 @@
 BYTES_PER_PROGRESS_VALUE = TASKS_PER_PROGRESS_VALUE // 8
 
 
-class StoreWriter(AllocationStore):
-    """Plans the transactions of one shard's teams."""
+class StoreWriter:
+    """Plans the transactions of one shard's teams.
+
+    `epoch` is the shard's, `max_transaction_ops` the key-value store's limit for a transaction.
+    """
+
+    def __init__(
+        self, store: AllocationStore, shard: int, epoch: int, max_transaction_ops: int
+    ) -> None:
+        self.store = store
+        self.shard = shard
+        self.epoch = epoch
+        self.max_transaction_ops = max_transaction_ops
+        # Chunks that a write of unknown outcome may still change
+        self.chunks_to_fence: set[tuple[str, int]] = set()
+        self.write_operation_limit = max_transaction_ops  # of the transaction being planned
+        self.crowded_writes = 0  # transactions that could not take all that waited
 
     def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
         """Return the next transaction, of at most `max_operations` changes; None: nothing waits.
@@ -47,7 +62,7 @@
         the most important jobs go first; every fourth such transaction takes the oldest changes, so
         that the others land as well.
         """
-        txn = self._empty_write()
+        txn = self.empty_write()
         if self.chunks_to_fence:
             return self._fencing_write(txn)
         self.write_operation_limit = (
@@ -65,17 +80,19 @@
         self._add_deletions(txn)
         return txn if txn.operation_count else None
 
-    def _empty_write(self) -> PendingWrite:
+    def empty_write(self) -> PendingWrite:
         """Return a transaction that lands only while this source's epoch is the shard's."""
         return PendingWrite({f"{SHARD_PREFIX}{self.shard}": self.epoch}, {}, [])
 
     def _pending_changes(self) -> list[RecordChunk | JobState]:
         """Return the chunks and ends of jobs to be written, in the order of their writing."""
         changes: list[RecordChunk | JobState] = [
-            chunk for chunk, has_permits in self.dirty_chunks.items() if has_permits
+            chunk for chunk, has_permits in self.store.dirty_chunks.items() if has_permits
+        ]
+        changes += self.store.jobs_to_end.values()
+        changes += [
+            chunk for chunk, has_permits in self.store.dirty_chunks.items() if not has_permits
         ]
-        changes += self.jobs_to_end.values()
-        changes += [chunk for chunk, has_permits in self.dirty_chunks.items() if not has_permits]
         if len(changes) > self.write_operation_limit:
             self.crowded_writes += 1
             if self.crowded_writes % FAIR_WRITE_INTERVAL:
@@ -85,16 +102,20 @@
     def _write_order(self, item: RecordChunk | JobState) -> tuple[float, ...]:
         """Return a change's place: by its job's, then permits before ends before exits."""
         if isinstance(item, JobState):
-            return (*self.queue_order(item)[:3], 1.0) if item.job is not None else LAST_IN_QUEUE
-        has_permits = self.dirty_chunks[item]
+            return (
+                (*self.store.queue_order(item)[:3], 1.0) if item.job is not None else LAST_IN_QUEUE
+            )
+        has_permits = self.store.dirty_chunks[item]
         jobs = [
             job_state
             for job_id in item.allocations_per_job
-            if (job_state := self.jobs[job_id]).job is not None
+            if (job_state := self.store.jobs[job_id]).job is not None
             and (not has_permits or job_state.uncommitted_per_shard)
         ]
         return (
-            *min((self.queue_order(job_state)[:3] for job_state in jobs), default=LAST_IN_QUEUE),
+            *min(
+                (self.store.queue_order(job_state)[:3] for job_state in jobs), default=LAST_IN_QUEUE
+            ),
             0.0 if has_permits else 2.0,
         )
 
@@ -104,12 +125,12 @@
         They are not kept for a retry: if the transaction fails, the next source finds the keys.
         """
         while (
-            self.obsolete_keys
+            self.store.obsolete_keys
             and txn.operation_count < self.write_operation_limit
             and txn.operation_count > 0
             and txn.size_bytes < MAX_TRANSACTION_BYTES
         ):
-            key = self.obsolete_keys.pop()
+            key = self.store.obsolete_keys.pop()
             if key not in txn.puts:
                 txn.deletes.append(key)
                 txn.size_bytes += len(key) + KEY_OVERHEAD_BYTES
@@ -121,7 +142,7 @@
             return True
         if (
             txn.operation_count + 1 > self.write_operation_limit
-            or len(txn.compare) + 1 > self._max_comparisons
+            or len(txn.compare) + 1 > self.max_comparisons
             or txn.size_bytes > MAX_TRANSACTION_BYTES
         ):
             return False
@@ -132,22 +153,23 @@
         return True
 
     @property
-    def _max_comparisons(self) -> int:
+    def max_comparisons(self) -> int:
+        """The most conditions that a transaction may have."""
         return COMPARISONS_PER_OPERATION * self.max_transaction_ops
 
     def _add_chunk(self, txn: PendingWrite, chunk: RecordChunk) -> bool:
         """Add a chunk's value with the conditions for it; False when it does not fit."""
         if (
             txn.operation_count + 1 > self.write_operation_limit
-            or len(txn.compare) + 2 > self._max_comparisons
+            or len(txn.compare) + 2 > self.max_comparisons
             or txn.size_bytes + chunk.size_bytes + MAX_CHUNK_OVERHEAD_BYTES > MAX_TRANSACTION_BYTES
         ):
             return False
         value: dict[str, Any] = {}
         write = ChunkWrite(chunk)
         for (job_id, task), allocation in sorted(chunk.allocations.items()):
-            self.visit_count += 1
-            job_state = self.jobs[job_id]
+            self.store.visit_count += 1
+            job_state = self.store.jobs[job_id]
             if not allocation.committed:
                 job_key = JOB_PREFIX + job_id
                 if job_state.job is None or job_state.blocked or job_key in txn.puts:
@@ -170,7 +192,7 @@
     def _add_job_condition(self, txn: PendingWrite, key: str, job_state: JobState) -> bool:
         """Let a transaction land only if the job is unchanged; False when that does not fit."""
         if key not in txn.compare:
-            if len(txn.compare) + 2 > self._max_comparisons:
+            if len(txn.compare) + 2 > self.max_comparisons:
                 return False
             txn.compare[key] = job_state.version
             txn.size_bytes += len(key) + KEY_OVERHEAD_BYTES
@@ -221,7 +243,7 @@
         This goes alone and before all other changes.
         """
         for team, index in sorted(self.chunks_to_fence):
-            chunk = self.chunks[team].setdefault(index, RecordChunk(team, index))
+            chunk = self.store.chunks[team].setdefault(index, RecordChunk(team, index))
             if txn.operation_count >= self.max_transaction_ops or (
                 txn.operation_count
                 and txn.size_bytes + chunk.size_bytes + MAX_CHUNK_OVERHEAD_BYTES
@@ -231,7 +253,7 @@
             value: dict[str, Any] = {}
             for _, allocation in sorted(chunk.allocations.items()):
                 if allocation.committed:
-                    resources = self.jobs[allocation.job_id].resources
+                    resources = self.store.jobs[allocation.job_id].resources
                     append_allocation(value, resources, allocation)
             txn.compare[chunk.key] = chunk.version
             txn.puts[chunk.key] = value
@@ -252,10 +274,10 @@
             if chunk.key in txn.puts:
                 chunk.version = revision
             for allocation in write.added:
-                permitted_job = self.jobs.get(allocation.job_id)
+                permitted_job = self.store.jobs.get(allocation.job_id)
                 if permitted_job is not None:
-                    self._mark_committed(permitted_job, allocation)
-                self.log_debug(
+                    self.store.mark_committed(permitted_job, allocation)
+                self.store.log_debug(
                     "permit",
                     job=allocation.job_id,
                     task=allocation.task,
@@ -266,41 +288,41 @@
             self._remove_allocations(write.removed)
             self._mark_still_dirty(chunk)
         for job_state in txn.ended_jobs:
-            self.log_debug("done", job=job_state.id)
-            self.on_job(None, job_state.id, 0, now)
+            self.store.log_debug("done", job=job_state.id)
+            self.store.on_job(None, job_state.id, 0, now)
 
     def _remove_allocations(self, allocations: Iterable[Allocation]) -> None:
         for allocation in allocations:
-            job_state = self.jobs.get(allocation.job_id)
+            job_state = self.store.jobs.get(allocation.job_id)
             if job_state is not None and job_state.allocations.get(allocation.task) is allocation:
-                self._remove(job_state, allocation)
+                self.store.remove(job_state, allocation)
                 if not job_state.is_done(allocation.task):
                     job_state.requeue(allocation.task)
 
     def _mark_still_dirty(self, chunk: RecordChunk) -> None:
         """Keep a written chunk dirty if it has changed while the write was in flight."""
-        self.dirty_chunks.pop(chunk, None)
+        self.store.dirty_chunks.pop(chunk, None)
         for allocation in chunk.allocations.values():
-            self.visit_count += 1
+            self.store.visit_count += 1
             if allocation.finished or not allocation.committed:
-                self.dirty_chunks[chunk] = (
-                    self.dirty_chunks.get(chunk, False) or not allocation.committed
+                self.store.dirty_chunks[chunk] = (
+                    self.store.dirty_chunks.get(chunk, False) or not allocation.committed
                 )
         if not chunk.allocations and not chunk.version:
-            self.chunks[chunk.team].pop(chunk.index, None)
+            self.store.chunks[chunk.team].pop(chunk.index, None)
 
     def on_compare_failed(self, txn: PendingWrite, failed: list[str]) -> list[str]:
         """Conditions on these keys failed; return the teams whose record must be read again."""
         for key in failed:
             if key.startswith(JOB_PREFIX):
-                job_state = self.jobs.get(key[len(JOB_PREFIX) :])
+                job_state = self.store.jobs.get(key[len(JOB_PREFIX) :])
                 if job_state is not None:
                     job_state.blocked = True
-                    self.changed_jobs.add(job_state.id)
+                    self.store.changed_jobs.add(job_state.id)
                     self._remove_uncommitted(job_state)
         return [
             team
-            for team in self.teams
+            for team in self.store.teams
             if any(key.startswith(allocation_prefix(team)) for key in failed)
         ]
 
@@ -309,7 +331,7 @@
             allocation for allocation in job_state.allocations.values() if not allocation.committed
         ]
         for allocation in uncommitted:
-            self._remove(job_state, allocation)
+            self.store.remove(job_state, allocation)
             job_state.requeue(allocation.task)
 
     def teams_of(self, txn: PendingWrite) -> list[str]:
--- a/ploverhall/scheduling/unmet_demand.py
+++ b/ploverhall/scheduling/unmet_demand.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import DemandUpdate
+from ploverhall.scheduling.allocations import AllocationStore
 from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.quota import UNLIMITED, TeamQuotas
 from ploverhall.scheduling.resources import EPSILON, fits, max_count
@@ -16,9 +18,14 @@
 RETRY_SOON_S = 5  # a job that is retried within this time counts as waiting
 
 
-class UnmetDemand(TeamQuotas):
+class UnmetDemand:
     """Waiting tasks within the teams' limits."""
 
+    def __init__(self, store: AllocationStore, quotas: TeamQuotas) -> None:
+        self.store = store
+        self.quotas = quotas
+        self.machine_types: dict[str, MachineType] = {}  # that the cloud offers
+
     def demand(self, now: float, wall_time: float) -> dict[str, DemandUpdate]:
         """Return by job the waiting tasks for which the autoscaler should provide machines.
 
@@ -26,19 +33,19 @@
         """
         demand: dict[str, DemandUpdate] = {}
         unused: dict[str, tuple[float, float]] = {}  # cpus and gpus within the team's limit
-        for name, team in self.teams.items():
-            used_cpus, used_gpus, _ = self.used[name]
+        for name, team in self.store.teams.items():
+            used_cpus, used_gpus, _ = self.store.used[name]
             unused[name] = (
                 team.max_cpus - used_cpus if team.max_cpus > 0 else UNLIMITED,
                 team.max_gpus - used_gpus if team.max_gpus > 0 else UNLIMITED,
             )
         waiting = (
             job_state
-            for team_jobs in self.waiting_jobs.values()
+            for team_jobs in self.store.waiting_jobs.values()
             for job_state in team_jobs.values()
             if job_state.job is not None
         )
-        for job_state in sorted(waiting, key=self.queue_order):
+        for job_state in sorted(waiting, key=self.store.queue_order):
             cpus, gpus = unused[job_state.team]
             count = self._waiting_within(job_state, cpus, gpus, now)
             if count > 0 and job_state.job is not None:
@@ -47,8 +54,8 @@
                 demand[job_state.id] = DemandUpdate(
                     job_state.job.record(),
                     self._concurrent_tasks_needed(job_state, count, wall_time),
-                    self.zone_limits(job_state),
-                    list(self.queue_order(job_state)),
+                    self.quotas.zone_limits(job_state),
+                    list(self.store.queue_order(job_state)),
                 )
         return demand
 
@@ -73,7 +80,7 @@
         """
         job = job_state.job
         assert job is not None
-        if job.kind != "array" or (finish_s := self.objectives.of(job).finish_s) is None:
+        if job.kind != "array" or (finish_s := self.store.objectives.of(job).finish_s) is None:
             return waiting
         duration_s = TASK_TIME_MARGIN * max(
             1.0, job.estimate_s if job_state.task_duration_s is None else job_state.task_duration_s
--- a/tests/simulation/decision_model.py
+++ b/tests/simulation/decision_model.py
@@ -207,8 +207,10 @@
             if w.layout.team_shard[job.team] == shard:
                 self.source.on_job(job, jid, version, w.now)
         for t in teams:
-            self.source.install_allocations(t.name, w.store.read(allocation_prefix(t.name)), w.now)
-            self.source.install_progress(t.name, w.store.read(progress_prefix(t.name)))
+            self.source.store.install_allocations(
+                t.name, w.store.read(allocation_prefix(t.name)), w.now
+            )
+            self.source.store.install_progress(t.name, w.store.read(progress_prefix(t.name)))
         for part in range(len(w.nodes)):
             node.outbox.channel("s", shard, part, epoch)
         self.busy = False
@@ -645,17 +647,21 @@
                 return
             h.busy = False
             if unknown:
-                h.source.on_outcome_unknown(txn)
-                for t in h.source.teams_of(txn):
-                    h.source.install_allocations(t, self.store.read(allocation_prefix(t)), self.now)
+                h.source.writer.on_outcome_unknown(txn)
+                for t in h.source.writer.teams_of(txn):
+                    h.source.store.install_allocations(
+                        t, self.store.read(allocation_prefix(t)), self.now
+                    )
                 node.owners_again(h)
             elif failed:
                 if f"{SHARD_PREFIX}{h.shard}" in failed:
                     del node.held[h.shard]
                     node.outbox.drop(("s", "o"), h.shard)
                     return
-                for t in h.source.on_compare_failed(txn, failed):
-                    h.source.install_allocations(t, self.store.read(allocation_prefix(t)), self.now)
+                for t in h.source.writer.on_compare_failed(txn, failed):
+                    h.source.store.install_allocations(
+                        t, self.store.read(allocation_prefix(t)), self.now
+                    )
                 node.owners_again(h)
             else:
                 h.source.on_committed(txn, rev, self.now)
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -23,6 +23,7 @@
 from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.permitting import ATTEMPT_BITS, JobSource
 from ploverhall.scheduling.preemption import PreemptionPlanner
+from ploverhall.scheduling.quota import TeamQuotas
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.scheduling.shard_state import ShardState
 
@@ -52,9 +53,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Not what its team's limit holds back, nor what fits in a zone without room only, nor a gang that there is not room for."""
-    real = JobSource.candidate_count
+    real = TeamQuotas.candidate_count
     monkeypatch.setattr(
-        JobSource,
+        TeamQuotas,
         "candidate_count",
         lambda self, js, now: 0 if js.id == "j-000901" else real(self, js, now),
     )
@@ -480,17 +481,27 @@
 
 def only_its_own_starts(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new source counts for a job's zones only what it has started itself."""
-    real = JobSource.zone_limits
+    epochs: dict[TeamQuotas, int] = {}
+    real_init = JobSource.__init__
 
-    def zone_room(self: JobSource, js: JobState) -> Any:
+    def init(self: JobSource, shard: int, epoch: int, *rest: Any) -> None:
+        real_init(self, shard, epoch, *rest)
+        epochs[self.quotas] = epoch
+
+    real = TeamQuotas.zone_limits
+
+    def zone_room(self: TeamQuotas, js: JobState) -> Any:
         before = js.allocations_per_zone
-        mine = [e.zone for e in js.allocations.values() if e.attempt >> ATTEMPT_BITS == self.epoch]
+        mine = [
+            e.zone for e in js.allocations.values() if e.attempt >> ATTEMPT_BITS == epochs[self]
+        ]
         js.allocations_per_zone = {z: mine.count(z) for z in mine}
         found = real(self, js)
         js.allocations_per_zone = before
         return found
 
-    monkeypatch.setattr(JobSource, "zone_limits", zone_room)
+    monkeypatch.setattr(JobSource, "__init__", init)
+    monkeypatch.setattr(TeamQuotas, "zone_limits", zone_room)
 
 
 def by_the_letter(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
-from ploverhall.scheduling.permitting import JobSource
+from ploverhall.scheduling.quota import TeamQuotas
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 from .simulation.decision_model import DecisionModel, RuleBrokenError, job
@@ -95,9 +95,9 @@
 
         monkeypatch.setattr(ShardOwner, "advance_time", tick)
     elif guard == "no limit":
-        monkeypatch.setattr(JobSource, "quota_headroom", lambda self, js: 1000)
+        monkeypatch.setattr(TeamQuotas, "quota_headroom", lambda self, js: 1000)
     else:
-        monkeypatch.setattr(JobSource, "zone_limits", lambda self, js: None)
+        monkeypatch.setattr(TeamQuotas, "zone_limits", lambda self, js: None)
     assert _seeds_until_broken()
 
 
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -76,12 +76,14 @@
     s.on_job(a_job("j-000001", task_count=12, submitted_at=0.0), "j-000001", 5, 0.0)
     starts = play(s, 300, lambda job, task, machine, now: "error")
     js = s.jobs["j-000001"]
-    assert js.failing_everywhere and not s.demand(300.0, 300.0), "no machine is rented for it"
+    assert js.failing_everywhere and not s.unmet_demand.demand(300.0, 300.0), (
+        "no machine is rented for it"
+    )
     assert len({m for at, _, _, m in starts if at < 5.0}) >= 2
     assert len([at for at, *_ in starts if at > 5.0]) <= 7, (
         "tried one task at a time, ever more seldom"
     )
-    assert s.queue_order(js)[0] == 2.0, "it stands behind everybody else"
+    assert s.store.queue_order(js)[0] == 2.0, "it stands behind everybody else"
 
 
 def test_a_job_that_works_again_goes_on_at_once() -> None:
@@ -89,7 +91,7 @@
     s.on_job(a_job("j-000001", task_count=12), "j-000001", 5, 0.0)
     play(s, 30, lambda job, task, machine, now: "error")
     starts = play(s, 100, lambda job, task, machine, now: "done", first=30)
-    assert "j-000001" in s.jobs_to_end or "j-000001" not in s.jobs
+    assert "j-000001" in s.store.jobs_to_end or "j-000001" not in s.jobs
     assert len(starts) == 12 and starts[-1][0] - starts[0][0] < 5.0, (
         "once one has worked, the rest follow"
     )
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -25,7 +25,6 @@
     denial_reason,
 )
 from ploverhall.protocol.agents import AttemptId
-from ploverhall.scheduling.eviction_grants import EvictionGrants
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage.schema import CONTROLLER_PREFIX
 
@@ -124,11 +123,13 @@
 def test_a_grant_that_is_not_needed_any_more_leaves_nothing_to_write() -> None:
     """The writer was woken a hundred times a second for a value that was never written."""
     s = source(30.0)
-    team = next(iter(s.teams))
-    s.grants_by_team[team][AttemptId("j-000001", 0, 1)] = False
-    s.teams_with_unwritten_grants.add(team)
+    team = next(iter(s.store.teams))
+    s.grants.grants_by_team[team][AttemptId("j-000001", 0, 1)] = False
+    s.grants.teams_with_unwritten_grants.add(team)
     assert (
-        s.next_write() is None and not s.teams_with_unwritten_grants and not s.grants_by_team[team]
+        s.next_write() is None
+        and not s.grants.teams_with_unwritten_grants
+        and not s.grants.grants_by_team[team]
     )
 
 
@@ -242,7 +243,7 @@
             for m in h.owner.machines.values()
         )
         assert not any(
-            h.source.requested_since
+            h.source.grants.requested_since
             for n in p.nodes.values()
             for h in n.context.held_shards.values()
             if h.source is not None
@@ -294,15 +295,15 @@
             return None, 0
 
         monkeypatch.setattr(StoreReader, "read_key", forgets)
-        real = EvictionGrants.next_write
+        real = JobSource.next_write
 
-        def plan(self: EvictionGrants, most: int | None = None) -> Any:
+        def plan(self: JobSource, most: int | None = None) -> Any:
             txn = real(self, most)
             if txn is not None:
                 txn.compare = {k: v for k, v in txn.compare.items() if not k.startswith("u/")}
             return txn
 
-        monkeypatch.setattr(EvictionGrants, "next_write", plan)
+        monkeypatch.setattr(JobSource, "next_write", plan)
 
     async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(900, gait="daemon", chicks=4))
@@ -310,15 +311,15 @@
         source = source_of(p, "j-000900")
         js = source.jobs["j-000900"]
         (one, other) = list(js.allocations.values())[:2]
-        source.request_eviction(one, True, p.now)
-        source.next_grant_at = 0.0
-        source.grant_evictions(p.now, 0.0)
+        source.grants.request_eviction(one, True, p.now)
+        source.grants.next_grant_at = 0.0
+        source.grants.grant_evictions(p.now, 0.0)
         key = one.attempt_id
-        assert source.grants_by_team[js.team] == {key: False}
-        carried = source._stop_granted
-        source._stop_granted = lambda js, e: None  # type: ignore[method-assign]  # it is written, and its owner does not hear of it
+        assert source.grants.grants_by_team[js.team] == {key: False}
+        carried = source.grants._stop_granted
+        source.grants._stop_granted = lambda js, e: None  # type: ignore[method-assign]  # it is written, and its owner does not hear of it
         await anyio.sleep(1.0)
-        assert source.grants_by_team[js.team] == {key: True} and carried is not None
+        assert source.grants.grants_by_team[js.team] == {key: True} and carried is not None
         holder = next(
             n
             for n, node in p.nodes.items()
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -40,19 +40,21 @@
 def test_an_array_asks_for_room_for_turns(n: int, wall: float, room: int) -> None:
     """120 s, of them 32 for a boot and the fetch: two turns of 25 s and a fifth; later, or too late, all that waits at once."""
     s = source(limit=0.0)
-    s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
+    s.store.objectives, s.unmet_demand.machine_types = Objectives([SWEEP]), {"t": TYPE}
     job = a_job(task_count=n, gpus=0.0, estimate_s=25.0)
     s.on_job(job, job.id, 5, 0.0)
     s.take_owner_updates(1, 0.0)
-    assert s.demand(0.0, wall)[job.id].waiting_tasks == room
-    s.objectives = Objectives()
-    assert s.demand(0.0, wall)[job.id].waiting_tasks == n, "without an aim, each task once"
+    assert s.unmet_demand.demand(0.0, wall)[job.id].waiting_tasks == room
+    s.store.objectives = Objectives()
+    assert s.unmet_demand.demand(0.0, wall)[job.id].waiting_tasks == n, (
+        "without an aim, each task once"
+    )
 
 
 def test_room_that_is_at_work_counts_and_run_times_are_learnt() -> None:
     """Asking only by what waits rented as much again for the second turn, while the first one's room was about to be free."""
     s = source(limit=0.0)
-    s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
+    s.store.objectives, s.unmet_demand.machine_types = Objectives([SWEEP]), {"t": TYPE}
     job = a_job(task_count=40, gpus=0.0, estimate_s=25.0)
     s.on_job(job, job.id, 5, 0.0)
     s.on_owner_update(0, 3, True, offers(20), 1.0)
@@ -61,7 +63,7 @@
     assert txn is not None and len(txn.added) == 20
     s.on_committed(txn, 20, 1.1)
     s.take_owner_updates(1, 1.2)
-    assert s.demand(1.2, 1.2)[job.id].waiting_tasks == 0, (
+    assert s.unmet_demand.demand(1.2, 1.2)[job.id].waiting_tasks == 0, (
         "20 run, 20 wait, two turns: but the job still shows that it needs its room"
     )
     for e in txn.added[:10]:
@@ -72,7 +74,9 @@
     assert exits is not None
     s.on_committed(exits, 21, 52.0)
     s.take_owner_updates(1, 52.0)
-    assert s.demand(52.0, 1.2)[job.id].waiting_tasks == 20, "they take 50 s, not 25: one turn"
+    assert s.unmet_demand.demand(52.0, 1.2)[job.id].waiting_tasks == 20, (
+        "they take 50 s, not 25: one turn"
+    )
 
 
 def renting(job: Job, n: int, aims: Objectives, cheap: int) -> dict[tuple[str, str, bool], int]:
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -158,16 +158,16 @@
 
 def test_a_job_withdrawn_under_the_write_is_not_started() -> None:
     s, txn = one_permit_being_written()
-    assert s.on_compare_failed(txn, [JOB_PREFIX + "j-000001"]) == []
+    assert s.writer.on_compare_failed(txn, [JOB_PREFIX + "j-000001"]) == []
     assert s.next_write() is None and told(s) == (0, 0)
 
 
 def test_a_write_of_unknown_outcome_that_landed_late_is_taken_from_the_cell() -> None:
     s, txn = one_permit_being_written()
-    s.install_allocations("t", {}, 2.0)  # read again: not there yet
+    s.store.install_allocations("t", {}, 2.0)  # read again: not there yet
     assert s.jobs["j-000001"].allocations == {}
     ((key, value),) = [(k, v) for k, v in txn.puts.items()]
-    s.install_allocations(
+    s.store.install_allocations(
         "t", {key: (value, 30)}, 3.0
     )  # the next write failed its guard: it has landed after all
     assert s.jobs["j-000001"].allocations[0].committed
@@ -207,8 +207,8 @@
     """It may land after the cell was read again; given anew in another chunk, one task would have two permits."""
     s, txn = one_permit_being_written()
     (key,) = txn.puts
-    s.on_outcome_unknown(txn)
-    s.install_allocations("t", {}, 2.0)
+    s.writer.on_outcome_unknown(txn)
+    s.store.install_allocations("t", {}, 2.0)
     s.on_owner_update(0, 3, True, offers(1, first=7), 2.0)
     s.decide(2.0)
     fence = s.next_write()
@@ -250,7 +250,7 @@
         s.take_owner_updates(3, now)
         settle(s, 3.0, rev)
         s.take_owner_updates(3, 3.0)
-        before = s.visit_count
+        before = s.store.visit_count
         e = s.jobs["j-000004"].allocations[2]
         s.on_owner_update(
             0,
@@ -261,7 +261,7 @@
         )
         settle(s, 3.1, rev)
         told_keys.append(len(s.take_owner_updates(3, 3.1)))
-        visits.append(s.visit_count - before)
+        visits.append(s.store.visit_count - before)
     assert visits[1] <= 1.5 * visits[0] and told_keys == [7, 7]
 
 
@@ -282,7 +282,7 @@
     s.on_job(a_job("j-000001", task_count=2, kind="service", priority=0), "j-000001", 6, 1.0)
     s.on_owner_update(0, 3, False, offers(2, first=900), 1.1)
     s.decide(1.2)
-    assert len(s.dirty_chunks) > 20
+    assert len(s.store.dirty_chunks) > 20
     txn = s.next_write(3)
     assert (
         txn is not None
@@ -327,7 +327,7 @@
     assert txn is not None
     s.on_committed(txn, 51, 3.2)
     s.on_owner_update(0, 3, False, offers(1, first=20, job="j-000002") | offers(1, first=30), 3.3)
-    assert s.candidate_count(array, 3.3) == 0, "what was made free is kept for the replica"
+    assert s.quotas.candidate_count(array, 3.3) == 0, "what was made free is kept for the replica"
     s.decide(3.4)
     assert len(s.jobs["j-000001"].allocations) == 1
 
@@ -350,15 +350,15 @@
         s.take_owner_updates(1, 0.0)
         return sorted(
             (j for j, js in s.jobs.items() if js.job is not None),
-            key=lambda j: s.queue_order(s.jobs[j]),
+            key=lambda j: s.store.queue_order(s.jobs[j]),
         )
 
     assert first() == ["j-000004", "j-000003", "j-000002", "j-000001"]
     s.decide(121.0)
     assert first() == ["j-000004", "j-000001", "j-000002", "j-000003"]
     assert (
-        s.candidate_count(s.jobs["j-000001"], 121.0) == 1
-        and s.candidate_count(s.jobs["j-000002"], 121.0) == 8
+        s.quotas.candidate_count(s.jobs["j-000001"], 121.0) == 1
+        and s.quotas.candidate_count(s.jobs["j-000002"], 121.0) == 8
     )
     s.decide(242.0)
     assert first() == ["j-000004", "j-000003", "j-000002", "j-000001"], (
@@ -378,9 +378,9 @@
         {peer_messages.attempt_key(e.attempt_id): AttemptUpdate("running", "", 0, 0)},
         365.0,
     )
-    assert first()[-1] == "j-000001" and s.candidate_count(s.jobs["j-000001"], 365.0) == 49, (
-        "it has begun: the rest in its turn"
-    )
+    assert (
+        first()[-1] == "j-000001" and s.quotas.candidate_count(s.jobs["j-000001"], 365.0) == 49
+    ), "it has begun: the rest in its turn"
 
 
 def test_a_write_that_is_late_fails_its_guards_even_when_its_cell_has_been_empty_meanwhile() -> (
@@ -398,8 +398,8 @@
     s.decide(1.0)
     late = s.next_write()
     assert late is not None and len(late.added) == 1
-    s.on_outcome_unknown(late)
-    s.install_allocations("t", store.read("c/t/"), 2.0)
+    s.writer.on_outcome_unknown(late)
+    s.store.install_allocations("t", store.read("c/t/"), 2.0)
 
     def write() -> None:
         while (txn := s.next_write()) is not None:
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -160,7 +160,7 @@
         },
         9.0,
     )
-    assert [(d.at, d.job_id, d.machine, d.reason) for d in s.failed_attempts] == [
+    assert [(d.at, d.job_id, d.machine, d.reason) for d in s.store.failed_attempts] == [
         (9.0, "j-000001", e.machine, "its machine is gone")
     ]
 
