--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -1,9 +1,10 @@
 """The owner of one shard of the fleet: follows its machines, and decides what runs on them.
 
 `ShardOwner` takes in source updates, heartbeats and the passing of time, and hands out commands for
-agents and updates for the sources and the autoscaler. It is composed of the permits
-(`permit_table`), the health of the machines (`machine_health`), the placement of candidates
-(`placement`) and the commands (`command_builder`). No I/O: messages and the clock are passed in,
+agents and updates for the sources and the autoscaler. It is composed of what the sources want
+(`source_requests`), the permits (`permit_table`), the leases (`lease_monitor`) and the health
+(`machine_health`) of the machines, the placement of candidates (`placement`) and the commands
+(`command_builder`). No I/O: messages and the clock are passed in,
 and everything here follows what has changed. Called by the controller's scheduling loop and its
 request handlers.
 """
@@ -17,21 +18,19 @@
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.agents import EXITED, AttemptId, Heartbeat, TaskStatus
 from ploverhall.protocol.cloud import MachineType
-from ploverhall.protocol.jobs import Job, from_record
 from ploverhall.protocol.peer_messages import (
     AttemptUpdate,
-    CandidateUpdate,
-    JobUpdate,
     MachineUpdate,
-    PermitUpdate,
 )
 from ploverhall.scheduling import shard_updates
 from ploverhall.scheduling.command_builder import CommandBuilder
+from ploverhall.scheduling.lease_monitor import LeaseMonitor
 from ploverhall.scheduling.machine_health import FailureAttribution, ReceptionMonitor
-from ploverhall.scheduling.machines import JobTraits, Machine, Permit
+from ploverhall.scheduling.machines import Machine, Permit
 from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.placement import Placement
 from ploverhall.scheduling.shard_state import ShardState
+from ploverhall.scheduling.source_requests import SourceRequests
 
 TOKEN_BITS = fencing_tokens.TOKEN_BITS
 # A machine that has not answered a direct command is sent none for so long: each costs a token
@@ -40,10 +39,6 @@
 # After so many the wait is the long one: the answers to its heartbeats bring it what it has to do
 UNANSWERED_BEFORE_LONG_RETRY = 8
 SWEEP_INTERVAL_S = 0.25  # how often time itself is looked at for every machine
-# A lease of the machine's clock is over for sure: clocks differ by this factor, and a margin
-LEASE_CLOCK_FACTOR = 1.002
-LEASE_MARGIN_S = 1.0
-FORGET_MACHINE_AFTER_S = 900.0  # without heartbeats and permits
 UNRESPONSIVE_INTERVALS = 2.0  # heartbeat intervals after which a heartbeat is news by itself
 
 
@@ -63,7 +58,7 @@
         now: float,
         holder: int | None = None,
     ) -> None:
-        super().__init__(shard, epoch, source_count, lease_s, heartbeat_interval_s)
+        super().__init__(shard, epoch, source_count, lease_s, heartbeat_interval_s, now)
         # What every machine is given to begin with
         self.initial_token = fencing_tokens.initial_token(epoch, holder)
         self.started = now
@@ -73,19 +68,16 @@
         self.permits = self.permit_table.permits
         self.failures = FailureAttribution(self)
         self.reception = ReceptionMonitor(self)
+        self.source_requests = SourceRequests(
+            self, self.permit_table, self.placement, self.failures
+        )
+        self.lease_monitor = LeaseMonitor(self, self.permit_table, self.placement.reservations)
         self.command_builder = CommandBuilder(self, self.permit_table)
-        self.known_keys: dict[int, set[str]] = {}  # by source: the keys on its state channel
         self.draining_machines: set[str] = set()
         self.cordoned_machines: set[str] = set()  # machines that a maintenance order wants empty
-        # All machines, the one without heartbeats for longest first
-        self.machines_by_heartbeat: dict[str, Machine] = {}
         self.superseded_by = 0
         self.next_sweep_at = 0.0
         self.last_heartbeat_at = 0.0  # of any machine
-        # Begin of the newest fresh read of the store that showed this owner's epoch in force
-        self.epoch_confirmed_at = now
-        # A lease has run out by this clock, and a fresh read must show who holds the shard
-        self.confirmation_needed = False
 
     @property
     def machine_types(self) -> dict[str, MachineType]:
@@ -105,71 +97,11 @@
         self, source_shard: int, full: bool, changes: dict[str, Any], now: float
     ) -> None:
         """Take in a source's jobs, candidates and permits; `full` if these are all it has."""
-        known = self.known_keys.setdefault(source_shard, set())
-        if full:
-            self.synced_sources.add(source_shard)
-            changes = {**dict.fromkeys(sorted(known - changes.keys())), **changes}
-        known.update(key for key, value in changes.items() if value is not None)
-        known.difference_update(key for key, value in changes.items() if value is None)
-        by_kind: dict[str, list[tuple[str, Any]]] = {}
-        for key, value in changes.items():
-            by_kind.setdefault(key[0], []).append((key, value))
-        for key, value in by_kind.get(peer_messages.JOB, ()):
-            if value is not None:
-                self._update_job(key[1:], JobUpdate(*value))
-        # A permit takes up its reservation before fewer candidates give that reservation away
-        for key, value in by_kind.get(peer_messages.PERMIT, ()):
-            attempt_id = peer_messages.attempt_id_of_key(key)
-            update = PermitUpdate(*value) if value is not None else None
-            self.permit_table.update(attempt_id, source_shard, update, now)
-        for key, value in by_kind.get(peer_messages.CANDIDATE, ()):
-            self._update_candidates(
-                key[1:], source_shard, CandidateUpdate(*value) if value is not None else None
-            )
-        for key, value in by_kind.get(peer_messages.JOB, ()):
-            if value is None:
-                self._forget_job(key[1:])
-        self.needs_step = True
-
-    def _update_candidates(
-        self, job_id: str, source_shard: int, update: CandidateUpdate | None
-    ) -> None:
-        job = self.jobs.get(job_id)
-        if update is None or job is None:
-            self.placement.cancel(job_id)
-            return
-        traits = self.inventory.job_traits[job_id]
-        self.placement.request(source_shard, job, update, traits.within_guarantee)
-
-    def _update_job(self, job_id: str, update: JobUpdate) -> None:
-        resources = update.resources
-        self.resources_by_job[job_id] = (resources[0], resources[1], resources[2])
-        if update.record is None:
-            self.jobs.pop(job_id, None)
-            self.job_ended(job_id)
-            return
-        if job_id not in self.jobs:
-            self.jobs[job_id] = from_record(update.record)
-        old = self.inventory.job_traits.get(job_id)
-        traits = _job_traits(self.jobs[job_id], update, old)
-        self.inventory.job_traits[job_id] = traits
-        if old is None or old.preemption_class != traits.preemption_class:
-            # Who may stop its tasks has changed
-            for permit in self.permit_table.permits_by_job.get(job_id, {}).values():
-                self.mark_changed(self.machines.get(permit.machine))
-        if update.failing_everywhere and not (old is not None and old.failing_everywhere):
-            self.failures.clear_machines(job_id)
-
-    def _forget_job(self, job_id: str) -> None:
-        self.jobs.pop(job_id, None)
-        self.resources_by_job.pop(job_id, None)
-        self.inventory.job_traits.pop(job_id, None)
-        self.placement.cancel(job_id)
+        self.source_requests.update(source_shard, full, changes, now)
 
     def job_ended(self, job_id: str) -> None:
         """The key-value store says that a job is over: stop it, even with its source away."""
-        self.permit_table.stop_job(job_id)
-        self.placement.cancel(job_id)
+        self.source_requests.end_job(job_id)
 
     # -- heartbeats --------------------------------------------------------------------------
 
@@ -366,7 +298,7 @@
 
     def _sweep(self, now: float) -> None:
         """Look at unresponsive and doubtful machines; the others cost nothing, however many."""
-        forgotten = self._sweep_unresponsive(now)
+        forgotten = self.lease_monitor.sweep(now)
         self.reception.sweep(now)
         self.failures.sweep(now)
         for machine in forgotten:
@@ -374,48 +306,6 @@
             self.inventory.permits_by_machine.pop(machine.name, None)
             self.changed_for_autoscaler[machine.name] = None
 
-    def _sweep_unresponsive(self, now: float) -> list[Machine]:
-        """Expire the leases that are over; the machines that can be forgotten."""
-        forgotten = []
-        for machine in self.machines_by_heartbeat.values():
-            if now - machine.last_heartbeat_at <= self.inventory.unresponsive_after_s:
-                break  # and all that follow have sent a heartbeat later
-            last_contact = max(machine.last_answer_at, machine.last_heartbeat_at)
-            lease_end = last_contact + self.lease_s * LEASE_CLOCK_FACTOR + LEASE_MARGIN_S
-            if machine.accepted_token and not machine.lease_expired and now > lease_end:
-                # It took this owner's token, and its lease has not been renewed since: it has
-                # killed everything. But only if nobody else could renew it: a controller wakes from
-                # an event-loop stall with old beliefs, and a source that doesn't follow the store
-                # just then would believe it. A fresh read begun later shows who holds the shard.
-                if self.epoch_confirmed_at <= lease_end:
-                    self.confirmation_needed = True
-                    continue
-                self._expire_lease(machine)
-            elif self._can_forget(machine, now):
-                forgotten.append(machine)
-            if (
-                machine.reservations or machine.index_bucket is not None
-            ) and self.inventory.unusable(machine, now):
-                self.placement.reservations.release_machine(machine)
-                self.mark_changed(machine)
-        return forgotten
-
-    def _can_forget(self, machine: Machine, now: float) -> bool:
-        return (
-            (machine.lease_expired or not machine.accepted_token)
-            and now - machine.last_heartbeat_at > FORGET_MACHINE_AFTER_S
-            and not machine.permits
-        )
-
-    def _expire_lease(self, machine: Machine) -> None:
-        """Nothing runs on a machine any more: its lease has run out."""
-        machine.lease_expired = True
-        machine.command_pending = False
-        self.schedule_commands(machine)
-        self.permit_table.expire_machine(machine)
-        machine.tasks = {}
-        machine.listed_tasks = None
-
     # -- machines that go --------------------------------------------------------------------
 
     def _forget_machine(self, machine: Machine) -> None:
@@ -572,21 +462,6 @@
         )
 
 
-def _job_traits(job: Job, update: JobUpdate, old: JobTraits | None) -> JobTraits:
-    """The traits of a job after an update; a claim to its guarantee outlives it."""
-    return JobTraits(
-        job.priority,
-        bool(update.within_guarantee),
-        job.team,
-        job.kind,
-        job.checkpoint_s,
-        job.save_s,
-        job.spot,
-        bool(update.failing_everywhere),
-        old is not None and old.claimed_guarantee,
-    )
-
-
 def _says_something_new(machine: Machine, heartbeat: Heartbeat) -> bool:
     """Whether a heartbeat with the known tasks differs from what is known of its machine."""
     return (
--- a/ploverhall/scheduling/shard_state.py
+++ b/ploverhall/scheduling/shard_state.py
@@ -1,7 +1,7 @@
 """What the components of a shard's owner share: its epoch, its machines, and what has changed.
 
-Base class of `ShardOwner`; the components (`permit_table`, `machine_health`, `command_builder`)
-hold the same object. Nothing here decides anything but when a fencing token has to rise.
+Base class of `ShardOwner`; the components (`source_requests`, `permit_table`, `lease_monitor`,
+`machine_health`, `command_builder`) hold the same object. Nothing here decides anything but when a fencing token has to rise.
 """
 
 from __future__ import annotations
@@ -20,18 +20,30 @@
     """The state of one shard under one epoch; durations and times in seconds."""
 
     def __init__(
-        self, shard: int, epoch: int, source_count: int, lease_s: float, heartbeat_interval_s: float
+        self,
+        shard: int,
+        epoch: int,
+        source_count: int,
+        lease_s: float,
+        heartbeat_interval_s: float,
+        now: float,
     ) -> None:
         self.shard = shard
         self.epoch = epoch
         self.source_count = source_count
         self.lease_s = lease_s
+        # Begin of the newest fresh read of the store that showed this owner's epoch in force
+        self.epoch_confirmed_at = now
+        # A lease has run out by this clock, and a fresh read must show who holds the shard
+        self.confirmation_needed = False
         # Flags that tokens sent from now on carry (coordination.restart_recovery)
         self.renewal_grant = 0
         # A token could not be raised any more: a new epoch is wanted
         self.token_space_exhausted = False
         self.inventory = Inventory(heartbeat_interval_s)
         self.machines = self.inventory.machines
+        # All machines, the one without heartbeats for longest first
+        self.machines_by_heartbeat: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
         self.resources_by_job: dict[str, ResourceVector] = {}
         self.synced_sources: set[int] = set()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -258,7 +258,8 @@
     def take(self: ShardRoles, shard: int, epoch: int) -> None:
         real(self, shard, epoch)
         owner = self.context.held_shards[shard].owner
-        owner.job_ended_in_store, owner.job_ended = (lambda jid: False), (lambda jid: None)  # type: ignore[method-assign]
+        owner.job_ended_in_store = lambda jid: False
+        owner.source_requests.end_job = lambda jid: None  # type: ignore[method-assign]
 
     return ShardRoles, "acquire", take
 
