--- /dev/null
+++ b/ploverhall/scheduling/free_capacity.py
@@ -0,0 +1,201 @@
+"""Reserves free capacity for the candidates of one request, best fit first.
+
+The placement pass asks for tasks that don't depend on one another, and for a gang's tasks one by
+one. What no machine fits is remembered for the rest of the pass (`PlacementPass`).
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from random import Random
+from typing import NamedTuple
+
+from ploverhall.protocol.jobs import Job
+from ploverhall.scheduling.inventory import Inventory
+from ploverhall.scheduling.kept_machines import KeptMachines
+from ploverhall.scheduling.machines import Machine, MachinePool
+from ploverhall.scheduling.preemption import PreemptionPlanner
+from ploverhall.scheduling.reservations import CandidateRequest, ReservationTable
+from ploverhall.scheduling.resources import ResourceVector, fits
+from ploverhall.scheduling.scoring import score_machine
+
+MAX_PREEMPTION_SEARCHES = 24  # candidates matched in one pass
+# A start that is slower than this is worth the question whether a machine that holds the image is
+# better
+WARM_SEARCH_THRESHOLD_S = 2.0
+
+
+class TaskShape(NamedTuple):
+    """What decides where a task without further limits fits."""
+
+    resources: ResourceVector
+    machine_types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
+
+@dataclass(slots=True)
+class PlacementPass:
+    """The state of one pass over the queue."""
+
+    now: float
+    preempt: bool  # waiting candidates may look for work to stop
+    gained: dict[str, Machine]  # machines with more free capacity than before the pass
+    # May fall below zero, since a new gang's search counts also when none is left
+    searches_left: int = MAX_PREEMPTION_SEARCHES
+    gang_waits: bool = False  # a gang further ahead in the queue has not found all it needs
+    failed_shapes: list[TaskShape] = field(default_factory=list)
+
+
+@dataclass(slots=True)
+class MachineSearch:
+    """Where the tasks of one request may go."""
+
+    pools: list[MachinePool]
+    zone_limits: dict[str, int] | None  # how many more each zone may take
+    avoided: frozenset[str]
+    gained: dict[str, Machine] | None  # only these machines; None: all
+    zone: str | None  # only this zone; None: all
+
+    @property
+    def unlimited(self) -> bool:
+        """Whether it depends on nothing but the shape of the task."""
+        return (
+            self.gained is None
+            and self.zone is None
+            and self.zone_limits is None
+            and not self.avoided
+        )
+
+    def open_pools(self) -> list[MachinePool]:
+        """The pools whose zone may take another task."""
+        limits = self.zone_limits
+        return [pool for pool in self.pools if limits is None or limits.get(pool[1], 0) > 0]
+
+
+class FreeCapacity:
+    """Finds machines with free capacity, and reserves it."""
+
+    def __init__(
+        self,
+        inventory: Inventory,
+        reservations: ReservationTable,
+        kept_machines: KeptMachines,
+        preemption: PreemptionPlanner,
+        sample: int,
+        random: Random,
+    ) -> None:
+        self.inventory = inventory
+        self.reservations = reservations
+        self.kept_machines = kept_machines
+        self.preemption = preemption
+        self.sample = sample
+        self.random = random
+
+    def reserve(
+        self,
+        request: CandidateRequest,
+        missing: int,
+        current: PlacementPass,
+        gained: dict[str, Machine] | None,
+        zone: str | None = None,
+    ) -> int:
+        """Reserve free capacity for up to `missing` candidates; how many are still missing."""
+        job = request.job
+        shape = TaskShape(job.resources, job.machine_types, job.zone, job.spot)
+        if (
+            gained is None
+            and zone is None
+            and request.zone_limits is None
+            and not request.avoided_machines
+            and _has_failed(shape, current.failed_shapes)
+        ):
+            return missing
+        search = MachineSearch(
+            self._pools(job, zone),
+            self.reservations.remaining_zone_limits(request),
+            self.kept_machines.avoided_machines(request),
+            gained,
+            zone,
+        )
+        while missing > 0:
+            if not self._reserve_one(request, search, current.now):
+                if search.unlimited:
+                    current.failed_shapes.append(shape)
+                break
+            missing -= 1
+        return missing
+
+    def _pools(self, job: Job, zone: str | None) -> list[MachinePool]:
+        """Where a job may run; with a zone, only there."""
+        pools = self.inventory.allowed_pools(job)
+        return [pool for pool in pools if zone is None or pool[1] == zone]
+
+    def _reserve_one(self, request: CandidateRequest, search: MachineSearch, now: float) -> bool:
+        """Reserve for one candidate on the machine that fits best; whether any was found."""
+        job = request.job
+        pools = search.open_pools()
+        found = [
+            machine
+            for machine in self._find_machines(job, search, pools)
+            if not self.inventory.unusable(machine, now)
+        ]
+        if not found:
+            return False
+        cost_s, _, _, machine = min(
+            (*score_machine(self.inventory, job, machine), machine.name, machine)
+            for machine in found
+        )
+        plan = None
+        if (
+            job.image not in machine.images
+            and cost_s > WARM_SEARCH_THRESHOLD_S
+            and search.gained is None
+            and (job.kind != "gang" or request.count == 1)
+        ):
+            plan = self.preemption.find_warm_plan(request, pools, now)
+        if plan is not None and plan.cost_s < cost_s:
+            machine = plan.machine
+            self.reservations.reserve(request, machine, plan.cost_s, now, plan.victims)
+        else:
+            self.reservations.reserve(request, machine, cost_s, now)
+        self._count_against(search, machine)
+        return True
+
+    def _find_machines(
+        self, job: Job, search: MachineSearch, pools: list[MachinePool]
+    ) -> list[Machine]:
+        """A sample of the machines in these pools with free capacity for a task."""
+        if search.gained is None:
+            return self.inventory.find_machines(
+                job, pools, search.avoided, self.sample, self.random
+            )
+        gained = search.gained
+        for name in [name for name, machine in gained.items() if machine.index_bucket is None]:
+            del gained[name]
+        found = [
+            machine
+            for machine in gained.values()
+            if machine.pool in pools
+            and fits(job.resources, machine.free)
+            and machine.name not in search.avoided
+        ]
+        most = 2 * self.sample
+        return found if len(found) <= most else self.random.sample(found, most)
+
+    def _count_against(self, search: MachineSearch, machine: Machine) -> None:
+        """A candidate was placed on a machine: it counts against the limits of the search."""
+        if search.gained is not None:
+            machine_type = self.inventory.machine_types[machine.type]
+            if self.inventory.whole_units(machine.free, machine_type) == 0:
+                search.gained.pop(machine.name, None)
+        if search.zone_limits is not None:
+            search.zone_limits[machine.zone] -= 1
+
+
+def _has_failed(shape: TaskShape, failed_shapes: list[TaskShape]) -> bool:
+    """Whether something no larger has found no free capacity in this pass."""
+    return any(
+        failed[1:] == shape[1:] and fits(failed.resources, shape.resources)
+        for failed in failed_shapes
+    )
--- /dev/null
+++ b/ploverhall/scheduling/gang_placement.py
@@ -0,0 +1,153 @@
+"""Places gangs: all of a gang's tasks or none, but for the first gang in the queue.
+
+Gangs that hold parts of what the others need never run, so only one gang at a time may hold
+reservations for less than all of its tasks. Called by the placement pass, in the queue's order.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from ploverhall.scheduling.free_capacity import FreeCapacity, PlacementPass
+from ploverhall.scheduling.inventory import Inventory
+from ploverhall.scheduling.machines import MachinePool, Reservation
+from ploverhall.scheduling.preemption import PreemptionPlanner
+from ploverhall.scheduling.reservations import CandidateRequest, ReservationTable
+
+
+class GangPlacement:
+    """Reserves capacity for whole gangs."""
+
+    def __init__(
+        self,
+        inventory: Inventory,
+        reservations: ReservationTable,
+        preemption: PreemptionPlanner,
+        free_capacity: FreeCapacity,
+    ) -> None:
+        self.inventory = inventory
+        self.reservations = reservations
+        self.preemption = preemption
+        self.free_capacity = free_capacity
+        # The one gang that may hold reservations for less than all of its tasks
+        self.partial_gang: str | None = None
+
+    def place(
+        self, request: CandidateRequest, missing: int, is_new: bool, current: PlacementPass
+    ) -> int:
+        """Place a gang if anything has changed for it; how many tasks are still missing."""
+        may_search = is_new or current.preempt
+        if is_new or current.gained or (current.preempt and current.searches_left):
+            may_preempt = may_search and current.searches_left > 0
+            missing = self._place_all_or_nothing(request, missing, may_preempt, current)
+            if may_search:
+                current.searches_left -= 1
+        if missing > 0:
+            current.gang_waits = True
+        elif self.partial_gang == request.job.id:
+            self.partial_gang = None
+        return missing
+
+    def _place_all_or_nothing(
+        self, request: CandidateRequest, missing: int, may_preempt: bool, current: PlacementPass
+    ) -> int:
+        """Place the whole gang or none of it; the first in the queue may keep a part of it.
+
+        Gangs that hold parts of what the others need never run. The first keeps what it finds, so
+        that it does not starve, and the others take what it leaves. Returns how many tasks are
+        still missing.
+        """
+        is_first = not current.gang_waits
+        if is_first:
+            self._become_partial_gang(request)
+        pools = self._open_pools(request)
+        if not pools:
+            return missing
+        of_job = self.reservations.by_job.get(request.job.id, {})
+        preempt = may_preempt and self.preemption.could_preempt(request)
+        zone = None
+        if request.job.single_zone:
+            zone = self._gang_zone(request, missing, of_job, pools, preempt)
+        bound = self.inventory.max_tasks(
+            request.job.resources, [pool for pool in pools if zone is None or pool[1] == zone]
+        )
+        if bound < missing and not is_first and not preempt:
+            return missing
+        earlier = set(of_job)
+        if bound > 0:
+            missing = self.free_capacity.reserve(request, missing, current, None, zone)
+        if missing > 0 and preempt:
+            missing -= self.preemption.reserve(request, missing, current.now, zone)
+        if missing > 0 and not is_first:
+            self._release_since(request, earlier, current.now)
+        return missing
+
+    def _become_partial_gang(self, request: CandidateRequest) -> None:
+        """Give this gang the right to hold reservations for a part of its tasks."""
+        if self.partial_gang == request.job.id:
+            return
+        previous = self.partial_gang or ""
+        held = self.reservations.by_job.get(previous, {})
+        previous_request = self.reservations.requests.get(previous)
+        # A complete set is being permitted together with another shard's: if it were given away,
+        # the permits would be refused and the queue would change under the pass
+        if previous_request is not None and len(held) < previous_request.count:
+            for reservation in list(held.values()):
+                self.reservations.release(reservation, requeue=False)  # it waits already
+        self.partial_gang = request.job.id
+
+    def _open_pools(self, request: CandidateRequest) -> list[MachinePool]:
+        """Where a gang may run, without the zones that may take no more of it."""
+        pools = self.inventory.allowed_pools(request.job)
+        limits = self.reservations.remaining_zone_limits(request)
+        if limits is None:
+            return pools
+        return [pool for pool in pools if limits.get(pool[1], 0) > 0]
+
+    def _gang_zone(
+        self,
+        request: CandidateRequest,
+        missing: int,
+        of_job: dict[int, Reservation],
+        pools: list[MachinePool],
+        preempt: bool,
+    ) -> str:
+        """The zone for a gang that has to stay in one: where it is already, else the best one."""
+        if of_job:
+            return next(iter(of_job.values())).zone
+        bounds = {
+            zone: self.inventory.max_tasks(
+                request.job.resources, [pool for pool in pools if pool[1] == zone]
+            )
+            for zone in {pool[1] for pool in pools}
+        }
+        preemptible: Counter[str] = Counter()
+        if preempt and max(bounds.values()) < missing:
+            # Machines with work to stop count, too: else, with no free capacity anywhere, the last
+            # zone by name is chosen each time, and gangs wait although work elsewhere may stop
+            preemptible = Counter(
+                machine.zone
+                for machine in self.inventory.preemption_index.candidates.values()
+                if machine.pool in pools
+            )
+        return max(
+            bounds,
+            key=lambda zone: (
+                min(bounds[zone] + preemptible[zone], missing),
+                min(bounds[zone], missing),
+                preemptible[zone],
+                zone,
+            ),
+        )
+
+    def _release_since(self, request: CandidateRequest, earlier: set[int], now: float) -> None:
+        """Release a gang's reservations but for the earlier ones."""
+        of_job = self.reservations.by_job.get(request.job.id, {})
+        added = [reservation for reservation in of_job.values() if reservation.id not in earlier]
+        for reservation in added:
+            self.reservations.release(reservation, requeue=False)
+            machine = self.inventory.machines.get(reservation.machine)
+            if machine is not None:
+                self.inventory.refresh(machine, now)
+                # Nothing was gained: trying again at once would find the same
+                self.inventory.machines_with_gains.pop(reservation.machine, None)
--- a/ploverhall/scheduling/inventory.py
+++ b/ploverhall/scheduling/inventory.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable, Iterable
 from random import Random
 
@@ -19,9 +18,9 @@
     Machine,
     MachinePool,
     Permit,
-    PreemptionClass,
     occupies,
 )
+from ploverhall.scheduling.preemption_index import PreemptionIndex
 from ploverhall.scheduling.resources import (
     EPSILON,
     NO_RESOURCES,
@@ -56,16 +55,12 @@
         self.permits_by_machine: dict[str, dict[AttemptId, Permit]] = {}
         self.proven_gone: set[str] = set()  # machines that the cloud has deleted
         self.job_traits: dict[str, JobTraits] = {}
+        self.preemption_index = PreemptionIndex(self.job_traits)
         self.resources_of_job: Callable[[str], ResourceVector | None] = lambda job_id: None
         self.capacity_index: dict[MachinePool, dict[CapacityLevel, list[Machine]]] = {}
         # Machines in the index that hold an image and have a unit free
         self.warm_machines: dict[tuple[MachinePool, str], dict[str, Machine]] = {}
         self.image_holders: dict[str, dict[str, Machine]] = {}  # image -> all machines that hold it
-        # Usable machines with tasks of that class that could be stopped; none is no key
-        self.preemptible_classes: Counter[PreemptionClass] = Counter()
-        # These machines, the one that gained something last at the end
-        self.preemption_candidates: dict[str, Machine] = {}
-        self.preemption_generation = 0  # rises with every such gain
         self.changed_machines: dict[str, Machine] = {}
         # Machines with more free capacity than at their last refresh
         self.machines_with_gains: dict[str, Machine] = {}
@@ -158,7 +153,7 @@
             or self.unusable(machine, now)
         ):
             self._unindex(machine)
-            self._update_preemptible(machine, {}, False)
+            self.preemption_index.update(machine, {}, False)
             return
         self._index(machine, machine_type)
         has_gained = not was_indexed or any(
@@ -167,7 +162,9 @@
         )
         if has_gained:
             self.machines_with_gains[machine.name] = machine
-        self._update_preemptible(machine, self._preemptible_tasks(machine), has_gained)
+        self.preemption_index.update(
+            machine, self.preemption_index.preemptible_tasks(machine), has_gained
+        )
 
     def _index(self, machine: Machine, machine_type: MachineType) -> None:
         """Put a usable machine into the bucket of its free capacity."""
@@ -184,64 +181,6 @@
             for image in machine.images:
                 self.warm_machines.setdefault((machine.pool, image), {})[machine.name] = machine
 
-    def _preemptible_tasks(self, machine: Machine) -> dict[AttemptId, PreemptionClass]:
-        """The tasks on a machine that somebody might stop, with their preemption classes."""
-        preemptible: dict[AttemptId, PreemptionClass] = {}
-        for attempt_id, permit in machine.permits.items():
-            traits = self.job_traits.get(attempt_id.job_id)
-            if traits is None or traits.priority == 0 or traits.kind == "service":
-                continue  # a replica is never stopped for others: its user feels it at once
-            task = machine.tasks.get(attempt_id)
-            if (
-                task is not None
-                and task.state in ("running", "fetching")
-                and not (
-                    permit.gone
-                    or permit.refused
-                    or permit.stop_grace_s is not None
-                    or permit.evict_requested
-                )
-            ):
-                # In its job's turn, after a long wait, it counts as most important
-                preemptible[attempt_id] = (
-                    (0, *traits.preemption_class[1:]) if permit.overdue else traits.preemption_class
-                )
-        return preemptible
-
-    def _update_preemptible(
-        self, machine: Machine, preemptible: dict[AttemptId, PreemptionClass], has_gained: bool
-    ) -> None:
-        """Keep the index of what could be stopped.
-
-        A machine that has gained something gets a new generation: who found no preemption plan
-        searches only such machines again.
-        """
-        if preemptible != machine.preemptible:
-            has_gained = has_gained or any(
-                machine.preemptible.get(attempt_id) != preemption_class
-                for attempt_id, preemption_class in preemptible.items()
-            )
-            self._count_preemptible_classes(machine, frozenset(preemptible.values()))
-            machine.preemptible = preemptible
-        if not preemptible:
-            self.preemption_candidates.pop(machine.name, None)
-        elif has_gained or machine.name not in self.preemption_candidates:
-            self.preemption_generation += 1
-            machine.preemptible_since = self.preemption_generation
-            self.preemption_candidates.pop(machine.name, None)
-            self.preemption_candidates[machine.name] = machine
-
-    def _count_preemptible_classes(
-        self, machine: Machine, classes: frozenset[PreemptionClass]
-    ) -> None:
-        """Replace the classes of a machine in the count over all machines."""
-        for preemption_class in machine.preemptible_classes - classes:
-            self.preemptible_classes[preemption_class] -= 1
-            if not self.preemptible_classes[preemption_class]:
-                del self.preemptible_classes[preemption_class]
-        self.preemptible_classes.update(classes - machine.preemptible_classes)
-        machine.preemptible_classes = classes
-
     def _unindex(self, machine: Machine) -> None:
         if machine.index_bucket is None:
             return
@@ -276,7 +215,7 @@
     def remove(self, machine: Machine) -> None:
         """The machine is not known any more."""
         self._unindex(machine)
-        self._update_preemptible(machine, {}, False)
+        self.preemption_index.update(machine, {}, False)
         for image in machine.images:
             self._remove_holder(machine, image)
         self.machines.pop(machine.name, None)
--- a/ploverhall/scheduling/machines.py
+++ b/ploverhall/scheduling/machines.py
@@ -159,7 +159,7 @@
     # Its tasks that somebody might stop, as of the last refresh
     preemptible: dict[AttemptId, PreemptionClass] = field(default_factory=dict)
     preemptible_classes: frozenset[PreemptionClass] = frozenset()
-    # `Inventory.preemption_generation` when it last gained such a task or free capacity
+    # `PreemptionIndex.generation` when it last gained such a task or free capacity
     preemptible_since: int = 0
 
     @property
--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -56,7 +56,7 @@
 class ExhaustedSearch(NamedTuple):
     """A search that found fewer plans than it needed."""
 
-    generation: int  # `Inventory.preemption_generation` at the time
+    generation: int  # `PreemptionIndex.generation` at the time
     found: int
     zone: str | None
 
@@ -116,7 +116,7 @@
             return False
         return any(
             self.may_preempt(request, preemption_class)
-            for preemption_class in self.inventory.preemptible_classes
+            for preemption_class in self.inventory.preemption_index.classes
         )
 
     def may_preempt(self, request: CandidateRequest, preemption_class: PreemptionClass) -> bool:
@@ -159,7 +159,7 @@
         """
         classes = {
             preemption_class
-            for preemption_class in self.inventory.preemptible_classes
+            for preemption_class in self.inventory.preemption_index.classes
             if self.may_preempt(request, preemption_class)
         }
         if not classes or self._job_is_exhausted(request, missing, zone):
@@ -172,7 +172,7 @@
         plans = self._make_plans(request, machines, missing, victims_in_progress, now)
         found = self._reserve_by_plans(request, plans, missing, victims_in_progress, now)
         if found < missing:
-            search = ExhaustedSearch(self.inventory.preemption_generation, found, zone)
+            search = ExhaustedSearch(self.inventory.preemption_index.generation, found, zone)
             self._exhausted_by_job[request.job.id] = search
             if shape is not None:
                 self._exhausted_by_shape[shape] = search
@@ -181,7 +181,7 @@
     def _job_is_exhausted(self, request: CandidateRequest, missing: int, zone: str | None) -> bool:
         """Whether the job's last search found too little, and nothing has been gained since."""
         last = self._exhausted_by_job.get(request.job.id, NO_SEARCH)
-        if last.generation < self.inventory.preemption_generation:
+        if last.generation < self.inventory.preemption_index.generation:
             return False
         return request.job.kind != "gang" or (last.found < missing and last.zone == zone)
 
@@ -190,7 +190,7 @@
         last = self._exhausted_by_shape.get(shape)
         return (
             last is not None
-            and last.generation == self.inventory.preemption_generation
+            and last.generation == self.inventory.preemption_index.generation
             and last.found < missing
         )
 
@@ -207,7 +207,7 @@
             if zone is None or pool[1] == zone
         }
         machines: list[Machine] = []
-        for machine in reversed(self.inventory.preemption_candidates.values()):
+        for machine in reversed(self.inventory.preemption_index.candidates.values()):
             if machine.preemptible_since <= since:
                 break  # and all that follow have gained nothing for longer
             if machine.pool in pools and not machine.preemptible_classes.isdisjoint(classes):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -69,7 +69,9 @@
         p.cancel(jid)
     step(p, 4.1)
     assert (
-        held(p) == {"j-000002": 4} and p.reservations.queue.entries == [] and p.partial_gang is None
+        held(p) == {"j-000002": 4}
+        and p.reservations.queue.entries == []
+        and p.gangs.partial_gang is None
     )
 
 
@@ -273,7 +275,7 @@
     """One in a hundred held it: a sample of sixty-four mostly missed it, and the replica fetched (ardgael-loans-fleet restart)."""
     for seed in range(6):
         p = fleet(300)
-        p.random = p.preemption.random = Random(seed)
+        p.free_capacity.random = p.preemption.random = Random(seed)
         p.inventory.job_traits["j-1"] = JobTraits(3, False, "u", "array", 0.0, 0.0, False)
         for i, m in enumerate(p.inventory.machines.values()):
             work(p, m, "j-1", i, (16.0, 4.0, 8.0))
