--- a/tests/simulation/decision_model.py
+++ b/tests/simulation/decision_model.py
@@ -207,10 +207,10 @@
             if w.layout.team_shard[job.team] == shard:
                 self.source.on_job(job, jid, version, w.now)
         for t in teams:
-            self.source.store.install_allocations(
+            self.source.records.install_allocations(
                 t.name, w.store.read(allocation_prefix(t.name)), w.now
             )
-            self.source.store.install_progress(t.name, w.store.read(progress_prefix(t.name)))
+            self.source.records.install_progress(t.name, w.store.read(progress_prefix(t.name)))
         for part in range(len(w.nodes)):
             node.outbox.channel("s", shard, part, epoch)
         self.busy = False
@@ -649,7 +649,7 @@
             if unknown:
                 h.source.writer.on_outcome_unknown(txn)
                 for t in h.source.writer.teams_of(txn):
-                    h.source.store.install_allocations(
+                    h.source.records.install_allocations(
                         t, self.store.read(allocation_prefix(t)), self.now
                     )
                 node.owners_again(h)
@@ -659,7 +659,7 @@
                     node.outbox.drop(("s", "o"), h.shard)
                     return
                 for t in h.source.writer.on_compare_failed(txn, failed):
-                    h.source.store.install_allocations(
+                    h.source.records.install_allocations(
                         t, self.store.read(allocation_prefix(t)), self.now
                     )
                 node.owners_again(h)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -17,7 +17,7 @@
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.restart_recovery import RenewalGrants
-from ploverhall.scheduling.allocations import AllocationStore
+from ploverhall.scheduling.record_loader import RecordLoader
 
 from .simulation import decision_model
 from .simulation.cluster import HOLD, RESET, SLOW, SimulatedCluster, play
@@ -158,7 +158,7 @@
 
 def reads_no_cells() -> Any:
     """Without: a new source does not know the starts that may be somewhere."""
-    return AllocationStore, "install_allocations", lambda self, team, found, now: None
+    return RecordLoader, "install_allocations", lambda self, team, found, now: None
 
 
 def answers_nobody() -> Any:
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -11,6 +11,7 @@
 import pytest
 
 from ploverhall.scheduling.allocations import AllocationStore
+from ploverhall.scheduling.record_loader import RecordLoader
 
 from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
 
@@ -33,13 +34,13 @@
 
 def over_is_small(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new source does not know the size of what is over."""
-    real = AllocationStore.install_allocations
+    real = RecordLoader.install_allocations
 
-    def install_cell(self: AllocationStore, team: str, found: dict[str, Any], now: float) -> None:
+    def install_cell(self: RecordLoader, team: str, found: dict[str, Any], now: float) -> None:
         small = {
             key: (
                 {
-                    jid: [vec if jid in self.jobs else [0.0, 0.0, 0.0], es]
+                    jid: [vec if jid in self.store.jobs else [0.0, 0.0, 0.0], es]
                     for jid, (vec, es) in value.items()
                 },
                 version,
@@ -48,7 +49,7 @@
         }
         real(self, team, small, now)
 
-    monkeypatch.setattr(AllocationStore, "install_allocations", install_cell)
+    monkeypatch.setattr(RecordLoader, "install_allocations", install_cell)
 
 
 @pytest.mark.parametrize(
