--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -1,25 +1,22 @@
 """The jobs of one shard's teams, their allocations, and the record chunks that hold these.
 
-`AllocationStore` holds state and its bookkeeping only. `StoreWriter` plans what is written,
-`EvictionGrants` adds the granted evictions, and `JobSource` decides which task is permitted; the
-three build on it as subclasses, since they change the same state. No I/O.
+`AllocationStore` holds state and its bookkeeping only. `JobSource` has one, and hands it to the
+components that decide on that state: `StoreWriter` plans what is written, `EvictionGrants` adds the
+granted evictions, `TeamQuotas` says how much may be permitted. No I/O.
 """
 
 from __future__ import annotations
 
-import base64
 import heapq
 from bisect import insort
 from collections import deque
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from ploverhall.protocol import peer_messages
-from ploverhall.protocol.agents import AttemptId
-from ploverhall.protocol.cloud import MachineType
 from ploverhall.protocol.jobs import Job
 from ploverhall.protocol.peer_messages import PermitUpdate
-from ploverhall.scheduling.job_state import TASKS_PER_PROGRESS_VALUE, JobState
+from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.objectives import Objectives
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES
 from ploverhall.scheduling.record_chunks import Allocation, RecordChunk
@@ -67,23 +64,11 @@
 class AllocationStore:
     """The jobs of one shard's teams, and each of their attempts that may be on a machine.
 
-    `max_value_bytes` and `max_transaction_ops` are the limits of the key-value store.
+    `max_value_bytes` is the key-value store's limit for a value.
     """
 
-    def __init__(
-        self,
-        shard: int,
-        epoch: int,
-        teams: list[Team],
-        zones: tuple[str, ...],
-        max_value_bytes: int,
-        max_transaction_ops: int,
-    ) -> None:
-        self.shard = shard
-        self.epoch = epoch
+    def __init__(self, teams: list[Team], max_value_bytes: int) -> None:
         self.teams = {team.name: team for team in teams}
-        self.zones = zones
-        self.max_transaction_ops = max_transaction_ops
         self.max_chunk_bytes = min(
             int(max_value_bytes * CHUNK_FILL_FACTOR), MAX_TRANSACTION_BYTES // 2
         )
@@ -99,19 +84,14 @@
         self.job_by_offer: dict[tuple[int, int], str] = {}
         # The share of a team's limit that is kept for waiting replicas
         self.reserved_for_services: dict[str, ResourceVector] = {}
-        self.attempt_count = 0  # attempts that this source has numbered
 
         # What is to be written
         self.chunks: dict[str, dict[int, RecordChunk]] = {team.name: {} for team in teams}
         # Chunks to be written; True: it holds permits that wait for that
         self.dirty_chunks: dict[RecordChunk, bool] = {}
-        # Chunks that a write of unknown outcome may still change
-        self.chunks_to_fence: set[tuple[str, int]] = set()
         # Complete jobs whose end is still to be written
         self.jobs_to_end: dict[str, JobState] = {}
         self.obsolete_keys: list[str] = []  # progress values of ended jobs
-        self.write_operation_limit = max_transaction_ops  # of the transaction being planned
-        self.crowded_writes = 0  # transactions that could not take all that waited
 
         # What is to be decided or sent
         self.changed_jobs: set[str] = set()  # jobs that shard owners must be sent
@@ -121,9 +101,7 @@
         self.jobs_to_decide: set[str] = set()  # jobs whose offers are to be looked at
         self.teams_with_changed_usage: set[str] = set()
         self.teams_to_reorder: set[str] = set(self.teams)  # their guarantees are to be divided anew
-        self.holding_back_offers = False  # costlier offers wait a moment for better ones
         self.timers: list[tuple[float, str]] = []  # a heap of times at which a job is looked at
-        self.next_team_check_at = self.next_revisit_at = self.next_service_check_at = 0.0
 
         # History
         self.failed_attempts: deque[FailedAttempt] = deque(maxlen=MAX_HISTORY)
@@ -137,122 +115,10 @@
 
         # Set by the controller
         self.objectives = Objectives()
-        self.machine_types: dict[str, MachineType] = {}  # that the cloud offers
         self.log_debug: Callable[..., None] = lambda *args, **fields: None
         self.log_info: Callable[..., None] = lambda *args, **fields: None
 
-    # -- reading the key-value store ----------------------------------------------------------
-
-    def install_allocations(self, team: str, found: dict[str, tuple[Any, int]], now: float) -> None:
-        """Replace a team's chunks by those read, given as key -> (value, version).
-
-        Called at the start, and whenever the outcome of a write is unknown.
-        """
-        stored_attempts: set[AttemptId] = set()
-        old_chunks = self.chunks[team]
-        for chunk in old_chunks.values():
-            self.dirty_chunks.pop(chunk, None)
-        self.chunks[team] = {}
-        for key, (value, version) in found.items():
-            chunk = RecordChunk(team, int(key.rsplit("/", 1)[1]), version)
-            self.chunks[team][chunk.index] = chunk
-            for job_id, (resources, records) in value.items():
-                for record in records:
-                    job_state = self._job_of_record(job_id, team, resources, now)
-                    allocation = self._install_record(job_state, chunk, record)
-                    stored_attempts.add((job_id, allocation.task, allocation.attempt))
-                    if allocation.finished:
-                        self.dirty_chunks.setdefault(chunk, False)
-        self._remove_unstored(old_chunks, stored_attempts)
-
-    def _job_of_record(
-        self, job_id: str, team: str, resources: list[float], now: float
-    ) -> JobState:
-        """Return the state of a stored job; one that is not known is taken to have ended."""
-        job_state = self.jobs.get(job_id)
-        if job_state is None:
-            job_state = self.jobs[job_id] = JobState(
-                job_id,
-                team,
-                (resources[0], resources[1], resources[2]),
-                waiting_since=now,
-                arrived_at=now,
-            )
-        return job_state
-
-    def _install_record(
-        self, job_state: JobState, chunk: RecordChunk, record: list[Any]
-    ) -> Allocation:
-        """Return the allocation of a stored record: the one that is known, or a new one."""
-        task, attempt, machine, shard, zone, epoch, reservation_id = record
-        known = job_state.allocations.get(task)
-        if known is not None and known.attempt == attempt:
-            chunk.add(known, job_state.resources)
-            self._mark_committed(job_state, known)
-            return known
-        if known is not None:
-            self._remove(job_state, known)
-            self.jobs[job_state.id] = job_state
-        allocation = Allocation(
-            job_state.id,
-            task,
-            attempt,
-            machine,
-            shard,
-            zone,
-            epoch,
-            reservation_id,
-            chunk,
-            committed=True,
-        )
-        if job_state.job is None:
-            allocation.stop_grace_s = 0.0
-        self._insert(job_state, allocation)
-        self._update_permit(allocation)
-        return allocation
-
-    def _remove_unstored(
-        self, old_chunks: dict[int, RecordChunk], stored_attempts: set[AttemptId]
-    ) -> None:
-        """Remove allocations that are not stored: they never landed, or their removal did."""
-        for chunk in old_chunks.values():
-            for allocation in list(chunk.allocations.values()):
-                job_state = self.jobs.get(allocation.job_id)
-                if (
-                    job_state is not None
-                    and job_state.allocations.get(allocation.task) is allocation
-                    and (allocation.job_id, allocation.task, allocation.attempt)
-                    not in stored_attempts
-                ):
-                    self._remove(job_state, allocation)
-                    job_state.requeue(allocation.task)
-
-    def install_progress(self, team: str, found: dict[str, tuple[Any, int]]) -> None:
-        """Take in the progress values of a team's arrays, given as key -> (value, version).
-
-        The team's live jobs must be known; values of other jobs are marked for deletion.
-        """
-        for key, (value, _) in found.items():
-            job_id, _, index = key[len(progress_prefix(team)) :].rpartition("/")
-            job_state = self.jobs.get(job_id)
-            if job_state is None or job_state.job is None:
-                self.obsolete_keys.append(key)
-                continue
-            self._install_progress_value(job_state, int(index), base64.b64decode(value))
-            job_state.dirty_progress.clear()
-            if job_state.job.kind == "array" and job_state.done_count == job_state.task_count:
-                self._mark_complete(job_state)
-
-    def _install_progress_value(
-        self, job_state: JobState, value_index: int, done_bits: bytes
-    ) -> None:
-        first_task = value_index * TASKS_PER_PROGRESS_VALUE
-        job_state.stored_progress.add(value_index)
-        for byte_index, byte in enumerate(done_bits):
-            for bit in range(8):
-                task = first_task + byte_index * 8 + bit
-                if byte & (1 << bit) and task < job_state.task_count:
-                    job_state.mark_done(task)
+    # -- jobs --------------------------------------------------------------------------------
 
     def on_job(
         self, job: Job | None, job_id: str, version: int, now: float, age: float = 0.0
@@ -276,7 +142,7 @@
             insort(self.jobs_by_age[job.team], (job.submitted_at, job_id))
             for allocation in job_state.allocations.values():
                 allocation.stop_grace_s = None
-                self._update_permit(allocation)
+                self.update_permit(allocation)
         job_state.job = job
         job_state.version = version
         job_state.resources = job.resources
@@ -313,13 +179,13 @@
         job_state.version = 0
         self._drop_offers(job_state)
         for allocation in job_state.allocations.values():
-            self._request_stop(allocation, 0.0)
+            self.request_stop(allocation, 0.0)
         if not job_state.allocations:
             del self.jobs[job_id]
 
     # -- allocations -------------------------------------------------------------------------
 
-    def _insert(self, job_state: JobState, allocation: Allocation) -> None:
+    def insert(self, job_state: JobState, allocation: Allocation) -> None:
         """Add an allocation to its job, its chunk and the team's usage."""
         job_state.allocations[allocation.task] = allocation
         job_state.allocations_per_zone[allocation.zone] = (
@@ -337,8 +203,8 @@
         self.changed_jobs.add(job_state.id)
         self.teams_with_changed_usage.add(job_state.team)
 
-    def _remove(self, job_state: JobState, allocation: Allocation) -> None:
-        """Undo `_insert`; a job that has ended goes with its last allocation."""
+    def remove(self, job_state: JobState, allocation: Allocation) -> None:
+        """Undo `insert`; a job that has ended goes with its last allocation."""
         del job_state.allocations[allocation.task]
         job_state.allocations_per_zone[allocation.zone] -= 1
         if not job_state.allocations_per_zone[allocation.zone]:
@@ -351,7 +217,7 @@
         else:
             self.permit_updates[
                 allocation.shard,
-                peer_messages.permit_key((allocation.job_id, allocation.task, allocation.attempt)),
+                peer_messages.permit_key(allocation.attempt_id),
             ] = None
         self.used[job_state.team] = add_scaled(self.used[job_state.team], job_state.resources, -1)
         allocation.chunk.remove(allocation, job_state.resources)
@@ -369,7 +235,7 @@
         if not job_state.uncommitted_per_shard[allocation.shard]:
             del job_state.uncommitted_per_shard[allocation.shard]
 
-    def _mark_committed(self, job_state: JobState, allocation: Allocation) -> None:
+    def mark_committed(self, job_state: JobState, allocation: Allocation) -> None:
         """A permit is written: its shard owner may be sent it."""
         if not allocation.committed:
             self._decrement_uncommitted(job_state, allocation)
@@ -377,14 +243,14 @@
             self.changed_jobs.add(job_state.id)
         if job_state.job is None and not allocation.finished:
             allocation.stop_grace_s = 0.0  # the job ended while the write was in flight
-        self._update_permit(allocation)
+        self.update_permit(allocation)
 
-    def _update_permit(self, allocation: Allocation) -> None:
+    def update_permit(self, allocation: Allocation) -> None:
         """Send a written permit, with what has changed in it, to its shard owner."""
         if allocation.committed:
             self.permit_updates[
                 allocation.shard,
-                peer_messages.permit_key((allocation.job_id, allocation.task, allocation.attempt)),
+                peer_messages.permit_key(allocation.attempt_id),
             ] = PermitUpdate(
                 allocation.machine,
                 allocation.epoch,
@@ -392,13 +258,13 @@
                 allocation.stop_grace_s,
             )
 
-    def _request_stop(self, allocation: Allocation, grace_s: float) -> None:
+    def request_stop(self, allocation: Allocation, grace_s: float) -> None:
         """Stop an attempt, with this much time to save before it is killed."""
         if allocation.stop_grace_s != grace_s:
             allocation.stop_grace_s = grace_s
-            self._update_permit(allocation)
+            self.update_permit(allocation)
 
-    def _chunk_for(self, team: str, size_bytes: int) -> RecordChunk:
+    def chunk_for(self, team: str, size_bytes: int) -> RecordChunk:
         """Return a chunk with that much space: a dirty one, else any, else a new one."""
         chunks = self.chunks[team]
         best: RecordChunk | None = None
@@ -414,16 +280,18 @@
             best = chunks[index] = RecordChunk(team, index)
         return best
 
-    def _drop_offer(self, key: tuple[int, int]) -> None:
+    def drop_offer(self, key: tuple[int, int]) -> None:
+        """Forget an offer, given by shard and reservation id, if it is known."""
         job_id = self.job_by_offer.pop(key, None)
         if job_id is not None and (job_state := self.jobs.get(job_id)) is not None:
             job_state.offers.pop(key, None)
 
     def _drop_offers(self, job_state: JobState) -> None:
         for key in list(job_state.offers):
-            self._drop_offer(key)
+            self.drop_offer(key)
 
-    def _mark_complete(self, job_state: JobState) -> None:
+    def mark_complete(self, job_state: JobState) -> None:
+        """Every task of a job is done: its end is to be written."""
         job_state.complete = True
         self.jobs_to_end[job_state.id] = job_state
         self.changed_jobs.add(job_state.id)
--- a/ploverhall/scheduling/command_builder.py
+++ b/ploverhall/scheduling/command_builder.py
@@ -53,7 +53,7 @@
             ):
                 # A run may be on its way: only a list under a higher token shows that it is not
                 self.state.raise_token(machine)
-        if not direct and machine.tasks:
+        if not direct and not machine.tasks.keys() <= machine.permits.keys():
             commands += self._unpermitted_task_commands(machine)
         for permit in runs:
             commands.append(self._run_command(permit, machine, direct))
@@ -107,7 +107,7 @@
                 # Without its source's permits a task may be permitted all the same. Only if its job
                 # is over it needs no source to be stopped: else cancelled work runs on while a new
                 # owner is cut off from the source
-                if all_synced or self.state.job_ended_in_store(attempt_id[0]):
+                if all_synced or self.state.job_ended_in_store(attempt_id.job_id):
                     commands.append(agents.kill_command(attempt_id, 0.0))
             elif all_synced and self._may_reap(attempt_id, machine):
                 commands.append(agents.reap_command(attempt_id))
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -3,7 +3,7 @@
 A shard owner requests an eviction; the source grants it within the budget, writes the grant, and
 stops the attempt once that has landed. A new source reads the grants, counts them, and stops the
 attempts again if they still run: else two sources could spend the same budget. A grant that is over
-is removed with the team's next one. `JobSource` and the controller's write loop call this.
+is removed with the team's next one. `JobSource` calls this.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 )
 from ploverhall.protocol.agents import AttemptId
 from ploverhall.protocol.jobs import Job
+from ploverhall.scheduling.allocations import AllocationStore
 from ploverhall.scheduling.job_state import JobState, save_grace_s
 from ploverhall.scheduling.pending_write import MAX_TRANSACTION_BYTES, PendingWrite
 from ploverhall.scheduling.record_chunks import Allocation
 from ploverhall.scheduling.store_writer import StoreWriter
-from ploverhall.settings import Team
 from ploverhall.storage.schema import grants_key
 
 GRANT_INTERVAL_S = 0.5
@@ -33,19 +33,12 @@
 REASON_TOO_MANY_GRANTS = "so many of its team are being stopped"
 
 
-class EvictionGrants(StoreWriter):
+class EvictionGrants:
     """The evictions that shard owners have requested, and those that are granted."""
 
-    def __init__(
-        self,
-        shard: int,
-        epoch: int,
-        teams: list[Team],
-        zones: tuple[str, ...],
-        max_value_bytes: int,
-        max_transaction_ops: int,
-    ) -> None:
-        super().__init__(shard, epoch, teams, zones, max_value_bytes, max_transaction_ops)
+    def __init__(self, store: AllocationStore, writer: StoreWriter, max_value_bytes: int) -> None:
+        self.store = store
+        self.writer = writer
         self.budgets = DisruptionBudgets()
         self.max_grants = min(
             MAX_GRANTS_PER_TEAM, int(max_value_bytes * VALUE_FILL_FACTOR) // GRANT_BYTES
@@ -53,11 +46,11 @@
         self.requested_since: dict[AttemptId, float] = {}
         self.denial_reasons: dict[AttemptId, str] = {}  # for the maintenance status
         # By team and attempt; True: the grant is written
-        self.grants_by_team: dict[str, dict[AttemptId, bool]] = {team.name: {} for team in teams}
-        self.grant_versions: dict[str, int] = {team.name: 0 for team in teams}
+        self.grants_by_team: dict[str, dict[AttemptId, bool]] = {team: {} for team in store.teams}
+        self.grant_versions: dict[str, int] = dict.fromkeys(store.teams, 0)
         self.teams_with_unwritten_grants: set[str] = set()
         self.recent_disruptions: dict[str, RecentDisruptions] = {
-            team.name: RecentDisruptions() for team in teams
+            team: RecentDisruptions() for team in store.teams
         }
         self.next_grant_at = 0.0
 
@@ -65,14 +58,14 @@
 
     def request_eviction(self, allocation: Allocation, requested: bool, now: float) -> None:
         """A shard owner requests the eviction of an attempt, or takes the request back."""
-        key = (allocation.job_id, allocation.task, allocation.attempt)
+        attempt_id = allocation.attempt_id
         if requested:
-            self.requested_since.setdefault(key, now)
-        elif self.requested_since.pop(key, None) is not None:
-            self.denial_reasons.pop(key, None)
-            granted = self.grants_by_team[self.jobs[allocation.job_id].team]
-            if granted.get(key) is False:
-                del granted[key]  # not written yet
+            self.requested_since.setdefault(attempt_id, now)
+        elif self.requested_since.pop(attempt_id, None) is not None:
+            self.denial_reasons.pop(attempt_id, None)
+            granted = self.grants_by_team[self.store.jobs[allocation.job_id].team]
+            if granted.get(attempt_id) is False:
+                del granted[attempt_id]  # not written yet
 
     # -- granting ----------------------------------------------------------------------------
 
@@ -85,21 +78,21 @@
             return
         self.next_grant_at = now + GRANT_INTERVAL_S
         unavailable_per_team: dict[str, int] = {}
-        for key in sorted(
+        for attempt_id in sorted(
             self.requested_since,
-            key=lambda attempt_id: (self.requested_since[attempt_id], attempt_id),
+            key=lambda waiting: (self.requested_since[waiting], waiting),
         ):
-            job_state = self.jobs.get(key[0])
-            allocation = self._outstanding_allocation(key)
+            job_state = self.store.jobs.get(attempt_id.job_id)
+            allocation = self._outstanding_allocation(attempt_id)
             if (
                 job_state is None
                 or job_state.job is None
                 or allocation is None
                 or allocation.stop_grace_s is not None
             ):
-                del self.requested_since[key]  # it has ended, or is stopping already
-                self.denial_reasons.pop(key, None)
-            elif key not in self.grants_by_team[job_state.team]:
+                del self.requested_since[attempt_id]  # it has ended, or is stopping already
+                self.denial_reasons.pop(attempt_id, None)
+            elif attempt_id not in self.grants_by_team[job_state.team]:
                 if job_state.team not in unavailable_per_team:
                     unavailable_per_team[job_state.team] = self._team_unavailable(job_state.team)
                 self._grant_or_deny(
@@ -116,7 +109,7 @@
         wall_time: float,
     ) -> None:
         """Grant one eviction, of a gang with all its attempts, or record why it is denied."""
-        key = (allocation.job_id, allocation.task, allocation.attempt)
+        attempt_id = allocation.attempt_id
         team = job_state.team
         granted = self.grants_by_team[team]
         disruptions = self.recent_disruptions[team]
@@ -135,11 +128,11 @@
         if not reason and len(granted) + len(attempts) > self.max_grants:
             reason = REASON_TOO_MANY_GRANTS
         if reason:
-            self.denial_reasons[key] = reason
+            self.denial_reasons[attempt_id] = reason
             return
-        self.denial_reasons.pop(key, None)
+        self.denial_reasons.pop(attempt_id, None)
         for other in attempts:
-            granted[other.job_id, other.task, other.attempt] = False
+            granted[other.attempt_id] = False
         disruptions.record(int(job.kind == "gang"), request.lost_work_s, now)
         if job.kind == "service":
             unavailable_per_team[team] += 1
@@ -149,7 +142,7 @@
         """Return how many replicas of a team's services are unavailable, once they all ran."""
         return sum(
             self._unavailable_replicas(job_state)
-            for job_state in self.jobs.values()
+            for job_state in self.store.jobs.values()
             if job_state.team == team and job_state.fully_ran
         )
 
@@ -168,7 +161,7 @@
             for allocation in job_state.allocations.values()
             if allocation.running
             and allocation.stop_grace_s is None
-            and (allocation.job_id, allocation.task, allocation.attempt) not in granted
+            and allocation.attempt_id not in granted
         )
 
     def _eviction_request(
@@ -188,24 +181,26 @@
             team_unavailable,
             lost_work_s,
             remaining_s,
-            now - self.requested_since[allocation.job_id, allocation.task, allocation.attempt],
+            now - self.requested_since[allocation.attempt_id],
         )
 
     def _stop_granted(self, job_state: JobState, allocation: Allocation) -> None:
         """Stop an attempt whose grant is written, with time to save where its job can."""
         job = job_state.job
         if not allocation.finished and allocation.stop_grace_s is None and allocation.committed:
-            self._request_stop(allocation, save_grace_s(job) if job is not None else 0.0)
+            self.store.request_stop(allocation, save_grace_s(job) if job is not None else 0.0)
 
     # -- writing -----------------------------------------------------------------------------
 
-    def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
-        """Return the next transaction with the grants that wait for one; None: nothing waits."""
-        txn = super().next_write(max_operations)
-        if not self.teams_with_unwritten_grants or self.chunks_to_fence:
+    def add_to_write(self, txn: PendingWrite | None) -> PendingWrite | None:
+        """Return the next transaction with the grants that wait for one; None: nothing waits.
+
+        `txn` is the one that `StoreWriter.next_write` has just returned.
+        """
+        if not self.teams_with_unwritten_grants or self.writer.chunks_to_fence:
             return txn
         if txn is None:
-            txn = self._empty_write()
+            txn = self.writer.empty_write()
         for team in sorted(self.teams_with_unwritten_grants):
             if not self._add_grants(txn, team):
                 break
@@ -217,8 +212,8 @@
         key = grants_key(team)
         size_bytes = GRANT_BYTES * len(granted) + GRANTS_OVERHEAD_BYTES
         if (
-            txn.operation_count + 1 > self.write_operation_limit
-            or len(txn.compare) + 1 > self._max_comparisons
+            txn.operation_count + 1 > self.writer.write_operation_limit
+            or len(txn.compare) + 1 > self.writer.max_comparisons
             or txn.size_bytes + size_bytes > MAX_TRANSACTION_BYTES
         ):
             return False
@@ -241,19 +236,21 @@
 
     def _known_allocation(self, attempt_id: AttemptId) -> Allocation | None:
         """Return the allocation of an attempt, finished or not; None if there is none."""
-        job_id, task, attempt = attempt_id
-        job_state = self.jobs.get(job_id)
-        allocation = job_state.allocations.get(task) if job_state is not None else None
-        return allocation if allocation is not None and allocation.attempt == attempt else None
+        job_state = self.store.jobs.get(attempt_id.job_id)
+        if job_state is None:
+            return None
+        allocation = job_state.allocations.get(attempt_id.task)
+        if allocation is None or allocation.attempt != attempt_id.attempt:
+            return None
+        return allocation
 
     def _outstanding_allocation(self, attempt_id: AttemptId) -> Allocation | None:
         """Return the allocation of an attempt that has not finished."""
         allocation = self._known_allocation(attempt_id)
         return allocation if allocation is not None and not allocation.finished else None
 
-    def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
+    def on_committed(self, txn: PendingWrite, revision: int) -> None:
         """A transaction has landed: stop the attempts whose grants it holds."""
-        super().on_committed(txn, revision, now)
         for team, attempt_ids in txn.eviction_grants.items():
             self.grant_versions[team] = revision if grants_key(team) in txn.puts else 0
             if sorted(self.grants_by_team[team]) == attempt_ids:
@@ -265,7 +262,7 @@
             allocation = self._known_allocation(attempt_id)
             if allocation is not None:
                 self.grants_by_team[team][attempt_id] = True
-                self._stop_granted(self.jobs[allocation.job_id], allocation)
+                self._stop_granted(self.store.jobs[allocation.job_id], allocation)
 
     def install_grants(self, team: str, value: Any, version: int) -> None:
         """Take in a team's grants as read, at the start and after a write of unknown outcome.
@@ -277,7 +274,11 @@
         for attempt_id in [attempt_id for attempt_id, written in granted.items() if written]:
             del granted[attempt_id]
         self._apply_grants(
-            team, [(str(job_id), int(task), int(attempt)) for job_id, task, attempt in value or []]
+            team,
+            [
+                AttemptId(str(job_id), int(task), int(attempt))
+                for job_id, task, attempt in value or []
+            ],
         )
         if granted or value:
             self.teams_with_unwritten_grants.add(team)
--- a/ploverhall/scheduling/inventory.py
+++ b/ploverhall/scheduling/inventory.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable, Iterable
 from random import Random
 
@@ -19,9 +18,9 @@
     Machine,
     MachinePool,
     Permit,
-    PreemptionClass,
     occupies,
 )
+from ploverhall.scheduling.preemption_index import PreemptionIndex
 from ploverhall.scheduling.resources import (
     EPSILON,
     NO_RESOURCES,
@@ -56,16 +55,12 @@
         self.permits_by_machine: dict[str, dict[AttemptId, Permit]] = {}
         self.proven_gone: set[str] = set()  # machines that the cloud has deleted
         self.job_traits: dict[str, JobTraits] = {}
+        self.preemption_index = PreemptionIndex(self.job_traits)
         self.resources_of_job: Callable[[str], ResourceVector | None] = lambda job_id: None
         self.capacity_index: dict[MachinePool, dict[CapacityLevel, list[Machine]]] = {}
         # Machines in the index that hold an image and have a unit free
         self.warm_machines: dict[tuple[MachinePool, str], dict[str, Machine]] = {}
         self.image_holders: dict[str, dict[str, Machine]] = {}  # image -> all machines that hold it
-        # Usable machines with tasks of that class that could be stopped; none is no key
-        self.preemptible_classes: Counter[PreemptionClass] = Counter()
-        # These machines, the one that gained something last at the end
-        self.preemption_candidates: dict[str, Machine] = {}
-        self.preemption_generation = 0  # rises with every such gain
         self.changed_machines: dict[str, Machine] = {}
         # Machines with more free capacity than at their last refresh
         self.machines_with_gains: dict[str, Machine] = {}
@@ -94,7 +89,7 @@
         for attempt_id, task in machine.tasks.items():
             if attempt_id not in machine.permits and task.state != EXITED:
                 # What is not known may take the whole machine
-                resources = self.resources_of_job(attempt_id[0]) or machine_type.resources
+                resources = self.resources_of_job(attempt_id.job_id) or machine_type.resources
                 free = add_scaled(free, resources, -1)
         for reservation in machine.reservations.values():
             free = add_scaled(free, reservation.resources, -1)
@@ -103,7 +98,7 @@
     def capacity_for_services(self, machine: Machine, free: ResourceVector) -> ResourceVector:
         """What services could have: `free`, and what is taken by work that yields to services."""
         for attempt_id, permit in machine.permits.items():
-            traits = self.job_traits.get(attempt_id[0])
+            traits = self.job_traits.get(attempt_id.job_id)
             task = machine.tasks.get(attempt_id)
             if (
                 traits is not None
@@ -134,16 +129,16 @@
 
     def whole_units(self, resources: ResourceVector, machine_type: MachineType) -> int:
         """Whole units in an amount: gpus where the type has them, else cores."""
-        return max(
-            0, int(resources[1] + EPSILON if machine_type.gpus > 0 else resources[0] + EPSILON)
-        )
+        cpus, gpus, _ = resources
+        return max(0, int((gpus if machine_type.gpus > 0 else cpus) + EPSILON))
 
     def core_level(self, resources: ResourceVector) -> int:
         """The power of two of an amount of cores, in quarters.
 
         Without it, work that needs no gpus walks over the machines with no core free.
         """
-        return int(max(0.0, resources[0]) * CORE_FRACTION + EPSILON).bit_length()
+        cpus, _, _ = resources
+        return int(max(0.0, cpus) * CORE_FRACTION + EPSILON).bit_length()
 
     def refresh(self, machine: Machine, now: float) -> None:
         """Bring the index up to date with one machine."""
@@ -158,7 +153,7 @@
             or self.unusable(machine, now)
         ):
             self._unindex(machine)
-            self._update_preemptible(machine, {}, False)
+            self.preemption_index.update(machine, {}, False)
             return
         self._index(machine, machine_type)
         has_gained = not was_indexed or any(
@@ -167,7 +162,9 @@
         )
         if has_gained:
             self.machines_with_gains[machine.name] = machine
-        self._update_preemptible(machine, self._preemptible_tasks(machine), has_gained)
+        self.preemption_index.update(
+            machine, self.preemption_index.preemptible_tasks(machine), has_gained
+        )
 
     def _index(self, machine: Machine, machine_type: MachineType) -> None:
         """Put a usable machine into the bucket of its free capacity."""
@@ -184,64 +181,6 @@
             for image in machine.images:
                 self.warm_machines.setdefault((machine.pool, image), {})[machine.name] = machine
 
-    def _preemptible_tasks(self, machine: Machine) -> dict[AttemptId, PreemptionClass]:
-        """The tasks on a machine that somebody might stop, with their preemption classes."""
-        preemptible: dict[AttemptId, PreemptionClass] = {}
-        for attempt_id, permit in machine.permits.items():
-            traits = self.job_traits.get(attempt_id[0])
-            if traits is None or traits.priority == 0 or traits.kind == "service":
-                continue  # a replica is never stopped for others: its user feels it at once
-            task = machine.tasks.get(attempt_id)
-            if (
-                task is not None
-                and task.state in ("running", "fetching")
-                and not (
-                    permit.gone
-                    or permit.refused
-                    or permit.stop_grace_s is not None
-                    or permit.evict_requested
-                )
-            ):
-                # In its job's turn, after a long wait, it counts as most important
-                preemptible[attempt_id] = (
-                    (0, *traits.preemption_class[1:]) if permit.overdue else traits.preemption_class
-                )
-        return preemptible
-
-    def _update_preemptible(
-        self, machine: Machine, preemptible: dict[AttemptId, PreemptionClass], has_gained: bool
-    ) -> None:
-        """Keep the index of what could be stopped.
-
-        A machine that has gained something gets a new generation: who found no preemption plan
-        searches only such machines again.
-        """
-        if preemptible != machine.preemptible:
-            has_gained = has_gained or any(
-                machine.preemptible.get(attempt_id) != preemption_class
-                for attempt_id, preemption_class in preemptible.items()
-            )
-            self._count_preemptible_classes(machine, frozenset(preemptible.values()))
-            machine.preemptible = preemptible
-        if not preemptible:
-            self.preemption_candidates.pop(machine.name, None)
-        elif has_gained or machine.name not in self.preemption_candidates:
-            self.preemption_generation += 1
-            machine.preemptible_since = self.preemption_generation
-            self.preemption_candidates.pop(machine.name, None)
-            self.preemption_candidates[machine.name] = machine
-
-    def _count_preemptible_classes(
-        self, machine: Machine, classes: frozenset[PreemptionClass]
-    ) -> None:
-        """Replace the classes of a machine in the count over all machines."""
-        for preemption_class in machine.preemptible_classes - classes:
-            self.preemptible_classes[preemption_class] -= 1
-            if not self.preemptible_classes[preemption_class]:
-                del self.preemptible_classes[preemption_class]
-        self.preemptible_classes.update(classes - machine.preemptible_classes)
-        machine.preemptible_classes = classes
-
     def _unindex(self, machine: Machine) -> None:
         if machine.index_bucket is None:
             return
@@ -276,7 +215,7 @@
     def remove(self, machine: Machine) -> None:
         """The machine is not known any more."""
         self._unindex(machine)
-        self._update_preemptible(machine, {}, False)
+        self.preemption_index.update(machine, {}, False)
         for image in machine.images:
             self._remove_holder(machine, image)
         self.machines.pop(machine.name, None)
@@ -333,24 +272,26 @@
     def allowed_pools(self, job: Job) -> list[MachinePool]:
         """Where a job may run, as the machines themselves report type, zone and spot."""
         return [
-            pool
-            for pool in self.capacity_index
-            if (job.machine_types is None or pool[0] in job.machine_types)
-            and (job.zone is None or job.zone == pool[1])
-            and (job.spot or not pool[2])
+            (machine_type, zone, spot)
+            for machine_type, zone, spot in self.capacity_index
+            if (job.machine_types is None or machine_type in job.machine_types)
+            and (job.zone is None or job.zone == zone)
+            and (job.spot or not spot)
         ]
 
     def max_tasks(self, resources: ResourceVector, pools: Iterable[MachinePool]) -> int:
         """No more tasks than this fit: a bound read off the index, without looking at a machine."""
         count = 0
+        cpus, _, _ = resources
+        needed_level = self.core_level(resources)
         for pool in pools:
-            machine_type = self.machine_types[pool[0]]
-            need, cores = self.whole_units(resources, machine_type), self.core_level(resources)
+            type_name, _, _ = pool
+            needed_units = self.whole_units(resources, self.machine_types[type_name])
             for (units, level), bucket in self.capacity_index[pool].items():
-                if units >= need and level >= cores:
-                    by_units = units // need if need else MAX_TASKS_WITHOUT_UNITS
-                    most_cores = 2.0**level / CORE_FRACTION + EPSILON * resources[0]
-                    count += len(bucket) * min(by_units, max_count(resources[0], most_cores))
+                if units >= needed_units and level >= needed_level:
+                    by_units = units // needed_units if needed_units else MAX_TASKS_WITHOUT_UNITS
+                    most_cores = 2.0**level / CORE_FRACTION + EPSILON * cpus
+                    count += len(bucket) * min(by_units, max_count(cpus, most_cores))
         return count
 
     def find_machines(
@@ -362,18 +303,20 @@
         """
         found: list[Machine] = []
         seen = set(avoided)
+        resources = job.resources
         for pool in pools:
             if (warm := self.warm_machines.get((pool, job.image))) is not None:
-                self._sample_bucket(list(warm.values()), job.resources, sample, rng, seen, found)
+                self._sample_bucket(list(warm.values()), resources, sample, rng, seen, found)
+        needed_level = self.core_level(resources)
         for pool in pools:
-            machine_type = self.machine_types[pool[0]]
-            need = self.whole_units(job.resources, machine_type)
-            cores = self.core_level(job.resources)
+            type_name, _, _ = pool
+            needed_units = self.whole_units(resources, self.machine_types[type_name])
             buckets = self.capacity_index[pool]
             count_before = len(found)
-            for level in sorted(buckets):
-                if level[0] >= need and level[1] >= cores and buckets[level]:
-                    self._sample_bucket(buckets[level], job.resources, sample, rng, seen, found)
+            for units, level in sorted(buckets):
+                bucket = buckets[units, level]
+                if units >= needed_units and level >= needed_level and bucket:
+                    self._sample_bucket(bucket, resources, sample, rng, seen, found)
                     if len(found) - count_before >= 2 * sample:
                         break
         return found
--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -48,18 +48,15 @@
     victims: tuple[AttemptId, ...]
 
 
-class PossibleVictim(NamedTuple):
-    """A task attempt that may be stopped; orders by what is lost with it."""
-
-    cost_s: float
-    attempt_id: AttemptId
-    resources: ResourceVector
+# A task attempt that may be stopped: seconds of work lost with it, which orders them, the attempt,
+# and its resources. A plain tuple, since a search makes one for every task that it looks at.
+PossibleVictim = tuple[float, AttemptId, ResourceVector]
 
 
 class ExhaustedSearch(NamedTuple):
     """A search that found fewer plans than it needed."""
 
-    generation: int  # `Inventory.preemption_generation` at the time
+    generation: int  # `PreemptionIndex.generation` at the time
     found: int
     zone: str | None
 
@@ -119,7 +116,7 @@
             return False
         return any(
             self.may_preempt(request, preemption_class)
-            for preemption_class in self.inventory.preemptible_classes
+            for preemption_class in self.inventory.preemption_index.classes
         )
 
     def may_preempt(self, request: CandidateRequest, preemption_class: PreemptionClass) -> bool:
@@ -162,7 +159,7 @@
         """
         classes = {
             preemption_class
-            for preemption_class in self.inventory.preemptible_classes
+            for preemption_class in self.inventory.preemption_index.classes
             if self.may_preempt(request, preemption_class)
         }
         if not classes or self._job_is_exhausted(request, missing, zone):
@@ -175,7 +172,7 @@
         plans = self._make_plans(request, machines, missing, victims_in_progress, now)
         found = self._reserve_by_plans(request, plans, missing, victims_in_progress, now)
         if found < missing:
-            search = ExhaustedSearch(self.inventory.preemption_generation, found, zone)
+            search = ExhaustedSearch(self.inventory.preemption_index.generation, found, zone)
             self._exhausted_by_job[request.job.id] = search
             if shape is not None:
                 self._exhausted_by_shape[shape] = search
@@ -184,7 +181,7 @@
     def _job_is_exhausted(self, request: CandidateRequest, missing: int, zone: str | None) -> bool:
         """Whether the job's last search found too little, and nothing has been gained since."""
         last = self._exhausted_by_job.get(request.job.id, NO_SEARCH)
-        if last.generation < self.inventory.preemption_generation:
+        if last.generation < self.inventory.preemption_index.generation:
             return False
         return request.job.kind != "gang" or (last.found < missing and last.zone == zone)
 
@@ -193,7 +190,7 @@
         last = self._exhausted_by_shape.get(shape)
         return (
             last is not None
-            and last.generation == self.inventory.preemption_generation
+            and last.generation == self.inventory.preemption_index.generation
             and last.found < missing
         )
 
@@ -210,7 +207,7 @@
             if zone is None or pool[1] == zone
         }
         machines: list[Machine] = []
-        for machine in reversed(self.inventory.preemption_candidates.values()):
+        for machine in reversed(self.inventory.preemption_index.candidates.values()):
             if machine.preemptible_since <= since:
                 break  # and all that follow have gained nothing for longer
             if machine.pool in pools and not machine.preemptible_classes.isdisjoint(classes):
@@ -314,19 +311,20 @@
     ) -> PreemptionPlan | None:
         """The cheapest plan on a machine; None if nothing has to stop, or it is not enough."""
         self.checks += 1
-        job = request.job
+        need = request.job.resources
         free = self._free_after_victims_in_progress(machine, victims_in_progress)
         chosen: list[AttemptId] = []
         lost_work_s = 0.0
-        for victim in sorted(self._possible_victims(machine, request, victims_in_progress, now)):
-            if fits(job.resources, free):
+        victims = self._possible_victims(machine, request, victims_in_progress, now)
+        for victim_cost_s, attempt_id, resources in sorted(victims):
+            if fits(need, free):
                 break
-            free = add_scaled(free, victim.resources)
-            chosen.append(victim.attempt_id)
-            lost_work_s += victim.cost_s
-        if not chosen or not fits(job.resources, free):
+            free = add_scaled(free, resources)
+            chosen.append(attempt_id)
+            lost_work_s += victim_cost_s
+        if not chosen or not fits(need, free):
             return None
-        start_cost_s, _ = score_machine(self.inventory, job, machine)
+        start_cost_s, _ = score_machine(self.inventory, request.job, machine)
         cost_s = PREEMPTION_DELAY_S + LOST_WORK_WEIGHT * lost_work_s + start_cost_s
         return PreemptionPlan(cost_s, machine.name, machine, tuple(chosen))
 
@@ -354,22 +352,22 @@
         victims: list[PossibleVictim] = []
         for attempt_id, permit in machine.permits.items():
             preemption_class = machine.preemptible.get(attempt_id)
-            traits = self.inventory.job_traits.get(attempt_id[0])
             if (
                 preemption_class is None
-                or traits is None
                 or attempt_id in victims_in_progress
                 or permit.gone
                 or permit.refused
                 or permit.stop_grace_s is not None
                 or permit.evict_requested
+                or not self.may_preempt(request, preemption_class)
             ):
                 continue
-            if self.may_preempt(request, preemption_class):
+            traits = self.inventory.job_traits.get(attempt_id.job_id)
+            if traits is not None:
                 cost_s = _lost_work_s(permit, traits, now)
                 if traits.kind == "gang":
                     cost_s += GANG_VICTIM_COST_S
-                victims.append(PossibleVictim(cost_s, attempt_id, permit.resources))
+                victims.append((cost_s, attempt_id, permit.resources))
         return victims
 
 
--- a/scripts/benchmark_hot_paths/heartbeat_benchmarks.py
+++ b/scripts/benchmark_hot_paths/heartbeat_benchmarks.py
@@ -86,7 +86,7 @@
     """Permit tasks on each machine, each of a job of its own."""
     for index, machine in enumerate(owner.machines.values()):
         for task in range(TASKS_A_MACHINE):
-            attempt_id: AttemptId = (f"j-{index * TASKS_A_MACHINE + task:06d}", task, 1)
+            attempt_id = AttemptId(f"j-{index * TASKS_A_MACHINE + task:06d}", task, 1)
             permit = Permit(
                 attempt_id,
                 0,
@@ -100,7 +100,7 @@
                 run_incarnation=1,
             )
             owner.permits[attempt_id] = machine.permits[attempt_id] = permit
-            owner.permit_table.permits_by_job.setdefault(attempt_id[0], {})[attempt_id] = permit
+            owner.permit_table.permits_by_job.setdefault(attempt_id.job_id, {})[attempt_id] = permit
 
 
 def _heartbeat_round(owner: ShardOwner, senders: int, sequence: int) -> float:
--- a/scripts/benchmark_hot_paths/simulated_fleet.py
+++ b/scripts/benchmark_hot_paths/simulated_fleet.py
@@ -108,9 +108,9 @@
         """Do what an agent is told."""
         tasks = self.tasks[name]
         for command in commands:
-            attempt_id = (*agents.split_task(command["chick"]), command["hatch"])
+            attempt_id = AttemptId(*agents.split_task(command["chick"]), command["hatch"])
             if command["call"] == "run":
-                ends_at = self.now + self.duration_s[attempt_id[0]]
+                ends_at = self.now + self.duration_s[attempt_id.job_id]
                 tasks.setdefault(attempt_id, SimulatedTask(ends_at))
             elif command["call"] == "reap":
                 tasks.pop(attempt_id, None)
--- a/tests/simulation/model_agent.py
+++ b/tests/simulation/model_agent.py
@@ -132,7 +132,7 @@
         """Execute a controller's commands."""
         for call in calls:
             job_id, index = agents.split_task(call["chick"])
-            attempt = (job_id, index, call["hatch"])
+            attempt = agents.AttemptId(job_id, index, call["hatch"])
             if call["call"] == "run":
                 self._run(attempt)
             elif call["call"] == "kill":
--- a/tests/simulation/model_messages.py
+++ b/tests/simulation/model_messages.py
@@ -95,10 +95,10 @@
             controller.drop(held.shard)
             return
         if unknown:
-            held.source.on_outcome_unknown(transaction)
-            teams = held.source.teams_of(transaction)
+            held.source.writer.on_outcome_unknown(transaction)
+            teams = held.source.writer.teams_of(transaction)
         else:
-            teams = held.source.on_compare_failed(transaction, failed)
+            teams = held.source.writer.on_compare_failed(transaction, failed)
         for team in teams:
             held.read_allocations(team)
         controller.replay_owner_channels(held)
--- a/tests/simulation/model_shard.py
+++ b/tests/simulation/model_shard.py
@@ -54,7 +54,9 @@
         self._read_jobs()
         for team in teams:
             self.read_allocations(team.name)
-            self.source.install_progress(team.name, model.store.read(progress_prefix(team.name)))
+            self.source.records.install_progress(
+                team.name, model.store.read(progress_prefix(team.name))
+            )
         for source in range(len(model.nodes)):
             controller.outbox.channel(SOURCE_CHANNEL, shard, source, epoch)
 
@@ -68,4 +70,6 @@
     def read_allocations(self, team: str) -> None:
         """Read a team's allocations from the store."""
         model = self.controller.model
-        self.source.install_allocations(team, model.store.read(allocation_prefix(team)), model.now)
+        self.source.records.install_allocations(
+            team, model.store.read(allocation_prefix(team)), model.now
+        )
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -17,7 +17,7 @@
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 from ploverhall.coordination.restart_recovery import RenewalGrants
-from ploverhall.scheduling.allocations import AllocationStore
+from ploverhall.scheduling.record_loader import RecordLoader
 
 from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
@@ -160,7 +160,7 @@
 
 def reads_no_cells() -> Any:
     """Without: a new source does not know the starts that may be somewhere."""
-    return AllocationStore, "install_allocations", lambda self, team, found, now: None
+    return RecordLoader, "install_allocations", lambda self, team, found, now: None
 
 
 def answers_nobody() -> Any:
@@ -260,7 +260,8 @@
     def take(self: ShardRoles, shard: int, epoch: int) -> None:
         real(self, shard, epoch)
         owner = self.context.held_shards[shard].owner
-        owner.job_ended_in_store, owner.job_ended = (lambda jid: False), (lambda jid: None)  # type: ignore[method-assign]
+        owner.job_ended_in_store = lambda jid: False
+        owner.source_requests.end_job = lambda jid: None  # type: ignore[method-assign]
 
     return ShardRoles, "acquire", take
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -154,13 +154,13 @@
         3,
         False,
         {
-            peer_messages.attempt_key((e.job_id, 0, e.attempt)): AttemptUpdate(
+            peer_messages.attempt_key(e.attempt_id): AttemptUpdate(
                 "gone", "its machine is gone", 0, 0
             )
         },
         9.0,
     )
-    assert [(d.at, d.job_id, d.machine, d.reason) for d in s.failed_attempts] == [
+    assert [(d.at, d.job_id, d.machine, d.reason) for d in s.store.failed_attempts] == [
         (9.0, "j-000001", e.machine, "its machine is gone")
     ]
 
