--- /dev/null
+++ b/tests/scenarios.py
@@ -0,0 +1,60 @@
+"""Steps and checks that the tests of several concerns share, over simulated clusters."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import anyio
+import pytest
+
+from .simulation.cluster import SimulatedCluster, play
+
+Scene = Callable[[SimulatedCluster], Awaitable[None]]
+
+
+async def start_background_load(
+    cluster: SimulatedCluster, duration_s: float = 60.0, services: int = 3
+) -> float:
+    """Start replicas on every shard, and jobs that arrive and finish until `duration_s`.
+
+    Returns:
+        The time, 12 s later, at which the load is running and faults may begin.
+    """
+    for i in range(services):
+        cluster.tasks.start_soon(cluster.submit, cluster.spec(900 + i, gait="daemon", chicks=4))
+    cluster.tasks.start_soon(cluster.flow, duration_s, 0.6)
+    await anyio.sleep(12.0)
+    return cluster.now
+
+
+def seconds_to_first_start(cluster: SimulatedCluster, name: str, since: float) -> float:
+    """Seconds from `since` until a task started on a machine of a controller's own shard."""
+    machines = set(cluster.workers_of(name))
+    return min(
+        (
+            at - since
+            for at, machine in cluster.fleet.started_on
+            if at > since and machine in machines
+        ),
+        default=1e9,
+    )
+
+
+def assert_scene_breaks(scene: Scene, rule: str, **options: Any) -> None:
+    """Play a scene that has to break a rule, because a guard has been removed."""
+    with pytest.raises(AssertionError, match=rule):
+        play(scene, **options)
+
+
+def innermost_exception(error: BaseException) -> BaseException:
+    """The first leaf of nested exception groups."""
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    return error
+
+
+def describe_innermost_exception(error: BaseException) -> str:
+    """Type and text of the first leaf of nested exception groups."""
+    innermost = innermost_exception(error)
+    return f"{type(innermost).__name__}: {innermost}"
--- a/tests/test_accepted_jobs_known.py
+++ b/tests/test_accepted_jobs_known.py
@@ -19,8 +19,8 @@
 from ploverhall.storage.schema import JOB_PREFIX
 from ploverhall.storage.store_cache import StoreCache
 
+from .scenarios import start_background_load
 from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
-from .test_relay import busy
 
 KNOWN_S = 75.0
 
@@ -31,7 +31,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
-        await busy(p, 70.0)
+        await start_background_load(p, 70.0)
         for i in range(8):
             what, name = (
                 rng.choice(["crash", "all", "cut", "zone", "outage", "refused", "peers"]),
@@ -71,7 +71,7 @@
     """A cancellation is told once it must have stopped, however the platform's times are."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 20.0)
+        await start_background_load(p, 20.0)
         p.tasks.start_soon(p.crash, "c2", 1e6)
         await anyio.sleep(2.0)
         for n in (900, 901):
@@ -90,7 +90,7 @@
     """Untouched, the watch failed on it for ever, and every controller answered 503 to everybody."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 30.0)
+        await start_background_load(p, 30.0)
         p.state.store.txn({}, {JOB_PREFIX + "j-000777": ["of a later release"]}, [])
         await anyio.sleep(5.0)
         await p.crash("c0", 0.2)
@@ -114,7 +114,7 @@
     monkeypatch.setattr(job_requests, "MAX_LOOKUP_DELAY_S", 5.0)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 20.0, services=0)
+        await start_background_load(p, 20.0, services=0)
         await anyio.sleep(30.0)
         node = p.nodes["c0"]
         old = next(k[2:] for k in p.state.store.kv if k.startswith("e/j-"))
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -26,11 +26,14 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.scheduling.shard_state import ShardState
 
+from .removed_guards import (
+    check_gone_without_fencing_tokens,
+    copies_are_news,
+    fresh_read_without_reading,
+)
 from .simulation import decision_model
 from .simulation.cluster import HOLD, RESET, SILENT, SLOW, SimulatedCluster, play
 from .simulation.fault_schedules import MACHINES, meet
-from .test_fault_schedules import always
-from .test_stale_heartbeats import _check_without_tokens, copies_are_news
 
 
 def broken_by(p: SimulatedCluster) -> list[str]:
@@ -384,7 +387,7 @@
 
 def no_run_is_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the newest list omits is gone, though its run may still arrive: its token is not raised."""
-    monkeypatch.setattr(PermitTable, "check_gone", _check_without_tokens)
+    monkeypatch.setattr(PermitTable, "check_gone", check_gone_without_fencing_tokens)
     monkeypatch.setattr(ShardState, "raise_token", lambda self, m: True)
 
 
@@ -649,7 +652,7 @@
 
 def answers_from_an_old_copy(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever can't read the state service takes his copy for current."""
-    monkeypatch.setattr(StoreWatch, "fresh_read", always)
+    monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -19,10 +19,9 @@
 from ploverhall.coordination.restart_recovery import RenewalGrants
 from ploverhall.scheduling.allocations import AllocationStore
 
+from .scenarios import describe_innermost_exception, start_background_load
 from .simulation import decision_model
 from .simulation.cluster import HOLD, RESET, SLOW, SimulatedCluster, play
-from .test_lost_answers import innermost
-from .test_relay import busy
 from .test_shard_claims import Hook
 
 LEASE, CANCEL = 16.0, 46.0
@@ -188,7 +187,7 @@
         rng = Random(course)
         tokens = Tokens(p)
         p.tasks.start_soon(tokens.watch)
-        await busy(p, 30.0)
+        await start_background_load(p, 30.0)
         for i in range(8):
             p.tasks.start_soon(p.submit, p.spec(910 + i, gait="array", chicks=2, flightS=400.0))
         p.tasks.start_soon(p.submit, p.spec(920, gait="group", flightS=400.0))
@@ -221,7 +220,9 @@
     else:
         with pytest.raises((AssertionError, BaseExceptionGroup)) as e:
             play(scene)
-        assert re.search(breaks, innermost(e.value)), innermost(e.value)
+        assert re.search(breaks, describe_innermost_exception(e.value)), (
+            describe_innermost_exception(e.value)
+        )
 
 
 # -- cancelled in the seconds in which one controller's work changes hands ---------------------------------------------------------------
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -14,7 +14,6 @@
 
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
-from ploverhall.coordination.job_answers import FreshRead
 from ploverhall.coordination.restart_recovery import RenewalGrants
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol.key_value_store import KeyValueStore
@@ -22,6 +21,7 @@
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.permit_table import PermitTable
 
+from .removed_guards import check_gone_without_fencing_tokens, fresh_read_without_reading
 from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
 from .simulation.fault_schedules import (
     KNOWN_S,
@@ -34,7 +34,6 @@
     rule,
     shrink,
 )
-from .test_stale_heartbeats import _check_without_tokens
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -202,10 +201,6 @@
     assert shrink((troubles, until), broken, rule("['ran_twice: j-1']")) == ([a, b], until)
 
 
-async def always(self: StoreWatch) -> FreshRead:
-    return FreshRead(self.context.clock())
-
-
 def unguarded(*keys: str) -> Any:
     """Writes without their guards on what is known of these keys."""
     real = KeyValueStore.compare_and_swap
@@ -239,7 +234,7 @@
             "ran_twice",
             PermitTable,
             "check_gone",
-            _check_without_tokens,
+            check_gone_without_fencing_tokens,
         ),
         (
             505,
@@ -257,7 +252,14 @@
             "compare_and_swap",
             unguarded("p/job/"),
         ),
-        (501, ("alone", "gap", "pause", "slow"), "forgotten", StoreWatch, "fresh_read", always),
+        (
+            501,
+            ("alone", "gap", "pause", "slow"),
+            "forgotten",
+            StoreWatch,
+            "fresh_read",
+            fresh_read_without_reading,
+        ),
         (
             503,
             ("zone", "alone", "gap"),
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -12,10 +12,10 @@
 from ploverhall import settings
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
 
+from .scenarios import start_background_load
 from .simulation import decision_model
 from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
 from .simulation.fault_schedules import meet
-from .test_relay import busy
 
 LEASE, CANCEL = 16.0, 46.0
 
@@ -57,7 +57,7 @@
         )
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         layout = p.nodes["c0"].context.shard_map
         # It is the source, too: nobody else stops them
         mine = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][:3]
@@ -98,7 +98,7 @@
     """For longer than a cut-off controller may go on; each is heard by the others, and that keeps all of them going."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         await p.outage(130.0)
         assert p.fleet.killed_by_lease == 0
         await anyio.sleep(20.0)
@@ -114,7 +114,7 @@
     """Its new life has read nothing, and vouches for what its last one owed (its own workers live on by their tokens, for as long)."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         p.tasks.start_soon(p.outage, 120.0)
         await anyio.sleep(20.0)
         await p.crash("c1", after)
@@ -137,7 +137,7 @@
     """The leader ends inside the gap and is back: what others name is over for the workers of its earlier life, too."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         at = p.now
         p.refused.add("c0")
         for other in ("c1", "c2"):
@@ -161,7 +161,7 @@
     """Without carrying a refused one reads nothing at all; it is named what was cancelled all the same."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         p.refused.add(f"c{older}")
         await anyio.sleep(1.0)
         for n in (900, 901, 902):
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -8,9 +8,8 @@
 from ploverhall.coordination.isolation import IsolatedRedirects
 from ploverhall.errors import UnreachableError
 
+from .scenarios import seconds_to_first_start, start_background_load
 from .simulation.cluster import HOLD, REFUSE, RESET, SimulatedCluster, play
-from .test_relay import busy
-from .test_restart import soonest
 
 
 def leave_alone(p: SimulatedCluster, name: str, mode: str, s: float) -> None:
@@ -46,14 +45,16 @@
     """Untouched, nothing started on its part for the 60 s of `cut_off_s`; now for as long as the scouts need."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, s + 60.0)
+        await start_background_load(p, s + 60.0)
         at = p.now
         leave_alone(p, "c0", mode, s)
         if s > 30.0:
             await anyio.sleep(9.0)
             assert await health(p, "c0") == 503, "the load balancer must not prefer it"
             await anyio.sleep(21.0)
-            assert soonest(p, "c0", at + 6.0) < 24.0, "somebody else starts things on its machines"
+            assert seconds_to_first_start(p, "c0", at + 6.0) < 24.0, (
+                "somebody else starts things on its machines"
+            )
             assert not any(w.home == 0 for w in p.fleet.workers.values())
             await anyio.sleep(s - 30.0)
         else:
@@ -72,7 +73,7 @@
     """A zone that is cut off: scouts come back, nobody else is sent, and nothing is killed; also when it ends inside."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 90.0)
+        await start_background_load(p, 90.0)
         p.cut_zone("b", HOLD, 45.0)
         await anyio.sleep(8.0)
         if back:
@@ -90,7 +91,7 @@
 
 def test_all_three_alone_and_a_cancellation_that_is_told_outside() -> None:
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 90.0)
+        await start_background_load(p, 90.0)
         leave_alone(p, "c0", HOLD, 70.0)
         await anyio.sleep(3.0)
         p.tasks.start_soon(p.withdraw, "j-000900")
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -23,6 +23,7 @@
 from ploverhall.storage.schema import ARCHIVE_MARKER_KEY, ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.storage.store_cache import StoreCache
 
+from .removed_guards import fresh_read_without_reading
 from .simulation import decision_model
 from .simulation.cluster import HOLD, RESET, SimulatedCluster, play
 from .simulation.fault_schedules import CANCEL, KNOWN_S, LEASE
@@ -111,11 +112,7 @@
 def test_close_looks_find_an_older_answer(without: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the proof, or without the look into the archive, a job that was accepted is not known."""
     if without == "proof":
-
-        async def at_once(self: StoreWatch) -> FreshRead:
-            return FreshRead(self.context.clock())
-
-        monkeypatch.setattr(StoreWatch, "fresh_read", at_once)
+        monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     else:
         monkeypatch.setattr(JobAnswers, "archived", lambda self, jid, value, version: UnknownJob())
 
--- a/tests/test_job_requests.py
+++ b/tests/test_job_requests.py
@@ -28,6 +28,7 @@
 from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http_server import Reply
 
+from .scenarios import innermost_exception
 from .simulation import decision_model
 from .simulation.cluster import RESET, SLOW, Network, SimulatedCluster, SubmittedJob, play
 from .simulation.fakes import FakeStoreAndCloud
@@ -1090,13 +1091,7 @@
         try:
             two_users(1, share)
         except BaseExceptionGroup as e:
-            raise first(e) from e
-
-
-def first(e: BaseException) -> BaseException:
-    while isinstance(e, BaseExceptionGroup):
-        e = e.exceptions[0]
-    return e
+            raise innermost_exception(e) from e
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -26,10 +26,9 @@
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
 from ploverhall.transport.http_server import Reply
 
+from .scenarios import assert_scene_breaks, describe_innermost_exception, start_background_load
 from .simulation.cluster import SimulatedCluster, play
 from .simulation.fakes import FakeStoreAndCloud, unguarded
-from .test_relay import busy
-from .test_restart_recovery import breaks
 
 SILENT = 0  # no answer at all
 NO_FORM: tuple[Any, ...] = (
@@ -163,7 +162,7 @@
 
 async def everything(p: SimulatedCluster, answers: Answers, s: float = 20.0) -> None:
     """Jobs of all kinds come, end and are cancelled; an order empties a machine; a controller ends, is replaced, and is back."""
-    await busy(p, 55.0)
+    await start_background_load(p, 55.0)
     for n in range(910, 916):
         p.tasks.start_soon(p.submit, p.spec(n, gait="array", chicks=2, flightS=500.0))
     p.tasks.start_soon(p.submit, p.spec(916, gait="array", chicks=9, flightS=4.0))
@@ -280,14 +279,9 @@
     else:
         with pytest.raises((AssertionError, BaseExceptionGroup)) as e:
             played()
-        assert re.search(breaks, innermost(e.value)), innermost(e.value)
-
-
-def innermost(e: BaseException) -> str:
-    """What a scene, or a controller's process in it, ended with."""
-    while isinstance(e, BaseExceptionGroup):
-        e = e.exceptions[0]
-    return f"{type(e).__name__}: {e}"
+        assert re.search(breaks, describe_innermost_exception(e.value)), (
+            describe_innermost_exception(e.value)
+        )
 
 
 # -- answers of no list, one by one ---------------------------------------------------------------------------------------------------
@@ -480,7 +474,7 @@
     monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 40.0)
+        await start_background_load(p, 40.0)
         await anyio.sleep(10.0)
         on[0], claims = True, p.claims()
         p.tasks.start_soon(looks, p)
@@ -496,7 +490,7 @@
     if without is None:
         play(scene, options=settings.Options(keep_ended=4))
     else:
-        breaks(scene, seen, options=settings.Options(keep_ended=4))
+        assert_scene_breaks(scene, seen, options=settings.Options(keep_ended=4))
 
 
 @pytest.mark.parametrize("verbs", [("pause", "pause", "resume"), ("pause", "resume")])
@@ -584,7 +578,7 @@
     landed: dict[str, int] = {}
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 200.0)
+        await start_background_load(p, 200.0)
         p.tasks.start_soon(looks, p)
         for i, kind in enumerate(sorted(LANDS)):
             wanted[:], kept[:] = [kind], []
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -15,8 +15,8 @@
 from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
 from . import test_shard_owner
+from .scenarios import start_background_load
 from .simulation.cluster import SimulatedCluster, play
-from .test_relay import busy
 from .test_shard_owner import EPOCH, report
 
 
@@ -57,7 +57,7 @@
     """Untouched, each lease that ran out was followed by new starts on the same machine: 9 to 40 in a minute."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 110.0)
+        await start_background_load(p, 110.0)
         parts = [w for c in p.names for w in p.workers_of(c)]
         some = parts[:: max(1, len(parts) // count)][:count]
         p.deafen(some, s)
@@ -86,7 +86,7 @@
 
 def test_a_dozen_wandering_from_controller_to_controller_move_no_part_while_another_ends() -> None:
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 90.0)
+        await start_background_load(p, 90.0)
         some = [w for c in ("c0", "c1", "c2") for w in p.workers_of(c)[:4]]
         p.deafen(some, 50.0)
         await anyio.sleep(20.0)
@@ -140,7 +140,7 @@
     known: bool,
 ) -> None:
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 40.0)
+        await start_background_load(p, 40.0)
         if known:
             some = [
                 w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,29 +21,21 @@
 from ploverhall.controller.relay import Relay, ResponseWaiter
 from ploverhall.controller.store_watch import StoreWatch
 from ploverhall.coordination.cancellation_barrier import CancellationBarrier
-from ploverhall.coordination.job_answers import FreshRead
 from ploverhall.errors import RelayRefusedError, UnreachableError
 from ploverhall.protocol import relay_messages
 from ploverhall.transport.http_server import Reply
 
+from .removed_guards import fresh_read_without_reading
+from .scenarios import start_background_load
 from .simulation import cluster
 from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
 from .simulation.fakes import unguarded
 
 
-async def busy(p: SimulatedCluster, s: float = 60.0, services: int = 3) -> float:
-    """Replicas on every part, and jobs that come and go; returns when the trouble may begin."""
-    for i in range(services):
-        p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
-    p.tasks.start_soon(p.flow, s, 0.6)
-    await anyio.sleep(12.0)
-    return p.now
-
-
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET, "503"])
 def test_without_the_state_service_work_goes_on_through_another(mode: str) -> None:
     async def scene(p: SimulatedCluster) -> None:
-        at = await busy(p)
+        at = await start_background_load(p)
         if mode == "503":
             p.refused.add("c0")
         else:
@@ -65,7 +57,7 @@
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET])
 def test_without_the_workers_they_are_answered_through_another_and_come_home(mode: str) -> None:
     async def scene(p: SimulatedCluster) -> None:
-        at = await busy(p)
+        at = await start_background_load(p)
         p.cut_workers("c0", mode, 25.0)
         await anyio.sleep(20.0)
         assert p.nodes["c0"].agent_commands.failback.relayed_agents, "nobody came the other way"
@@ -97,7 +89,7 @@
         monkeypatch.setattr(AgentCommands, "reachable_from", believes)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 90.0)
+        await start_background_load(p, 90.0)
         await p.crash("c0", 7.0)
         p.cut_workers("c0", mode, 35.0)
         assert p.claims() == 1
@@ -113,7 +105,7 @@
     """c0 reaches neither the state service nor c2; c1 reaches both of them, but not the state service."""
 
     async def scene(p: SimulatedCluster) -> None:
-        at = await busy(p)
+        at = await start_background_load(p)
         for a, b in (("c0", "state"), ("c1", "state"), ("c0", "c2")):
             p.net.cut(a, b, HOLD, 25.0)
         await anyio.sleep(45.0)
@@ -130,7 +122,7 @@
     """c0's workers reach only c2, and c2 can't speak with c0: c1 stands in between."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p)
+        await start_background_load(p)
         p.cut_workers("c0", SILENT, 30.0)
         p.cut_workers("c1", RESET, 30.0)
         p.net.cut("c0", "c2", SILENT, 30.0)
@@ -146,7 +138,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
-        await busy(p, 80.0)
+        await start_background_load(p, 80.0)
         p.net.cut("c0", "state", HOLD, 45.0)
         p.cut_workers("c0", rng.choice([SILENT, HOLD, RESET]), 45.0)
         for _ in range(3):
@@ -176,7 +168,7 @@
     monkeypatch.setattr(Relay, "serve", twice)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 40.0)
+        await start_background_load(p, 40.0)
         p.net.cut("c0", "state", HOLD, 20.0)
         p.cut_workers("c0", HOLD, 20.0)
         await anyio.sleep(60.0)
@@ -192,7 +184,7 @@
     """All its links are held, and deliver minutes' worth at once when it goes on: questions, answers, reports, transactions."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 80.0)
+        await start_background_load(p, 80.0)
         p.net.cut("c0", "state", HOLD, 40.0)
         p.cut_workers("c0", HOLD, 40.0)
         await anyio.sleep(10.0)
@@ -231,7 +223,7 @@
         monkeypatch.setattr(HeartbeatRequests, "_answer_held", deaf)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 40.0)
+        await start_background_load(p, 40.0)
         p.cut_workers("c0", SILENT, 35.0)
         await anyio.sleep(60.0)
 
@@ -252,7 +244,7 @@
     late: list[relay_messages.RelayRequest] = []
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 6.0)
+        await start_background_load(p, 6.0)
         carried = p.nodes["c1"].store_service.serve_relayed
 
         async def swallows(by: str, q: relay_messages.RelayRequest) -> tuple[int, bytes]:
@@ -292,7 +284,7 @@
     """Renewals of c0 are held back on c1's link: its lease ends or lives, and each shard has one holder by the store."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 60.0)
+        await start_background_load(p, 60.0)
         p.net.cut("c0", "state", SILENT, 40.0)
         for _ in range(5):
             await anyio.sleep(3.0)
@@ -311,15 +303,11 @@
 ) -> None:
     """A job that was accepted elsewhere a moment ago is known at a controller that reads through another: no 404."""
     if not guarded:
-
-        async def at_once(self: StoreWatch) -> FreshRead:
-            return FreshRead(self.context.clock())
-
-        monkeypatch.setattr(StoreWatch, "fresh_read", at_once)
+        monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     lost: list[int] = []
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 5.0)
+        await start_background_load(p, 5.0)
         p.net.cut("c0", "state", RESET, 30.0)
         await anyio.sleep(3.0)
         for n in range(500, 540):
@@ -379,7 +367,7 @@
     """Who asks for more than its share through another is refused at once, and the other's own work is not late."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 40.0)
+        await start_background_load(p, 40.0)
         p.net.cut("c0", "state", RESET, 30.0)
         p.net.cut("c0", "c2", RESET, 30.0)
         await anyio.sleep(3.0)
@@ -421,7 +409,7 @@
     options = settings.Options(carry=guarded, cut_off_s=120.0)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 2.0)
+        await start_background_load(p, 2.0)
         p.net.cut("c0", "state", SILENT, 90.0)
         p.net.cut("c0", "c2", SILENT, 90.0)
         if not guarded:
@@ -450,7 +438,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
-        await busy(p, 60.0)
+        await start_background_load(p, 60.0)
         p.net.cut("c0", "state", rng.choice([HOLD, RESET]), 20.0 + 10 * rng.random())
         p.cut_workers("c1", rng.choice([HOLD, SILENT, RESET]), 20.0 + 10 * rng.random())
         p.net.cut("c2", "c0", rng.choice([HOLD, RESET, SILENT]), 20.0 + 10 * rng.random())
@@ -464,7 +452,7 @@
     """c1's answers to c0 lie in the network until long after c0 has its own link again."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 60.0)
+        await start_background_load(p, 60.0)
         p.net.cut("c0", "state", HOLD, 15.0)
         p.cut_workers("c0", HOLD, 15.0)
         await anyio.sleep(8.0)
@@ -494,7 +482,7 @@
             node.settings = replace(
                 node.settings, options=replace(node.settings.options, carry=False)
             )
-        await busy(p, 70.0)
+        await start_background_load(p, 70.0)
         p.net.cut("c0", "state", HOLD, 20.0)
         await anyio.sleep(35.0)
         assert (p.claims() == 0) == (older == ("c1",)), p.claims()
@@ -511,7 +499,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(1000 + seed)
-        await busy(p, 70.0)
+        await start_background_load(p, 70.0)
         for _ in range(rng.choice([2, 3])):
             name, mode, s = (
                 rng.choice(p.names),
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -14,15 +14,9 @@
 
 from ploverhall.storage.schema import CONTROLLER_PREFIX, SHARD_PREFIX
 
+from .scenarios import seconds_to_first_start, start_background_load
 from .simulation.cluster import SimulatedCluster, play
 from .simulation.fakes import unguarded
-from .test_relay import busy
-
-
-def soonest(p: SimulatedCluster, name: str, since: float) -> float:
-    """Seconds until something started in a controller's own part."""
-    mine = set(p.workers_of(name))
-    return min((t - since for t, m in p.fleet.started_on if t > since and m in mine), default=1e9)
 
 
 @pytest.mark.parametrize("after", [0.1, 0.3, 1.0, 3.9, 4.1])
@@ -42,7 +36,7 @@
         assert p.fleet.killed_by_lease == 0 and all(
             a.accepted is not None for a in p.asked.values()
         )
-        assert soonest(p, "c0", at) < 2.6
+        assert seconds_to_first_start(p, "c0", at) < 2.6
         assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
         if after < 2.0:
             assert (
@@ -56,7 +50,7 @@
 def test_it_ends_again_at_once_five_times(which: list[str]) -> None:
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(len(which))
-        await busy(p, 60.0)
+        await start_background_load(p, 60.0)
         for _ in range(5):
             for name in which:
                 p.tasks.start_soon(p.crash, name, rng.choice([0.1, 0.3]))
@@ -77,7 +71,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
-        await busy(p, 60.0)
+        await start_background_load(p, 60.0)
         for _ in range(3):
             await p.crash("c0", 4.0 + 0.6 * rng.random())
             await anyio.sleep(8.0)
@@ -103,7 +97,7 @@
     late: list[Any] = []
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 6.0)
+        await start_background_load(p, 6.0)
         handle = p.state.handle
 
         async def holds_back(q: Any) -> Any:
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -6,9 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
 from random import Random
-from typing import Any
 
 import anyio
 import pytest
@@ -20,11 +18,9 @@
 from ploverhall.coordination.cancellation_barrier import CLOCK_DRIFT
 from ploverhall.coordination.restart_recovery import GRANT_FROM_ANSWER, NO_GRANT, RenewalGrants
 
+from .scenarios import assert_scene_breaks, start_background_load
 from .simulation import decision_model
 from .simulation.cluster import HOLD, SILENT, SimulatedCluster, play
-from .test_relay import busy
-
-Scene = Callable[[SimulatedCluster], Awaitable[None]]
 
 
 @pytest.fixture(autouse=True)
@@ -34,11 +30,6 @@
     monkeypatch.setattr(decision_model, "CANCEL", 46.0)
 
 
-def breaks(scene: Scene, rule: str, **kw: Any) -> None:
-    with pytest.raises(AssertionError, match=rule):
-        play(scene, **kw)
-
-
 @pytest.mark.parametrize(
     ("after", "answers"), [(0.1, True), (0.3, True), (1.0, True), (0.3, False)]
 )
@@ -49,7 +40,7 @@
         monkeypatch.setattr(RenewalGrants, "answer_heartbeat", lambda *a: None)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 80.0)
+        await start_background_load(p, 80.0)
         p.cut_zone("b", HOLD, 32.0)
         await anyio.sleep(12.0)
         await p.crash("c1", after)
@@ -65,7 +56,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
-        await busy(p, 80.0)
+        await start_background_load(p, 80.0)
         p.cut_zone("b", HOLD, 27.0)
         await anyio.sleep(8.0)
         for _ in range(5):
@@ -84,7 +75,7 @@
     """Nobody has a store to read for 15 s, and those that end come back after 0.2 s, twice."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 60.0)
+        await start_background_load(p, 60.0)
         p.state.down = True
         for _ in range(2):
             await anyio.sleep(4.0)
@@ -113,7 +104,7 @@
         )
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         p.cut_zone("b", SILENT, 140.0)
         await anyio.sleep(1.0)
         await p.crash("c1", 0.3)
@@ -123,7 +114,7 @@
         assert len(p.cancelled) == 3
 
     if guard:
-        breaks(scene, "ran_cancelled")
+        assert_scene_breaks(scene, "ran_cancelled")
     else:
         play(scene)
 
@@ -137,7 +128,7 @@
         monkeypatch.setattr(RenewalGrants, "informed_renewal_s", property(lambda self: 60.0))
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         for w in p.fleet.workers.values():
             if w.zone == "b":
                 for c in p.names:
@@ -158,7 +149,7 @@
     if guarded:
         play(scene, options=options)
     else:
-        breaks(
+        assert_scene_breaks(
             scene, "ran_cancelled", options=options, asks=False
         )  # whether it does hangs on which report comes first
 
@@ -173,7 +164,7 @@
         monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 10.0)
+        await start_background_load(p, 10.0)
         p.net.cut("c1", "state", SILENT, 60.0)
         for other in ("c0", "c2"):
             p.net.cut("c1", other, SILENT, 60.0)
@@ -186,7 +177,7 @@
     if guarded:
         play(scene)
     else:
-        breaks(scene, "ran_twice")
+        assert_scene_breaks(scene, "ran_twice")
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -195,7 +186,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
-        await busy(p, 70.0)
+        await start_background_load(p, 70.0)
         here = [w.name for w in p.fleet.workers.values() if w.zone == "b"]
         for w in rng.sample(here, len(here) // 2):
             for other in ("c0", "c2"):
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -11,8 +11,8 @@
 
 from ploverhall.storage.schema import SHARD_PREFIX
 
+from .scenarios import start_background_load
 from .simulation.cluster import SimulatedCluster, play
-from .test_relay import busy
 
 STEPS = ("lease gone", "claim sent", "claim landed", "cells read")
 
@@ -58,7 +58,7 @@
 def test_ends_at_every_step_of_a_claim(step: str, who: str) -> None:
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(STEPS.index(step) * 4 + len(who))
-        await busy(p, 60.0)
+        await start_background_load(p, 60.0)
         hook = Hook(p, step)
         p.tasks.start_soon(
             p.crash, "c0", (7.0 if step == "lease gone" else 4.0) + 0.3 * rng.random()
@@ -106,7 +106,7 @@
     """The same name and address, numbers that begin anew: its old reports are no measure for the new ones for ever."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 50.0)
+        await start_background_load(p, 50.0)
         for _ in range(2):
             name = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
             w = p.fleet.workers[name]
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -14,11 +14,12 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 from . import test_decision_model
+from .removed_guards import check_gone_without_fencing_tokens, copies_are_news
+from .scenarios import start_background_load
 from .simulation import decision_model
 from .simulation.cluster import SimulatedCluster, play
 from .simulation.decision_model import RuleBrokenError
 from .test_permitting import a_job
-from .test_relay import busy
 
 
 @pytest.mark.parametrize("most", [5.0, 40.0])
@@ -27,7 +28,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         p.copy_reports(Random(4), 0.4, 1.0, most)
-        await busy(p, 90.0)
+        await start_background_load(p, 90.0)
         await anyio.sleep(30.0)
         assert p.claims() == 0 and p.fleet.killed_by_lease == 0
         away = sum(len(n.agent_commands.failback.relayed_agents) for n in p.nodes.values())
@@ -46,7 +47,7 @@
     """Its tasks start elsewhere as soon as they would without copies, and its room is nobody's."""
 
     async def scene(p: SimulatedCluster) -> None:
-        await busy(p, 90.0)
+        await start_background_load(p, 90.0)
         dead = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
         p.copy_reports(Random(5), 1.0, 8.0, 45.0, [dead])
         await anyio.sleep(10.0)
@@ -81,24 +82,6 @@
     assert not w.live() and not w.store.permits()
 
 
-def copies_are_news(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The guard taken out: whatever was newest before, each report counts as newer."""
-    real = ShardOwner.on_heartbeat
-
-    def believing(
-        self: ShardOwner, r: Any, now: float, direct: bool = False, relayed: bool = False
-    ) -> Any:
-        if (
-            (m := self.machines.get(r.machine)) is not None
-            and not direct
-            and (r.incarnation, r.sequence) <= m.newest_heartbeat
-        ):
-            m.newest_heartbeat, m.incarnation, m.sequence = (0, 0), 0, 0
-        return real(self, r, now, direct, relayed)
-
-    monkeypatch.setattr(ShardOwner, "on_heartbeat", believing)
-
-
 @pytest.mark.parametrize("guard", ["a copy counts as news", "a copy proves silence over"])
 def test_the_plain_world_notices_a_missing_guard(
     guard: str, monkeypatch: pytest.MonkeyPatch
@@ -299,15 +282,7 @@
     if guard == "copies are new":
         copies_are_news(monkeypatch)
     else:
-        monkeypatch.setattr(PermitTable, "check_gone", _check_without_tokens)
+        monkeypatch.setattr(PermitTable, "check_gone", check_gone_without_fencing_tokens)
     with pytest.raises(RuleBrokenError, match="ran_twice"):
         for seed in range(400):
             _any_order(seed)
-
-
-def _check_without_tokens(self: PermitTable, p: Any) -> None:
-    """What a list omits counts as gone, whatever may still be on its way."""
-    m = self.machines.get(p.machine)
-    if not p.gone and m is not None and p.attempt_id not in m.tasks and p.run_token:
-        p.gone = True
-        self.changed_attempts.add(p.attempt_id)
