--- /dev/null
+++ b/tests/test_late_store_writes.py
@@ -0,0 +1,162 @@
+"""Writes that are carried out after a newer one, or after their writer has ended and restarted."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import Any
+
+import anyio
+import pytest
+
+from ploverhall import settings
+from ploverhall.transport.http_server import Reply
+
+from .scenarios import start_background_load
+from .simulation.cluster import SimulatedCluster, play
+from .simulation.fakes import FakeStoreAndCloud, unguarded
+from .store_fault_steps import (
+    assert_nothing_lost,
+    place_maintenance_order,
+    poll_job_status,
+    write_kinds,
+)
+
+
+@pytest.mark.parametrize("verbs", [("pause", "pause", "resume"), ("pause", "resume")])
+@pytest.mark.parametrize("guarded", [True, False])
+def test_a_late_pause_does_not_stop_an_order_that_goes_on(
+    guarded: bool, verbs: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """An operator pauses an order, once more since the answer was lost (or not), and resumes it; then the first pause is carried out.
+
+    Resumed without a second pause, it ran already for all that was known: nothing was written, and nothing stood against the late pause.
+    """
+    if not guarded:
+        monkeypatch.setattr(*unguarded("p/upkeep/"))
+    real, kept = FakeStoreAndCloud.handle, list[Any]()
+
+    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
+        if not kept and b"paused" in q.body and "order" in write_kinds(q):
+            kept.append(q)
+            return Reply(504, {"error": "gateway"})
+        return await real(self, q)
+
+    monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
+
+    async def scene(p: SimulatedCluster) -> None:
+        async def change(verb: str) -> int:
+            return (await p.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0]
+
+        await place_maintenance_order(p, "u-1", zone="a", at_once=1)  # not over for long
+        assert [await change(verb) for verb in verbs] == [503, *[200] * (len(verbs) - 1)]
+        late = await real(p.state, kept[0])
+        assert (late.status == 409) is guarded
+        assert (p.state.store.kv["p/upkeep/u-1"][0]["state"] != "paused") is guarded
+
+    play(scene)
+
+
+LANDS = {
+    "permits": {409},
+    "progress": {409},
+    "end": {409},
+    "images": {409},
+    "grants": {409},
+    "submission": {409},
+    "cancellation": {409},
+    "archive": {409},
+    "claim": {409, 400},
+    "renter": {409, 400},
+    "member": {200, 400},
+    "order": {200, 409},
+}
+
+
+@pytest.mark.parametrize(
+    ("after", "without"),
+    [(0.1, None), (7.0, None), (0.1, lambda: unguarded("p/shard/", "c/", "d/"))],
+)
+def test_carried_out_when_its_writer_has_ended_and_is_back(
+    after: float, without: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """One write of each kind is held back on its way; its writer ends, and is back at once or after another has had its part.
+
+    With `after` 0.1 the lease that a claim or a member's key is tethered to still lives, and nobody else has claimed.
+    """
+    if without is not None:
+        monkeypatch.setattr(*without())
+    wanted: list[str] = []
+    kept: list[tuple[str, Any]] = []
+    real = SimulatedCluster._state_for
+
+    def state_for(self: SimulatedCluster, name: str) -> Any:
+        inner = real(self, name)
+
+        async def handle(q: Any) -> Reply:
+            if wanted and wanted[0] in write_kinds(q) and name not in self.down:
+                wanted.clear()
+                kept.append((name, q))
+                await anyio.sleep(30.0)
+            return await inner(q)
+
+        return handle
+
+    monkeypatch.setattr(SimulatedCluster, "_state_for", state_for)
+    landed: dict[str, int] = {}
+
+    async def scene(p: SimulatedCluster) -> None:
+        await start_background_load(p, 200.0)
+        p.tasks.start_soon(poll_job_status, p)
+        for i, kind in enumerate(sorted(LANDS)):
+            wanted[:], kept[:] = [kind], []
+            if kind == "cancellation":
+                p.tasks.start_soon(p.withdraw, "j-000900")
+            if kind == "images":
+                p.tasks.start_soon(p.submit, p.spec(990, gait="array", chicks=3, plumage="another"))
+            if kind in ("order", "grants"):
+                busiest = max(
+                    sorted(p.workers),
+                    key=lambda w: sum(
+                        t[0] in ("j-000901", "j-000902") for t in p.workers[w].on_machine()
+                    ),
+                )
+                p.tasks.start_soon(
+                    partial(place_maintenance_order, p, f"u-{i}", machines=[busiest])
+                )
+            if kind in ("member", "claim", "renter"):
+                rents = next(
+                    (
+                        n
+                        for n, node in p.nodes.items()
+                        if n not in p.down and node.context.autoscaler is not None
+                    ),
+                    "c0",
+                )
+                p.tasks.start_soon(p.crash, rents, 6.0)
+            with anyio.move_on_after(25.0):
+                while not kept:
+                    await anyio.sleep(0.02)
+            if not kept:
+                continue
+            name, q = kept[0]
+            await p.crash(name, after)
+            await anyio.sleep(2.6)
+            landed[kind] = (await p.state.handle(q)).status
+            await anyio.sleep(2.5)
+        await anyio.sleep(25.0)
+        p.broken += [f"not answered: {j}" for j in await p.all_answered(10.0)]
+        p.broken += [
+            f"{kind}: {status}" for kind, status in landed.items() if status not in LANDS[kind]
+        ]
+
+    def played() -> None:
+        assert_nothing_lost(
+            play(scene, options=settings.Options(keep_ended=6, handback_s=4.0)), kills=True
+        )
+        assert landed.keys() == LANDS.keys(), f"not met: {LANDS.keys() - landed.keys()}"
+
+    if without is None:
+        played()
+    else:
+        with pytest.raises(AssertionError, match=": 200"):
+            played()
--- /dev/null
+++ b/tests/test_store_gateway_errors.py
@@ -0,0 +1,92 @@
+"""A gateway's errors on reads, lease renewals and watches: no conclusion is drawn from them."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import Any
+
+import anyio
+import pytest
+
+from ploverhall import settings
+from ploverhall.protocol.key_value_store import KeyValueStore
+from ploverhall.transport.http_server import Reply
+
+from .scenarios import assert_scene_breaks, start_background_load
+from .simulation.cluster import SimulatedCluster, play
+from .simulation.fakes import FakeStoreAndCloud
+from .store_fault_steps import assert_nothing_lost, poll_job_status
+
+
+def no_lease_on_500() -> Any:
+    """As it was."""
+
+    async def renew(self: KeyValueStore, lease: int) -> bool:
+        status, _ = await self._call(
+            "POST", f"/grants/{lease}/extend", {}, timeout=1.0, urgent=True
+        )
+        return status == 200
+
+    return KeyValueStore, "renew_lease", renew
+
+
+def no_key_on_500() -> Any:
+    """As it was."""
+
+    async def get(self: KeyValueStore, key: str) -> tuple[Any, int]:
+        status, out = await self._call("GET", f"/kv/{key}")
+        return (out["v"], out["feather"]) if status == 200 else (None, 0)
+
+    return KeyValueStore, "get", get
+
+
+@pytest.mark.parametrize(
+    ("path", "without", "seen"),
+    [
+        ("/grants", None, ""),
+        ("/kv", None, ""),
+        ("/watch", None, ""),
+        ("/grants", no_lease_on_500, "a part was lost"),
+        ("/kv", no_key_on_500, "forgotten"),
+    ],
+)
+def test_reads_and_renewals_that_fail_in_no_listed_way(
+    path: str, without: Any, seen: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A gateway in trouble: nothing is concluded from it, nobody lets go of a part, and no job is unknown."""
+    if without is not None:
+        monkeypatch.setattr(*without())
+    real, on, rng, met = FakeStoreAndCloud.handle, [False], Random(3), [0]
+
+    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
+        if on[0] and q.path.startswith(path) and rng.random() < 0.4:
+            met[0] += 1
+            status = rng.choice((500, 502, 504, 200))
+            return Reply(
+                status,
+                {"error": "gateway"}
+                if status != 200
+                else rng.choice([None, [], "ok", {"items": [3]}, {"news": 4}]),
+            )
+        return await real(self, q)
+
+    monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
+
+    async def scene(p: SimulatedCluster) -> None:
+        await start_background_load(p, 40.0)
+        await anyio.sleep(10.0)
+        on[0], claims = True, p.claims()
+        p.tasks.start_soon(poll_job_status, p)
+        await anyio.sleep(20.0)
+        on[0] = False
+        assert met[0] > 5
+        if path == "/grants" and p.claims() != claims:
+            p.broken.append("a part was lost")
+        await anyio.sleep(12.0)
+        assert not await p.all_answered(10.0)
+        assert_nothing_lost(p, kills=False)
+
+    if without is None:
+        play(scene, options=settings.Options(keep_ended=4))
+    else:
+        assert_scene_breaks(scene, seen, options=settings.Options(keep_ended=4))
