--- a/tests/test_accepted_jobs_known.py
+++ b/tests/test_accepted_jobs_known.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_once_all_troubles_are_over_every_job_is_answered_by_every_controller(seed: int) -> None:
+def test_every_controller_answers_for_every_job_once_all_faults_are_over(seed: int) -> None:
     """Ends of one and of all, cuts, an outage, cancellations meanwhile; few jobs are kept, the others are read from the archive."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -67,7 +67,7 @@
     play(scene, seed, options=settings.Options(keep_ended=10))
 
 
-def test_a_member_that_never_returns_keeps_nobody_waiting() -> None:
+def test_controller_that_never_returns_delays_no_answer() -> None:
     """A cancellation is told once it must have stopped, however the platform's times are."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -86,7 +86,7 @@
         assert CancellationBarrier(["x"], cancel, lease, 60.0, 0.0).ack_delay_s + 4.0 < KNOWN_S
 
 
-def test_a_record_that_cant_be_read_keeps_no_other_job_unanswered() -> None:
+def test_unreadable_job_record_leaves_other_jobs_answered() -> None:
     """Untouched, the watch failed on it for ever, and every controller answered 503 to everybody."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -110,7 +110,9 @@
     assert not r.unreadable_jobs
 
 
-def test_old_jobs_are_looked_up_however_short_requests_are(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_archived_jobs_are_looked_up_when_the_request_budget_is_short(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(job_requests, "MAX_LOOKUP_DELAY_S", 5.0)
 
     async def scene(p: SimulatedCluster) -> None:
@@ -131,7 +133,7 @@
     play(scene, options=settings.Options(keep_ended=3))
 
 
-def test_what_was_accepted_stays_accepted_though_it_could_not_run_any_more() -> None:
+def test_accepted_job_stays_accepted_when_it_can_no_longer_run() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(1, gait="array", chicks=1))
         await anyio.sleep(20.0)
@@ -152,7 +154,7 @@
     play(scene)
 
 
-def test_the_judge_notices() -> None:
+def test_simulation_reports_an_answer_older_than_the_last_one() -> None:
     """An answer that is older than the last one, or none, or a wrong one."""
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -31,7 +31,7 @@
     return out
 
 
-def test_no_circle() -> None:
+def test_no_import_cycle() -> None:
     graph, done = imports(), set[str]()
 
     def walk(name: str, above: tuple[str, ...]) -> None:
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -34,7 +34,7 @@
     return MachineUpdate("t", "a", 0, room, empty, 0, 0, 0, int(not empty), room)
 
 
-def test_alike_rooms_counted_as_one_take_what_a_list_of_machines_takes() -> None:
+def test_grouped_equal_machines_take_what_a_list_of_machines_takes() -> None:
     rng = Random(5)
     for _ in range(200):
         rooms = [
@@ -59,7 +59,7 @@
                 break
 
 
-def test_what_is_idle_and_not_needed_goes_the_newest_first() -> None:
+def test_idle_machines_are_returned_newest_first() -> None:
     r = renter()
     r.on_owner_update(0, True, {f"n-{i}": view() for i in range(4)}, 0.0)
     for i in range(4):
@@ -118,16 +118,14 @@
     return r, rented, given
 
 
-def test_when_all_machines_come_late_few_are_rented_twice_and_none_goes_back_before_it_comes() -> (
-    None
-):
+def test_late_boots_cause_few_duplicate_rentals_and_no_return_before_boot() -> None:
     """At four times the boot time they were counted as none and rented again, then returned just before they came."""
     _, rented, given = play_boots({"a": 90.0, "b": 90.0}, 160.0)
     assert len(rented) <= 24 * 1.5 + 8
     assert not [n for n, at in given.items() if at - rented[n] < 90.0]
 
 
-def test_a_late_zone_is_learnt_and_the_other_is_taken_instead() -> None:
+def test_slow_zone_is_learnt_and_the_other_is_used_instead() -> None:
     _, rented, given = play_boots({"b": 20.0}, 300.0)
     r, _, _ = play_boots({"b": 20.0}, 70.0)
     assert sum(1 for m in r.machines.values() if m.update is not None) >= 24, (
@@ -137,7 +135,7 @@
     assert all(at - rented[n] > 100 for n, at in given.items())
 
 
-def test_slow_boots_are_learnt_by_place_and_forgotten() -> None:
+def test_slow_boots_are_learnt_by_zone_and_type_and_forgotten() -> None:
     r = renter()
     for i in range(6):
         r.on_rented([f"n-{i}"], KIND, 1, 0.0)
@@ -146,7 +144,7 @@
     assert r._boot_time_s(("t", "a"), 400.0) == 20.0
 
 
-def test_a_machine_that_others_have_overtaken_is_replaced_and_given_back() -> None:
+def test_machine_overtaken_by_later_ones_is_replaced_and_returned() -> None:
     r = renter()
     r.on_rented(["n-0", "n-1", "n-2"], KIND, 3, 0.0)
     r.on_owner_update(0, False, {n: view() for n in ("n-1", "n-2")}, 20.0)
@@ -157,7 +155,7 @@
     assert r.plan(95.0, 95.0).scale_in == ["n-0"]
 
 
-def test_hundreds_are_asked_for_at_once_in_requests_of_fifty() -> None:
+def test_hundreds_of_machines_are_requested_in_batches_of_fifty() -> None:
     r = renter()
     r.on_source_update(
         0,
@@ -172,7 +170,7 @@
     assert sorted(x.count for x in plan.scale_out) == [20, 50, 50]
 
 
-def test_a_zone_that_nobody_hears_is_not_given_back_but_one_silent_machine_is() -> None:
+def test_unresponsive_zone_is_kept_but_an_unresponsive_machine_is_returned() -> None:
     """A renter that began in a cut knows the other zone's machines from the cloud's list only, and they run on."""
     for dark, silent in ((6, 6), (1, 6)):  # machines of zone b that nobody hears, of so many
         r = renter()
--- a/tests/test_cancellation_barrier.py
+++ b/tests/test_cancellation_barrier.py
@@ -32,7 +32,7 @@
     return CancellationGossip(upto, "its life", 0.0, 100.0, True, None, [])
 
 
-def test_everybody_must_know_of_it_or_be_gone_for_long_enough() -> None:
+def test_cancellation_is_not_acknowledged_while_a_peer_may_not_know_of_it() -> None:
     t = cancellations()
     assert not t.may_acknowledge(7, 1.0), "a controller that has just started knows nobody"
     for name in ("c1", "c2"):
@@ -52,7 +52,7 @@
     assert not t.may_acknowledge(9, 60.0), "it is back, and has not said what it knows"
 
 
-def test_a_key_that_came_and_went_between_two_looks_is_gone_anew() -> None:
+def test_peer_that_rejoined_and_left_between_two_reads_counts_as_newly_absent() -> None:
     """A controller that reads seldom sees it gone before and after; in between its member was there, and may have read nothing since."""
     t = cancellations()
     t.receive_gossip("c1", known("c1", 9), 0.0)
@@ -62,7 +62,7 @@
     assert not t.may_acknowledge(9, 100.1) and t.may_acknowledge(9, 100.1 + t.ack_delay_s)
 
 
-def test_who_has_been_answered_is_owed_and_who_knows_is_told_at_once() -> None:
+def test_peer_in_contact_delays_acknowledgement_until_it_knows_of_the_cancellation() -> None:
     """In an outage: its key is gone and it goes on; a word with the cancellation ends the waiting, and nothing else does."""
     p, m = (
         CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
@@ -91,7 +91,7 @@
     )
 
 
-def test_a_new_life_that_has_read_nothing_vouches_only_for_what_its_last_one_owed() -> None:
+def test_restarted_peer_without_a_read_confirms_contact_only_for_a_limited_time() -> None:
     m = CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m")
     m.peer_present("p", True, 0)
     m.store_contacted(10.0)
@@ -118,7 +118,7 @@
     )
 
 
-def test_many_cancellations_go_in_portions_and_only_the_last_one_answers() -> None:
+def test_many_cancellations_are_sent_in_batches_and_only_the_last_batch_echoes() -> None:
     p, m = (
         CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
         CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
@@ -137,7 +137,7 @@
     assert m.informed_revision == 10 + n and m.peers["p"].confirmed_contact_at == 3.0
 
 
-def test_a_portion_claims_no_more_than_has_been_read() -> None:
+def test_batch_claims_no_revision_beyond_what_was_read() -> None:
     """Its own newest writes are named before it has read up to them: there may be others in between that it does not know."""
     p = CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p")
     for i in range(MAX_CANCELLATIONS_PER_MESSAGE + 1):
@@ -149,7 +149,7 @@
     )
 
 
-def test_while_a_release_that_tells_at_once_is_about_the_old_time_holds() -> None:
+def test_legacy_contact_age_holds_while_a_peer_acknowledges_at_once() -> None:
     t = cancellations()
     t.peer_present("c1", True, 0)
     assert t.max_contact_age_s == t.legacy_answer_s == CANCEL - LEASE - 8.0, (
@@ -165,7 +165,7 @@
     assert t.max_contact_age_s == CUT_OFF and not t.may_acknowledge(5, 2.0)
 
 
-def test_a_release_that_takes_hearing_for_contact_is_owed_for_as_long_as_it_is_heard() -> None:
+def test_peer_of_an_older_release_delays_acknowledgement_while_its_gossip_arrives() -> None:
     t = cancellations()
     t.receive_gossip("c1", known("c1", 9), 0.0)
     t.peer_absent("c2", 0.0, 5)
@@ -206,7 +206,7 @@
         {"seen": 5000, "cancelled": [[3, "j-000001"]] * 1001},
     ],
 )
-def test_words_that_are_in_no_form_are_refused(value: Any) -> None:
+def test_malformed_gossip_is_rejected(value: Any) -> None:
     with pytest.raises(InvalidPeerMessageError):
         decode_gossip(value)
 
--- a/tests/test_cancellation_barrier_model.py
+++ b/tests/test_cancellation_barrier_model.py
@@ -294,7 +294,7 @@
 SEEDS, SCENES = 60, ("left", "echo", "lives")
 
 
-def test_no_task_outlives_its_time_in_the_plain_model() -> None:
+def test_no_task_outlives_cancel_time_in_random_histories() -> None:
     """Refusals, outages, links that are lost or held, pauses, restarts, clocks that drift: drawn over three controllers.
 
     The teller's argument and the answerer's right are one statement (coordination.cancellation_barrier); this is what it has to give.
@@ -304,12 +304,12 @@
 
 
 @pytest.mark.parametrize("guard", SCENES)
-def test_no_task_outlives_its_time_where_a_guard_is_needed(guard: str) -> None:
+def test_no_task_outlives_cancel_time_in_histories_that_need_a_guard(guard: str) -> None:
     scene(guard)
 
 
 @pytest.mark.parametrize("guard", ["owed", "named", "echo", "all heard", "lives", "left", "lapsed"])
-def test_the_plain_model_breaks_without_each_part_of_the_statement(
+def test_model_reports_a_violation_without_each_guard(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real_word, real_take, real_gone = (
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("without", [None, no_margin])
-def test_machines_up_at_once_that_no_list_has_while_writes_lag_and_the_leader_ends(
+def test_new_machines_missing_from_cloud_lists_are_not_taken_for_gone(
     seed: int, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Rentals are executed and not answered, or late; lists lag. Nothing that lives is taken for gone; all is used or returned."""
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("mended", [True, False])
-def test_an_old_machine_that_the_new_leader_never_heard_is_told_to_be_gone_however_many_have_gone(
+def test_new_leader_learns_that_a_machine_unknown_to_it_was_deleted(
     mended: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its tasks start again elsewhere. Where the last 300 by name were told, it counted for its team's limit for ever."""
--- a/tests/test_concurrent_submissions.py
+++ b/tests/test_concurrent_submissions.py
@@ -119,7 +119,9 @@
 
 
 @pytest.mark.parametrize(("seed", "share"), [(1, 0.0), (2, 0.15), (3, 0.4)])
-def test_two_users_at_once_and_a_state_service_that_refuses_some(seed: int, share: float) -> None:
+def test_job_of_two_users_is_accepted_once_while_the_state_service_refuses_requests(
+    seed: int, share: float
+) -> None:
     two_users(seed, share)
 
 
@@ -163,7 +165,7 @@
         (StoreWatch, "fresh_read", each_by_itself, 0.0, "a read for each"),
     ],
 )
-def test_two_users_find_what_a_guard_is_there_for(
+def test_concurrent_users_break_a_rule_without_each_guard(
     where: type, name: str, without: Any, share: float, says: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(where, name, without(getattr(where, name)))
@@ -175,7 +177,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_two_users_with_one_id_and_two_jobs(seed: int) -> None:
+def test_of_two_different_jobs_with_one_id_exactly_one_is_accepted(seed: int) -> None:
     """One job is accepted, whole, and both are told of it; nothing of the other one is ever started."""
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -25,7 +25,7 @@
 from ploverhall.protocol import relay_messages
 
 
-def test_a_link_goes_bad_after_silence_and_is_trusted_after_answers_for_a_while() -> None:
+def test_link_is_unhealthy_after_silence_and_healthy_after_sustained_answers() -> None:
     g = LinkHealth()
     g.record_answer(0.01, 10.0)
     g.record_overdue(10.1, 10.4)
@@ -41,7 +41,7 @@
     assert g.healthy
 
 
-def test_one_slow_request_among_answered_ones_is_no_cut_and_a_slow_service_neither() -> None:
+def test_slow_request_or_slow_service_is_not_taken_for_a_partition() -> None:
     g = LinkHealth()
     for i in range(20):
         g.record_answer(0.01, 10.0 + 0.1 * i)
@@ -55,7 +55,7 @@
     assert slow.healthy, "it always takes so long"
 
 
-def test_a_link_that_flaps_is_trusted_ever_later() -> None:
+def test_flapping_link_is_trusted_after_growing_delays() -> None:
     g, now, took = LinkHealth(), 100.0, []
     for _ in range(4):
         g.record_answer(0.01, now)
@@ -89,7 +89,7 @@
     )
 
 
-def test_ways_lead_only_through_who_says_so_just_now() -> None:
+def test_routes_use_only_peers_with_fresh_status() -> None:
     w = RelayRoutes(["c1", "c2"])
     assert w.route_to_service("state", "state", 10.0) is None
     said(w, "c1", 10.0, ["state"], can=[])
@@ -109,7 +109,7 @@
     assert w.route_to_service("state", "state", 13.2) == "c2", "not blamed for ever"
 
 
-def test_a_way_that_keeps_failing_is_left_alone_for_longer() -> None:
+def test_route_that_keeps_failing_backs_off() -> None:
     w, now, gaps = RelayRoutes(["c1"]), 10.0, []
     for _ in range(4):
         said(w, "c1", now, ["state"])
@@ -177,7 +177,7 @@
     )
 
 
-def test_a_question_asks_for_nothing_but_what_is_carried() -> None:
+def test_relay_request_outside_the_relayable_calls_is_rejected() -> None:
     assert relay_messages.decode_request(GOOD_MESSAGE) == GOOD
     reboot = {"what": relay_messages.AGENT_COMMAND, "target": "h:1 /reboot"}
     for wrong in (
@@ -192,7 +192,7 @@
             relay_messages.decode_request({**GOOD_MESSAGE, **wrong})
 
 
-def test_what_is_open_and_what_waits_is_bounded() -> None:
+def test_pending_and_queued_relay_requests_are_bounded() -> None:
     c = PendingRelays("a")
     assert (
         all(c.open_request("c1", 5.0) for _ in range(MAX_OPEN_REQUESTS))
@@ -216,7 +216,7 @@
     assert deadline_passed(10.0, 100.0) and not deadline_passed(10.0, 11.0)
 
 
-def test_workers_are_sent_home_once_they_answer_and_ever_more_seldom_when_they_come_back() -> None:
+def test_agents_fail_back_once_they_answer_and_less_often_when_they_return() -> None:
     h, now = HeartbeatFailback(), 100.0
     assert not h.heartbeat_relayed("n-1", "c1", now) and h.relay_for("n-1", now, 3.0) == "c1"
     gaps, last = [], now
@@ -238,7 +238,7 @@
     assert "n-1" not in h.relayed_agents
 
 
-def test_only_so_many_workers_are_asked_at_once() -> None:
+def test_concurrent_failback_probes_are_bounded() -> None:
     h = HeartbeatFailback()
     for i in range(100):
         h.heartbeat_relayed(f"n-{i}", "c1", 10.0)
@@ -247,7 +247,7 @@
     assert len(h.due_probes(11.0)) == 1
 
 
-def test_a_home_that_comes_and_goes_gets_its_shard_back_ever_later() -> None:
+def test_unstable_preferred_controller_gets_its_shard_back_after_growing_delays() -> None:
     m, now, waits = FailbackBackoff(6.0), 0.0, []
     for _ in range(4):
         m.record_loss(1, now)
--- a/tests/test_controller_loops.py
+++ b/tests/test_controller_loops.py
@@ -28,7 +28,7 @@
     return Controller(settings.parse(data))
 
 
-def test_a_shard_is_kept_while_its_home_is_down_and_was_never_seen() -> None:
+def test_shard_is_kept_while_its_preferred_controller_was_never_seen() -> None:
     """A home that was down since this process started must not stop the shard loop (kazi-bodi, hunt-13e3-7)."""
 
     async def play() -> None:
@@ -50,7 +50,7 @@
     anyio.run(play)
 
 
-def test_a_controller_without_state_and_peers_stops_answering_workers_in_time() -> None:
+def test_isolated_controller_stops_answering_agents_in_time() -> None:
     """Others may have cancelled what runs here: their leases must end within the time a cancellation has."""
 
     async def play() -> None:
@@ -86,7 +86,7 @@
     anyio.run(play)
 
 
-def test_news_of_a_newer_holder_deposes() -> None:
+def test_newer_holder_supersedes_the_current_one() -> None:
     async def play() -> None:
         node = a_node()
         s = node.settings
@@ -105,7 +105,7 @@
     anyio.run(play)
 
 
-def test_the_first_board_of_a_new_source_holds_every_permit() -> None:
+def test_first_sync_of_a_new_source_holds_every_permit() -> None:
     """An owner that gets an empty one drops its permits and forgets the runs it has sent (kazi-bodi-grown rough: ran_twice)."""
     sent: list[Any] = []
 
@@ -154,7 +154,7 @@
     assert to_part_1[4] and peer_messages.permit_key(("j-000001", 3, 11)) in to_part_1[5]
 
 
-def test_what_other_controllers_leave_of_the_changes_is_lent() -> None:
+def test_write_budget_unused_by_other_controllers_is_lent() -> None:
     """A swarm of one team waited for one controller's slice while the others' lay idle."""
     node = a_node()
     own = node.settings.store_write_rps * 0.92 / 2
@@ -169,7 +169,7 @@
     assert node.context.store.writes.rate == own
 
 
-def test_small_changes_do_not_keep_a_larger_one_waiting_and_who_is_patient_stands_aside() -> None:
+def test_small_writes_do_not_starve_a_large_one_and_patient_writers_yield() -> None:
     """Every submission took the next change that there was; the writer of permits, who needs two at least, never had them."""
 
     async def play() -> None:
@@ -229,7 +229,7 @@
     anyio.run(play)
 
 
-def test_that_a_job_is_done_waits_for_nobody() -> None:
+def test_finished_job_is_reported_without_waiting_for_peers() -> None:
     """Only a cancellation does: withdrawing a job that was over took a second while a controller was away."""
 
     async def play() -> None:
@@ -246,7 +246,7 @@
 @pytest.mark.parametrize(
     "addr", ["x", "x:", ":1", "x:99999", "x:²", "a" * 80 + ":80", "é b:80", "127.0.0.1:1"]
 )
-def test_a_workers_address_that_is_none_ends_nothing(addr: str) -> None:
+def test_invalid_agent_address_ends_nothing(addr: str) -> None:
     """It is sent by the worker: `int` of it raised inside the process's own task group, and ended it."""
 
     async def play() -> None:
@@ -264,9 +264,7 @@
     anyio.run(play)
 
 
-def test_a_key_that_is_gone_while_its_lease_lives_is_written_again_and_the_short_time_holds_until_it_has_read() -> (
-    None
-):
+def test_deleted_member_key_is_rewritten_and_the_short_contact_age_holds_until_a_read() -> None:
     """Others count a controller without a key as ended, and so for how long it may go on; it must not go on for longer."""
 
     async def play() -> None:
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40, 46))
-def test_controllers_that_stand_still_do_no_harm(seed: int) -> None:
+def test_stalled_controllers_break_no_rule(seed: int) -> None:
     """Pauses of any step, from a second to three leases, with watches that hang: every rule holds, and all of it finishes."""
     w = play(seed, kinds=(4, 5))
     assert not w.live() and not w.store.permits()
@@ -80,7 +80,9 @@
 
 
 @pytest.mark.parametrize("guard", ["silence counts as gone", "no limit", "no zones"])
-def test_the_judge_notices_a_missing_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decision_model_reports_a_missing_guard(
+    guard: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """With one guard taken out, the world must see a rule broken; else it judges nothing."""
     if guard == "silence counts as gone":
         real = ShardOwner.advance_time
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_woken_controller_claims_nothing_by_its_clock(
+def test_resumed_controller_claims_nothing_by_its_clock(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One stands still, another takes its part and keeps its work alive, and the source hears of neither: ran_twice without the guard."""
@@ -181,7 +183,7 @@
     return w
 
 
-def test_a_cut_off_controller_goes_on_and_a_cancellation_is_told_when_it_must_have_stopped(
+def test_cancellation_is_acknowledged_once_a_partitioned_controller_must_have_stopped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     w = cut_off(True)
@@ -193,7 +195,7 @@
 
 
 @pytest.mark.parametrize("seed", range(200, 206))
-def test_zones_that_are_cut_off_break_no_rule(seed: int) -> None:
+def test_partitioned_zones_break_no_rule(seed: int) -> None:
     w = play(seed, kinds=(0, 2, 7, 7))
     assert not w.live() and not w.store.permits()
 
--- a/tests/test_determinism.py
+++ b/tests/test_determinism.py
@@ -54,7 +54,7 @@
     ).stdout
 
 
-def test_a_meeting_plays_the_same_in_another_process(tmp_path: Path) -> None:
+def test_fault_schedule_plays_the_same_in_another_process(tmp_path: Path) -> None:
     """The renter asked kinds of machines in the order of a set of names: which one it gave back was another one in every process.
 
     And a server ended connections in the order of their addresses in memory: another one where nothing was compiled yet, as in a clean
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -176,7 +176,7 @@
         ("all inside an outage", answers_nobody, "was lost"),
     ],
 )
-def test_leaders_change(
+def test_leader_changes_lose_no_shard_and_break_no_rule(
     course: str, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Who answers which worker, what each life concludes, and what the workers go on with."""
@@ -279,7 +279,7 @@
         (out_of_touch, "claim landed", owners_know_nothing),
     ],
 )
-def test_cancelled_while_work_changes_hands(
+def test_job_cancelled_during_a_claim_ends_in_time_and_starts_nowhere(
     how: Any, step: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """At a step of the claim users cancel half of what runs, of every team, wherever its tasks and its source are.
@@ -345,7 +345,7 @@
         (0.5, False, names_nothing),
     ],
 )
-def test_refused_alone_then_everybody(
+def test_controller_refused_before_an_outage_keeps_its_shard_and_tasks(
     alone: float, slowly: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Refused alone for less and for more than its lease, watches open all along; then an outage for longer than `cancel_s`.
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -73,9 +73,7 @@
     return starts
 
 
-def test_a_job_that_fails_everywhere_is_found_out_after_two_machines_and_tried_ever_more_seldom() -> (
-    None
-):
+def test_job_that_fails_on_two_machines_is_retried_with_growing_delays() -> None:
     s = source(limit=30.0)
     s.on_job(a_job("j-000001", task_count=12, submitted_at=0.0), "j-000001", 5, 0.0)
     starts = play(s, 300, lambda job, task, machine, now: "error")
@@ -88,7 +86,7 @@
     assert s.queue_order(js)[0] == 2.0, "it stands behind everybody else"
 
 
-def test_a_job_that_works_again_goes_on_at_once() -> None:
+def test_job_that_works_again_resumes_at_once() -> None:
     s = source(limit=30.0)
     s.on_job(a_job("j-000001", task_count=12), "j-000001", 5, 0.0)
     play(s, 30, lambda job, task, machine, now: "error")
@@ -115,7 +113,7 @@
     )
 
 
-def test_a_broken_job_keeps_nobodys_guarantee() -> None:
+def test_failing_job_leaves_the_guarantee_to_others() -> None:
     s = source(limit=30.0)
     s.on_job(a_job("j-000001", task_count=4, submitted_at=0.0), "j-000001", 5, 0.0)
     s.on_job(a_job("j-000002", task_count=4, submitted_at=1.0), "j-000002", 6, 0.0)
@@ -156,7 +154,7 @@
     )
 
 
-def test_two_broken_jobs_take_no_good_machine_away() -> None:
+def test_two_failing_jobs_quarantine_no_healthy_machine() -> None:
     o = owner()
     for seq, (job, machine) in enumerate(
         [("j-1", "n-1"), ("j-1", "n-2"), ("j-2", "n-1"), ("j-2", "n-3")], 1
@@ -177,7 +175,7 @@
     assert not one.failures_by_job, "nor does a later try speak against it"
 
 
-def test_a_machine_on_which_two_working_jobs_fail_is_given_back() -> None:
+def test_machine_on_which_two_healthy_jobs_fail_is_returned() -> None:
     o = owner()
     failed_on(o, "j-1", "n-1", 1)
     failed_on(o, "j-2", "n-1", 2)
@@ -189,7 +187,7 @@
     assert o.machine_update(o.machines["n-1"], 30.0) is None or o.machines["n-1"].replacement_due
 
 
-def test_a_broken_job_stops_nobody() -> None:
+def test_failing_job_preempts_nothing() -> None:
     o = owner()
     failed_on(o, "j-1", "n-1", 1)
     failed_on(o, "j-2", "n-1", 2, stance="running")
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -38,28 +38,28 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_troubles_that_meet(seed: int) -> None:
+def test_random_overlapping_faults_break_no_rule(seed: int) -> None:
     meet(seed)
 
 
 @pytest.mark.parametrize("seed", range(100, 106))
-def test_writes_and_reports_that_are_late_in_the_middle_of_ends_and_cuts(seed: int) -> None:
+def test_late_writes_and_heartbeats_during_crashes_and_partitions_break_no_rule(seed: int) -> None:
     meet(seed, ("late_writes", "late_reports", "crash", "alone", "outage", "roll"))
 
 
 @pytest.mark.parametrize("seed", range(200, 206))
-def test_machines_that_hear_late_or_nothing_while_their_leader_changes(seed: int) -> None:
+def test_agents_that_receive_late_or_nothing_during_leader_changes_break_no_rule(seed: int) -> None:
     meet(seed, ("deaf", "held_up", "crash", "pause", "no_workers", "late_reports"))
 
 
 @pytest.mark.parametrize("seed", range(300, 304))
-def test_a_state_service_that_is_slow_while_users_cancel_and_ask(seed: int) -> None:
+def test_slow_state_service_gives_no_stale_or_early_answer(seed: int) -> None:
     """Neither done nor withdrawn is taken back, or told early, by any controller; every question is answered when it is over."""
     meet(seed, ("slow", "refuse", "outage", "late_writes"))
 
 
 @pytest.mark.parametrize("seed", range(400, 406))
-def test_lost_answers_close_looks_and_machines_that_are_mute_or_hang(seed: int) -> None:
+def test_lost_answers_frequent_polls_and_unresponsive_agents_break_no_rule(seed: int) -> None:
     meet(
         seed,
         (
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("kept", [True, False])
-def test_tasks_that_end_far_apart_across_changes_of_leader(
+def test_tasks_that_end_under_different_leaders_are_counted_once(
     seed: int, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Of three tasks one ends under the first leader, one under the second, one under the third; writes are late in between.
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("mode", [HOLD, RESET])
-def test_a_leader_that_only_its_workers_and_users_reach(mode: str) -> None:
+def test_partitioned_leader_gives_no_stale_answer_and_accepts_nothing(mode: str) -> None:
     """Jobs are cancelled through the others; the leader gives no older answer, accepts nothing, and its cancelled tasks end in time."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("own", [True, False])
 @pytest.mark.parametrize(("kind", "seed"), [("gap", "1"), ("gap", "2"), ("roll", "1")])
-def test_troubles_that_have_not_begun_yet_are_over_too(own: bool, kind: str, seed: str) -> None:
+def test_faults_that_have_not_begun_end_with_the_schedule(own: bool, kind: str, seed: str) -> None:
     """A gap drawn late began its outage after `Played.calm`, and the day was called forgotten for it. Without a group of their own, so."""
     after: list[str] = []
 
@@ -184,7 +184,7 @@
     assert bool(after) is not own, after[:3]
 
 
-def test_a_broken_day_is_shrunk_to_the_fewest_troubles_that_still_break_it() -> None:
+def test_failing_schedule_is_shrunk_to_the_fewest_faults_that_still_fail() -> None:
     """Two of fourteen break it together; other rules broken by less don't count."""
     troubles, until = draw(1000, times=3)
     a, b, c = troubles[1], troubles[-2], troubles[4]
@@ -291,7 +291,7 @@
         "took",
     ],
 )
-def test_a_drawn_day_finds_what_a_guard_is_there_for(
+def test_random_schedule_breaks_a_rule_without_each_guard(
     seed: int,
     kinds: tuple[str, ...],
     rule: str,
@@ -309,7 +309,7 @@
 
 
 @pytest.mark.parametrize("seed", [5002])
-def test_machines_of_all_kinds_of_trouble_in_drawn_days(seed: int) -> None:
+def test_random_machine_faults_leave_no_job_waiting(seed: int) -> None:
     """Nothing is left waiting at the end of any drawn day.
 
     More by `python -m tests.simulation.fault_schedules --only mute --only hang ...`.
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -43,7 +43,7 @@
     anyio.run(play)
 
 
-def test_a_connection_over_the_cap_is_told_when_to_come_back() -> None:
+def test_connection_over_the_limit_is_told_when_to_retry() -> None:
     async def play() -> None:
         (port,) = free_ports(1)
         async with anyio.create_task_group() as tg:
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("mode", [SILENT, RESET, HOLD])
 @pytest.mark.parametrize("mended", [True, False])
-def test_told_in_an_outage_by_others_while_the_workers_stay(
+def test_cancellation_acknowledged_in_an_outage_ends_tasks_of_an_isolated_leader(
     mode: str, mended: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its key has gone, nobody has its part yet, it has read none of the cancellations, and can hear the others again."""
@@ -94,7 +94,7 @@
             play(scene)
 
 
-def test_an_outage_without_such_a_cancellation_kills_nothing() -> None:
+def test_outage_without_a_cancellation_kills_nothing() -> None:
     """For longer than a cut-off controller may go on; each is heard by the others, and that keeps all of them going."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("after", [0.2, 6.0])
-def test_one_that_ends_in_the_outage_keeps_nobody_else_from_going_on(after: float) -> None:
+def test_controller_crash_in_an_outage_stops_no_other_controller(after: float) -> None:
     """Its new life has read nothing, and vouches for what its last one owed (its own workers live on by their tokens, for as long)."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -133,7 +133,9 @@
 
 
 @pytest.mark.parametrize("after", [0.2, 3.0])
-def test_a_life_that_has_read_nothing_stops_what_it_is_named(after: float) -> None:
+def test_restarted_leader_without_a_read_stops_cancelled_tasks_that_peers_name(
+    after: float,
+) -> None:
     """The leader ends inside the gap and is back: what others name is over for the workers of its earlier life, too."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -157,7 +159,7 @@
 
 
 @pytest.mark.parametrize("older", [0, 1])
-def test_members_that_do_not_carry(older: int) -> None:
+def test_cancellations_reach_a_refused_controller_without_relay(older: int) -> None:
     """Without carrying a refused one reads nothing at all; it is named what was cancelled all the same."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -176,6 +178,6 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_drawn_gaps(seed: int) -> None:
+def test_random_isolation_before_an_outage_breaks_no_rule(seed: int) -> None:
     """Which controller is refused or cut off, which ends and when, when the outage begins, and what is cancelled."""
     meet(seed, ("gap", "crash", "peers"))
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -41,7 +41,9 @@
         (HOLD, 120.0),
     ],
 )
-def test_its_workers_are_sent_on_before_any_lease_is_in_danger(mode: str, s: float) -> None:
+def test_agents_of_an_isolated_controller_are_redirected_before_leases_expire(
+    mode: str, s: float
+) -> None:
     """Untouched, nothing started on its part for the 60 s of `cut_off_s`; now for as long as the scouts need."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -69,7 +71,7 @@
 
 
 @pytest.mark.parametrize("back", [0.0, 0.2])
-def test_where_nobody_else_can_be_reached_it_goes_on(back: float) -> None:
+def test_isolated_controller_keeps_its_agents_where_no_other_is_reachable(back: float) -> None:
     """A zone that is cut off: scouts come back, nobody else is sent, and nothing is killed; also when it ends inside."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -89,7 +91,7 @@
     play(scene)
 
 
-def test_all_three_alone_and_a_cancellation_that_is_told_outside() -> None:
+def test_cancellation_is_acknowledged_while_all_controllers_are_isolated() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 90.0)
         leave_alone(p, "c0", HOLD, 70.0)
@@ -104,7 +106,7 @@
     play(scene)
 
 
-def test_scouts() -> None:
+def test_one_agent_at_a_time_is_redirected_until_it_stays_away() -> None:
     a = IsolatedRedirects(["c2", "c1"], 2.0, 13.0)
     a.update(False, 0.0)
     assert a.redirect_target("n-0", None, 0.0) is None
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("guarded", [True, False])
 @pytest.mark.parametrize("mode", [HOLD, RESET])
-def test_a_repeated_submission_tells_no_cancellation_early(
+def test_repeated_submission_acknowledges_no_cancellation_early(
     mode: str, guarded: bool, platform_times: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A zone is cut off for 110 s with its controller, and jobs are cancelled outside, while their submissions are repeated.
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_close_looks_at_all_controllers(seed: int) -> None:
+def test_frequent_status_requests_get_no_older_answer(seed: int) -> None:
     """All controllers are asked, and submissions repeated, within 50 ms of each acceptance, end and cancellation; some cancel at once."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -114,7 +114,9 @@
 
 
 @pytest.mark.parametrize("without", ["proof", "archive"])
-def test_close_looks_find_an_older_answer(without: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_frequent_status_requests_detect_an_older_answer_without_a_guard(
+    without: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Without the proof, or without the look into the archive, a job that was accepted is not known."""
     if without == "proof":
         monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
@@ -300,7 +302,7 @@
     ("name", "without"),
     [("verified", unproved), ("final", told_at_once), ("verified", straight_to_no)],
 )
-def test_the_model_finds_what_a_guard_is_there_for(
+def test_model_reports_an_older_answer_without_each_guard(
     name: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The proof (that there is one, and that it is no older than the question), the right to tell, the archive."""
@@ -309,7 +311,7 @@
         run_copies(range(600))
 
 
-def test_only_answers_say_how_a_job_stands() -> None:
+def test_only_job_answers_determines_the_reported_job_state() -> None:
     """Users' requests have no way past coordination.job_answers: they never look at what the copy holds, nor make a view themselves."""
     for name in ("job_requests", "http_routes"):
         tree = ast.parse(
@@ -340,7 +342,7 @@
                 assert ast.unparse(call.args[1]).endswith(".body"), ast.unparse(call)
 
 
-def test_a_controller_that_held_a_shard_for_a_while_shows_its_jobs_as_they_are() -> None:
+def test_former_shard_holder_shows_current_job_counts() -> None:
     """It kept what it had last been told there, and showed the numbers of then for as long as the job lived."""
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_job_end_races.py
+++ b/tests/test_job_end_races.py
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_done_and_withdrawn_exclude_each_other_at_each_step(step: str) -> None:
+def test_job_is_either_done_or_cancelled_whatever_step_a_request_meets(step: str) -> None:
     counts = meet_the_end(step)
     assert counts[DONE] >= 3, counts
 
@@ -235,7 +235,7 @@
         ("it has left, nobody knows", "get", unseen, "forgotten"),
     ],
 )
-def test_the_steps_find_what_a_guard_is_there_for(
+def test_job_end_race_breaks_a_rule_without_each_guard(
     step: str, name: str, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(KeyValueStore, name, without(getattr(KeyValueStore, name)))
--- a/tests/test_key_value_store_client.py
+++ b/tests/test_key_value_store_client.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_only_what_the_protocol_lists_is_believed(call: str) -> None:
+def test_unlisted_status_is_an_unknown_outcome(call: str) -> None:
     """Before: a 502 was "not executed" for a write, "no such key" for a read of one key, and "ended" for a lease."""
     listed = MEANT[call]
     for status, (body, meant) in listed.items():
@@ -114,7 +114,7 @@
         ("grant", [{}, {"tether": None}, {"tether": "7"}]),
     ],
 )
-def test_a_200_in_no_published_form_is_an_unknown_outcome(call: str, bodies: list[Any]) -> None:
+def test_malformed_success_response_is_an_unknown_outcome(call: str, bodies: list[Any]) -> None:
     """Before: a missing field raised KeyError inside the writer, and ended the process."""
     for body in [None, [], "ok", 7, [1], *bodies]:
         assert says(call, 200, body) == "OutcomeUnknownError", body
@@ -126,7 +126,7 @@
     )
 
 
-def test_odd_answers_cost_one_line_now_and_then(capfd: pytest.CaptureFixture[str]) -> None:
+def test_invalid_responses_are_logged_at_a_limited_rate(capfd: pytest.CaptureFixture[str]) -> None:
     now = [100.0]
     store = KeyValueStore(Says(200, "x" * 100_000), 1e6, 1e6, lambda: now[0])
 
--- a/tests/test_late_store_writes.py
+++ b/tests/test_late_store_writes.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("verbs", [("pause", "pause", "resume"), ("pause", "resume")])
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_late_pause_does_not_stop_an_order_that_goes_on(
+def test_late_pause_does_not_stop_a_resumed_order(
     guarded: bool, verbs: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An operator pauses an order, once more since the answer was lost (or not), and resumes it; then the first pause is carried out.
@@ -76,7 +76,7 @@
     ("after", "without"),
     [(0.1, None), (7.0, None), (0.1, lambda: unguarded("p/shard/", "c/", "d/"))],
 )
-def test_carried_out_when_its_writer_has_ended_and_is_back(
+def test_write_that_lands_after_its_writer_restarted_breaks_no_rule(
     after: float, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One write of each kind is held back on its way; its writer ends, and is back at once or after another has had its part.
--- a/tests/test_lost_store_answers.py
+++ b/tests/test_lost_store_answers.py
@@ -181,7 +181,7 @@
         ("background", False, types_once, "of .* served|not accepted"),
     ],
 )
-def test_every_kind_of_write(
+def test_every_kind_of_write_recovers_from_a_lost_answer(
     group: str, late: bool, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The writer doesn't know whether it landed; the others read it at once, or only after newer ones of the same writer."""
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -46,7 +46,7 @@
     return EvictionRequest("service", n, up, team_down, 0.0, float("inf"), 0.0)
 
 
-def test_the_more_particular_budget_holds() -> None:
+def test_more_specific_budget_applies() -> None:
     assert (
         RULES.for_job("a", "x", "j-000002").min_available == 1
         and RULES.for_job("b", "x", "j-000002").min_available == 0
@@ -57,7 +57,7 @@
     )
 
 
-def test_what_is_down_counts_whoever_did_it() -> None:
+def test_unavailable_tasks_count_whatever_the_cause() -> None:
     rule = RULES.for_job("b", "x", "j-000002")
     assert denial_reason(rule, service(8, 8), (0, 0.0), NOON) == ""
     assert denial_reason(rule, service(8, 7), (0, 0.0), NOON) == ""
@@ -120,7 +120,7 @@
     ) == dataclasses.replace(order, created_at=round(order.created_at, 1))
 
 
-def test_a_grant_that_is_not_needed_any_more_leaves_nothing_to_write() -> None:
+def test_grant_that_is_no_longer_needed_leaves_nothing_to_write() -> None:
     """The writer was woken a hundred times a second for a value that was never written."""
     s = source(30.0)
     team = next(iter(s.teams))
@@ -131,7 +131,7 @@
     )
 
 
-def test_no_order_empties_everything_by_mistake() -> None:
+def test_order_that_selects_no_machines_is_rejected() -> None:
     for wrong in ({}, {"note": "x"}, {"machines": []}, {"zone": ""}):
         with pytest.raises(InvalidOrderError):
             orders.parse_order("u-1", wrong)
@@ -186,7 +186,7 @@
 BUDGET = settings.Options(budget={"default": {"down": 1, "team_down": 4}})
 
 
-def test_machines_are_emptied_one_replica_at_a_time_and_given_back() -> None:
+def test_machines_are_drained_one_replica_at_a_time_and_returned() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await services(p)
         watch = Watch(p)
@@ -211,7 +211,7 @@
     play(scene, options=BUDGET)
 
 
-def test_an_order_that_is_stopped_leaves_what_is_still_there_in_service() -> None:
+def test_cancelled_order_leaves_remaining_machines_in_service() -> None:
     options = settings.Options(budget={"default": {"floor": 4}})
 
     async def scene(p: SimulatedCluster) -> None:
@@ -251,7 +251,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_an_order_goes_on_over_crashes_takeovers_and_cuts_and_no_budget_is_spent_twice(
+def test_order_survives_crashes_failovers_and_partitions_and_spends_no_budget_twice(
     seed: int,
 ) -> None:
     """Whoever rents, owns or grants may end at any step: the machines are emptied, and two replicas of a job are never stopped at once.
@@ -283,7 +283,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_new_source_counts_what_the_one_before_has_granted(
+def test_new_source_counts_grants_of_its_predecessor(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The owner can't be heard for a while: the stop that was granted still runs when the next source looks."""
@@ -335,7 +335,7 @@
     play(scene, options=BUDGET)
 
 
-def test_no_order_is_taken_while_a_release_is_about_that_knows_none() -> None:
+def test_order_is_rejected_while_a_release_without_orders_is_running() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(1.0)
         for node in p.nodes.values():
@@ -353,7 +353,7 @@
     play(scene)
 
 
-def test_the_command_asks_again_and_shows_what_waits(
+def test_maintenance_command_retries_and_shows_what_is_waiting(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     asked: list[tuple[str, str, Any]] = []
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -18,7 +18,7 @@
 SWEEP = {"kind": "finished", "class": "c", "within_s": 120.0, "share": 0.8}
 
 
-def test_the_strictest_aim_counts_and_a_jobs_own_deadline_before_it() -> None:
+def test_strictest_objective_counts_unless_the_job_has_a_deadline() -> None:
     aims = Objectives(
         [
             {"kind": "wait", "class": "c", "within_s": 18.0, "share": 0.98},
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize(
     ("n", "wall", "room"), [(300, 0.0, 150), (300, 60.0, 300), (300, 500.0, 300), (1, 0.0, 1)]
 )
-def test_an_array_asks_for_room_for_turns(n: int, wall: float, room: int) -> None:
+def test_array_demand_is_divided_into_successive_runs(n: int, wall: float, room: int) -> None:
     """120 s, of them 32 for a boot and the fetch: two turns of 25 s and a fifth; later, or too late, all that waits at once."""
     s = source(limit=0.0)
     s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
@@ -49,7 +49,7 @@
     assert s.demand(0.0, wall)[job.id].waiting_tasks == n, "without an aim, each task once"
 
 
-def test_room_that_is_at_work_counts_and_run_times_are_learnt() -> None:
+def test_busy_capacity_counts_towards_demand_and_run_times_are_learnt() -> None:
     """Asking only by what waits rented as much again for the second turn, while the first one's room was about to be free."""
     s = source(limit=0.0)
     s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
@@ -99,7 +99,7 @@
         ([], {CHEAP: 3}),
     ],
 )
-def test_work_that_is_expected_soon_gets_ordinary_machines_where_cheap_ones_are_refused(
+def test_work_due_soon_gets_on_demand_machines_where_spot_ones_are_refused(
     aim: list[dict[str, object]], wanted: dict[tuple[str, str, bool], int]
 ) -> None:
     """It waited for 120 s for cheap machines that were all taken: 10 of 16 arrays late, and every second gang (shannon-loanworks)."""
@@ -107,7 +107,7 @@
     assert renting(job, 80, Objectives(aim), 3) == wanted
 
 
-def test_room_is_kept_for_gangs_that_should_start_sooner_than_a_machine_boots() -> None:
+def test_headroom_is_kept_for_gangs_due_before_a_machine_boots() -> None:
     def kept(aims: Objectives) -> int:
         r = Autoscaler(7, 45.0, 1.4, 3.0, 10.0, 0.0)
         r.machine_types, r.list_count, r.objectives = {"t": TYPE}, 1, aims
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("count", "s"), [(1, 5.0), (1, 10.0), (1, 60.0), (6, 60.0)])
-def test_it_soon_gets_no_more_work_and_is_used_again_when_it_hears(count: int, s: float) -> None:
+def test_non_receiving_agent_gets_no_work_until_it_receives_again(count: int, s: float) -> None:
     """Untouched, each lease that ran out was followed by new starts on the same machine: 9 to 40 in a minute."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -84,7 +84,7 @@
     play(scene, machines=16)
 
 
-def test_a_dozen_wandering_from_controller_to_controller_move_no_part_while_another_ends() -> None:
+def test_agents_that_switch_controllers_move_no_shard_during_a_crash() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 90.0)
         some = [w for c in ("c0", "c1", "c2") for w in p.workers_of(c)[:4]]
@@ -100,7 +100,7 @@
     play(scene, machines=24)
 
 
-def test_a_gang_does_not_wait_for_a_task_that_was_given_to_it() -> None:
+def test_gang_does_not_wait_for_a_task_on_a_non_receiving_agent() -> None:
     """The others waited for the machine's lease, holding their places; now they leave as soon as it is known to hear nothing."""
     left: list[float] = []
 
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_a_job_that_is_cancelled_on_it_is_gone_in_time_and_a_new_machine_that_hears_nothing_gets_nothing(
+def test_job_cancelled_on_a_non_receiving_agent_ends_in_time_and_a_new_one_gets_no_work(
     known: bool,
 ) -> None:
     async def scene(p: SimulatedCluster) -> None:
@@ -164,7 +164,7 @@
     play(scene)
 
 
-def test_one_that_hears_now_and_then_is_used_again_ever_later() -> None:
+def test_agent_that_receives_intermittently_is_used_again_after_growing_delays() -> None:
     """And it is found again when its rest is over, though nothing happens to it then."""
     o, now, seq = test_shard_owner.owner(), 0.0, 0
 
--- a/tests/test_orphaned_machines.py
+++ b/tests/test_orphaned_machines.py
@@ -14,7 +14,7 @@
     assert not s.should_acquire(1, True, 10.6), "the holder can be heard: they are sent to it first"
 
 
-def test_machines_that_come_back_from_a_holder_that_is_heard() -> None:
+def test_two_machines_returning_from_a_live_holder_move_the_shard() -> None:
     s = OrphanedMachines()
     for m in ("n-1", "n-2"):
         s.record(1, m, True, 10.0)
@@ -22,7 +22,7 @@
     assert s.should_acquire(1, True, 15.1)
 
 
-def test_old_visits_do_not_count() -> None:
+def test_old_heartbeats_of_orphaned_machines_do_not_count() -> None:
     s = OrphanedMachines()
     for m in ("n-1", "n-2"):
         s.record(1, m, True, 10.0)
@@ -32,7 +32,9 @@
     assert not s.should_acquire(1, True, 26.1), "they came once, long after"
 
 
-def test_machines_the_holder_never_served_count_at_home_while_it_is_silent() -> None:
+def test_machines_never_served_count_at_the_preferred_controller_while_the_holder_is_silent() -> (
+    None
+):
     """After a takeover beyond a cut nobody was served, and all stayed away until the cut was over."""
     s = OrphanedMachines()
     for at in (10.0, 13.0):
@@ -43,7 +45,7 @@
         assert s.should_acquire(1, False, at + 0.1, is_preferred=True)
 
 
-def test_a_holder_that_says_it_hears_none_of_them_needs_no_longer_proof() -> None:
+def test_holder_without_heartbeats_of_two_machines_loses_its_shard_without_further_proof() -> None:
     """Sent back to it each worker hung for 4 s, and its tasks were lost with its lease."""
     s = OrphanedMachines()
     s.record(1, "n-1", True, 10.0)
@@ -60,7 +62,7 @@
     )
 
 
-def test_who_has_come_once_has_not_come_again() -> None:
+def test_machine_that_came_once_has_not_returned() -> None:
     """A holder that was back within a second: two workers met its closed port, came here once, and were served by it again."""
     s = OrphanedMachines()
     for name in ("n-1", "n-2"):
--- a/tests/test_partitioned_zone.py
+++ b/tests/test_partitioned_zone.py
@@ -37,7 +37,7 @@
         ("leader", RESET, answers_from_an_old_copy, "forgotten"),
     ],
 )
-def test_work_goes_on_with_a_controller_that_is_cut_off_while_jobs_are_cancelled_through_the_others(
+def test_partitioned_controller_keeps_work_running_while_others_cancel_jobs(
     how: str, mode: str, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """For six leases (10 s; `cancel_s` 35 s), with close looks: nothing older is told, what is cancelled is gone in time.
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -83,7 +83,7 @@
     return s, txn
 
 
-def test_room_stays_wanted_while_its_permit_is_being_written() -> None:
+def test_candidates_stay_requested_while_their_permit_is_written() -> None:
     s = source()
     s.on_job(a_job(task_count=2), "j-000001", 5, 0.0)
     s.on_owner_update(0, 3, True, offers(2), 1.0)
@@ -95,7 +95,7 @@
     assert told(s) == (0, 2)
 
 
-def test_preempting_room_is_taken_only_when_others_had_time_to_speak() -> None:
+def test_preempting_offer_is_taken_only_after_other_shards_had_time_to_offer() -> None:
     s = source()
     s.on_job(a_job(task_count=1, kind="service"), "j-000001", 5, 0.0)
     s.on_owner_update(0, 3, True, offers(1, victims=1), 0.02)
@@ -156,13 +156,13 @@
     assert txn is not None and len(txn.added) == 3
 
 
-def test_a_job_withdrawn_under_the_write_is_not_started() -> None:
+def test_job_cancelled_during_the_write_is_not_started() -> None:
     s, txn = one_permit_being_written()
     assert s.on_compare_failed(txn, [JOB_PREFIX + "j-000001"]) == []
     assert s.next_write() is None and told(s) == (0, 0)
 
 
-def test_a_write_of_unknown_outcome_that_landed_late_is_taken_from_the_cell() -> None:
+def test_write_of_unknown_outcome_that_landed_late_is_taken_from_the_record() -> None:
     s, txn = one_permit_being_written()
     s.install_allocations("t", {}, 2.0)  # read again: not there yet
     assert s.jobs["j-000001"].allocations == {}
@@ -229,7 +229,7 @@
     )
 
 
-def test_a_change_costs_the_same_whatever_else_there_is() -> None:
+def test_cost_of_a_change_does_not_depend_on_other_jobs() -> None:
     """Counted, not timed: one task's exit among many jobs and entries, through its write to what owners are told."""
     visits, told_keys = [], []
     for size in (10, 400):
@@ -271,7 +271,7 @@
     assert visits[1] <= 1.5 * visits[0] and told_keys == [7, 7]
 
 
-def test_where_changes_run_short_the_most_important_go_first_and_the_rest_goes_on() -> None:
+def test_short_write_budget_serves_the_highest_priority_first() -> None:
     """Permits of replicas stood behind those of a guest's many single jobs."""
     s = JobSource(0, EPOCH, [Team("guest", 0, 0, 0, 0), Team("t", 0, 0, 4, 10)], ("a", "b"), 400, 8)
     board: dict[str, Any] = {}
@@ -342,7 +342,7 @@
     assert len(s.jobs["j-000001"].allocations) == 1
 
 
-def test_what_has_not_begun_for_long_comes_before_others_by_turns() -> None:
+def test_jobs_waiting_for_long_take_turns_ahead_of_others() -> None:
     """An array with its first task, a gang whole; never before services and guarantees, and not for ever: it may never find room."""
     s = source(limit=0.0)
     s.on_job(a_job("j-000001", task_count=50, priority=3), "j-000001", 5, 0.0)
@@ -397,9 +397,7 @@
     )
 
 
-def test_a_write_that_is_late_fails_its_guards_even_when_its_cell_has_been_empty_meanwhile() -> (
-    None
-):
+def test_late_write_fails_its_compare_even_when_its_record_was_empty_meanwhile() -> None:
     """It found no cell, and says so. The cell was fenced, used, emptied, and deleted: there was none again, and the late write landed.
 
     Its permit was one that nobody knew of, for a task that ran elsewhere or was done (share of such writes on a bad day: 0.6).
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -49,7 +49,7 @@
     return {j: len(t) for j, t in p.reservations.by_job.items()}
 
 
-def test_gangs_do_not_hold_pieces_of_one_anothers_room() -> None:
+def test_gangs_do_not_hold_partial_reservations_against_one_another() -> None:
     p = fleet(6)
     gang(p, "j-000001", 8, 2, 100.0)
     gang(p, "j-000002", 4, 2, 200.0)
@@ -73,7 +73,7 @@
     )
 
 
-def test_pieces_that_are_being_permitted_are_nobody_elses() -> None:
+def test_reservations_being_permitted_are_exclusive() -> None:
     p = fleet(6)
     job = gang(p, "j-000001", 8, 2, 100.0)
     step(p, 0.0)
@@ -176,7 +176,7 @@
     return any_one and fits(w.job.resources, room) and m.pool[1] == "a"
 
 
-def test_whoever_waits_has_no_way_that_a_plain_walk_finds() -> None:
+def test_waiting_job_has_no_placement_that_an_exhaustive_search_finds() -> None:
     """Machines, tasks and guarantees change at random; who found nothing is asked again only for what has gained."""
     found = 0
     for seed in range(30):
@@ -240,7 +240,7 @@
     assert found > 50
 
 
-def test_who_found_nothing_to_stop_is_asked_again_only_for_machines_that_gained() -> None:
+def test_failed_preemption_is_retried_only_on_machines_with_new_work() -> None:
     """Counted, not timed: every quarter of a second each waiting candidate walked over every machine with work of lower rank."""
     ways = []
     for size in (40, 400):
@@ -297,7 +297,7 @@
         assert len(machines) == 2 and machines < {"n-17", "n-171", "n-299"}, machines
 
 
-def test_a_gang_in_one_zone_stops_work_where_most_could_be_stopped() -> None:
+def test_single_zone_gang_preempts_in_the_zone_with_most_preemptible_work() -> None:
     """Zone b, the last by name, has one machine; four are in a, all full of arrays that it may stop."""
     p = fleet(5)
     p.inventory.machines["n-4"].zone = "b"
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET, "503"])
-def test_without_the_state_service_work_goes_on_through_another(mode: str) -> None:
+def test_controller_cut_from_the_state_service_works_through_a_relay(mode: str) -> None:
     async def scene(p: SimulatedCluster) -> None:
         at = await start_background_load(p)
         if mode == "503":
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET])
-def test_without_the_workers_they_are_answered_through_another_and_come_home(mode: str) -> None:
+def test_agents_cut_from_their_controller_are_relayed_and_fail_back(mode: str) -> None:
     async def scene(p: SimulatedCluster) -> None:
         at = await start_background_load(p)
         p.cut_workers("c0", mode, 25.0)
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     ("mode", "tries"), [(SILENT, True), (RESET, True), (SILENT, False), (RESET, False)]
 )
-def test_a_home_whose_workers_do_not_reach_it_gets_no_part_back(
+def test_preferred_controller_its_agents_cannot_reach_gets_no_shard_back(
     mode: str, tries: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It can't tell by itself while it holds nothing: 769 tasks were killed. And if it gets the part all the same, it is carried."""
@@ -89,7 +89,7 @@
     play(scene)
 
 
-def test_over_two_members_where_no_single_one_has_both_links() -> None:
+def test_requests_are_relayed_over_two_peers_where_no_single_one_has_both_links() -> None:
     """c0 reaches neither the state service nor c2; c1 reaches both of them, but not the state service."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -106,7 +106,7 @@
     play(scene)
 
 
-def test_reports_over_two_members() -> None:
+def test_heartbeats_are_relayed_over_two_peers() -> None:
     """c0's workers reach only c2, and c2 can't speak with c0: c1 stands in between."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_carrier_crashes_or_is_cut_itself(seed: int) -> None:
+def test_relay_that_crashes_or_is_partitioned_expires_no_lease(seed: int) -> None:
     """At moments drawn, for both kinds of cut: while a third can carry, nothing is killed by its lease."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -143,7 +143,7 @@
     play(scene, seed)
 
 
-def test_a_carrier_that_stands_still_for_longer_than_a_lease() -> None:
+def test_relay_stalled_for_longer_than_a_lease_breaks_no_rule() -> None:
     """All its links are held, and deliver minutes' worth at once when it goes on: questions, answers, reports, transactions."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_each_of_three_is_cut_from_something_else(seed: int) -> None:
+def test_three_controllers_with_different_partitions_keep_their_shards(seed: int) -> None:
     """And two that each reach one half: c0 has no state service, c1 no workers, c2 no c0; and the cuts end apart from each other."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -175,7 +175,7 @@
     play(scene, seed)
 
 
-def test_a_cut_ends_while_a_carried_answer_is_held_back() -> None:
+def test_partition_that_ends_while_a_relayed_answer_is_delayed_loses_no_job() -> None:
     """c1's answers to c0 lie in the network until long after c0 has its own link again."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("older", [("c1", "c2"), ("c0",), ("c1",)])
-def test_an_older_release_that_can_not_carry(
+def test_shard_moves_where_an_older_release_cannot_relay(
     older: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It says nothing of it and is asked nothing; what can't be carried moves, as it did before."""
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_pairs_and_triples_of_cuts(seed: int) -> None:
+def test_two_or_three_overlapping_partitions_break_no_rule(seed: int) -> None:
     """Any two or three links or bundles of links, in any mode, overlapping: every rule holds, and all work goes on afterwards."""
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -15,7 +15,7 @@
 from .simulation.cluster import RESET, SimulatedCluster, play
 
 
-def test_an_answer_to_an_earlier_life_is_no_answer() -> None:
+def test_response_to_an_earlier_incarnation_is_ignored() -> None:
     """A controller that starts anew counts its questions from the beginning; what comes late was for another."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -39,7 +39,7 @@
     play(scene)
 
 
-def test_who_is_behind_with_its_own_work_carries_nothing() -> None:
+def test_relay_with_scheduling_lag_refuses_requests() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(2.0)
         c0, c1 = p.nodes["c0"].relay, p.nodes["c1"].relay
@@ -59,7 +59,7 @@
     play(scene)
 
 
-def test_the_carriers_own_requests_come_first() -> None:
+def test_own_requests_of_a_relay_come_first() -> None:
     """Who asks for more than its share through another is refused at once, and the other's own work is not late."""
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_relay_safety.py
+++ b/tests/test_relay_safety.py
@@ -26,7 +26,7 @@
 from .simulation.fakes import unguarded
 
 
-def test_what_is_carried_twice_happens_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_relayed_twice_takes_effect_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every question is put twice: the second transaction fails its guards, the second answer is to no open question."""
     real = Relay.serve
 
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_an_answer_that_was_carried_counts_as_an_answer(
+def test_relayed_heartbeat_answer_counts_as_an_answer(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An owner that counted only what came by itself would hold its workers for dead while they live on through another.
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_carried_write_that_lands_after_another_has_claimed(
+def test_relayed_write_that_lands_after_another_claim_fails(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """c1 takes a write of c0's and gives no answer; c0's part is taken, its new holder starts replicas, and then the write lands."""
@@ -135,7 +135,7 @@
             play(scene, teams=3)
 
 
-def test_a_carried_renewal_that_comes_late_keeps_no_shard_for_two() -> None:
+def test_late_relayed_renewal_leaves_each_shard_one_holder() -> None:
     """Renewals of c0 are held back on c1's link: its lease ends or lives, and each shard has one holder by the store."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_carried_read_is_no_older_than_the_question(
+def test_relayed_read_is_not_older_than_its_request(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A job that was accepted elsewhere a moment ago is known at a controller that reads through another: no 404."""
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_cancellation_while_one_reaches_only_its_workers_and_one_peer(
+def test_cancellation_is_acknowledged_at_once_while_a_controller_reads_through_one_peer(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It reads through that peer, so it hears of it, and its user is told at once; nobody's word is taken for its reading."""
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("after", [0.1, 0.3, 1.0, 3.9, 4.1])
-def test_back_after(after: float) -> None:
+def test_restarted_controller_soon_starts_tasks_in_its_shard(after: float) -> None:
     """Starts go on in its part within a report and a half; back at once, it keeps the part: its workers met a closed port only once.
 
     (Two that had come to another controller once counted as coming again 2 s later, though they had long been served at home.)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("which", [["c0"], ["c0", "c1"], ["c0", "c1", "c2"]])
-def test_it_ends_again_at_once_five_times(which: list[str]) -> None:
+def test_controllers_that_crash_five_times_in_a_row_lose_no_lease(which: list[str]) -> None:
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(len(which))
         await start_background_load(p, 60.0)
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_it_is_back_while_another_claims_its_part(seed: int) -> None:
+def test_restart_during_another_claim_leaves_one_holder(seed: int) -> None:
     """Its lease has just ended: its own claim and another's are on their way together, and one of the two fails its guard."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_write_of_the_earlier_life_lands_when_the_new_one_has_begun(
+def test_write_of_an_earlier_incarnation_that_lands_after_the_restart_fails(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A permit's write is held back in the network, its controller ends and is back; the new life starts the replicas elsewhere."""
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize(
     ("after", "answers"), [(0.1, True), (0.3, True), (1.0, True), (0.3, False)]
 )
-def test_the_only_controller_of_a_zone_ends_inside_the_cut(
+def test_only_controller_of_a_partitioned_zone_restarts_without_expired_leases(
     after: float, answers: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not answers:
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_it_ends_again_and_again(seed: int) -> None:
+def test_repeated_restarts_in_a_partition_extend_no_obligation(seed: int) -> None:
     """Five lives, none of which knows anything: together they answer for no longer than one."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("which", [["c1"], ["c0", "c2"], ["c0", "c1", "c2"]])
-def test_controllers_end_in_an_outage(which: list[str]) -> None:
+def test_controllers_that_restart_in_an_outage_lose_no_lease(which: list[str]) -> None:
     """Nobody has a store to read for 15 s, and those that end come back after 0.2 s, twice."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("guard", ["", "left", "marked"])
-def test_jobs_that_are_cancelled_while_it_answers_for_its_earlier_life(
+def test_jobs_cancelled_during_restart_recovery_end_in_time(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The users are told outside; what runs on inside ends in time, however long the cut lasts."""
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_cancellation_that_the_earlier_life_had_read_but_not_carried_out(
+def test_cancellation_read_but_not_executed_before_a_restart_ends_in_time(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A worker doesn't answer while its job is cancelled and the user told; then its controller ends in a cut, and knows nothing."""
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_another_controllers_tokens_are_not_answered(
+def test_tokens_of_another_controller_are_not_answered(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """c0's workers reach only c1, which has just started and can read nothing; c0 counts their silence and is right."""
@@ -181,7 +181,9 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_takeover_outside_whose_token_has_reached_some_of_the_workers(seed: int) -> None:
+def test_failover_outside_a_partition_whose_token_reached_some_agents_breaks_no_rule(
+    seed: int,
+) -> None:
     """c1's part has been taken while some of its workers could not be reached; then the zone is cut, and c1 is back."""
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_served_by_class.py
+++ b/tests/test_served_by_class.py
@@ -23,7 +23,7 @@
 }
 
 
-def test_half_of_everyone() -> None:
+def test_classes_and_teams_served_less_than_half_fail() -> None:
     found = served_by_class.jobs(LOG.splitlines())
     lines, least = served_by_class.table({"classes": CLASSES}, found)
     rows = {text.split()[1]: text for text in lines[1:] if not text.startswith("largest")}
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("who", ["claimant", "former", "both", "thrice"])
 @pytest.mark.parametrize("step", STEPS)
-def test_ends_at_every_step_of_a_claim(step: str, who: str) -> None:
+def test_crash_at_every_step_of_a_claim_leaves_one_holder(step: str, who: str) -> None:
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(STEPS.index(step) * 4 + len(who))
         await start_background_load(p, 60.0)
@@ -105,7 +105,7 @@
     play(scene)
 
 
-def test_a_machine_that_is_back_at_once_with_its_tasks_gone() -> None:
+def test_tasks_of_a_machine_that_restarts_at_once_are_not_taken_to_run() -> None:
     """The same name and address, numbers that begin anew: its old reports are no measure for the new ones for ever."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -150,7 +150,7 @@
         (0.0, 0.6, Forgets, "held twice"),
     ],
 )
-def test_a_claim_whose_answer_is_lost_is_held_at_once_and_no_epoch_is_held_twice(
+def test_claim_with_lost_answer_is_held_at_once_and_no_epoch_is_held_twice(
     lost: float, late: float, without: Any, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All three controllers end one after another, with answers of the state service lost, or with writes carried out late."""
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -97,7 +97,7 @@
     return o, m
 
 
-def test_a_late_run_is_fenced_before_its_start_counts_as_gone() -> None:
+def test_late_run_is_fenced_before_its_start_counts_as_gone() -> None:
     """A /do may be held back for minutes: an empty list under the same token proves nothing."""
     o, m = started(direct=True)
     m.command_pending = True
@@ -118,7 +118,7 @@
     assert m.token > before
 
 
-def test_an_old_report_does_not_speak_for_now() -> None:
+def test_stale_heartbeat_proves_nothing_about_the_present() -> None:
     o, m = started(direct=False)
     base = EPOCH << TOKEN_BITS
     o.on_heartbeat(report(5, base, listed("running")), 1.0)
@@ -126,13 +126,13 @@
     assert state(o) == "running"
 
 
-def test_a_new_session_proves_the_old_one_gone() -> None:
+def test_new_incarnation_proves_the_previous_one_gone() -> None:
     o, m = started(direct=False)
     o.on_heartbeat(report(9, EPOCH << TOKEN_BITS, session=2), 30.0)
     assert state(o) == "gone"
 
 
-def test_silence_is_no_proof_for_a_worker_that_never_took_the_token() -> None:
+def test_silence_proves_nothing_for_an_agent_that_never_accepted_the_token() -> None:
     """Another owner may be answering it: its lease may be fresh."""
     o = owner()
     o.on_heartbeat(report(1, 3 << TOKEN_BITS, listed("running")), 0.0)
@@ -144,7 +144,7 @@
     assert state(o) == "gone"
 
 
-def test_silence_is_proof_once_the_token_was_taken() -> None:
+def test_silence_proves_tasks_gone_once_the_token_was_accepted() -> None:
     o, m = started(direct=False)
     o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
     m.last_answer_at = 1.0
@@ -155,7 +155,7 @@
     assert state(o) == "gone"
 
 
-def test_a_controller_that_stood_still_proves_nothing_by_its_clock() -> None:
+def test_stalled_controller_proves_nothing_by_its_clock() -> None:
     """Another may have answered its workers meanwhile: only a read begun after their lease shows that nobody could."""
     o, m = started(direct=False)
     o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
@@ -167,7 +167,7 @@
     assert state(o) == "gone"
 
 
-def test_reports_that_lie_unread_are_no_silence() -> None:
+def test_unread_heartbeats_are_not_silence() -> None:
     """After standing still for 30 s the room on machines whose reports are still to be read stays in use."""
     o, m = started(direct=False)
     o.epoch_confirmed_at = 40.0
@@ -186,7 +186,7 @@
     assert state(o) == "gone"
 
 
-def test_a_higher_token_deposes() -> None:
+def test_higher_token_supersedes_the_owner() -> None:
     assert owner().on_heartbeat(report(1, (EPOCH + 1) << TOKEN_BITS), 0.0) is None
 
 
@@ -209,9 +209,7 @@
     assert m.token > before
 
 
-def test_held_room_is_freed_after_the_hold_time_and_a_late_permit_takes_room_or_is_refused() -> (
-    None
-):
+def test_reservation_expires_and_a_late_permit_takes_free_capacity_or_is_refused() -> None:
     o = owner()
     m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
@@ -231,7 +229,7 @@
     assert state(o) == "gone"
 
 
-def test_a_permit_whose_ticket_was_held_anew_takes_that_room() -> None:
+def test_permit_takes_the_capacity_of_its_renewed_reservation() -> None:
     """A write that took longer than the hold time was refused by room that was held for the very same candidate."""
     o = owner()
     m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
@@ -252,7 +250,7 @@
     assert state(o) == "permitted" and len(m.reservations) == 3
 
 
-def test_a_late_answer_brings_no_machine_back_that_is_gone() -> None:
+def test_late_answer_does_not_revive_a_gone_machine() -> None:
     """It came back silent from the start, last in the order of reports, where the sweep ends before it."""
     o = owner()
     m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
@@ -262,7 +260,7 @@
     assert not o.machines and not o.machines_by_heartbeat
 
 
-def test_after_standing_still_a_silence_proves_nothing_until_the_worker_has_been_back() -> None:
+def test_silence_after_a_stall_proves_nothing_until_the_agent_reports_again() -> None:
     """A new life may have been started meanwhile, and answer the worker with this one's tokens (coordination.restart_recovery)."""
     for back in (False, True):
         o, m = started(direct=False)
@@ -275,7 +273,7 @@
         assert (state(o) == "gone") == back
 
 
-def test_tokens_run_out_and_nothing_is_proved_by_one_that_was_not_raised() -> None:
+def test_exhausted_token_space_proves_nothing_by_a_token_that_was_not_raised() -> None:
     """A worker that takes reports' answers but no commands costs a token each; then a new epoch is asked for."""
     o = ShardOwner(0, EPOCH, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0, 2)
     o.machine_types = {"t": TYPE}
--- a/tests/test_short_job_load.py
+++ b/tests/test_short_job_load.py
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(("seed", "s", "crash"), [(1, 30.0, False), (2, 120.0, True)])
-def test_one_task_jobs_four_a_second_a_quarter_cancelled(
+def test_short_jobs_are_served_and_leave_memory(
     seed: int, s: float, crash: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     swarmed(seed, s, crash, monkeypatch)
@@ -150,7 +150,7 @@
     ("without", "says"),
     [(never_archived, "leave the memory"), (remembered, "nothing else remembers")],
 )
-def test_a_swarm_finds_what_stays_in_memory(
+def test_short_job_load_detects_jobs_that_stay_in_memory(
     without: Callable[[pytest.MonkeyPatch], None], says: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     without(monkeypatch)
--- a/tests/test_simulation_checks.py
+++ b/tests/test_simulation_checks.py
@@ -10,7 +10,7 @@
 from .simulation.cluster import SimulatedCluster, play
 
 
-def test_the_judge_notices_largest_jobs_that_are_not_served_or_begin_late() -> None:
+def test_largest_jobs_check_fails_for_unserved_and_for_late_jobs() -> None:
     """Thirty small gangs are served; of the four largest three can't be (their team's limit is used up), or begin after 240 s."""
     for hours, says in ((False, "largest of group: 1 of 4 served"), (True, "began at")):
 
@@ -41,7 +41,7 @@
             play(scene)
 
 
-def test_the_judge_names_what_is_left_waiting_and_nothing_else(
+def test_left_waiting_reports_only_jobs_that_limits_and_capacity_allow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Not what its team's limit holds back, nor what fits in a zone without room only, nor a gang that there is not room for."""
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("most", [5.0, 40.0])
-def test_copies_move_nothing_and_keep_nobody_alive(most: float) -> None:
+def test_stale_heartbeats_move_no_shard_and_keep_no_machine_alive(most: float) -> None:
     """To the same controller and others, also across an end and a takeover."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -43,7 +43,7 @@
     play(scene)
 
 
-def test_a_machine_that_is_gone_stays_gone_whoever_its_copies_reach() -> None:
+def test_gone_machine_stays_gone_wherever_its_stale_heartbeats_arrive() -> None:
     """Its tasks start elsewhere as soon as they would without copies, and its room is nobody's."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -76,14 +76,16 @@
 
 
 @pytest.mark.parametrize("seed", range(300, 306))
-def test_copies_and_machines_that_hear_nothing_in_the_plain_world(seed: int) -> None:
+def test_stale_heartbeats_and_non_receiving_agents_break_no_rule_in_the_decision_model(
+    seed: int,
+) -> None:
     """Beside ends, pauses, cuts and takeovers: every rule holds, and all of it finishes."""
     w = test_decision_model.play(seed, kinds=(0, 2, 3, 4, 8, 8), copies=0.3)
     assert not w.live() and not w.store.permits()
 
 
 @pytest.mark.parametrize("guard", ["a copy counts as news", "a copy proves silence over"])
-def test_the_plain_world_notices_a_missing_guard(
+def test_decision_model_reports_a_missing_heartbeat_guard(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if guard == "a copy counts as news":
@@ -272,13 +274,13 @@
 
 
 @pytest.mark.parametrize("seed", range(0, 600, 150))
-def test_any_order_of_reports_copies_commands_and_takeovers(seed: int) -> None:
+def test_any_order_of_heartbeats_commands_and_failovers_breaks_no_rule(seed: int) -> None:
     for n in range(seed, seed + 150):
         _any_order(n)
 
 
 @pytest.mark.parametrize("guard", ["copies are new", "what a list omits is gone"])
-def test_any_order_finds_a_missing_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_any_order_detects_a_missing_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if guard == "copies are new":
         copies_are_news(monkeypatch)
     else:
--- a/tests/test_stale_heartbeats_at_failover.py
+++ b/tests/test_stale_heartbeats_at_failover.py
@@ -60,7 +60,7 @@
         ("session", copies_are_news),
     ],
 )
-def test_old_reports_at_every_controller_in_the_moment_in_which_a_new_leader_begins(
+def test_stale_heartbeats_during_failover_break_no_rule(
     where: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Of before its starts, and of its newest list; to all, from the claim on until it has acted, before anything fresh or after.
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -115,7 +115,7 @@
     assert "job j-000002" in only and "job j-000001 (array" not in only
 
 
-def test_a_view_is_bounded_whatever_waits() -> None:
+def test_shard_status_is_bounded_whatever_is_waiting() -> None:
     (node, *_) = three()
     held = hold(node, 0)
     assert held.source is not None
@@ -131,7 +131,7 @@
     assert sum(jobs for jobs, _ in view["queue"].values()) == 3000
 
 
-def test_the_log_names_a_trouble_once_when_it_begins_and_once_when_it_ends() -> None:
+def test_log_names_a_condition_once_when_raised_and_once_when_cleared() -> None:
     (node, *_) = three()
     held = hold(node, 0)
     assert held.source is not None
@@ -165,7 +165,7 @@
     ]
 
 
-def test_links_that_are_missing_are_named_with_what_is_used_instead() -> None:
+def test_unhealthy_links_are_named_with_what_is_used_instead() -> None:
     a, b, _ = three()
     b.store_service.health.healthy, a_now = False, time.monotonic()
     b.relay_routes.update(
--- a/tests/test_store_cache.py
+++ b/tests/test_store_cache.py
@@ -19,7 +19,7 @@
 from .simulation.fault_schedules import KNOWN_S
 
 
-def test_a_copy_that_is_read_anew_claims_no_cancellation_that_it_has_not_handed_on() -> None:
+def test_reloaded_store_cache_claims_no_cancellation_that_it_has_not_passed_on() -> None:
     """The state service goes away between a new life's listing and the watch that follows it, and stays away.
 
     c2 has missed a cancellation (it is cut from all but its workers); c1 begins anew, and has listed it. Its words said that it knew up
@@ -201,7 +201,7 @@
         }
 
 
-def test_what_the_copy_knows_of_a_job_never_goes_back_in_any_order() -> None:
+def test_cached_job_state_never_goes_back_in_any_order_of_updates() -> None:
     """Own writes are known before the watch brings them; a listing may be older than they are, and than the watch."""
     run_copy(range(400))
 
@@ -232,7 +232,7 @@
 @pytest.mark.parametrize(
     ("name", "without"), [("load", everything_goes), ("apply", whatever_comes)]
 )
-def test_the_model_finds_a_copy_that_goes_back(
+def test_model_reports_a_store_cache_that_goes_back(
     name: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(StoreCache, name, without)
--- a/tests/test_store_gateway_errors.py
+++ b/tests/test_store_gateway_errors.py
@@ -50,7 +50,7 @@
         ("/kv", no_key_on_500, "forgotten"),
     ],
 )
-def test_reads_and_renewals_that_fail_in_no_listed_way(
+def test_gateway_errors_release_no_shard_and_forget_no_job(
     path: str, without: Any, seen: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A gateway in trouble: nothing is concluded from it, nobody lets go of a part, and no job is unknown."""
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -114,7 +114,7 @@
     return {k: v for k, v in spec.items() if v is not ...}
 
 
-def test_odd_requests_are_refused_clearly_and_nothing_of_them_is_kept(
+def test_invalid_submissions_are_rejected_with_a_reason_and_nothing_is_kept(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """By which line of the protocol is said in REFUSED. Each is answered the same by every controller, with a reason, at once."""
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("odd", [{"scatter": True, "marsh": "a"}, {"cores": 17.0}, {"nestS": ...}])
-def test_the_judge_notices_what_is_accepted_though_it_cant_run(
+def test_simulation_reports_an_accepted_job_that_cannot_run(
     odd: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(JobRequests, "rejection_reason", lambda self, job: None)
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("gait", ["array", "group", "daemon"])
-def test_strange_jobs_that_are_well_formed_keep_nobody_else_from_running(gait: str) -> None:
+def test_extreme_but_valid_jobs_do_not_block_other_jobs(gait: str) -> None:
     """A task that takes next to nothing ended every step of its team's source: room divided by it is infinite."""
 
     async def scene(p: SimulatedCluster) -> None:
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -66,7 +66,7 @@
         ("cut", 8.0, True, over_is_small),
     ],
 )
-def test_what_is_cancelled_where_nobody_can_ask_counts_until_it_is_gone_and_its_room_is_used_at_once(
+def test_cancelled_tasks_count_towards_the_team_limit_until_proved_gone(
     how: str, s: float, change: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """cut, held: neither commands nor answers, lost or late; hang: within the lease of 10 s or beyond. change: both teams' sources end."""
--- a/tests/test_unresponsive_agents.py
+++ b/tests/test_unresponsive_agents.py
@@ -45,7 +45,7 @@
         (25.0, False, an_answer_to_a_command_is_a_report),
     ],
 )
-def test_machines_that_reach_nobody_while_commands_reach_them(
+def test_agent_that_cannot_report_gets_no_new_task_although_commands_reach_it(
     s: float, change: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Cancelled tasks there end by command; an answered command renews no lease, so nothing new goes there until they report."""
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("mute", [True, False])
-def test_a_stop_that_was_lost_is_sent_again(mute: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lost_kill_command_is_sent_again(mute: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """By command, where that reaches the machine again: it need not wait for a report, or for its lease."""
     monkeypatch.setattr(decision_model, "LEASE", 16.0)
     monkeypatch.setattr(decision_model, "CANCEL", 46.0)
@@ -144,7 +144,7 @@
         ("hang", 7.0, nothing_is_stopped, "ran_cancelled"),
     ],
 )
-def test_jobs_cancelled_just_when_their_machines_hang_or_hear_late(
+def test_cancelled_tasks_end_in_time_when_agents_hang_or_receive_late(
     how: str, s: float, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Some run there, some have just been sent; a lease is 10 s. command, answer: only those are held up, reports come and go.
--- a/tests/test_zone_placement_faults.py
+++ b/tests/test_zone_placement_faults.py
@@ -46,7 +46,7 @@
         (2, False, by_the_letter, "to and fro"),
     ],
 )
-def test_jobs_bound_to_one_zone_lose_machines_while_there_is_more_work_than_room_over_slow_links(
+def test_zone_bound_jobs_finish_in_their_zone_despite_lost_machines_and_slow_links(
     seed: int, room: bool, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Gangs and arrays, bound together or to a named zone; machines are taken, cut off and hang, the leader changes.
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize(
     ("how", "without"), [("taken", None), ("cut", None), ("taken", only_its_own_starts)]
 )
-def test_an_array_that_keeps_together_loses_a_machine_as_its_source_ends_and_only_another_zone_has_room(
+def test_single_zone_array_stays_in_its_zone_when_its_leader_and_a_machine_are_lost(
     how: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What is not proved gone holds its zone, under the new source as well."""
