--- /dev/null
+++ b/tests/decision_model_runs.py
@@ -0,0 +1,48 @@
+"""Runs of the decision model: seeded faults for a while, then a calm in which everything finishes."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import Any
+
+from .simulation.decision_model import DecisionModel, RuleBrokenError, job
+
+
+def run_with_faults(
+    seed: int, chaos_s: float = 90.0, calm_s: float = 150.0, **kw: Any
+) -> DecisionModel:
+    w = DecisionModel(seed, **kw)
+    rng = Random(seed + 1)
+    for i in range(16):
+        w.later(rng.random() * chaos_s * 0.7, lambda i=i: w.submit(job(rng, f"j-{i:06d}", w.now)))
+        if rng.random() < 0.3:
+            w.later(chaos_s * (0.3 + 0.6 * rng.random()), w.withdraw, f"j-{i:06d}")
+    w.run(chaos_s)
+    w.chaos = 0.0
+    for node in w.nodes:
+        if not node.up:
+            w.crash(node, 0.1)
+    for worker in w.workers.values():
+        worker.hung_until = min(worker.hung_until, w.now + 1.0)
+    w.cuts.clear()
+    w.down_until = min(w.down_until, w.now)
+    for node in w.nodes:
+        node.frozen_until, node.dark_until, node.refused_until = (
+            min(node.frozen_until, w.now),
+            min(node.dark_until, w.now),
+            0.0,
+        )
+    w.later(
+        60.0, lambda: [w.withdraw(s.id) for s in w.specs.values() if s.kind == "service"]
+    )  # some come after an outage only
+    w.run(chaos_s + calm_s)
+    return w
+
+
+def any_seed_breaks(seeds: range = range(25), **kw: Any) -> bool:
+    for seed in seeds:
+        try:
+            run_with_faults(seed, calm_s=40.0, **kw)
+        except RuleBrokenError:
+            return True
+    return False
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -6,8 +6,11 @@
 from typing import Any
 
 import anyio
+import orjson
 import pytest
 
+from ploverhall.storage.schema import SHARD_PREFIX
+
 from .simulation.cluster import SimulatedCluster, play
 
 # States of an ended job, as users are told them
@@ -61,3 +64,39 @@
     """Type and text of the first leaf of nested exception groups."""
     innermost = innermost_exception(error)
     return f"{type(innermost).__name__}: {innermost}"
+
+
+class ClaimHook:
+    """Holds the store's answer back while a claim of shard 0 is at a step, until `go_on` is set."""
+
+    def __init__(self, p: SimulatedCluster, step: str) -> None:
+        self.p, self.step, self.claimant = p, step, ""
+        self.reached, self.go_on = anyio.Event(), anyio.Event()
+        self.handle = p.state.handle
+        p.state.handle = self  # type: ignore[assignment, method-assign]
+
+    async def __call__(self, q: Any) -> Any:
+        if q.path == "/multi":
+            put = next(
+                (
+                    o
+                    for o in orjson.loads(q.body).get("apply", ())
+                    if o.get("put") == f"{SHARD_PREFIX}0"
+                ),
+                None,
+            )
+            if put is not None:
+                self.claimant = put["v"]["node"]
+                if self.step == "claim sent" and not self.reached.is_set():
+                    self.reached.set()
+                    await self.go_on.wait()  # executed only then: its sender may have ended
+                answer = await self.handle(q)
+                if self.step == "claim landed" and not self.reached.is_set():
+                    self.reached.set()
+                    await self.go_on.wait()
+                return answer
+        reads = self.claimant and q.path == "/kv" and q.query["starts"].startswith("c/")
+        if self.step == "cells read" and reads and not self.reached.is_set():
+            self.reached.set()
+            await self.go_on.wait()
+        return await self.handle(q)
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -12,7 +12,7 @@
 from ploverhall.protocol.peer_messages import DemandUpdate, MachineUpdate
 from ploverhall.scheduling.resources import add_scaled, fits
 
-from .test_permitting import a_job
+from .job_sources import a_job
 
 TYPE = MachineType("t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a", "b"))
 KIND = ("t", "a", False)
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -4,7 +4,6 @@
 
 from dataclasses import replace
 from random import Random
-from typing import Any
 
 import pytest
 
@@ -12,41 +11,13 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
 
+from .decision_model_runs import any_seed_breaks, run_with_faults
 from .simulation.decision_model import DecisionModel, RuleBrokenError, job
 
 
-def play(seed: int, chaos_s: float = 90.0, calm_s: float = 150.0, **kw: Any) -> DecisionModel:
-    w = DecisionModel(seed, **kw)
-    rng = Random(seed + 1)
-    for i in range(16):
-        w.later(rng.random() * chaos_s * 0.7, lambda i=i: w.submit(job(rng, f"j-{i:06d}", w.now)))
-        if rng.random() < 0.3:
-            w.later(chaos_s * (0.3 + 0.6 * rng.random()), w.withdraw, f"j-{i:06d}")
-    w.run(chaos_s)
-    w.chaos = 0.0
-    for node in w.nodes:
-        if not node.up:
-            w.crash(node, 0.1)
-    for worker in w.workers.values():
-        worker.hung_until = min(worker.hung_until, w.now + 1.0)
-    w.cuts.clear()
-    w.down_until = min(w.down_until, w.now)
-    for node in w.nodes:
-        node.frozen_until, node.dark_until, node.refused_until = (
-            min(node.frozen_until, w.now),
-            min(node.dark_until, w.now),
-            0.0,
-        )
-    w.later(
-        60.0, lambda: [w.withdraw(s.id) for s in w.specs.values() if s.kind == "service"]
-    )  # some come after an outage only
-    w.run(chaos_s + calm_s)
-    return w
-
-
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_and_everything_finishes(seed: int) -> None:
-    w = play(seed)
+    w = run_with_faults(seed)
     left = w.live()
     assert not left, f"not finished: {left}"
     cells = w.store.permits()
@@ -58,27 +29,18 @@
 @pytest.mark.parametrize("seed", range(40, 46))
 def test_stalled_controllers_break_no_rule(seed: int) -> None:
     """Pauses of any step, from a second to three leases, with watches that hang: every rule holds, and all of it finishes."""
-    w = play(seed, kinds=(4, 5))
+    w = run_with_faults(seed, kinds=(4, 5))
     assert not w.live() and not w.store.permits()
 
 
 @pytest.mark.parametrize("seed", range(100, 106))
 def test_small_values_are_chunked(seed: int) -> None:
     """Many chunks a team: a late write must not bring a second permit of a task that stands in another chunk."""
-    w = play(seed, value_bytes=400, txn_ops=4)
+    w = run_with_faults(seed, value_bytes=400, txn_ops=4)
     assert not w.live()
     assert not w.store.permits()
 
 
-def _seeds_until_broken(seeds: range = range(25), **kw: Any) -> bool:
-    for seed in seeds:
-        try:
-            play(seed, calm_s=40.0, **kw)
-        except RuleBrokenError:
-            return True
-    return False
-
-
 @pytest.mark.parametrize("guard", ["silence counts as gone", "no limit", "no zones"])
 def test_decision_model_reports_a_missing_guard(
     guard: str, monkeypatch: pytest.MonkeyPatch
@@ -100,7 +62,7 @@
         monkeypatch.setattr(JobSource, "quota_headroom", lambda self, js: 1000)
     else:
         monkeypatch.setattr(JobSource, "zone_limits", lambda self, js: None)
-    assert _seeds_until_broken()
+    assert any_seed_breaks()
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -196,12 +158,12 @@
 
 @pytest.mark.parametrize("seed", range(200, 206))
 def test_partitioned_zones_break_no_rule(seed: int) -> None:
-    w = play(seed, kinds=(0, 2, 7, 7))
+    w = run_with_faults(seed, kinds=(0, 2, 7, 7))
     assert not w.live() and not w.store.permits()
 
 
 @pytest.mark.parametrize("seed", range(300, 306))
 def test_a_refused_controller_and_then_an_outage_break_no_rule(seed: int) -> None:
     """The gap in the plain world, with crashes: what is cancelled before the outage may be told in it."""
-    w = play(seed, kinds=(9, 9, 0))
+    w = run_with_faults(seed, kinds=(9, 9, 0))
     assert not w.live() and not w.store.permits()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -19,10 +19,9 @@
 from ploverhall.coordination.restart_recovery import RenewalGrants
 from ploverhall.scheduling.allocations import AllocationStore
 
-from .scenarios import describe_innermost_exception, start_background_load
+from .scenarios import ClaimHook, describe_innermost_exception, start_background_load
 from .simulation import decision_model
 from .simulation.cluster import HOLD, RESET, SLOW, SimulatedCluster, play
-from .test_shard_claims import Hook
 
 LEASE, CANCEL = 16.0, 46.0
 
@@ -294,7 +293,7 @@
             p.tasks.start_soon(p.submit, p.spec(n, gait="daemon", chicks=2))
         await anyio.sleep(12.0)
         assert len({k[:2] for w in p.workers.values() for k in w.on_machine()}) == 32
-        hook = Hook(p, step)
+        hook = ClaimHook(p, step)
         await how(p)
         with anyio.fail_after(40.0):
             if step == "source ready":
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -2,81 +2,20 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
-from ploverhall.protocol import agents, peer_messages
+from ploverhall.protocol import peer_messages
 from ploverhall.protocol.peer_messages import (
-    AttemptUpdate,
     CandidateUpdate,
     JobUpdate,
-    OfferUpdate,
-    PermitUpdate,
 )
-from ploverhall.scheduling.permitting import JobSource
-from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
-
-from .test_permitting import a_job, source
-from .test_shard_owner import EPOCH, owner
-
-Outcome = Callable[[str, int, str, float], str]  # job, task, machine, now -> running, error or done
-
-
-def play(
-    s: JobSource, seconds: int, outcome: Outcome, machines: int = 8, first: int = 0
-) -> list[tuple[float, str, int, str]]:
-    """Owners that always have room, on machines in turn: every start that was made, when and where."""
-    starts: list[tuple[float, str, int, str]] = []
-    ticket = first * 1000
-    board: dict[str, Any] = {}
-    for step in range(seconds * 2):
-        now = first + step / 2
-        for (part, key), value in s.take_owner_updates(1, now).items():
-            if part == 0:
-                board[key] = value
-        changes: dict[str, Any] = {}
-        for key, value in board.items():
-            if key[0] == peer_messages.CANDIDATE and value is not None:
-                for _ in range(value.waiting_tasks):
-                    ticket += 1
-                    machine = f"n-{ticket % machines}"
-                    if machine not in value.avoided_machines:
-                        changes[peer_messages.offer_key(ticket)] = OfferUpdate(
-                            key[1:], machine, "a", 0.0, 0
-                        )
-        s.on_owner_update(0, 3, True, changes, now)
-        s.decide(now + 0.1)
-        txn = s.next_write()
-        if txn is not None:
-            s.on_committed(txn, 100 + first * 10_000 + step, now)
-            starts += [(now, e.job_id, e.task, e.machine) for e in txn.added]
-        for js in list(s.jobs.values()):
-            for e in list(js.allocations.values()):
-                if e.committed and not e.finished:
-                    how = (
-                        "stopped"
-                        if e.stop_grace_s is not None
-                        else outcome(e.job_id, e.task, e.machine, now)
-                    )
-                    state, why = ("running", "") if how == "running" else ("exited", how)
-                    s.on_owner_update(
-                        0,
-                        3,
-                        False,
-                        {
-                            peer_messages.attempt_key((e.job_id, e.task, e.attempt)): AttemptUpdate(
-                                state, why, 0, 0
-                            )
-                        },
-                        now,
-                    )
-    return starts
+
+from .job_sources import a_job, play_outcomes, source
+from .shard_owners import failed_on, owner
 
 
 def test_job_that_fails_on_two_machines_is_retried_with_growing_delays() -> None:
     s = source(limit=30.0)
     s.on_job(a_job("j-000001", task_count=12, submitted_at=0.0), "j-000001", 5, 0.0)
-    starts = play(s, 300, lambda job, task, machine, now: "error")
+    starts = play_outcomes(s, 300, lambda job, task, machine, now: "error")
     js = s.jobs["j-000001"]
     assert js.failing_everywhere and not s.demand(300.0, 300.0), "no machine is rented for it"
     assert len({m for at, _, _, m in starts if at < 5.0}) >= 2
@@ -89,8 +28,8 @@
 def test_job_that_works_again_resumes_at_once() -> None:
     s = source(limit=30.0)
     s.on_job(a_job("j-000001", task_count=12), "j-000001", 5, 0.0)
-    play(s, 30, lambda job, task, machine, now: "error")
-    starts = play(s, 100, lambda job, task, machine, now: "done", first=30)
+    play_outcomes(s, 30, lambda job, task, machine, now: "error")
+    starts = play_outcomes(s, 100, lambda job, task, machine, now: "done", first=30)
     assert "j-000001" in s.jobs_to_end or "j-000001" not in s.jobs
     assert len(starts) == 12 and starts[-1][0] - starts[0][0] < 5.0, (
         "once one has worked, the rest follow"
@@ -100,7 +39,7 @@
 def test_one_bad_task_and_one_bad_machine_do_not_slow_a_long_array() -> None:
     s = source(limit=30.0)
     s.on_job(a_job("j-000001", task_count=60), "j-000001", 5, 0.0)
-    starts = play(
+    starts = play_outcomes(
         s, 60, lambda job, task, machine, now: "error" if task == 7 or machine == "n-3" else "done"
     )
     js = s.jobs["j-000001"]
@@ -121,39 +60,10 @@
     assert s.jobs["j-000001"].within_guarantee and not s.jobs["j-000002"].within_guarantee, (
         "both together are more than the guarantee"
     )
-    play(s, 5, lambda job, task, machine, now: "error" if job == "j-000001" else "running")
+    play_outcomes(s, 5, lambda job, task, machine, now: "error" if job == "j-000001" else "running")
     assert not s.jobs["j-000001"].within_guarantee and s.jobs["j-000002"].within_guarantee
 
 
-def failed_on(
-    o: ShardOwner, job: str, machine: str, seq: int, broken: int = 0, stance: str = "ended"
-) -> None:
-    """A task of a job fails on a machine (or runs there)."""
-    record = a_job(job, spot=True).record()
-    board: dict[str, Any] = {
-        peer_messages.job_key(job): JobUpdate(record, [1.0, 1.0, 1.0], 0, broken)
-    }
-    board[peer_messages.permit_key((job, 0, seq))] = PermitUpdate(machine, EPOCH, 0, None)
-    o.on_source_update(0, False, board, float(seq))
-    o.on_heartbeat(
-        agents.heartbeat_from_json(
-            {
-                "perch": machine,
-                "endpoint": "x:1",
-                "breed": "t",
-                "marsh": "a",
-                "driftwood": False,
-                "tide": 1,
-                "peep": seq,
-                "crest": EPOCH << TOKEN_BITS,
-                "warningS": None,
-                "chicks": [{"chick": f"{job}/0", "hatch": seq, "stance": stance, "cause": "error"}],
-            }
-        ),
-        float(seq),
-    )
-
-
 def test_two_failing_jobs_quarantine_no_healthy_machine() -> None:
     o = owner()
     for seq, (job, machine) in enumerate(
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -28,8 +28,8 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.storage.schema import CONTROLLER_PREFIX
 
+from .job_sources import source
 from .simulation.cluster import HOLD, SimulatedCluster, play
-from .test_permitting import source
 
 RULES = DisruptionBudgets(
     {
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -11,7 +11,7 @@
 from ploverhall.protocol.peer_messages import AttemptUpdate, DemandUpdate
 from ploverhall.scheduling.objectives import Objective, Objectives
 
-from .test_permitting import a_job, offers, source
+from .job_sources import a_job, offers, source
 
 CHEAP, WHOLE = ("t", "a", True), ("t", "a", False)
 TYPE = MachineType("t", 16.0, 0.0, 128.0, 60.0, 1.0, 10.0, 3.0, 20.0, ("a",))
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -14,10 +14,9 @@
 from ploverhall import status
 from ploverhall.scheduling.shard_owner import TOKEN_BITS
 
-from . import test_shard_owner
 from .scenarios import start_background_load
+from .shard_owners import EPOCH, owner, report
 from .simulation.cluster import SimulatedCluster, play
-from .test_shard_owner import EPOCH, report
 
 
 def given(p: SimulatedCluster, machines: Iterable[str]) -> set[Any]:
@@ -166,7 +165,7 @@
 
 def test_agent_that_receives_intermittently_is_used_again_after_growing_delays() -> None:
     """And it is found again when its rest is over, though nothing happens to it then."""
-    o, now, seq = test_shard_owner.owner(), 0.0, 0
+    o, now, seq = owner(), 0.0, 0
 
     def beat(token: int, session: int, s: float = 1.0) -> None:
         nonlocal now, seq
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -5,57 +5,15 @@
 from typing import Any
 
 from ploverhall.protocol import peer_messages
-from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peer_messages import AttemptUpdate, OfferUpdate
+from ploverhall.protocol.peer_messages import AttemptUpdate
 from ploverhall.scheduling.pending_write import PendingWrite
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.settings import Team
 from ploverhall.storage.schema import JOB_PREFIX, SHARD_PREFIX
 
+from .job_sources import EPOCH, a_job, offers, source
 from .simulation.decision_model import ModelStore
 
-EPOCH = 9
-
-
-def a_job(jid: str = "j-000001", kind: str = "array", task_count: int = 3, **kw: Any) -> Job:
-    base: dict[str, Any] = {
-        "id": jid,
-        "job_class": "c",
-        "team": "t",
-        "kind": kind,
-        "priority": 2,
-        "task_count": task_count,
-        "cpus": 1.0,
-        "gpus": 1.0,
-        "memory_gb": 1.0,
-        "image": "i",
-        "image_gb": 1.0,
-        "machine_types": None,
-        "zone": None,
-        "single_zone": False,
-        "spread_zones": False,
-        "spot": False,
-        "estimate_s": 9.0,
-        "checkpoint_s": 0.0,
-        "save_s": 0.0,
-        "deadline_s": None,
-        "submitted_at": 0.0,
-    }
-    return Job(**{**base, **kw})
-
-
-def source(limit: float = 10.0) -> JobSource:
-    return JobSource(0, EPOCH, [Team("t", 0, 0, 4, limit)], ("a", "b"), 4096, 8)
-
-
-def offers(
-    n: int, part: int = 0, zone: str = "a", first: int = 1, victims: int = 0, job: str = "j-000001"
-) -> dict[str, Any]:
-    return {
-        peer_messages.offer_key(first + i): OfferUpdate(job, f"n-{part}{i}", zone, 0.0, victims)
-        for i in range(n)
-    }
-
 
 def told(s: JobSource, part: int = 0, now: float = 1.0) -> tuple[int, int]:
     """What the owner of a part knows by now: candidates wanted, and permits."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,8 +13,8 @@
 from ploverhall.scheduling.reservations import CandidateRequest
 from ploverhall.scheduling.resources import add_scaled, fits
 
+from .job_sources import a_job
 from .simulation.decision_model import TYPE
-from .test_permitting import a_job
 
 
 def fleet(n: int, now: float = 0.0) -> Placement:
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -7,62 +7,25 @@
 from typing import Any
 
 import anyio
-import orjson
 import pytest
 
 from ploverhall.controller.shard_leases import ShardLeases
 from ploverhall.controller.shard_roles import ShardRoles
 from ploverhall.storage.schema import SHARD_PREFIX
 
-from .scenarios import start_background_load
+from .scenarios import ClaimHook, start_background_load
 from .simulation.cluster import SimulatedCluster, play
 
 STEPS = ("lease gone", "claim sent", "claim landed", "cells read")
 
 
-class Hook:
-    """Waits until a claim of part 0 is at a step, and holds the store's answer back for as long as it takes to end somebody."""
-
-    def __init__(self, p: SimulatedCluster, step: str) -> None:
-        self.p, self.step, self.claimant = p, step, ""
-        self.reached, self.go_on = anyio.Event(), anyio.Event()
-        self.handle = p.state.handle
-        p.state.handle = self  # type: ignore[assignment, method-assign]
-
-    async def __call__(self, q: Any) -> Any:
-        if q.path == "/multi":
-            put = next(
-                (
-                    o
-                    for o in orjson.loads(q.body).get("apply", ())
-                    if o.get("put") == f"{SHARD_PREFIX}0"
-                ),
-                None,
-            )
-            if put is not None:
-                self.claimant = put["v"]["node"]
-                if self.step == "claim sent" and not self.reached.is_set():
-                    self.reached.set()
-                    await self.go_on.wait()  # executed only then: its sender may have ended
-                answer = await self.handle(q)
-                if self.step == "claim landed" and not self.reached.is_set():
-                    self.reached.set()
-                    await self.go_on.wait()
-                return answer
-        reads = self.claimant and q.path == "/kv" and q.query["starts"].startswith("c/")
-        if self.step == "cells read" and reads and not self.reached.is_set():
-            self.reached.set()
-            await self.go_on.wait()
-        return await self.handle(q)
-
-
 @pytest.mark.parametrize("who", ["claimant", "former", "both", "thrice"])
 @pytest.mark.parametrize("step", STEPS)
 def test_crash_at_every_step_of_a_claim_leaves_one_holder(step: str, who: str) -> None:
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(STEPS.index(step) * 4 + len(who))
         await start_background_load(p, 60.0)
-        hook = Hook(p, step)
+        hook = ClaimHook(p, step)
         p.tasks.start_soon(
             p.crash, "c0", (7.0 if step == "lease gone" else 4.0) + 0.3 * rng.random()
         )
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -5,13 +5,13 @@
 from random import Random
 from typing import Any
 
-from ploverhall.protocol import agents, peer_messages
+from ploverhall.protocol import peer_messages
 from ploverhall.protocol.peer_messages import CandidateUpdate, JobUpdate, OfferUpdate, PermitUpdate
 from ploverhall.scheduling.shard_owner import TOKEN_BITS, ShardOwner
 
+from .shard_owners import EPOCH, owner, report
 from .simulation.decision_model import TYPE
 
-EPOCH = 7
 KEY = ("j-000001", 0, 5)
 RECORD = [
     "j-000001",
@@ -38,31 +38,6 @@
 ]
 
 
-def owner(epoch: int = EPOCH) -> ShardOwner:
-    o = ShardOwner(0, epoch, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
-    o.machine_types = {"t": TYPE}
-    return o
-
-
-def report(
-    seq: int, token: int, tasks: list[dict[str, Any]] | None = None, session: int = 1
-) -> agents.Heartbeat:
-    return agents.heartbeat_from_json(
-        {
-            "perch": "n-1",
-            "endpoint": "x:1",
-            "breed": "t",
-            "marsh": "a",
-            "driftwood": False,
-            "tide": session,
-            "peep": seq,
-            "crest": token,
-            "warningS": None,
-            "chicks": tasks or [],
-        }
-    )
-
-
 def listed(state: str, why: str = "") -> list[dict[str, Any]]:
     return [{"chick": "j-000001/0", "hatch": 5, "stance": state, "cause": why}]
 
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -13,13 +13,13 @@
 from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-from . import test_decision_model
+from .decision_model_runs import any_seed_breaks, run_with_faults
+from .job_sources import a_job
 from .removed_guards import check_gone_without_fencing_tokens, copies_are_news
 from .scenarios import start_background_load
 from .simulation import decision_model
 from .simulation.cluster import SimulatedCluster, play
 from .simulation.decision_model import RuleBrokenError
-from .test_permitting import a_job
 
 
 @pytest.mark.parametrize("most", [5.0, 40.0])
@@ -80,7 +80,7 @@
     seed: int,
 ) -> None:
     """Beside ends, pauses, cuts and takeovers: every rule holds, and all of it finishes."""
-    w = test_decision_model.play(seed, kinds=(0, 2, 3, 4, 8, 8), copies=0.3)
+    w = run_with_faults(seed, kinds=(0, 2, 3, 4, 8, 8), copies=0.3)
     assert not w.live() and not w.store.permits()
 
 
@@ -108,9 +108,7 @@
             return real(self, r, now, direct, relayed)
 
         monkeypatch.setattr(ShardOwner, "on_heartbeat", believing)
-    assert test_decision_model._seeds_until_broken(
-        range(300, 325), kinds=(0, 2, 3, 4, 8), copies=0.5
-    )
+    assert any_seed_breaks(range(300, 325), kinds=(0, 2, 3, 4, 8), copies=0.5)
 
 
 # -- any order, by itself: two owners of one part after one another, two machines, three tasks -----------------------------------
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -16,9 +16,9 @@
 from ploverhall.protocol.peer_messages import AttemptUpdate
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-from .test_failure_attribution import failed_on, play
+from .job_sources import a_job, play_outcomes, source
+from .shard_owners import failed_on
 from .test_loopback import config
-from .test_permitting import a_job, source
 
 
 def three() -> list[Controller]:
@@ -88,7 +88,7 @@
     held = hold(b, 1)
     assert held.source is not None
     held.source.on_job(a_job("j-000001", task_count=12), "j-000001", 5, 0.0)
-    play(held.source, 20, lambda job, task, machine, now: "error")
+    play_outcomes(held.source, 20, lambda job, task, machine, now: "error")
     held.source.on_job(
         a_job("j-000002", kind="gang", task_count=3, job_class="g"),
         "j-000002",
@@ -136,10 +136,10 @@
     held = hold(node, 0)
     assert held.source is not None
     held.source.on_job(a_job("j-000001", task_count=4), "j-000001", 5, 0.0)
-    play(held.source, 5, lambda job, task, machine, now: "error")
+    play_outcomes(held.source, 5, lambda job, task, machine, now: "error")
     before = status.conditions(node.shard_status.report())
     assert "broken j-000001" in before
-    play(held.source, 60, lambda job, task, machine, now: "done", first=60)
+    play_outcomes(held.source, 60, lambda job, task, machine, now: "done", first=60)
     after = status.conditions(node.shard_status.report())
     assert "broken j-000001" not in after and set(after) <= set(before)
 
@@ -147,7 +147,7 @@
 def test_what_died_says_where_and_why() -> None:
     s = source()
     s.on_job(a_job(task_count=1, kind="service"), "j-000001", 5, 0.0)
-    play(s, 3, lambda job, task, machine, now: "running")
+    play_outcomes(s, 3, lambda job, task, machine, now: "running")
     (e,) = s.jobs["j-000001"].allocations.values()
     s.on_owner_update(
         0,
