--- a/tests/memory_inspection.py
+++ b/tests/memory_inspection.py
@@ -8,7 +8,7 @@
 JOB_ID = re.compile(r"j-\d{1,18}")
 
 
-def held_ids(root: object) -> dict[str, set[str]]:
+def job_ids_in_memory(root: object) -> dict[str, set[str]]:
     """All jobs' ids that a controller holds in memory, by the name of the attribute that holds them."""
     found: dict[str, set[str]] = {}
     seen: set[int] = set()
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -69,18 +69,18 @@
 class ClaimHook:
     """Holds the store's answer back while a claim of shard 0 is at a step, until `go_on` is set."""
 
-    def __init__(self, p: SimulatedCluster, step: str) -> None:
-        self.p, self.step, self.claimant = p, step, ""
+    def __init__(self, cluster: SimulatedCluster, step: str) -> None:
+        self.p, self.step, self.claimant = cluster, step, ""
         self.reached, self.go_on = anyio.Event(), anyio.Event()
-        self.handle = p.state.handle
-        p.state.handle = self  # type: ignore[assignment, method-assign]
+        self.handle = cluster.state.handle
+        cluster.state.handle = self  # type: ignore[assignment, method-assign]
 
-    async def __call__(self, q: Any) -> Any:
-        if q.path == "/multi":
+    async def __call__(self, request: Any) -> Any:
+        if request.path == "/multi":
             put = next(
                 (
                     o
-                    for o in orjson.loads(q.body).get("apply", ())
+                    for o in orjson.loads(request.body).get("apply", ())
                     if o.get("put") == f"{SHARD_PREFIX}0"
                 ),
                 None,
@@ -90,13 +90,13 @@
                 if self.step == "claim sent" and not self.reached.is_set():
                     self.reached.set()
                     await self.go_on.wait()  # executed only then: its sender may have ended
-                answer = await self.handle(q)
+                answer = await self.handle(request)
                 if self.step == "claim landed" and not self.reached.is_set():
                     self.reached.set()
                     await self.go_on.wait()
                 return answer
-        reads = self.claimant and q.path == "/kv" and q.query["starts"].startswith("c/")
+        reads = self.claimant and request.path == "/kv" and request.query["starts"].startswith("c/")
         if self.step == "cells read" and reads and not self.reached.is_set():
             self.reached.set()
             await self.go_on.wait()
-        return await self.handle(q)
+        return await self.handle(request)
--- a/tests/store_fault_steps.py
+++ b/tests/store_fault_steps.py
@@ -49,27 +49,29 @@
     return "end" if value["s"] == "done" else "cancellation"
 
 
-async def poll_job_status(p: SimulatedCluster) -> None:
+async def poll_job_status(cluster: SimulatedCluster) -> None:
     """Users ask at all controllers, and submit again, soon after one another, about what is new and what is old."""
     while True:
         await anyio.sleep(1.0)
-        accepted = [j for j, a in p.asked.items() if a.accepted is not None]
+        accepted = [j for j, a in cluster.asked.items() if a.accepted is not None]
         if not accepted:
             continue
-        for jid in dict.fromkeys(
-            [*accepted[-2:], *sorted(p.withdrawing)[-1:], p.asker.choice(accepted)]
+        for job_id in dict.fromkeys(
+            [*accepted[-2:], *sorted(cluster.withdrawing)[-1:], cluster.asker.choice(accepted)]
         ):  # one seed, one course
-            for name in p.names:
-                p.tasks.start_soon(p.ask, jid, name)
-            p.tasks.start_soon(p.resubmit, jid, p.asker.choice(p.names))
+            for name in cluster.names:
+                cluster.tasks.start_soon(cluster.ask, job_id, name)
+            cluster.tasks.start_soon(cluster.resubmit, job_id, cluster.asker.choice(cluster.names))
 
 
-async def place_maintenance_order(p: SimulatedCluster, jid: str, **what: Any) -> None:
+async def place_maintenance_order(cluster: SimulatedCluster, order_id: str, **what: Any) -> None:
     """An operator has machines emptied, and repeats that until it is known to be placed."""
     while True:
         for name in ("c2", "c0", "c1"):
             with contextlib.suppress(UnreachableError):
-                if (await p.users[name].call("POST", "/upkeep", {"id": jid, **what}, 5.0))[0] in (
+                if (
+                    await cluster.users[name].call("POST", "/upkeep", {"id": order_id, **what}, 5.0)
+                )[0] in (
                     200,
                     201,
                 ):
@@ -77,21 +79,23 @@
         await anyio.sleep(1.0)
 
 
-def assert_nothing_lost(p: SimulatedCluster, kills: bool) -> None:
+def assert_nothing_lost(cluster: SimulatedCluster, kills: bool) -> None:
     """Nothing is lost by it. Only where claims are lost while two of three controllers are down may a part be without one for a lease."""
-    assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2], (
+    assert sorted(s for n in cluster.nodes.values() for s in n.context.held_shards) == [0, 1, 2], (
         "nobody holds a part, or two do"
     )
-    assert all(f"p/node/{n}" in p.state.store.kv for n in p.names)
-    assert all(a.accepted is not None for a in p.asked.values()), "not accepted"
-    order = p.state.store.kv.get("p/upkeep/u-1")
+    assert all(f"p/node/{n}" in cluster.state.store.kv for n in cluster.names)
+    assert all(a.accepted is not None for a in cluster.asked.values()), "not accepted"
+    order = cluster.state.store.kv.get("p/upkeep/u-1")
     assert order is None or order[0]["state"] != "paused", (
         "u-1 is paused, though its operator was told that it goes on"
     )
-    assert len(p.cancelled) + sum(p.told.get(j) == "done" for j in p.withdrawing) >= len(
-        p.withdrawing
-    )
-    over = {j for j in p.asked if p.told.get(j) in ("done", "withdrawn")}
-    left = [k for k, (v, _) in p.state.store.kv.items() if k.startswith("c/") and over & set(v)]
+    assert len(cluster.cancelled) + sum(
+        cluster.told.get(j) == "done" for j in cluster.withdrawing
+    ) >= len(cluster.withdrawing)
+    over = {j for j in cluster.asked if cluster.told.get(j) in ("done", "withdrawn")}
+    left = [
+        k for k, (v, _) in cluster.state.store.kv.items() if k.startswith("c/") and over & set(v)
+    ]
     assert not left, f"entries of jobs that are over: {left}"
-    assert kills or p.fleet.killed_by_lease == 0
+    assert kills or cluster.fleet.killed_by_lease == 0
--- a/tests/test_cancellation_barrier.py
+++ b/tests/test_cancellation_barrier.py
@@ -20,27 +20,27 @@
     encode_gossip,
 )
 
-CANCEL, LEASE, CUT_OFF = 46.0, 16.0, 60.0
+CANCEL_S, LEASE_S, CUT_OFF_S = 46.0, 16.0, 60.0
 
 
-def cancellations(now: float = 0.0) -> CancellationBarrier:
-    return CancellationBarrier(["c1", "c2"], CANCEL, LEASE, CUT_OFF, now, "me")
+def new_barrier(now: float = 0.0) -> CancellationBarrier:
+    return CancellationBarrier(["c1", "c2"], CANCEL_S, LEASE_S, CUT_OFF_S, now, "me")
 
 
-def known(name: str, upto: int) -> CancellationGossip:
+def gossip_up_to(name: str, upto: int) -> CancellationGossip:
     """A member's word that says no more than how far it has read."""
     return CancellationGossip(upto, "its life", 0.0, 100.0, True, None, [])
 
 
 def test_cancellation_is_not_acknowledged_while_a_peer_may_not_know_of_it() -> None:
-    t = cancellations()
+    t = new_barrier()
     assert not t.may_acknowledge(7, 1.0), "a controller that has just started knows nobody"
     for name in ("c1", "c2"):
         t.peer_present(name, True, 0)
-    t.receive_gossip("c1", known("c1", 9), 1.0)
+    t.receive_gossip("c1", gossip_up_to("c1", 9), 1.0)
     assert t.waiting_for(7, 1.0) == ["c2"] and not t.may_acknowledge(7, 1.0)
     for upto in (6, 8, 3):
-        t.receive_gossip("c2", known("c2", upto), 1.0)
+        t.receive_gossip("c2", gossip_up_to("c2", upto), 1.0)
     assert t.may_acknowledge(7, 1.0) and t.may_acknowledge(8, 1.0) and not t.may_acknowledge(9, 1.0)
     t.peer_absent("c2", 10.0, 20)
     t.peer_absent("c2", 30.0, 20)
@@ -54,8 +54,8 @@
 
 def test_peer_that_rejoined_and_left_between_two_reads_counts_as_newly_absent() -> None:
     """A controller that reads seldom sees it gone before and after; in between its member was there, and may have read nothing since."""
-    t = cancellations()
-    t.receive_gossip("c1", known("c1", 9), 0.0)
+    t = new_barrier()
+    t.receive_gossip("c1", gossip_up_to("c1", 9), 0.0)
     t.peer_absent("c2", 0.0, 5)
     assert t.may_acknowledge(9, t.ack_delay_s + 0.1)
     t.peer_absent("c2", 100.0, 8)
@@ -65,8 +65,8 @@
 def test_peer_in_contact_delays_acknowledgement_until_it_knows_of_the_cancellation() -> None:
     """In an outage: its key is gone and it goes on; a word with the cancellation ends the waiting, and nothing else does."""
     p, m = (
-        CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
-        CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
+        CancellationBarrier(["m"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "p"),
+        CancellationBarrier(["p"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "m"),
     )
     for one, other in ((p, "m"), (m, "p")):
         one.peer_present(other, True, 5)
@@ -92,7 +92,7 @@
 
 
 def test_restarted_peer_without_a_read_confirms_contact_only_for_a_limited_time() -> None:
-    m = CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m")
+    m = CancellationBarrier(["p"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "m")
     m.peer_present("p", True, 0)
     m.store_contacted(10.0)
 
@@ -120,8 +120,8 @@
 
 def test_many_cancellations_are_sent_in_batches_and_only_the_last_batch_echoes() -> None:
     p, m = (
-        CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p"),
-        CancellationBarrier(["p"], CANCEL, LEASE, CUT_OFF, 0.0, "m"),
+        CancellationBarrier(["m"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "p"),
+        CancellationBarrier(["p"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "m"),
     )
     n = 2 * MAX_CANCELLATIONS_PER_MESSAGE + 5
     for i in range(n, 0, -1):
@@ -139,7 +139,7 @@
 
 def test_batch_claims_no_revision_beyond_what_was_read() -> None:
     """Its own newest writes are named before it has read up to them: there may be others in between that it does not know."""
-    p = CancellationBarrier(["m"], CANCEL, LEASE, CUT_OFF, 0.0, "p")
+    p = CancellationBarrier(["m"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "p")
     for i in range(MAX_CANCELLATIONS_PER_MESSAGE + 1):
         p.record_cancellation(f"j-{i:06d}", 100 + i)
     assert p.gossip_for("m", 50, 1.0).known_revision == 50
@@ -150,24 +150,24 @@
 
 
 def test_legacy_contact_age_holds_while_a_peer_acknowledges_at_once() -> None:
-    t = cancellations()
+    t = new_barrier()
     t.peer_present("c1", True, 0)
-    assert t.max_contact_age_s == t.legacy_answer_s == CANCEL - LEASE - 8.0, (
+    assert t.max_contact_age_s == t.legacy_answer_s == CANCEL_S - LEASE_S - 8.0, (
         "c2 has never been seen"
     )
     t.peer_present("c2", False, 0)
     assert t.max_contact_age_s == t.legacy_answer_s
-    t.receive_gossip("c1", known("c1", 5), 1.0)
+    t.receive_gossip("c1", gossip_up_to("c1", 5), 1.0)
     assert t.may_acknowledge(5, 2.0), (
         "and that one stops by the old time: nothing has to wait for it"
     )
     t.peer_present("c2", True, 0)
-    assert t.max_contact_age_s == CUT_OFF and not t.may_acknowledge(5, 2.0)
+    assert t.max_contact_age_s == CUT_OFF_S and not t.may_acknowledge(5, 2.0)
 
 
 def test_peer_of_an_older_release_delays_acknowledgement_while_its_gossip_arrives() -> None:
-    t = cancellations()
-    t.receive_gossip("c1", known("c1", 9), 0.0)
+    t = new_barrier()
+    t.receive_gossip("c1", gossip_up_to("c1", 9), 0.0)
     t.peer_absent("c2", 0.0, 5)
     for now in range(1, 100):
         t.receive_gossip("c2", decode_gossip({"seen": 3}), float(now))
--- a/tests/test_cancellation_barrier_model.py
+++ b/tests/test_cancellation_barrier_model.py
@@ -18,12 +18,12 @@
     encode_gossip,
 )
 
-CANCEL, LEASE, CUT_OFF = 46.0, 16.0, 60.0
-STEP, KEY_S = 0.25, 4.0
+CANCEL_S, LEASE_S, CUT_OFF_S = 46.0, 16.0, 60.0
+STEP_S, MEMBER_LEASE_S = 0.25, 4.0
 
 
 @dataclass
-class Life:
+class ControllerModel:
     """One controller: what survives a restart is only its name, its clock and when it may go on."""
 
     name: str
@@ -41,7 +41,7 @@
     unread: list[tuple[str, Any]] = field(default_factory=list)
 
 
-class Model:
+class BarrierModel:
     """Every controller answers workers whenever it believes that it may; each cancellation is told by whoever may tell first."""
 
     def __init__(self, rng: Random, cancel: float, lease: float, cut_off: float) -> None:
@@ -65,10 +65,10 @@
             for n in ("a", "b", "c")
         }
 
-    def born(self, name: str, drift: float, offset: float, lives: int) -> Life:
+    def born(self, name: str, drift: float, offset: float, lives: int) -> ControllerModel:
         now = offset + self.t * (1 + drift)
         others = [n for n in ("a", "b", "c") if n != name]
-        return Life(
+        return ControllerModel(
             name,
             drift,
             offset,
@@ -78,7 +78,7 @@
             lives,
         )
 
-    def reaches(self, n: Life) -> bool:
+    def reaches(self, n: ControllerModel) -> bool:
         return not any(s <= self.t < e for s, e in self.down) and not any(
             x == n.name and s <= self.t < e for x, s, e in self.refused
         )
@@ -103,7 +103,7 @@
         cancels: list[float],
     ) -> None:
         while self.t < seconds:
-            self.t += STEP
+            self.t += STEP_S
             while cancels and cancels[0] <= self.t:
                 cancels.pop(0)
                 self.cancel_one()
@@ -116,7 +116,7 @@
             down = any(s <= self.t < e for s, e in self.down)
             for name, until in list(self.keys.items()):
                 if down:
-                    self.keys[name] = self.t + KEY_S  # each lease gets its full time again
+                    self.keys[name] = self.t + MEMBER_LEASE_S  # each lease gets its full time again
                 elif until < self.t:
                     del self.keys[name]
                     self.put("left", name)
@@ -132,17 +132,22 @@
                         f"told at {at}, and workers that did not know were answered at {late}"
                     )
 
-    def step(self, n: Life) -> None:
+    def step(self, n: ControllerModel) -> None:
         now = n.offset + self.t * (1 + n.drift)
-        parts: list[Callable[[Life, float], None]] = [self.hear, self.serve, self.store, self.tell]
+        parts: list[Callable[[ControllerModel, float], None]] = [
+            self.hear,
+            self.serve,
+            self.store,
+            self.tell,
+        ]
         self.rng.shuffle(parts)  # after a pause, too, in any order
         for part in parts:
             part(n, now)
-        if int(self.t / STEP) % 2 == 0:
+        if int(self.t / STEP_S) % 2 == 0:
             for other in n.it.peers:
                 self.send(n, other, encode_gossip(n.it.gossip_for(other, n.rev, now)))
 
-    def send(self, n: Life, other: str, packed: Any) -> None:
+    def send(self, n: ControllerModel, other: str, packed: Any) -> None:
         at = self.t + 0.05 + 0.2 * self.rng.random()
         for src, dst, s, e, holds in self.links:
             if (src, dst) == (n.name, other) and s <= self.t < e:
@@ -152,14 +157,14 @@
         self.count += 1
         heapq.heappush(self.flying, (at, self.count, n.name, other, packed))
 
-    def hear(self, n: Life, now: float) -> None:
+    def hear(self, n: ControllerModel, now: float) -> None:
         for src, packed in n.unread:
             for one in n.it.receive_gossip(src, decode_gossip(packed), now):
                 n.knows.add(one.revision)
                 n.it.record_cancellation(one.job_id, one.revision)
         n.unread.clear()
 
-    def serve(self, n: Life, now: float) -> None:
+    def serve(self, n: ControllerModel, now: float) -> None:
         if not n.rev:
             return  # it holds nothing before it has read
         if n.seen:
@@ -169,23 +174,23 @@
                 if version not in n.knows:
                     self.answered[version] = self.t
 
-    def store(self, n: Life, now: float) -> None:
+    def store(self, n: ControllerModel, now: float) -> None:
         if not self.reaches(n):
             return
         if n.lease and n.name not in self.keys:
             n.lease = False
         if n.lease:
-            self.keys[n.name] = self.t + KEY_S
+            self.keys[n.name] = self.t + MEMBER_LEASE_S
             n.renewed = now
         elif self.rng.random() < 0.5:
             if n.name not in self.keys:
                 self.put("came", n.name)
-            self.keys[n.name] = self.t + KEY_S
+            self.keys[n.name] = self.t + MEMBER_LEASE_S
             n.lease, n.renewed = True, now
         if self.rng.random() < 0.7:
             self.read(n, now)
 
-    def read(self, n: Life, now: float) -> None:
+    def read(self, n: ControllerModel, now: float) -> None:
         first = not n.rev
         for version, what, _ in self.log:
             if version > n.rev and what == "cancel":
@@ -201,7 +206,7 @@
                 )
                 n.it.peer_absent(name, now, self.rev if first else left)
 
-    def tell(self, n: Life, now: float) -> None:
+    def tell(self, n: ControllerModel, now: float) -> None:
         for version in self.written:
             if (
                 version not in self.told
@@ -212,11 +217,11 @@
                 self.told[version] = self.t
 
 
-def modelled(seed: int) -> Model:
+def run_random_history(seed: int) -> BarrierModel:
     """One drawn life of all three, in which the store is down for long at least once and a controller is refused just before."""
     rng = Random(seed)
     cancel, lease = rng.choice([(46.0, 16.0), (38.0, 13.0), (30.0, 25.0)])
-    m = Model(rng, cancel, lease, rng.choice([20.0, 60.0, 300.0]))
+    m = BarrierModel(rng, cancel, lease, rng.choice([20.0, 60.0, 300.0]))
     names = ["a", "b", "c"]
     cancels: list[float] = []
     crashes: list[tuple[float, str]] = []
@@ -261,9 +266,9 @@
     return m
 
 
-def scene(guard: str) -> Model:
+def run_guard_history(guard: str) -> BarrierModel:
     """A controller c that is refused, and what makes one guard necessary, when it is not drawn often enough."""
-    m = Model(Random(1), CANCEL, LEASE, CUT_OFF)
+    m = BarrierModel(Random(1), CANCEL_S, LEASE_S, CUT_OFF_S)
     both = [(x, y) for x in "ab" for y in (x + "c", "c" + x)]
     crashes: list[tuple[float, str]] = []
     if (
@@ -291,7 +296,7 @@
     return m
 
 
-SEEDS, SCENES = 60, ("left", "echo", "lives")
+SEEDS, GUARD_HISTORIES = 60, ("left", "echo", "lives")
 
 
 def test_no_task_outlives_cancel_time_in_random_histories() -> None:
@@ -299,13 +304,13 @@
 
     The teller's argument and the answerer's right are one statement (coordination.cancellation_barrier); this is what it has to give.
     """
-    told = sum(len(modelled(seed).told) for seed in range(SEEDS))
+    told = sum(len(run_random_history(seed).told) for seed in range(SEEDS))
     assert told > 4 * SEEDS, "hardly anything was told: nothing was judged"
 
 
-@pytest.mark.parametrize("guard", SCENES)
+@pytest.mark.parametrize("guard", GUARD_HISTORIES)
 def test_no_task_outlives_cancel_time_in_histories_that_need_a_guard(guard: str) -> None:
-    scene(guard)
+    run_guard_history(guard)
 
 
 @pytest.mark.parametrize("guard", ["owed", "named", "echo", "all heard", "lives", "left", "lapsed"])
@@ -364,9 +369,9 @@
             property(lambda s: False, lambda s, v: None),
             raising=False,
         )
-    for seed in range(1 if guard in SCENES else 8 * SEEDS):
+    for seed in range(1 if guard in GUARD_HISTORIES else 8 * SEEDS):
         try:
-            scene(guard) if guard in SCENES else modelled(seed)
+            run_guard_history(guard) if guard in GUARD_HISTORIES else run_random_history(seed)
         except AssertionError as e:
             assert "were answered at" in str(e)
             return
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -13,12 +13,12 @@
 from .simulation.cluster import SimulatedCluster, play
 
 
-def taken_for_gone(p: SimulatedCluster) -> set[str]:
+def live_machines_taken_for_gone(cluster: SimulatedCluster) -> set[str]:
     """Machines that live and that somebody believes to be gone for certain."""
-    alive = p.fleet.workers.keys()
+    alive = cluster.fleet.workers.keys()
     return {
         m
-        for n in p.nodes.values()
+        for n in cluster.nodes.values()
         for h in n.context.held_shards.values()
         for m in h.owner.inventory.proven_gone & alive
     }
@@ -47,37 +47,37 @@
     monkeypatch.setattr(SimulatedCluster, "list_lag_s", 3.0)
     gone: set[str] = set()
 
-    async def scene(p: SimulatedCluster) -> None:
-        f = p.fleet
+    async def scene(cluster: SimulatedCluster) -> None:
+        f = cluster.fleet
         f.boots, f.list_lag_s, f.lost_answers, f.late_requests = (0.2, 2.0), 3.0, 0.1, 0.1
-        p.late_writes = 0.2
+        cluster.late_writes = 0.2
         for wave in range(6):
             before = len(f.machines)
             for n in range(4):
-                spec = p.spec(4 * wave + n, gait="array", chicks=4, flightS=12.0, pullGb=0.1)
-                p.tasks.start_soon(p.submit, spec)
+                spec = cluster.spec(4 * wave + n, gait="array", chicks=4, flightS=12.0, pullGb=0.1)
+                cluster.tasks.start_soon(cluster.submit, spec)
             with anyio.move_on_after(8.0):
                 while len(f.machines) <= before:
                     await anyio.sleep(0.05)
             await anyio.sleep(1.5)
             if wave in (2, 4):  # new machines have had their first starts
                 holder = max(
-                    p.nodes,
+                    cluster.nodes,
                     key=lambda n: sum(
-                        len(h.owner.permits) for h in p.nodes[n].context.held_shards.values()
+                        len(h.owner.permits) for h in cluster.nodes[n].context.held_shards.values()
                     ),
                 )
-                p.tasks.start_soon(p.crash, holder, 5.0)
+                cluster.tasks.start_soon(cluster.crash, holder, 5.0)
             for _ in range(15):
                 await anyio.sleep(0.2)
-                gone.update(taken_for_gone(p))
-        p.late_writes = f.lost_answers = f.late_requests = 0.0
+                gone.update(live_machines_taken_for_gone(cluster))
+        cluster.late_writes = f.lost_answers = f.late_requests = 0.0
         await anyio.sleep(25.0)
-        gone.update(taken_for_gone(p))
+        gone.update(live_machines_taken_for_gone(cluster))
         assert len(f.pleas) > 1, "nothing was rented"
-        assert not await p.left_waiting()
+        assert not await cluster.left_waiting()
         renter = next(
-            n.context.autoscaler for n in p.nodes.values() if n.context.autoscaler is not None
+            n.context.autoscaler for n in cluster.nodes.values() if n.context.autoscaler is not None
         )
         assert f.machines.keys() <= renter.machines.keys(), "each is used, or on its way back"
 
@@ -90,7 +90,7 @@
         assert gone, "the scene must be able to fail"
 
 
-def told_by_name(self: Autoscaler, part: int) -> list[str]:
+def deleted_for_by_name(self: Autoscaler, part: int) -> list[str]:
     """As it was: the last by name."""
     return sorted(self.deleted)[-300:]
 
@@ -101,28 +101,32 @@
 ) -> None:
     """Its tasks start again elsewhere. Where the last 300 by name were told, it counted for its team's limit for ever."""
     if not mended:
-        monkeypatch.setattr(Autoscaler, "deleted_for", told_by_name, raising=False)
+        monkeypatch.setattr(Autoscaler, "deleted_for", deleted_for_by_name, raising=False)
     back: list[bool] = []
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
-            await p.submit(p.spec(n, gait="daemon", chicks=8))
+            await cluster.submit(cluster.spec(n, gait="daemon", chicks=8))
         await anyio.sleep(5.0)
-        renting = next(name for name, n in p.nodes.items() if n.context.autoscaler is not None)
-        renter = p.nodes[renting].context.autoscaler
+        renting = next(
+            name for name, n in cluster.nodes.items() if n.context.autoscaler is not None
+        )
+        renter = cluster.nodes[renting].context.autoscaler
         assert renter is not None
         renter.deleted.update(
-            {f"n-9{i:05d}": p.now for i in range(400)}
+            {f"n-9{i:05d}": cluster.now for i in range(400)}
         )  # a long day's machines, newer by name
-        leader = next(c for c in p.names if c != renting)
-        dead = next(w for w in p.workers_of(leader) if p.fleet.workers[w].tasks)
-        lost = {k[:2] for k in p.fleet.workers[dead].tasks}
-        p.tasks.start_soon(p.crash, leader, 60.0)
-        p.fleet.machines.pop(dead)[2].cancel()
+        leader = next(c for c in cluster.names if c != renting)
+        dead = next(w for w in cluster.workers_of(leader) if cluster.fleet.workers[w].tasks)
+        lost = {k[:2] for k in cluster.fleet.workers[dead].tasks}
+        cluster.tasks.start_soon(cluster.crash, leader, 60.0)
+        cluster.fleet.machines.pop(dead)[2].cancel()
         with anyio.move_on_after(55.0):
-            while lost - {k[:2] for w in p.fleet.workers.values() for k in w.on_machine()}:
+            while lost - {k[:2] for w in cluster.fleet.workers.values() for k in w.on_machine()}:
                 await anyio.sleep(0.2)
-        back.append(not lost - {k[:2] for w in p.fleet.workers.values() for k in w.on_machine()})
+        back.append(
+            not lost - {k[:2] for w in cluster.fleet.workers.values() for k in w.on_machine()}
+        )
 
     play(scene, machines=14)
     assert back == [mended]
--- a/tests/test_concurrent_submissions.py
+++ b/tests/test_concurrent_submissions.py
@@ -22,107 +22,109 @@
 from .simulation.fault_schedules import KNOWN_S
 
 
-def refusing(p: SimulatedCluster, rng: Random, share: float) -> Counter[int]:
+def refuse_share_of_requests(cluster: SimulatedCluster, rng: Random, share: float) -> Counter[int]:
     """So large a share of all requests is refused by the state service, by its limits or without a reason; how many of each."""
-    real, refused = p.state.handle, Counter[int]()
+    real, refused = cluster.state.handle, Counter[int]()
 
-    async def handle(q: Any) -> Reply:
-        if rng.random() < share and not q.path.startswith("/grants"):
+    async def handle(request: Any) -> Reply:
+        if rng.random() < share and not request.path.startswith("/grants"):
             refused[status := rng.choice([429, 503])] += 1
             return Reply(status, {"error": "busy"})
-        return await real(q)
+        return await real(request)
 
-    p.state.handle = handle  # type: ignore[method-assign]
+    cluster.state.handle = handle  # type: ignore[method-assign]
     return refused
 
 
-def two_users(seed: int, share: float) -> None:
+def run_two_users(seed: int, share: float) -> None:
     """Each job is submitted by two at once, again and again while it is not over, cancelled by two at once or when it is done."""
     accepted: Counter[str] = Counter()
     read: list[float] = []
 
-    async def user(p: SimulatedCluster, spec: dict[str, Any], name: str, other: str) -> None:
-        jid, rng = spec["id"], Random(f"{seed} {spec['id']} {name}")
+    async def user(cluster: SimulatedCluster, spec: dict[str, Any], name: str, other: str) -> None:
+        job_id, rng = spec["id"], Random(f"{seed} {spec['id']} {name}")
         status = 0
         for _ in range(30):
-            status = await p.call(name, "POST", "/api/jobs", jid, spec)
-            accepted[jid] += status == 201
+            status = await cluster.call(name, "POST", "/api/jobs", job_id, spec)
+            accepted[job_id] += status == 201
             if status in (200, 201):
                 break
             await anyio.sleep(1.0)
-        assert status in (200, 201), f"forgotten: {jid} is not accepted in 30 s: {status}"
+        assert status in (200, 201), f"forgotten: {job_id} is not accepted in 30 s: {status}"
         for _ in range(rng.randrange(1, 6)):
             await anyio.sleep(rng.choice([0.0, 0.01, 0.5]))
-            await p.resubmit(jid, other)
-            await p.ask(jid, name)
-        if int(jid[2:]) % 3 == 0:
-            await p.withdraw(jid)
-            await p.resubmit(jid, other)
-        elif int(jid[2:]) % 3 == 1:
-            while p.told.get(jid) is None:
+            await cluster.resubmit(job_id, other)
+            await cluster.ask(job_id, name)
+        if int(job_id[2:]) % 3 == 0:
+            await cluster.withdraw(job_id)
+            await cluster.resubmit(job_id, other)
+        elif int(job_id[2:]) % 3 == 1:
+            while cluster.told.get(job_id) is None:
                 await anyio.sleep(0.5)
-                await p.ask(jid, name)
-            await p.withdraw(jid, other)  # it is done already
-            assert p.told[jid] == DONE
+                await cluster.ask(job_id, name)
+            await cluster.withdraw(job_id, other)  # it is done already
+            assert cluster.told[job_id] == DONE
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
-        refused = refusing(p, rng, share)
+        refused = refuse_share_of_requests(cluster, rng, share)
         for n in range(1, 31):
-            spec = p.spec(
+            spec = cluster.spec(
                 n, gait=rng.choice(["array", "group"]), chicks=2, flightS=rng.choice([1.0, 4.0])
             )
-            jid = spec["id"]
-            p.asked[jid], p.bodies[jid], p.fleet.specs[jid] = (
-                SubmittedJob(p.now),
+            job_id = spec["id"]
+            cluster.asked[job_id], cluster.bodies[job_id], cluster.fleet.specs[job_id] = (
+                SubmittedJob(cluster.now),
                 spec,
                 jobs.parse_submission(spec, 0.0),
             )
-            a, b = rng.sample(p.names, 2) if n % 4 else [rng.choice(p.names)] * 2
-            p.tasks.start_soon(user, p, spec, a, b)
-            p.tasks.start_soon(user, p, spec, b, a)
+            a, b = rng.sample(cluster.names, 2) if n % 4 else [rng.choice(cluster.names)] * 2
+            cluster.tasks.start_soon(user, cluster, spec, a, b)
+            cluster.tasks.start_soon(user, cluster, spec, b, a)
             await anyio.sleep(rng.choice([0.0, 0.1, 0.6]))
         await anyio.sleep(30.0)
         if not share:
-            await burst(p, rng)
-        p.state.handle = FakeStoreAndCloud.handle.__get__(p.state)  # type: ignore[method-assign]
+            await burst(cluster, rng)
+        cluster.state.handle = FakeStoreAndCloud.handle.__get__(cluster.state)  # type: ignore[method-assign]
         await anyio.sleep(5.0)
         assert not share or min(refused[429], refused[503]) > 10
-        p.missing = await p.all_answered(KNOWN_S)  # type: ignore[attr-defined]
+        cluster.missing = await cluster.all_answered(KNOWN_S)  # type: ignore[attr-defined]
 
-    async def burst(p: SimulatedCluster, rng: Random) -> None:
+    async def burst(cluster: SimulatedCluster, rng: Random) -> None:
         """Hundreds ask one controller at once, of jobs that run: one read answers those that came before it began."""
         for n in range(100, 110):
-            await p.submit(p.spec(n, gait="daemon", chicks=1))
+            await cluster.submit(cluster.spec(n, gait="daemon", chicks=1))
         await anyio.sleep(5.0)
-        real = p.state.handle
+        real = cluster.state.handle
 
-        async def handle(q: Any) -> Reply:
-            if q.path == "/watch" and q.query.get("holdMs") == "0":
-                read.append(p.now)
-            return await real(q)
+        async def handle(request: Any) -> Reply:
+            if request.path == "/watch" and request.query.get("holdMs") == "0":
+                read.append(cluster.now)
+            return await real(request)
 
-        p.state.handle = handle  # type: ignore[method-assign]
+        cluster.state.handle = handle  # type: ignore[method-assign]
         for _ in range(300):
-            p.tasks.start_soon(p.ask, f"j-{rng.randrange(100, 110):06d}", "c0")
+            cluster.tasks.start_soon(cluster.ask, f"j-{rng.randrange(100, 110):06d}", "c0")
         await anyio.sleep(1.0)
         assert len(read) < 30, "a read for each would be too many"
 
-    p = play(scene, seed)
-    assert p.missing == []  # type: ignore[attr-defined]
+    cluster = play(scene, seed)
+    assert cluster.missing == []  # type: ignore[attr-defined]
     assert (
         set(accepted) >= set(f"j-{n:06d}" for n in range(1, 31)) and max(accepted.values()) == 1
     ), "accepted once, by one of the two"
     for n in range(1, 31):
-        jid = f"j-{n:06d}"
-        assert p.told[jid] == DONE if n % 3 else p.told[jid] in (DONE, CANCELLED), jid
+        job_id = f"j-{n:06d}"
+        assert (
+            cluster.told[job_id] == DONE if n % 3 else cluster.told[job_id] in (DONE, CANCELLED)
+        ), job_id
 
 
 @pytest.mark.parametrize(("seed", "share"), [(1, 0.0), (2, 0.15), (3, 0.4)])
 def test_job_of_two_users_is_accepted_once_while_the_state_service_refuses_requests(
     seed: int, share: float
 ) -> None:
-    two_users(seed, share)
+    run_two_users(seed, share)
 
 
 def any_submission(real: Any) -> Any:
@@ -161,7 +163,7 @@
     [
         # a job that is submitted once more, as another one, ends the steps of its team's source
         (KeyValueStore, "compare_and_swap", any_submission, 0.0, "accepted once|not in list"),
-        (JobAnswers, "final", lambda real: lambda self, jid: None, 0.15, "forgotten|went_back"),
+        (JobAnswers, "final", lambda real: lambda self, job_id: None, 0.15, "forgotten|went_back"),
         (StoreWatch, "fresh_read", each_by_itself, 0.0, "a read for each"),
     ],
 )
@@ -171,7 +173,7 @@
     monkeypatch.setattr(where, name, without(getattr(where, name)))
     with pytest.raises((AssertionError, ValueError), match=says):
         try:
-            two_users(1, share)
+            run_two_users(1, share)
         except BaseExceptionGroup as e:
             raise innermost_exception(e) from e
 
@@ -180,32 +182,38 @@
 def test_of_two_different_jobs_with_one_id_exactly_one_is_accepted(seed: int) -> None:
     """One job is accepted, whole, and both are told of it; nothing of the other one is ever started."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for n in range(1, 13):
             rng = Random(f"{seed} {n}")
             specs = [
-                p.spec(n, gait="array", chicks=k, keeper=f"team-{(n + k) % 4}") for k in (1, 3)
+                cluster.spec(n, gait="array", chicks=k, keeper=f"team-{(n + k) % 4}")
+                for k in (1, 3)
             ]
-            jid, got = specs[0]["id"], dict[int, int]()
+            job_id, got = specs[0]["id"], dict[int, int]()
 
             async def one(i: int, spec: dict[str, Any], name: str, got: dict[int, int]) -> None:
-                got[i], _ = await p.users[name].call("POST", "/api/jobs", spec, 5.0)
+                got[i], _ = await cluster.users[name].call("POST", "/api/jobs", spec, 5.0)
 
             async with anyio.create_task_group() as tg:
                 for i, name in enumerate(
-                    rng.sample(p.names, 2) if n % 3 else [rng.choice(p.names)] * 2
+                    rng.sample(cluster.names, 2) if n % 3 else [rng.choice(cluster.names)] * 2
                 ):
                     tg.start_soon(one, i, specs[i], name, got)
-                while f"p/job/{jid}" not in p.state.store.kv:
+                while f"p/job/{job_id}" not in cluster.state.store.kv:
                     await anyio.sleep(0.0002)
-                job = jobs.from_record(p.state.store.kv[f"p/job/{jid}"][0])
-                p.fleet.specs[jid] = job
+                job = jobs.from_record(cluster.state.store.kv[f"p/job/{job_id}"][0])
+                cluster.fleet.specs[job_id] = job
             assert sorted(got.values()) == [200, 201]
             won = next(i for i in got if got[i] == 201)
             assert (job.task_count, job.team) == (specs[won]["chicks"], specs[won]["keeper"])
-            p.asked[jid], p.bodies[jid] = SubmittedJob(p.now, accepted=p.now), specs[won]
+            cluster.asked[job_id], cluster.bodies[job_id] = (
+                SubmittedJob(cluster.now, accepted=cluster.now),
+                specs[won],
+            )
         await anyio.sleep(25.0)
-        assert not await p.all_answered(KNOWN_S) and set(p.told.values()) == {DONE}
-        assert {k[0]: 0 for k in p.fleet.begun if k[1] >= p.specs[k[0]].task_count} == {}
+        assert not await cluster.all_answered(KNOWN_S) and set(cluster.told.values()) == {DONE}
+        assert {
+            k[0]: 0 for k in cluster.fleet.begun if k[1] >= cluster.specs[k[0]].task_count
+        } == {}
 
     play(scene, seed)
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -97,24 +97,28 @@
 
         monkeypatch.setattr(JobState, "mark_done", twice)
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng, jobs = Random(seed), [f"j-{700 + i:06d}" for i in range(8)]
-        for jid in jobs:
-            p.fleet.longer.update({(jid, 0): 0.0, (jid, 1): 22.0, (jid, 2): 50.0})
-            await p.submit(p.spec(int(jid[2:]), gait="array", chicks=3, flightS=2.0, pullGb=0.1))
+        for job_id in jobs:
+            cluster.fleet.longer.update({(job_id, 0): 0.0, (job_id, 1): 22.0, (job_id, 2): 50.0})
+            await cluster.submit(
+                cluster.spec(int(job_id[2:]), gait="array", chicks=3, flightS=2.0, pullGb=0.1)
+            )
         await anyio.sleep(7.0 + 3.0 * rng.random())
         for _ in range(3):
-            p.late_writes = rng.choice([0.0, 0.5])
-            for name in rng.sample(p.names, rng.choice([1, 2, 3])):
-                p.tasks.start_soon(p.crash, name, rng.choice([0.1, 1.0, 6.0]))
+            cluster.late_writes = rng.choice([0.0, 0.5])
+            for name in rng.sample(cluster.names, rng.choice([1, 2, 3])):
+                cluster.tasks.start_soon(cluster.crash, name, rng.choice([0.1, 1.0, 6.0]))
             await anyio.sleep(6.0)
-            p.late_writes = 0.0
+            cluster.late_writes = 0.0
             await anyio.sleep(12.0)
         await anyio.sleep(45.0)
-        missing = await p.all_answered(KNOWN_S)
+        missing = await cluster.all_answered(KNOWN_S)
         assert not missing
-        assert all(p.told.get(j) == "done" for j in jobs), "every one of them is told to be done"
-        assert all(p.fleet.begun[j, 0] == 1 for j in jobs), (
+        assert all(cluster.told.get(j) == "done" for j in jobs), (
+            "every one of them is told to be done"
+        )
+        assert all(cluster.fleet.begun[j, 0] == 1 for j in jobs), (
             "a task that had ended was started again"
         )
 
@@ -129,32 +133,36 @@
 def test_partitioned_leader_gives_no_stale_answer_and_accepts_nothing(mode: str) -> None:
     """Jobs are cancelled through the others; the leader gives no older answer, accepts nothing, and its cancelled tasks end in time."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for n in range(800, 808):
-            await p.submit(p.spec(n, gait="daemon", chicks=2))
+            await cluster.submit(cluster.spec(n, gait="daemon", chicks=2))
         await anyio.sleep(8.0)
         for other in ("state", "c1", "c2"):
-            p.net.cut("c0", other, mode, 110.0)
+            cluster.net.cut("c0", other, mode, 110.0)
         for n in range(800, 804):
-            p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
-        at, i = p.now, 0
-        while p.now - at < 100.0:
+            cluster.tasks.start_soon(cluster.withdraw, f"j-{n:06d}")
+        at, i = cluster.now, 0
+        while cluster.now - at < 100.0:
             i += 1
-            jid = f"j-{800 + i % 8:06d}"
+            job_id = f"j-{800 + i % 8:06d}"
             with contextlib.suppress(UnreachableError):
-                status, answer = await p.users["c0"].call("GET", f"/api/jobs/{jid}", None, 2.0)
+                status, answer = await cluster.users["c0"].call(
+                    "GET", f"/api/jobs/{job_id}", None, 2.0
+                )
                 assert status != 404 and (
-                    jid not in p.cancelled or status != 200 or answer["stance"] == "withdrawn"
+                    job_id not in cluster.cancelled
+                    or status != 200
+                    or answer["stance"] == "withdrawn"
                 )  # type: ignore[index]
             with contextlib.suppress(UnreachableError):
-                status, _ = await p.users["c0"].call(
-                    "POST", "/api/jobs", p.spec(950, gait="array"), 4.0
+                status, _ = await cluster.users["c0"].call(
+                    "POST", "/api/jobs", cluster.spec(950, gait="array"), 4.0
                 )
                 assert status in (429, 503), "what can't be written is not accepted"
             await anyio.sleep(1.5)
-        assert len(p.cancelled) == 4, "told outside, once it must have stopped"
+        assert len(cluster.cancelled) == 4, "told outside, once it must have stopped"
         await anyio.sleep(50.0)
-        assert not await p.all_answered(KNOWN_S)
+        assert not await cluster.all_answered(KNOWN_S)
 
     play(scene)
 
@@ -165,19 +173,19 @@
     """A gap drawn late began its outage after `Played.calm`, and the day was called forgotten for it. Without a group of their own, so."""
     after: list[str] = []
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         day: Day = ([Fault(0.0, kind, seed)], 1.0)
         if own:
-            await begin(p, day)
+            await begin(cluster, day)
         else:
-            p.tasks.start_soon(getattr(ActiveFault(p, Random(seed)), kind))
+            cluster.tasks.start_soon(getattr(ActiveFault(cluster, Random(seed)), kind))
             await anyio.sleep(day[1])
-            p.calm()
-            while p.down:
+            cluster.calm()
+            while cluster.down:
                 await anyio.sleep(0.1)
-        at = p.now
-        while p.now - at < 90.0:
-            after.extend(["outage"] if p.state.down else sorted(p.down))
+        at = cluster.now
+        while cluster.now - at < 90.0:
+            after.extend(["outage"] if cluster.state.down else sorted(cluster.down))
             await anyio.sleep(0.1)
 
     play(scene)
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -41,11 +41,13 @@
     monkeypatch.setattr(decision_model, "CANCEL", CANCEL)
 
 
-def told_at_once(self: JobAnswers, jid: str) -> JobStatus | None:
+def told_at_once(self: JobAnswers, job_id: str) -> JobStatus | None:
     """As a repeated submission was answered: what is over is told, whoever knows of it."""
-    end = self.store_cache.ended_jobs.get(jid)
+    end = self.store_cache.ended_jobs.get(job_id)
     return (
-        None if end is None else JobStatus(jobs.status_body(jid, end.outcome, end.tasks_done), True)
+        None
+        if end is None
+        else JobStatus(jobs.status_body(job_id, end.outcome, end.tasks_done), True)
     )
 
 
@@ -62,26 +64,26 @@
     if not guarded:
         monkeypatch.setattr(JobAnswers, "final", told_at_once)
 
-    async def scene(p: SimulatedCluster) -> None:
-        wanted = [p.spec(n, gait="daemon", chicks=3) for n in range(1, 7)]
+    async def scene(cluster: SimulatedCluster) -> None:
+        wanted = [cluster.spec(n, gait="daemon", chicks=3) for n in range(1, 7)]
         for spec in wanted:
-            await p.submit(spec)
+            await cluster.submit(spec)
         await anyio.sleep(8.0)
-        p.cut_zone("b", mode, 110.0)
+        cluster.cut_zone("b", mode, 110.0)
         await anyio.sleep(1.0)
         for i, spec in enumerate(wanted):
-            p.tasks.start_soon(p.withdraw, spec["id"], ("c0", "c2")[i % 2])
-        at = p.now
-        while p.now - at < 1.2:
+            cluster.tasks.start_soon(cluster.withdraw, spec["id"], ("c0", "c2")[i % 2])
+        at = cluster.now
+        while cluster.now - at < 1.2:
             for spec in wanted:
                 for name in ("c0", "c2"):
-                    p.tasks.start_soon(p.resubmit, spec["id"], name)
+                    cluster.tasks.start_soon(cluster.resubmit, spec["id"], name)
             await anyio.sleep(0.01)
-        early = [j for j in p.cancelled if p.now - p.cancelled[j] < 2.0]
+        early = [j for j in cluster.cancelled if cluster.now - cluster.cancelled[j] < 2.0]
         await anyio.sleep(109.0)
         assert not early or not guarded
-        assert len(p.cancelled) == len(wanted), "told, once the zone must have stopped"
-        assert not await p.all_answered(KNOWN_S)
+        assert len(cluster.cancelled) == len(wanted), "told, once the zone must have stopped"
+        assert not await cluster.all_answered(KNOWN_S)
 
     if guarded:
         play(scene)
@@ -94,21 +96,23 @@
 def test_frequent_status_requests_get_no_older_answer(seed: int) -> None:
     """All controllers are asked, and submissions repeated, within 50 ms of each acceptance, end and cancellation; some cancel at once."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
-        p.tasks.start_soon(p.close_looks, 60.0)
-        p.tasks.start_soon(p.flow, 45.0, 0.8)
+        cluster.tasks.start_soon(cluster.close_looks, 60.0)
+        cluster.tasks.start_soon(cluster.flow, 45.0, 0.8)
         for i in range(6):
-            p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon"))
+            cluster.tasks.start_soon(cluster.submit, cluster.spec(900 + i, gait="daemon"))
         await anyio.sleep(10.0)
         if seed % 2:
-            p.tasks.start_soon(p.crash, rng.choice(p.names), rng.choice([0.3, 3.0]))
+            cluster.tasks.start_soon(
+                cluster.crash, rng.choice(cluster.names), rng.choice([0.3, 3.0])
+            )
         for i in range(6):
-            p.tasks.start_soon(p.withdraw, f"j-{900 + i:06d}")
+            cluster.tasks.start_soon(cluster.withdraw, f"j-{900 + i:06d}")
             await anyio.sleep(2.0)
         await anyio.sleep(45.0)
-        assert not await p.all_answered(KNOWN_S)
-        assert len(p.told) > 30
+        assert not await cluster.all_answered(KNOWN_S)
+        assert len(cluster.told) > 30
 
     play(scene, seed)
 
@@ -121,16 +125,18 @@
     if without == "proof":
         monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     else:
-        monkeypatch.setattr(JobAnswers, "archived", lambda self, jid, value, version: UnknownJob())
+        monkeypatch.setattr(
+            JobAnswers, "archived", lambda self, job_id, value, version: UnknownJob()
+        )
 
-    async def scene(p: SimulatedCluster) -> None:
-        for n in p.nodes.values():
+    async def scene(cluster: SimulatedCluster) -> None:
+        for n in cluster.nodes.values():
             object.__setattr__(n.settings.options, "keep_ended", 3)
-        p.tasks.start_soon(p.close_looks, 40.0)
+        cluster.tasks.start_soon(cluster.close_looks, 40.0)
         for i in range(20):
-            await p.submit(p.spec(1 + i, gait="array", chicks=1, flightS=1.0))
+            await cluster.submit(cluster.spec(1 + i, gait="array", chicks=1, flightS=1.0))
         await anyio.sleep(25.0)
-        await p.all_answered(20.0)
+        await cluster.all_answered(20.0)
 
     with pytest.raises(AssertionError, match="forgotten"):
         play(scene)
@@ -165,39 +171,41 @@
 
     def step(self) -> None:
         rng, s, i = self.rng, self.store, self.rng.randrange(3)
-        jid = f"j-{rng.randrange(1, 9):06d}"
+        job_id = f"j-{rng.randrange(1, 9):06d}"
         copy, answers = self.copies[i], self.answers[i]
         match rng.randrange(9):
             case 0:  # a submission
-                job = decision_model.job(Random(1), jid, 0.0)
+                job = decision_model.job(Random(1), job_id, 0.0)
                 rev, failed = s.txn(
-                    {JOB_PREFIX + jid: 0, ARCHIVE_PREFIX + jid: 0},
-                    {JOB_PREFIX + jid: job.record()},
+                    {JOB_PREFIX + job_id: 0, ARCHIVE_PREFIX + job_id: 0},
+                    {JOB_PREFIX + job_id: job.record()},
                     [],
                 )
                 if not failed and rng.random() < 0.7:  # else its answer is lost
-                    copy.apply_own_write(JOB_PREFIX + jid, job.record(), rev)
-                    self.heard(jid, answers.accepted(jid), self.told.get(jid, 0))
+                    copy.apply_own_write(JOB_PREFIX + job_id, job.record(), rev)
+                    self.heard(job_id, answers.accepted(job_id), self.told.get(job_id, 0))
             case 1 | 2:  # an end: done by whoever runs it, or a cancellation by this copy's word
                 version = (
-                    answers.live_version(jid)
+                    answers.live_version(job_id)
                     if rng.random() < 0.5
-                    else s.kv.get(JOB_PREFIX + jid, (None, 0))[1]
+                    else s.kv.get(JOB_PREFIX + job_id, (None, 0))[1]
                 )
-                if version and isinstance(s.kv.get(JOB_PREFIX + jid, (None, 0))[0], list):
+                if version and isinstance(s.kv.get(JOB_PREFIX + job_id, (None, 0))[0], list):
                     how = rng.choice([jobs.DONE, jobs.CANCELLED])
                     rev, failed = s.txn(
-                        {JOB_PREFIX + jid: version}, {JOB_PREFIX + jid: end_record(how, 1)}, []
+                        {JOB_PREFIX + job_id: version},
+                        {JOB_PREFIX + job_id: end_record(how, 1)},
+                        [],
                     )
                     if not failed and rng.random() < 0.7:
-                        copy.apply_own_write(JOB_PREFIX + jid, end_record(how, 1), rev)
+                        copy.apply_own_write(JOB_PREFIX + job_id, end_record(how, 1), rev)
             case 3:  # the archive takes a job whose end everybody may forget
-                value, version = s.kv.get(JOB_PREFIX + jid, (None, 0))
+                value, version = s.kv.get(JOB_PREFIX + job_id, (None, 0))
                 if isinstance(value, dict) and version <= min(self.known):
                     s.txn(
-                        {JOB_PREFIX + jid: version},
-                        {ARCHIVE_PREFIX + jid: value, ARCHIVE_MARKER_KEY: 1},
-                        [JOB_PREFIX + jid],
+                        {JOB_PREFIX + job_id: version},
+                        {ARCHIVE_PREFIX + job_id: value, ARCHIVE_MARKER_KEY: 1},
+                        [JOB_PREFIX + job_id],
                     )
             case 4:  # a watch's answer, perhaps of a while ago
                 since = copy.revision if rng.random() < 0.7 else rng.randrange(copy.revision + 1)
@@ -218,7 +226,7 @@
                 if (
                     i not in self.listing
                 ):  # no read that proves anything begins while the copy is read anew
-                    self.open.append((i, jid, s.rev, copy.revision, self.told.get(jid, 0)))
+                    self.open.append((i, job_id, s.rev, copy.revision, self.told.get(job_id, 0)))
             case _:
                 if self.open:
                     self.answer(*self.open.pop(rng.randrange(len(self.open))))
@@ -235,7 +243,7 @@
         else:
             self.copies[i].load(found, rev)
 
-    def answer(self, i: int, jid: str, asked: int, since: int, told: int) -> None:
+    def answer(self, i: int, job_id: str, asked: int, since: int, told: int) -> None:
         """A read is over that began some time before or after the question came, and has brought what there was by then or later."""
         begun = self.rng.randint(max(since, asked - 3), max(asked, self.store.rev))
         upto = self.rng.randint(min(begun, self.store.rev), self.store.rev)
@@ -245,30 +253,32 @@
                 i, 100
             )  # a listing that began after that read, and before what it has brought
         answer = self.answers[i].verified(
-            jid, asked, FreshRead(begun) if self.rng.random() < 0.9 else None
+            job_id, asked, FreshRead(begun) if self.rng.random() < 0.9 else None
         )
         if not isinstance(answer, (JobStatus, Unavailable, UnknownJob)):
             answer = self.answers[i].archived(
-                jid, *self.store.kv.get(ARCHIVE_PREFIX + jid, (None, 0))
+                job_id, *self.store.kv.get(ARCHIVE_PREFIX + job_id, (None, 0))
             )
-        self.heard(jid, answer, told)
+        self.heard(job_id, answer, told)
 
-    def heard(self, jid: str, answer: Any, told: int) -> None:
+    def heard(self, job_id: str, answer: Any, told: int) -> None:
         """A user hears it: it is no older than what had been told when he asked, and true."""
         if isinstance(answer, Unavailable):
             return
         now = 0 if isinstance(answer, UnknownJob) else 2 if answer.final else 1
-        assert now >= told, f"{jid}: {answer} after {told}"
-        self.told[jid] = max(self.told.get(jid, 0), now)
+        assert now >= told, f"{job_id}: {answer} after {told}"
+        self.told[job_id] = max(self.told.get(job_id, 0), now)
         if now == 2:
             how = answer.body["stance"]
-            assert self.how.setdefault(jid, how) == how, f"{jid} was {self.how[jid]} and is {how}"
+            assert self.how.setdefault(job_id, how) == how, (
+                f"{job_id} was {self.how[job_id]} and is {how}"
+            )
             version = next(
                 e.version
                 for e in self.store.log
-                if e.key == JOB_PREFIX + jid and isinstance(e.value, dict)
+                if e.key == JOB_PREFIX + job_id and isinstance(e.value, dict)
             )
-            assert how == jobs.DONE or version <= min(self.known), f"{jid}: told before all know"
+            assert how == jobs.DONE or version <= min(self.known), f"{job_id}: told before all know"
 
 
 def run_copies(seeds: range) -> int:
@@ -286,12 +296,12 @@
     assert run_copies(range(600)) > 1500
 
 
-def unproved(self: JobAnswers, jid: str, asked: float, proof: FreshRead | None) -> Any:
-    return real_proved(self, jid, asked, FreshRead(asked))
+def unproved(self: JobAnswers, job_id: str, asked: float, proof: FreshRead | None) -> Any:
+    return real_proved(self, job_id, asked, FreshRead(asked))
 
 
-def straight_to_no(self: JobAnswers, jid: str, asked: float, proof: FreshRead | None) -> Any:
-    answer = real_proved(self, jid, asked, proof)
+def straight_to_no(self: JobAnswers, job_id: str, asked: float, proof: FreshRead | None) -> Any:
+    answer = real_proved(self, job_id, asked, proof)
     return answer if isinstance(answer, (JobStatus, Unavailable)) else UnknownJob()
 
 
@@ -345,24 +355,27 @@
 def test_former_shard_holder_shows_current_job_counts() -> None:
     """It kept what it had last been told there, and showed the numbers of then for as long as the job lived."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         n = next(
             n
             for n in range(900, 930)
-            if p.nodes["c0"].context.shard_map.team_shard[f"team-{n % 4}"] == 0
+            if cluster.nodes["c0"].context.shard_map.team_shard[f"team-{n % 4}"] == 0
         )
-        jid = f"j-{n:06d}"
-        p.fleet.longer.update({(jid, 0): 50.0, (jid, 1): 80.0})
-        await p.submit(p.spec(n, gait="array", chicks=2, flightS=1.0))
+        job_id = f"j-{n:06d}"
+        cluster.fleet.longer.update({(job_id, 0): 50.0, (job_id, 1): 80.0})
+        await cluster.submit(cluster.spec(n, gait="array", chicks=2, flightS=1.0))
         await anyio.sleep(6.0)
-        await p.crash("c0", 7.0)
-        while (jid, 0) not in p.fleet.results or p.nodes["c0"].context.held_shards.keys() != {0}:
+        await cluster.crash("c0", 7.0)
+        while (job_id, 0) not in cluster.fleet.results or cluster.nodes[
+            "c0"
+        ].context.held_shards.keys() != {0}:
             await anyio.sleep(0.5)
         await anyio.sleep(3.0)
         shown = [
-            (await p.users[name].call("GET", f"/api/jobs/{jid}", None, 2.0))[1] for name in p.names
+            (await cluster.users[name].call("GET", f"/api/jobs/{job_id}", None, 2.0))[1]
+            for name in cluster.names
         ]
-        assert shown == [{"id": jid, "stance": "running", "done": 1, "running": 1}] * 3
+        assert shown == [{"id": job_id, "stance": "running", "done": 1, "running": 1}] * 3
         await anyio.sleep(40.0)
 
     play(scene)
--- a/tests/test_job_end_races.py
+++ b/tests/test_job_end_races.py
@@ -20,12 +20,12 @@
 from .simulation.fault_schedules import KNOWN_S
 
 
-class Steps:
+class DelayedStoreRequests:
     """The state service, held at the steps of a job's end, of its cancellation, or of its move to the archive."""
 
     def __init__(
         self,
-        p: SimulatedCluster,
+        cluster: SimulatedCluster,
         which: str,
         before: float,
         after: float,
@@ -33,20 +33,20 @@
         late: float = 0.0,
     ) -> None:
         self.p, self.which, self.before, self.after, self.at, self.late = (
-            p,
+            cluster,
             which,
             before,
             after,
             at,
             late,
         )
-        self.real = p.state.handle
+        self.real = cluster.state.handle
         self.orders: dict[str, list[str]] = {}  # what has landed for each job, in order
         self.held = 0
         # Jobs of which a write has been late: of each only the first one
         self.lost: set[str] = set()
-        p.state.handle = self.handle  # type: ignore[method-assign]
-        real_txn = p.state.store.txn
+        cluster.state.handle = self.handle  # type: ignore[method-assign]
+        real_txn = cluster.state.store.txn
 
         def txn(
             guards: dict[str, int], puts: dict[str, Any], deletes: list[str], *a: Any
@@ -58,34 +58,34 @@
                     order.append(v["s"] if isinstance(v, dict) else "accepted")
             return rev, failed
 
-        p.state.store.txn = txn  # type: ignore[method-assign]
+        cluster.state.store.txn = txn  # type: ignore[method-assign]
 
-    async def handle(self, q: Any) -> Reply:
-        found = self.jobs(q) if q.path == "/multi" and q.method == "POST" else []
+    async def handle(self, request: Any) -> Reply:
+        found = self.jobs(request) if request.path == "/multi" and request.method == "POST" else []
         if not found:
-            return await self.real(q)
+            return await self.real(request)
         self.held += 1
-        for jid in found:
-            self.at(jid)
+        for job_id in found:
+            self.at(job_id)
         if self.late and not self.lost.issuperset(
             found
         ):  # it is carried out late, and there is no answer
             self.lost.update(found)
-            self.p.tasks.start_soon(self.carry_out, q)
+            self.p.tasks.start_soon(self.carry_out, request)
             await anyio.sleep(20.0)
         await anyio.sleep(self.before)
-        reply = await self.real(q)
-        for jid in found:
-            self.at(jid)
+        reply = await self.real(request)
+        for job_id in found:
+            self.at(job_id)
         await anyio.sleep(self.after)
         return reply
 
-    async def carry_out(self, q: Any) -> None:
+    async def carry_out(self, request: Any) -> None:
         await anyio.sleep(self.late)
-        await self.real(q)
+        await self.real(request)
 
-    def jobs(self, q: Any) -> list[str]:
-        puts = {o["put"]: o["v"] for o in orjson.loads(q.body).get("apply", ()) if "put" in o}
+    def jobs(self, request: Any) -> list[str]:
+        puts = {o["put"]: o["v"] for o in orjson.loads(request.body).get("apply", ()) if "put" in o}
         if self.which == "archived":
             return [k[2:] for k in puts if k.startswith("e/")]
         return [
@@ -95,15 +95,17 @@
         ]
 
 
-async def close(p: SimulatedCluster, jid: str, rng: Random, s: float = 0.3) -> None:
+async def poll_and_resubmit(
+    cluster: SimulatedCluster, job_id: str, rng: Random, s: float = 0.3
+) -> None:
     """Questions and repeated submissions at all controllers, every few milliseconds."""
-    until = p.now + s
-    while p.now < until:
-        for name in p.names:
+    until = cluster.now + s
+    while cluster.now < until:
+        for name in cluster.names:
             if rng.random() < 0.5:
-                p.tasks.start_soon(p.ask, jid, name)
+                cluster.tasks.start_soon(cluster.ask, job_id, name)
             else:
-                p.tasks.start_soon(p.resubmit, jid, name)
+                cluster.tasks.start_soon(cluster.resubmit, job_id, name)
         await anyio.sleep(0.005 + 0.03 * rng.random())
 
 
@@ -125,72 +127,72 @@
 }
 
 
-def meet_the_end(step: str, seed: int = 1, jobs: int = 12) -> dict[str, int]:
+def race_with_job_end(step: str, seed: int = 1, jobs: int = 12) -> dict[str, int]:
     """Jobs end; at each step of some one's end its user looks closely, and of two in three cancels. How many were told what."""
     which, before, after, late = STEPS[step]
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng, met = Random(f"{seed} {step}"), set[str]()
 
-        def at(jid: str) -> None:
-            p.tasks.start_soon(close, p, jid, rng)
-            if jid not in met and int(jid[2:]) % 3 and which != CANCELLED:
-                p.tasks.start_soon(later, jid, rng.choice([0.0, 0.001, 0.004, 0.05, 0.2]))
-            met.add(jid)
+        def at(job_id: str) -> None:
+            cluster.tasks.start_soon(poll_and_resubmit, cluster, job_id, rng)
+            if job_id not in met and int(job_id[2:]) % 3 and which != CANCELLED:
+                cluster.tasks.start_soon(later, job_id, rng.choice([0.0, 0.001, 0.004, 0.05, 0.2]))
+            met.add(job_id)
 
-        async def later(jid: str, s: float) -> None:
+        async def later(job_id: str, s: float) -> None:
             await anyio.sleep(s)
-            if jid not in p.withdrawing:
-                await p.withdraw(jid)
+            if job_id not in cluster.withdrawing:
+                await cluster.withdraw(job_id)
 
-        steps = Steps(p, which, before, after, at, late)
+        steps = DelayedStoreRequests(cluster, which, before, after, at, late)
         if step == "one reads it much later":
-            p.net.cut("c2", "state", SLOW, 30.0)
-        real = p.fleet.started
+            cluster.net.cut("c2", "state", SLOW, 30.0)
+        real = cluster.fleet.started
 
         def started(
             w: Any, key: Any
         ) -> None:  # cancelled as it ends on its machines, before or after anybody knows
             if which == CANCELLED and key[1] == 1 and int(key[0][2:]) % 3:
-                p.tasks.start_soon(later, key[0], rng.uniform(0.5, 1.6))
+                cluster.tasks.start_soon(later, key[0], rng.uniform(0.5, 1.6))
             real(w, key)
 
-        p.fleet.started = started  # type: ignore[method-assign]
+        cluster.fleet.started = started  # type: ignore[method-assign]
         for n in range(1, jobs + 1):
-            spec = p.spec(
+            spec = cluster.spec(
                 n, gait="array" if n % 2 else "group", chicks=2, flightS=1.0 if n % 4 < 2 else 4.0
             )
-            p.tasks.start_soon(p.submit, spec)
+            cluster.tasks.start_soon(cluster.submit, spec)
             if step == "its writer's successor" and n in (4, 8):
-                p.tasks.start_soon(p.crash, p.names[n // 4], 1.5)
+                cluster.tasks.start_soon(cluster.crash, cluster.names[n // 4], 1.5)
             await anyio.sleep(0.5)
         await anyio.sleep(35.0)
-        missing = await p.all_answered(KNOWN_S)
+        missing = await cluster.all_answered(KNOWN_S)
         found.append((steps, missing))
 
-    found: list[tuple[Steps, list[str]]] = []
-    p = play(
+    found: list[tuple[DelayedStoreRequests, list[str]]] = []
+    cluster = play(
         scene, seed, options=settings.Options(keep_ended=2, carry=step != "one reads it much later")
     )
     steps, missing = found[0]
-    for jid, order in steps.orders.items():
+    for job_id, order in steps.orders.items():
         assert order[0] == "accepted" and len(set(order[1:])) == 1 == len(
             set(order) & {DONE, CANCELLED}
-        ), f"went_back: {jid}: {order}"
-        assert p.told.get(jid, order[1]) == order[1], (
-            f"went_back: {jid} is {order[1]}, its user was told {p.told[jid]}"
+        ), f"went_back: {job_id}: {order}"
+        assert cluster.told.get(job_id, order[1]) == order[1], (
+            f"went_back: {job_id} is {order[1]}, its user was told {cluster.told[job_id]}"
         )
     assert missing == [], f"forgotten: {missing}"
     assert steps.held >= (jobs // 3 if which != CANCELLED else 3), (
         f"the step was met {steps.held} times only"
     )
-    assert set(p.told) == set(p.asked), "every one is over, and its user knows"
-    return Counter(p.told.values())
+    assert set(cluster.told) == set(cluster.asked), "every one is over, and its user knows"
+    return Counter(cluster.told.values())
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_job_is_either_done_or_cancelled_whatever_step_a_request_meets(step: str) -> None:
-    counts = meet_the_end(step)
+    counts = race_with_job_end(step)
     assert counts[DONE] >= 3, counts
 
 
@@ -240,4 +242,4 @@
 ) -> None:
     monkeypatch.setattr(KeyValueStore, name, without(getattr(KeyValueStore, name)))
     with pytest.raises(AssertionError, match=rule):
-        meet_the_end(step)
+        race_with_job_end(step)
--- a/tests/test_key_value_store_client.py
+++ b/tests/test_key_value_store_client.py
@@ -12,7 +12,7 @@
 from ploverhall.protocol.key_value_store import KeyValueStore, WatchEvent
 
 
-class Says:
+class FixedResponse:
     """A caller that always answers the same."""
 
     def __init__(self, status: int, body: Any) -> None:
@@ -34,8 +34,8 @@
 }
 
 
-# What the protocol lists, and what it says
-MEANT: dict[str, dict[int, tuple[Any, Any]]] = {
+# What the protocol lists, and what it outcome_of
+LISTED_RESPONSES: dict[str, dict[int, tuple[Any, Any]]] = {
     "get": {
         200: ({"path": "e/j-000001", "v": {"s": "done"}, "feather": 3}, ({"s": "done"}, 3)),
         404: ({"moult": 4}, (None, 0)),
@@ -63,10 +63,10 @@
 }
 
 
-def says(call: str, status: int, body: Any) -> Any:
+def outcome_of(call: str, status: int, body: Any) -> Any:
     """What a call makes of an answer: a value, or the name of what it raises."""
     try:
-        return anyio.run(CALLS[call], KeyValueStore(Says(status, body), 100.0, 100.0))
+        return anyio.run(CALLS[call], KeyValueStore(FixedResponse(status, body), 100.0, 100.0))
     except (RequestRefusedError, OutcomeUnknownError) as e:
         return type(e).__name__
 
@@ -74,14 +74,14 @@
 @pytest.mark.parametrize("call", CALLS)
 def test_unlisted_status_is_an_unknown_outcome(call: str) -> None:
     """Before: a 502 was "not executed" for a write, "no such key" for a read of one key, and "ended" for a lease."""
-    listed = MEANT[call]
+    listed = LISTED_RESPONSES[call]
     for status, (body, meant) in listed.items():
-        assert says(call, status, body) == meant
+        assert outcome_of(call, status, body) == meant
     for status in (429, 503):
-        assert says(call, status, {"error": "trouble"}) == "RequestRefusedError"
+        assert outcome_of(call, status, {"error": "trouble"}) == "RequestRefusedError"
     for status in {201, 204, 301, 400, 403, 404, 408, 409, 410, 500, 502, 504} - listed.keys():
-        assert says(call, status, {"error": "bad gateway"}) == "OutcomeUnknownError", status
-    assert says(call, 400, {"error": "malformed"}) == "OutcomeUnknownError"
+        assert outcome_of(call, status, {"error": "bad gateway"}) == "OutcomeUnknownError", status
+    assert outcome_of(call, 400, {"error": "malformed"}) == "OutcomeUnknownError"
 
 
 @pytest.mark.parametrize(
@@ -117,18 +117,18 @@
 def test_malformed_success_response_is_an_unknown_outcome(call: str, bodies: list[Any]) -> None:
     """Before: a missing field raised KeyError inside the writer, and ended the process."""
     for body in [None, [], "ok", 7, [1], *bodies]:
-        assert says(call, 200, body) == "OutcomeUnknownError", body
+        assert outcome_of(call, 200, body) == "OutcomeUnknownError", body
     assert (
-        says("txn", 409, {})
-        == says("txn", 409, {"failed": [3]})
-        == says("txn", 409, None)
+        outcome_of("txn", 409, {})
+        == outcome_of("txn", 409, {"failed": [3]})
+        == outcome_of("txn", 409, None)
         == "OutcomeUnknownError"
     )
 
 
 def test_invalid_responses_are_logged_at_a_limited_rate(capfd: pytest.CaptureFixture[str]) -> None:
     now = [100.0]
-    store = KeyValueStore(Says(200, "x" * 100_000), 1e6, 1e6, lambda: now[0])
+    store = KeyValueStore(FixedResponse(200, "x" * 100_000), 1e6, 1e6, lambda: now[0])
 
     async def often() -> None:
         for _ in range(300):
--- a/tests/test_late_store_writes.py
+++ b/tests/test_late_store_writes.py
@@ -35,28 +35,28 @@
         monkeypatch.setattr(*unguarded("p/upkeep/"))
     real, kept = FakeStoreAndCloud.handle, list[Any]()
 
-    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
-        if not kept and b"paused" in q.body and "order" in write_kinds(q):
-            kept.append(q)
+    async def handle(self: FakeStoreAndCloud, request: Any) -> Reply:
+        if not kept and b"paused" in request.body and "order" in write_kinds(request):
+            kept.append(request)
             return Reply(504, {"error": "gateway"})
-        return await real(self, q)
+        return await real(self, request)
 
     monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         async def change(verb: str) -> int:
-            return (await p.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0]
+            return (await cluster.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0]
 
-        await place_maintenance_order(p, "u-1", zone="a", at_once=1)  # not over for long
+        await place_maintenance_order(cluster, "u-1", zone="a", at_once=1)  # not over for long
         assert [await change(verb) for verb in verbs] == [503, *[200] * (len(verbs) - 1)]
-        late = await real(p.state, kept[0])
+        late = await real(cluster.state, kept[0])
         assert (late.status == 409) is guarded
-        assert (p.state.store.kv["p/upkeep/u-1"][0]["state"] != "paused") is guarded
+        assert (cluster.state.store.kv["p/upkeep/u-1"][0]["state"] != "paused") is guarded
 
     play(scene)
 
 
-LANDS = {
+EXPECTED_STATUSES = {
     "permits": {409},
     "progress": {409},
     "end": {409},
@@ -104,56 +104,62 @@
     monkeypatch.setattr(SimulatedCluster, "_state_for", state_for)
     landed: dict[str, int] = {}
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 200.0)
-        p.tasks.start_soon(poll_job_status, p)
-        for i, kind in enumerate(sorted(LANDS)):
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 200.0)
+        cluster.tasks.start_soon(poll_job_status, cluster)
+        for i, kind in enumerate(sorted(EXPECTED_STATUSES)):
             wanted[:], kept[:] = [kind], []
             if kind == "cancellation":
-                p.tasks.start_soon(p.withdraw, "j-000900")
+                cluster.tasks.start_soon(cluster.withdraw, "j-000900")
             if kind == "images":
-                p.tasks.start_soon(p.submit, p.spec(990, gait="array", chicks=3, plumage="another"))
+                cluster.tasks.start_soon(
+                    cluster.submit, cluster.spec(990, gait="array", chicks=3, plumage="another")
+                )
             if kind in ("order", "grants"):
                 busiest = max(
-                    sorted(p.workers),
+                    sorted(cluster.workers),
                     key=lambda w: sum(
-                        t[0] in ("j-000901", "j-000902") for t in p.workers[w].on_machine()
+                        t[0] in ("j-000901", "j-000902") for t in cluster.workers[w].on_machine()
                     ),
                 )
-                p.tasks.start_soon(
-                    partial(place_maintenance_order, p, f"u-{i}", machines=[busiest])
+                cluster.tasks.start_soon(
+                    partial(place_maintenance_order, cluster, f"u-{i}", machines=[busiest])
                 )
             if kind in ("member", "claim", "renter"):
                 rents = next(
                     (
                         n
-                        for n, node in p.nodes.items()
-                        if n not in p.down and node.context.autoscaler is not None
+                        for n, node in cluster.nodes.items()
+                        if n not in cluster.down and node.context.autoscaler is not None
                     ),
                     "c0",
                 )
-                p.tasks.start_soon(p.crash, rents, 6.0)
+                cluster.tasks.start_soon(cluster.crash, rents, 6.0)
             with anyio.move_on_after(25.0):
                 while not kept:
                     await anyio.sleep(0.02)
             if not kept:
                 continue
             name, q = kept[0]
-            await p.crash(name, after)
+            await cluster.crash(name, after)
             await anyio.sleep(2.6)
-            landed[kind] = (await p.state.handle(q)).status
+            landed[kind] = (await cluster.state.handle(q)).status
             await anyio.sleep(2.5)
         await anyio.sleep(25.0)
-        p.broken += [f"not answered: {j}" for j in await p.all_answered(10.0)]
-        p.broken += [
-            f"{kind}: {status}" for kind, status in landed.items() if status not in LANDS[kind]
+        cluster.broken += [f"not answered: {j}" for j in await cluster.all_answered(10.0)]
+        cluster.broken += [
+            f"{kind}: {status}"
+            for kind, status in landed.items()
+            if status not in EXPECTED_STATUSES[kind]
         ]
 
     def played() -> None:
         assert_nothing_lost(
             play(scene, options=settings.Options(keep_ended=6, handback_s=4.0)), kills=True
         )
-        assert landed.keys() == LANDS.keys(), f"not met: {LANDS.keys() - landed.keys()}"
+        assert landed.keys() == EXPECTED_STATUSES.keys(), (
+            f"not met: {EXPECTED_STATUSES.keys() - landed.keys()}"
+        )
 
     if without is None:
         played()
--- a/tests/test_lost_store_answers.py
+++ b/tests/test_lost_store_answers.py
@@ -33,10 +33,10 @@
     write_kinds,
 )
 
-SILENT = 0  # no answer at all
+NO_ANSWER = 0  # no answer at all
 
 
-NO_FORM: tuple[Any, ...] = (
+MALFORMED_BODIES: tuple[Any, ...] = (
     None,
     [],
     "ok",
@@ -48,10 +48,10 @@
 )
 
 
-STATUSES = (500, 502, 504, 404, 301)
+ERROR_STATUSES = (500, 502, 504, 404, 301)
 
 
-class Answers:
+class LostAnswers:
     """The state service, with a share of the transactions of some kinds carried out, and their answers lost or of no use."""
 
     def __init__(
@@ -64,39 +64,42 @@
         with_no_form: bool = True,
     ) -> None:
         self.kinds, self.late, self.share, self.rng = kinds, late, share, Random(seed)
-        self.odd = [SILENT, SILENT, *STATUSES, *([200] * 3 if with_no_form else [])]
+        self.odd = [NO_ANSWER, NO_ANSWER, *ERROR_STATUSES, *([200] * 3 if with_no_form else [])]
         self.on = False
         self.met: Counter[str] = Counter()
         self.tasks: list[Any] = []
         self.real = real = FakeStoreAndCloud.handle
         answers = self
 
-        async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
-            lost = answers.on and not self.down and answers.kinds & write_kinds(q)
+        async def handle(self: FakeStoreAndCloud, request: Any) -> Reply:
+            lost = answers.on and not self.down and answers.kinds & write_kinds(request)
             if not lost or (
                 all(answers.met[k] for k in lost) and answers.rng.random() >= answers.share
             ):  # the first of each surely
-                return await real(self, q)
-            if not answers.late and (reply := await real(self, q)).status != 200:
+                return await real(self, request)
+            if not answers.late and (reply := await real(self, request)).status != 200:
                 return reply  # nothing was carried out: a claim that came second, say
             answers.met.update(sorted(lost))
             if answers.late:
-                answers.tasks.append(asyncio.get_running_loop().create_task(answers._late(self, q)))
+                answers.tasks.append(
+                    asyncio.get_running_loop().create_task(answers._late(self, request))
+                )
             status = answers.rng.choice(answers.odd)
-            if status == SILENT:
+            if status == NO_ANSWER:
                 await anyio.sleep(20.0)
             return Reply(
-                status, {"error": "gateway"} if status != 200 else answers.rng.choice(NO_FORM)
+                status,
+                {"error": "gateway"} if status != 200 else answers.rng.choice(MALFORMED_BODIES),
             )
 
         monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
 
-    async def _late(self, state: FakeStoreAndCloud, q: Any) -> None:
+    async def _late(self, state: FakeStoreAndCloud, request: Any) -> None:
         await anyio.sleep(1.0 + 9.0 * self.rng.random())
-        await self.real(state, q)
+        await self.real(state, request)
 
 
-GROUPS: dict[str, set[str]] = {
+WRITE_KIND_GROUPS: dict[str, set[str]] = {
     "users": {"submission", "cancellation"},
     "sources": {"permits", "progress", "end"},
     "hands": {"claim", "hand-back", "member", "renter"},
@@ -105,27 +108,35 @@
 }
 
 
-async def everything(p: SimulatedCluster, answers: Answers, s: float = 20.0) -> None:
+async def mixed_work_with_crashes(
+    cluster: SimulatedCluster, answers: LostAnswers, s: float = 20.0
+) -> None:
     """Jobs of all kinds come, end and are cancelled; an order empties a machine; a controller ends, is replaced, and is back."""
-    await start_background_load(p, 55.0)
+    await start_background_load(cluster, 55.0)
     for n in range(910, 916):
-        p.tasks.start_soon(p.submit, p.spec(n, gait="array", chicks=2, flightS=500.0))
-    p.tasks.start_soon(p.submit, p.spec(916, gait="array", chicks=9, flightS=4.0))
+        cluster.tasks.start_soon(
+            cluster.submit, cluster.spec(n, gait="array", chicks=2, flightS=500.0)
+        )
+    cluster.tasks.start_soon(cluster.submit, cluster.spec(916, gait="array", chicks=9, flightS=4.0))
     await anyio.sleep(4.0)
     answers.on = True
-    p.tasks.start_soon(poll_job_status, p)
-    p.tasks.start_soon(partial(place_maintenance_order, p, "u-1", machines=p.workers_of("c0")[:1]))
-    rents = next(n for n, node in p.nodes.items() if node.context.autoscaler is not None)
+    cluster.tasks.start_soon(poll_job_status, cluster)
+    cluster.tasks.start_soon(
+        partial(place_maintenance_order, cluster, "u-1", machines=cluster.workers_of("c0")[:1])
+    )
+    rents = next(n for n, node in cluster.nodes.items() if node.context.autoscaler is not None)
     for name in dict.fromkeys(("c1", rents)):
-        p.tasks.start_soon(p.crash, name, 9.0)
+        cluster.tasks.start_soon(cluster.crash, name, 9.0)
     for n in range(910, 916):
-        p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
+        cluster.tasks.start_soon(cluster.withdraw, f"j-{n:06d}")
         await anyio.sleep(s / 6)
     if "order" in answers.kinds:
         for verb in ("pause", "resume", "pause", "resume"):
             for _ in range(20):  # until told so
                 with contextlib.suppress(UnreachableError):
-                    if (await p.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0] in (
+                    if (await cluster.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[
+                        0
+                    ] in (
                         200,
                         409,
                     ):
@@ -169,7 +180,7 @@
 @pytest.mark.parametrize(
     ("group", "late", "without", "breaks"),
     [
-        *((group, late, None, "") for group in GROUPS for late in (False, True)),
+        *((group, late, None, "") for group in WRITE_KIND_GROUPS for late in (False, True)),
         (
             "users",
             False,
@@ -187,17 +198,17 @@
     """The writer doesn't know whether it landed; the others read it at once, or only after newer ones of the same writer."""
     if without is not None:
         monkeypatch.setattr(*without())
-    answers = Answers(monkeypatch, GROUPS[group], late)
-    answers.on = "types" in GROUPS[group]
+    answers = LostAnswers(monkeypatch, WRITE_KIND_GROUPS[group], late)
+    answers.on = "types" in WRITE_KIND_GROUPS[group]
 
-    async def scene(p: SimulatedCluster) -> None:
-        await everything(p, answers)
-        p.broken += [f"not answered: {j}" for j in await p.all_answered(10.0)]
+    async def scene(cluster: SimulatedCluster) -> None:
+        await mixed_work_with_crashes(cluster, answers)
+        cluster.broken += [f"not answered: {j}" for j in await cluster.all_answered(10.0)]
 
     def played() -> None:
-        p = play(scene, options=settings.Options(keep_ended=6, handback_s=4.0))
-        assert not GROUPS[group] - answers.met.keys(), "not met"
-        assert_nothing_lost(p, kills=group == "hands")
+        cluster = play(scene, options=settings.Options(keep_ended=6, handback_s=4.0))
+        assert not WRITE_KIND_GROUPS[group] - answers.met.keys(), "not met"
+        assert_nothing_lost(cluster, kills=group == "hands")
 
     if without is None:
         played()
--- a/tests/test_partitioned_zone.py
+++ b/tests/test_partitioned_zone.py
@@ -47,30 +47,34 @@
     if without is not None:
         without(monkeypatch)
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 908):
-            await p.submit(p.spec(n, gait="daemon", chicks=2, marsh=("a", "b", None)[n % 3]))
-        p.tasks.start_soon(p.flow, 90.0, 3.0)
+            await cluster.submit(
+                cluster.spec(n, gait="daemon", chicks=2, marsh=("a", "b", None)[n % 3])
+            )
+        cluster.tasks.start_soon(cluster.flow, 90.0, 3.0)
         await anyio.sleep(6.0)
-        p.tasks.start_soon(p.close_looks, 90.0)
+        cluster.tasks.start_soon(cluster.close_looks, 90.0)
         if how == "zone":
-            p.cut_zone("b", mode, 60.0)
+            cluster.cut_zone("b", mode, 60.0)
         else:
             for other in ("state", "c1", "c2"):
-                p.net.cut("c0", other, mode, 60.0)
+                cluster.net.cut("c0", other, mode, 60.0)
         for n in range(900, 904):
-            p.tasks.start_soon(p.withdraw, f"j-{n:06d}", ("c1" if how == "leader" else "c0"))
+            cluster.tasks.start_soon(
+                cluster.withdraw, f"j-{n:06d}", ("c1" if how == "leader" else "c0")
+            )
         await anyio.sleep(12.0)
         if how == "zone":
-            assert any(w.zone == "b" and w.on_machine() for w in p.fleet.workers.values())
+            assert any(w.zone == "b" and w.on_machine() for w in cluster.fleet.workers.values())
         await anyio.sleep(70.0)
         assert (
-            p.cancelled.keys() >= {f"j-{n:06d}" for n in range(900, 904)}
-            and not p.starts_after_told()
+            cluster.cancelled.keys() >= {f"j-{n:06d}" for n in range(900, 904)}
+            and not cluster.starts_after_told()
         )
-        assert p.fleet.killed_by_lease == 0
-        assert not await p.left_waiting(60.0)
-        assert not await p.all_answered(30.0)
+        assert cluster.fleet.killed_by_lease == 0
+        assert not await cluster.left_waiting(60.0)
+        assert not await cluster.all_answered(30.0)
 
     found = ""
     try:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -16,26 +16,26 @@
 from ploverhall.controller.relay import Relay
 
 from .scenarios import start_background_load
-from .simulation import cluster
-from .simulation.cluster import HOLD, RESET, SILENT, SimulatedCluster, play
+from .simulation.cluster import HOLD, MODES, RESET, SILENT, SimulatedCluster, play
 
 
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET, "503"])
 def test_controller_cut_from_the_state_service_works_through_a_relay(mode: str) -> None:
-    async def scene(p: SimulatedCluster) -> None:
-        at = await start_background_load(p)
+    async def scene(cluster: SimulatedCluster) -> None:
+        at = await start_background_load(cluster)
         if mode == "503":
-            p.refused.add("c0")
+            cluster.refused.add("c0")
         else:
-            p.net.cut("c0", "state", mode, 25.0)
+            cluster.net.cut("c0", "state", mode, 25.0)
         await anyio.sleep(25.0)
-        p.refused.clear()
+        cluster.refused.clear()
         await anyio.sleep(20.0)
-        assert p.claims() == 0 and p.fleet.killed_by_lease == 0
-        assert p.longest_pause(at, at + 30.0) < 2.5 and p.slowest_accepted() < 2.5
-        assert p.nodes["c0"].store_service.health.healthy, "the own link is trusted again"
+        assert cluster.claims() == 0 and cluster.fleet.killed_by_lease == 0
+        assert cluster.longest_pause(at, at + 30.0) < 2.5 and cluster.slowest_accepted() < 2.5
+        assert cluster.nodes["c0"].store_service.health.healthy, "the own link is trusted again"
         assert (
-            p.nodes["c1"].relay.pending.relayed_count + p.nodes["c2"].relay.pending.relayed_count
+            cluster.nodes["c1"].relay.pending.relayed_count
+            + cluster.nodes["c2"].relay.pending.relayed_count
             > 20
         )
 
@@ -44,20 +44,22 @@
 
 @pytest.mark.parametrize("mode", [SILENT, HOLD, RESET])
 def test_agents_cut_from_their_controller_are_relayed_and_fail_back(mode: str) -> None:
-    async def scene(p: SimulatedCluster) -> None:
-        at = await start_background_load(p)
-        p.cut_workers("c0", mode, 25.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        at = await start_background_load(cluster)
+        cluster.cut_workers("c0", mode, 25.0)
         await anyio.sleep(20.0)
-        assert p.nodes["c0"].agent_commands.failback.relayed_agents, "nobody came the other way"
+        assert cluster.nodes["c0"].agent_commands.failback.relayed_agents, (
+            "nobody came the other way"
+        )
         await anyio.sleep(25.0)
         assert (
-            p.claims() == 0
-            and p.fleet.killed_by_lease == 0
-            and p.longest_pause(at, at + 30.0) < 4.0
+            cluster.claims() == 0
+            and cluster.fleet.killed_by_lease == 0
+            and cluster.longest_pause(at, at + 30.0) < 4.0
         )
-        assert not p.nodes["c0"].agent_commands.failback.relayed_agents and not p.nodes[
+        assert not cluster.nodes["c0"].agent_commands.failback.relayed_agents and not cluster.nodes[
             "c0"
-        ].agent_commands.unreachable_shards(p.now), "all are home again"
+        ].agent_commands.unreachable_shards(cluster.now), "all are home again"
 
     play(scene)
 
@@ -76,15 +78,15 @@
 
         monkeypatch.setattr(AgentCommands, "reachable_from", believes)
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 90.0)
-        await p.crash("c0", 7.0)
-        p.cut_workers("c0", mode, 35.0)
-        assert p.claims() == 1
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 90.0)
+        await cluster.crash("c0", 7.0)
+        cluster.cut_workers("c0", mode, 35.0)
+        assert cluster.claims() == 1
         await anyio.sleep(30.0)
-        assert (p.claims() == 1) == tries, "it got its part back while no worker reached it"
+        assert (cluster.claims() == 1) == tries, "it got its part back while no worker reached it"
         await anyio.sleep(30.0)
-        assert p.claims() == 2 and p.fleet.killed_by_lease == 0
+        assert cluster.claims() == 2 and cluster.fleet.killed_by_lease == 0
 
     play(scene)
 
@@ -92,15 +94,15 @@
 def test_requests_are_relayed_over_two_peers_where_no_single_one_has_both_links() -> None:
     """c0 reaches neither the state service nor c2; c1 reaches both of them, but not the state service."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        at = await start_background_load(p)
+    async def scene(cluster: SimulatedCluster) -> None:
+        at = await start_background_load(cluster)
         for a, b in (("c0", "state"), ("c1", "state"), ("c0", "c2")):
-            p.net.cut(a, b, HOLD, 25.0)
+            cluster.net.cut(a, b, HOLD, 25.0)
         await anyio.sleep(45.0)
         assert (
-            p.claims() == 0
-            and p.fleet.killed_by_lease == 0
-            and p.longest_pause(at, at + 30.0) < 4.0
+            cluster.claims() == 0
+            and cluster.fleet.killed_by_lease == 0
+            and cluster.longest_pause(at, at + 30.0) < 4.0
         )
 
     play(scene)
@@ -109,13 +111,13 @@
 def test_heartbeats_are_relayed_over_two_peers() -> None:
     """c0's workers reach only c2, and c2 can't speak with c0: c1 stands in between."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p)
-        p.cut_workers("c0", SILENT, 30.0)
-        p.cut_workers("c1", RESET, 30.0)
-        p.net.cut("c0", "c2", SILENT, 30.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster)
+        cluster.cut_workers("c0", SILENT, 30.0)
+        cluster.cut_workers("c1", RESET, 30.0)
+        cluster.net.cut("c0", "c2", SILENT, 30.0)
         await anyio.sleep(55.0)
-        assert p.claims() == 0 and p.fleet.killed_by_lease == 0
+        assert cluster.claims() == 0 and cluster.fleet.killed_by_lease == 0
 
     play(scene)
 
@@ -124,21 +126,21 @@
 def test_relay_that_crashes_or_is_partitioned_expires_no_lease(seed: int) -> None:
     """At moments drawn, for both kinds of cut: while a third can carry, nothing is killed by its lease."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
-        await start_background_load(p, 80.0)
-        p.net.cut("c0", "state", HOLD, 45.0)
-        p.cut_workers("c0", rng.choice([SILENT, HOLD, RESET]), 45.0)
+        await start_background_load(cluster, 80.0)
+        cluster.net.cut("c0", "state", HOLD, 45.0)
+        cluster.cut_workers("c0", rng.choice([SILENT, HOLD, RESET]), 45.0)
         for _ in range(3):
             await anyio.sleep(8.0 + 4.0 * rng.random())
             carrier = rng.choice(["c1", "c2"])
             if rng.random() < 0.5:
-                p.tasks.start_soon(p.crash, carrier, 1.0)
+                cluster.tasks.start_soon(cluster.crash, carrier, 1.0)
             else:
-                p.net.cut(carrier, "state", rng.choice([HOLD, RESET]), 6.0)
+                cluster.net.cut(carrier, "state", rng.choice([HOLD, RESET]), 6.0)
         await anyio.sleep(40.0)
-        assert p.fleet.killed_by_lease == 0
-        assert all(a.accepted is not None for a in p.asked.values())
+        assert cluster.fleet.killed_by_lease == 0
+        assert all(a.accepted is not None for a in cluster.asked.values())
 
     play(scene, seed)
 
@@ -146,15 +148,15 @@
 def test_relay_stalled_for_longer_than_a_lease_breaks_no_rule() -> None:
     """All its links are held, and deliver minutes' worth at once when it goes on: questions, answers, reports, transactions."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 80.0)
-        p.net.cut("c0", "state", HOLD, 40.0)
-        p.cut_workers("c0", HOLD, 40.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 80.0)
+        cluster.net.cut("c0", "state", HOLD, 40.0)
+        cluster.cut_workers("c0", HOLD, 40.0)
         await anyio.sleep(10.0)
-        for other in ("c0", "c2", "state", "cloud", "user", *p.fleet.workers):
-            p.net.cut("c1", other, HOLD, 16.0)
+        for other in ("c0", "c2", "state", "cloud", "user", *cluster.fleet.workers):
+            cluster.net.cut("c1", other, HOLD, 16.0)
         await anyio.sleep(70.0)
-        assert all(a.accepted is not None for a in p.asked.values())
+        assert all(a.accepted is not None for a in cluster.asked.values())
 
     play(scene)
 
@@ -163,14 +165,14 @@
 def test_three_controllers_with_different_partitions_keep_their_shards(seed: int) -> None:
     """And two that each reach one half: c0 has no state service, c1 no workers, c2 no c0; and the cuts end apart from each other."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
-        await start_background_load(p, 60.0)
-        p.net.cut("c0", "state", rng.choice([HOLD, RESET]), 20.0 + 10 * rng.random())
-        p.cut_workers("c1", rng.choice([HOLD, SILENT, RESET]), 20.0 + 10 * rng.random())
-        p.net.cut("c2", "c0", rng.choice([HOLD, RESET, SILENT]), 20.0 + 10 * rng.random())
+        await start_background_load(cluster, 60.0)
+        cluster.net.cut("c0", "state", rng.choice([HOLD, RESET]), 20.0 + 10 * rng.random())
+        cluster.cut_workers("c1", rng.choice([HOLD, SILENT, RESET]), 20.0 + 10 * rng.random())
+        cluster.net.cut("c2", "c0", rng.choice([HOLD, RESET, SILENT]), 20.0 + 10 * rng.random())
         await anyio.sleep(60.0)
-        assert p.fleet.killed_by_lease == 0 and p.claims() == 0
+        assert cluster.fleet.killed_by_lease == 0 and cluster.claims() == 0
 
     play(scene, seed)
 
@@ -178,14 +180,14 @@
 def test_partition_that_ends_while_a_relayed_answer_is_delayed_loses_no_job() -> None:
     """c1's answers to c0 lie in the network until long after c0 has its own link again."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 60.0)
-        p.net.cut("c0", "state", HOLD, 15.0)
-        p.cut_workers("c0", HOLD, 15.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 60.0)
+        cluster.net.cut("c0", "state", HOLD, 15.0)
+        cluster.cut_workers("c0", HOLD, 15.0)
         await anyio.sleep(8.0)
-        p.net.cut("c1", "c0", HOLD, 20.0, both=False)
+        cluster.net.cut("c1", "c0", HOLD, 20.0, both=False)
         await anyio.sleep(60.0)
-        assert all(a.accepted is not None for a in p.asked.values())
+        assert all(a.accepted is not None for a in cluster.asked.values())
 
     play(scene)
 
@@ -202,20 +204,20 @@
 
     monkeypatch.setattr(Relay, "collect", collect)
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for name in older:
-            p.nodes[name].relay.deliver = lambda node, message: None  # type: ignore[method-assign]
-            node = p.nodes[name].context
+            cluster.nodes[name].relay.deliver = lambda node, message: None  # type: ignore[method-assign]
+            node = cluster.nodes[name].context
             node.settings = replace(
                 node.settings, options=replace(node.settings.options, carry=False)
             )
-        await start_background_load(p, 70.0)
-        p.net.cut("c0", "state", HOLD, 20.0)
+        await start_background_load(cluster, 70.0)
+        cluster.net.cut("c0", "state", HOLD, 20.0)
         await anyio.sleep(35.0)
-        assert (p.claims() == 0) == (older == ("c1",)), p.claims()
-        p.cut_workers("c0", HOLD, 20.0)
+        assert (cluster.claims() == 0) == (older == ("c1",)), cluster.claims()
+        cluster.cut_workers("c0", HOLD, 20.0)
         await anyio.sleep(45.0)
-        assert all(a.accepted is not None for a in p.asked.values())
+        assert all(a.accepted is not None for a in cluster.asked.values())
 
     play(scene)
 
@@ -224,25 +226,29 @@
 def test_two_or_three_overlapping_partitions_break_no_rule(seed: int) -> None:
     """Any two or three links or bundles of links, in any mode, overlapping: every rule holds, and all work goes on afterwards."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(1000 + seed)
-        await start_background_load(p, 70.0)
+        await start_background_load(cluster, 70.0)
         for _ in range(rng.choice([2, 3])):
             name, mode, s = (
-                rng.choice(p.names),
-                rng.choice(cluster.MODES),
+                rng.choice(cluster.names),
+                rng.choice(MODES),
                 6.0 + 20.0 * rng.random(),
             )
             kind = rng.choice(["state", "state", "workers", "workers", "peer", "cloud"])
             if kind == "workers":
-                p.cut_workers(name, mode, s, both=rng.random() < 0.7)
+                cluster.cut_workers(name, mode, s, both=rng.random() < 0.7)
             else:
-                other = kind if kind != "peer" else rng.choice([n for n in p.names if n != name])
-                p.net.cut(name, other, mode, s, both=rng.random() < 0.7)
+                other = (
+                    kind if kind != "peer" else rng.choice([n for n in cluster.names if n != name])
+                )
+                cluster.net.cut(name, other, mode, s, both=rng.random() < 0.7)
             await anyio.sleep(5.0 * rng.random())
-        p.tasks.start_soon(p.withdraw, "j-000900")
+        cluster.tasks.start_soon(cluster.withdraw, "j-000900")
         await anyio.sleep(75.0)
-        assert "j-000900" in p.cancelled and all(a.accepted is not None for a in p.asked.values())
-        assert sum(len(n.context.held_shards) for n in p.nodes.values()) == 3
+        assert "j-000900" in cluster.cancelled and all(
+            a.accepted is not None for a in cluster.asked.values()
+        )
+        assert sum(len(n.context.held_shards) for n in cluster.nodes.values()) == 3
 
     play(scene, seed)
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -18,10 +18,10 @@
 def test_response_to_an_earlier_incarnation_is_ignored() -> None:
     """A controller that starts anew counts its questions from the beginning; what comes late was for another."""
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         await anyio.sleep(2.0)
-        c0 = p.nodes["c0"].relay
-        number = c0.pending.open_request("c1", p.now + 5.0)
+        c0 = cluster.nodes["c0"].relay
+        number = c0.pending.open_request("c1", cluster.now + 5.0)
         assert number is not None
         c0.response_waiters[number] = ResponseWaiter()
         mine = relay_messages.RelayResponse(c0.pending.incarnation, number, 200, False, b"{}")
@@ -40,9 +40,9 @@
 
 
 def test_relay_with_scheduling_lag_refuses_requests() -> None:
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         await anyio.sleep(2.0)
-        c0, c1 = p.nodes["c0"].relay, p.nodes["c1"].relay
+        c0, c1 = cluster.nodes["c0"].relay, cluster.nodes["c1"].relay
 
         async def read() -> int:
             return (
@@ -62,12 +62,12 @@
 def test_own_requests_of_a_relay_come_first() -> None:
     """Who asks for more than its share through another is refused at once, and the other's own work is not late."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 40.0)
-        p.net.cut("c0", "state", RESET, 30.0)
-        p.net.cut("c0", "c2", RESET, 30.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 40.0)
+        cluster.net.cut("c0", "state", RESET, 30.0)
+        cluster.net.cut("c0", "c2", RESET, 30.0)
         await anyio.sleep(3.0)
-        c0 = p.nodes["c0"].relay
+        c0 = cluster.nodes["c0"].relay
         got: list[int] = []
 
         async def read() -> None:
@@ -87,9 +87,11 @@
         async with anyio.create_task_group() as tg:
             for _ in range(250):
                 tg.start_soon(read)
-        assert 0 < len(got) < 250 and p.nodes["c1"].relay.pending.refused_count > 0
-        begun = p.now
-        await p.submit(p.spec(800, gait="array"), "c1")
-        assert p.now - begun < 0.2 and p.nodes["c1"].context.store.requests.available() > 0
+        assert 0 < len(got) < 250 and cluster.nodes["c1"].relay.pending.refused_count > 0
+        begun = cluster.now
+        await cluster.submit(cluster.spec(800, gait="array"), "c1")
+        assert (
+            cluster.now - begun < 0.2 and cluster.nodes["c1"].context.store.requests.available() > 0
+        )
 
     play(scene)
--- a/tests/test_relay_safety.py
+++ b/tests/test_relay_safety.py
@@ -30,23 +30,23 @@
     """Every question is put twice: the second transaction fails its guards, the second answer is to no open question."""
     real = Relay.serve
 
-    async def twice(self: Relay, by: str, q: relay_messages.RelayRequest) -> None:
+    async def twice(self: Relay, by: str, request: relay_messages.RelayRequest) -> None:
         async with anyio.create_task_group() as tg:
-            tg.start_soon(real, self, by, q)
-            if self.pending.begin_work(by, q.kind):
-                tg.start_soon(real, self, by, q)
+            tg.start_soon(real, self, by, request)
+            if self.pending.begin_work(by, request.kind):
+                tg.start_soon(real, self, by, request)
 
     monkeypatch.setattr(Relay, "serve", twice)
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 40.0)
-        p.net.cut("c0", "state", HOLD, 20.0)
-        p.cut_workers("c0", HOLD, 20.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 40.0)
+        cluster.net.cut("c0", "state", HOLD, 20.0)
+        cluster.cut_workers("c0", HOLD, 20.0)
         await anyio.sleep(60.0)
-        assert p.fleet.killed_by_lease == 0
-        assert not [k for k in p.state.store.permits() if k.split("/")[1] not in p.services()], (
-            "permits left over"
-        )
+        assert cluster.fleet.killed_by_lease == 0
+        assert not [
+            k for k in cluster.state.store.permits() if k.split("/")[1] not in cluster.services()
+        ], "permits left over"
 
     play(scene)
 
@@ -77,9 +77,9 @@
 
         monkeypatch.setattr(HeartbeatRequests, "_answer_held", deaf)
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 40.0)
-        p.cut_workers("c0", SILENT, 35.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 40.0)
+        cluster.cut_workers("c0", SILENT, 35.0)
         await anyio.sleep(60.0)
 
     if guarded:
@@ -98,34 +98,36 @@
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
     late: list[relay_messages.RelayRequest] = []
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 6.0)
-        carried = p.nodes["c1"].store_service.serve_relayed
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 6.0)
+        carried = cluster.nodes["c1"].store_service.serve_relayed
 
-        async def swallows(by: str, q: relay_messages.RelayRequest) -> tuple[int, bytes]:
-            if not late and q.target == "/multi" and b'"c/team-0/' in q.body:
-                late.append(q)
+        async def swallows(by: str, request: relay_messages.RelayRequest) -> tuple[int, bytes]:
+            if not late and request.target == "/multi" and b'"c/team-0/' in request.body:
+                late.append(request)
                 raise UnreachableError("held back")
-            return await carried(by, q)
+            return await carried(by, request)
 
-        p.nodes["c1"].relay.handlers[relay_messages.STORE] = swallows
-        p.net.cut("c0", "state", SILENT, 30.0)
-        p.net.cut("c0", "c2", SILENT, 30.0)
+        cluster.nodes["c1"].relay.handlers[relay_messages.STORE] = swallows
+        cluster.net.cut("c0", "state", SILENT, 30.0)
+        cluster.net.cut("c0", "c2", SILENT, 30.0)
         await anyio.sleep(2.0)
-        p.tasks.start_soon(p.submit, p.spec(903, gait="daemon", chicks=1), "c1")
+        cluster.tasks.start_soon(cluster.submit, cluster.spec(903, gait="daemon", chicks=1), "c1")
         while not late:
             await anyio.sleep(0.01)
-        p.net.cut("c0", "c1", SILENT, 28.0)
-        while not p.claims():
+        cluster.net.cut("c0", "c1", SILENT, 28.0)
+        while not cluster.claims():
             await anyio.sleep(0.1)
-        await p.submit(p.spec(906, gait="daemon", chicks=4), "c2")
+        await cluster.submit(cluster.spec(906, gait="daemon", chicks=4), "c2")
         await anyio.sleep(5.0)
-        status, _ = await p.nodes["c1"].store_service.client.call(
+        status, _ = await cluster.nodes["c1"].store_service.client.call(
             "POST", "/multi", orjson.loads(late[0].body)
         )
         assert status == (409 if guarded else 200)
-        holder = next(n for n in p.names if 0 in p.nodes[n].context.held_shards and n != "c0")
-        await p.crash(holder, 8.0)  # whoever takes over reads what the late write has left
+        holder = next(
+            n for n in cluster.names if 0 in cluster.nodes[n].context.held_shards and n != "c0"
+        )
+        await cluster.crash(holder, 8.0)  # whoever takes over reads what the late write has left
         await anyio.sleep(40.0)
 
     if guarded:
@@ -138,16 +140,16 @@
 def test_late_relayed_renewal_leaves_each_shard_one_holder() -> None:
     """Renewals of c0 are held back on c1's link: its lease ends or lives, and each shard has one holder by the store."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 60.0)
-        p.net.cut("c0", "state", SILENT, 40.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 60.0)
+        cluster.net.cut("c0", "state", SILENT, 40.0)
         for _ in range(5):
             await anyio.sleep(3.0)
-            p.net.cut("c1", "state", HOLD, 3.5)
-            p.net.cut("c2", "state", HOLD, 3.0)
+            cluster.net.cut("c1", "state", HOLD, 3.5)
+            cluster.net.cut("c2", "state", HOLD, 3.0)
         await anyio.sleep(60.0)
         for shard in range(3):
-            assert sum(1 for n in p.nodes.values() if shard in n.context.held_shards) == 1
+            assert sum(1 for n in cluster.nodes.values() if shard in n.context.held_shards) == 1
 
     play(scene)
 
@@ -161,13 +163,13 @@
         monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     lost: list[int] = []
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 5.0)
-        p.net.cut("c0", "state", RESET, 30.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 5.0)
+        cluster.net.cut("c0", "state", RESET, 30.0)
         await anyio.sleep(3.0)
         for n in range(500, 540):
-            await p.submit(p.spec(n, gait="array"), "c1")
-            status, _ = await p.users["c0"].call("GET", f"/api/jobs/j-{n:06d}", None, 5.0)
+            await cluster.submit(cluster.spec(n, gait="array"), "c1")
+            status, _ = await cluster.users["c0"].call("GET", f"/api/jobs/j-{n:06d}", None, 5.0)
             lost.extend([n] if status == 404 else [])
 
     play(scene)
@@ -183,22 +185,22 @@
         monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
     options = settings.Options(carry=guarded, cut_off_s=120.0)
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 2.0)
-        p.net.cut("c0", "state", SILENT, 90.0)
-        p.net.cut("c0", "c2", SILENT, 90.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 2.0)
+        cluster.net.cut("c0", "state", SILENT, 90.0)
+        cluster.net.cut("c0", "c2", SILENT, 90.0)
         if not guarded:
-            p.net.cut("c0", "c1", SILENT, 90.0)
-            for w in p.fleet.workers:
+            cluster.net.cut("c0", "c1", SILENT, 90.0)
+            for w in cluster.fleet.workers:
                 for other in ("c1", "c2"):
-                    p.net.cut(w, other, SILENT, 90.0)
+                    cluster.net.cut(w, other, SILENT, 90.0)
         await anyio.sleep(3.0)
-        begun = p.now
+        begun = cluster.now
         for n in (900, 901, 902):
-            p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
+            cluster.tasks.start_soon(cluster.withdraw, f"j-{n:06d}")
         await anyio.sleep(80.0)
         if guarded:
-            assert len(p.cancelled) == 3 and max(p.cancelled.values()) - begun < 3.0
+            assert len(cluster.cancelled) == 3 and max(cluster.cancelled.values()) - begun < 3.0
 
     if guarded:
         play(scene, options=options)
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -22,23 +22,23 @@
 @pytest.mark.parametrize("who", ["claimant", "former", "both", "thrice"])
 @pytest.mark.parametrize("step", STEPS)
 def test_crash_at_every_step_of_a_claim_leaves_one_holder(step: str, who: str) -> None:
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(STEPS.index(step) * 4 + len(who))
-        await start_background_load(p, 60.0)
-        hook = ClaimHook(p, step)
-        p.tasks.start_soon(
-            p.crash, "c0", (7.0 if step == "lease gone" else 4.0) + 0.3 * rng.random()
+        await start_background_load(cluster, 60.0)
+        hook = ClaimHook(cluster, step)
+        cluster.tasks.start_soon(
+            cluster.crash, "c0", (7.0 if step == "lease gone" else 4.0) + 0.3 * rng.random()
         )
         with anyio.fail_after(20.0):
             if step == "lease gone":
                 await anyio.sleep(0.3)
-                ttl, _ = p.state.leases[lease := p.state.tied[f"{SHARD_PREFIX}0"]]
+                ttl, _ = cluster.state.leases[lease := cluster.state.tied[f"{SHARD_PREFIX}0"]]
                 # Workers that come elsewhere would have the part taken before that
-                p.state.leases[lease] = (
+                cluster.state.leases[lease] = (
                     ttl,
-                    p.now - 1.0,
+                    cluster.now - 1.0,
                 )
-                while f"{SHARD_PREFIX}0" in p.state.store.kv:
+                while f"{SHARD_PREFIX}0" in cluster.state.store.kv:
                     await anyio.sleep(0.01)
                 hook.claimant = "c2"
             else:
@@ -46,24 +46,26 @@
         names = {"claimant": [hook.claimant], "former": ["c0"]}.get(who, ["c0", hook.claimant])
         for _ in range(3 if who == "thrice" else 1):
             for name in names:
-                p.tasks.start_soon(p.crash, name, rng.choice([0.1, 0.2, 0.5]))
+                cluster.tasks.start_soon(cluster.crash, name, rng.choice([0.1, 0.2, 0.5]))
             await anyio.sleep(0.05 if who != "thrice" else 0.7)
         hook.go_on.set()
-        at, longest, since = p.now, 0.0, p.now
-        while p.now < at + 20.0:
+        at, longest, since = cluster.now, 0.0, cluster.now
+        while cluster.now < at + 20.0:
             await anyio.sleep(0.05)
             holders = [
                 n
-                for n, node in p.nodes.items()
-                if n not in p.down and 0 in node.context.held_shards
+                for n, node in cluster.nodes.items()
+                if n not in cluster.down and 0 in node.context.held_shards
             ]
-            in_store = p.state.store.kv.get(f"{SHARD_PREFIX}0", ({"node": None}, 0))[0]["node"]
-            since = p.now if in_store in holders else since
-            longest = max(longest, p.now - since)
+            in_store = cluster.state.store.kv.get(f"{SHARD_PREFIX}0", ({"node": None}, 0))[0][
+                "node"
+            ]
+            since = cluster.now if in_store in holders else since
+            longest = max(longest, cluster.now - since)
         assert longest < 8.0, f"nobody held the part for {longest:.1f} s"
         await anyio.sleep(25.0)
-        assert sorted(s for n in p.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
-        assert p.fleet.killed_by_lease == 0 and await p.all_answered(10.0) == []
+        assert sorted(s for n in cluster.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
+        assert cluster.fleet.killed_by_lease == 0 and await cluster.all_answered(10.0) == []
 
     play(scene)
 
@@ -71,21 +73,21 @@
 def test_tasks_of_a_machine_that_restarts_at_once_are_not_taken_to_run() -> None:
     """The same name and address, numbers that begin anew: its old reports are no measure for the new ones for ever."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 50.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 50.0)
         for _ in range(2):
-            name = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
-            w = p.fleet.workers[name]
+            name = next(w for w in cluster.workers_of("c0") if cluster.fleet.workers[w].tasks)
+            w = cluster.fleet.workers[name]
             w.tasks.clear()
-            w.session, w.seq, w.token, w.answered_sent = 1, 0, 0, p.now
+            w.session, w.seq, w.token, w.answered_sent = 1, 0, 0, cluster.now
             await anyio.sleep(14.0)
         await anyio.sleep(25.0)
-        for n in p.nodes.values():
+        for n in cluster.nodes.values():
             for h in n.context.held_shards.values():
                 for key, pm in h.owner.permits.items():
-                    assert pm.gone or pm.refused or key in p.fleet.workers[pm.machine].tasks, (
-                        f"{key} is taken to run on {pm.machine}"
-                    )
+                    assert (
+                        pm.gone or pm.refused or key in cluster.fleet.workers[pm.machine].tasks
+                    ), f"{key} is taken to run on {pm.machine}"
 
     play(scene)
 
@@ -133,17 +135,17 @@
     monkeypatch.setattr(ShardRoles, "acquire", take)
     claims: list[int] = []
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
-            await p.submit(p.spec(n, gait="daemon", chicks=4))
+            await cluster.submit(cluster.spec(n, gait="daemon", chicks=4))
         await anyio.sleep(4.0)
-        p.lost_answers, p.late_writes = lost, late
-        for i, name in enumerate(p.names):
-            p.tasks.start_soon(p.crash, name, 0.3 if i else 8.0)
+        cluster.lost_answers, cluster.late_writes = lost, late
+        for i, name in enumerate(cluster.names):
+            cluster.tasks.start_soon(cluster.crash, name, 0.3 if i else 8.0)
             await anyio.sleep(10.0)
         await anyio.sleep(20.0)
-        p.lost_answers = p.late_writes = 0.0
-        claims.append(p.claims())
+        cluster.lost_answers = cluster.late_writes = 0.0
+        claims.append(cluster.claims())
         await anyio.sleep(45.0)
 
     found = ""
--- a/tests/test_short_job_load.py
+++ b/tests/test_short_job_load.py
@@ -14,15 +14,15 @@
 from ploverhall.controller.archiver import Archiver
 from ploverhall.scheduling.allocations import AllocationStore
 
-from .memory_inspection import held_ids
+from .memory_inspection import job_ids_in_memory
 from .simulation.cluster import Network, SimulatedCluster, play
 from .simulation.fault_schedules import KNOWN_S
 
-KEPT = 20  # jobs that are over and stay in memory
+KEPT_ENDED_JOBS = 20  # jobs that are over and stay in memory
 
 
 # Remember a bounded number
-BY_DESIGN = {
+BOUNDED_MEMORIES = {
     "recently_ended": 200,
     "arrivals": 500,
     "own_report": 200,
@@ -33,52 +33,54 @@
 # (channels: what was last said to a shard that was held here for a while and let go)
 
 
-def swarm(
+def short_job_scene(
     seed: int, s: float, crash: bool, seen: dict[str, Any]
 ) -> Callable[[SimulatedCluster], Any]:
     """For `s` seconds; some are cancelled at once, some while they are placed, some as they end. A leader ends in the middle."""
 
-    async def one(p: SimulatedCluster, rng: Random, n: int) -> None:
-        spec = p.spec(n, gait="array", chicks=1, flightS=rng.choice([1.0, 3.0]))
+    async def one(cluster: SimulatedCluster, rng: Random, n: int) -> None:
+        spec = cluster.spec(n, gait="array", chicks=1, flightS=rng.choice([1.0, 3.0]))
         after = rng.choice([0.0, 0.02, 0.3, 2.5, 4.0])
         cancelled = rng.random() < 0.25
-        await p.submit(spec)
-        if cancelled and p.asked[spec["id"]].accepted is not None:
+        await cluster.submit(spec)
+        if cancelled and cluster.asked[spec["id"]].accepted is not None:
             await anyio.sleep(after)
-            await p.withdraw(spec["id"])
+            await cluster.withdraw(spec["id"])
 
-    async def scene(p: SimulatedCluster) -> None:
-        rng, begun = Random(seed), p.now
-        real = p.fleet.started
+    async def scene(cluster: SimulatedCluster) -> None:
+        rng, begun = Random(seed), cluster.now
+        real = cluster.fleet.started
 
         def started(w: Any, key: Any) -> None:
-            if key[0] in p.cancelled:
+            if key[0] in cluster.cancelled:
                 seen.setdefault("started after the telling", []).append(key)
             real(w, key)
 
-        p.fleet.started = started  # type: ignore[method-assign]
+        cluster.fleet.started = started  # type: ignore[method-assign]
         for n in range(1, int(4 * s) + 1):
-            p.tasks.start_soon(one, p, rng, n)
+            cluster.tasks.start_soon(one, cluster, rng, n)
             if crash and n == int(2 * s):
-                p.tasks.start_soon(p.crash, rng.choice(p.names), 6.0)
+                cluster.tasks.start_soon(cluster.crash, rng.choice(cluster.names), 6.0)
             await anyio.sleep(0.25)
         await anyio.sleep(30.0)
-        assert not await p.all_answered(KNOWN_S)
-        store = p.state.store
+        assert not await cluster.all_answered(KNOWN_S)
+        store = cluster.state.store
         seen["changes"] = Counter(e.key.split("/")[0] for e in store.log)
         seen["bytes"] = carried[0]
         archived = {k[2:] for k in store.kv if k.startswith("e/")}
         await anyio.sleep(
-            max(0.0, 130.0 - (p.now - begun - s))
+            max(0.0, 130.0 - (cluster.now - begun - s))
         )  # when the newest one could have had to begin at last
         over = {
-            name: Counter({k: len(ids & archived) for k, ids in held_ids(node).items()})
-            for name, node in p.nodes.items()
+            name: Counter({k: len(ids & archived) for k, ids in job_ids_in_memory(node).items()})
+            for name, node in cluster.nodes.items()
         }
         seen["over"] = {
             k: max(c[k] for c in over.values()) for c in over.values() for k in c if c[k]
         }
-        seen["ended"] = max(len(node.context.store_cache.ended_jobs) for node in p.nodes.values())
+        seen["ended"] = max(
+            len(node.context.store_cache.ended_jobs) for node in cluster.nodes.values()
+        )
 
     carried = [0]
     real_carry = Network.carry
@@ -91,31 +93,33 @@
     return scene
 
 
-def swarmed(seed: int, s: float, crash: bool, monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    """Play it, and hold what every swarm must come to."""
+def assert_short_job_load(
+    seed: int, s: float, crash: bool, monkeypatch: pytest.MonkeyPatch
+) -> dict[str, Any]:
+    """Play the load, and assert what has to hold for it with any seed."""
     seen: dict[str, Any] = {}
-    scene = swarm(seed, s, crash, seen)
+    scene = short_job_scene(seed, s, crash, seen)
     monkeypatch.setattr(Network, "carry", seen.pop("carry"))
-    p = play(scene, seed, options=settings.Options(keep_ended=KEPT))
-    assert all(a.accepted is not None for a in p.asked.values()), "every one is accepted"
-    rest = [j for j in p.specs if j not in p.cancelled]
-    assert all(p.served(j) for j in rest) and len(rest) >= 0.7 * len(p.specs), (
+    cluster = play(scene, seed, options=settings.Options(keep_ended=KEPT_ENDED_JOBS))
+    assert all(a.accepted is not None for a in cluster.asked.values()), "every one is accepted"
+    rest = [j for j in cluster.specs if j not in cluster.cancelled]
+    assert all(cluster.served(j) for j in rest) and len(rest) >= 0.7 * len(cluster.specs), (
         "all that nobody cancelled is done"
     )
-    assert len(p.cancelled) > 0.05 * len(p.specs)
-    assert not p.state.store.permits() and not any(w.tasks for w in p.workers.values()), (
-        "nothing is left of any"
-    )
+    assert len(cluster.cancelled) > 0.05 * len(cluster.specs)
+    assert not cluster.state.store.permits() and not any(
+        w.tasks for w in cluster.workers.values()
+    ), "nothing is left of any"
     assert "started after the telling" not in seen
-    assert seen["ended"] <= KEPT, "jobs that are over leave the memory"
-    assert {k: n for k, n in seen["over"].items() if n > BY_DESIGN.get(k, 0)} == {}, (
+    assert seen["ended"] <= KEPT_ENDED_JOBS, "jobs that are over leave the memory"
+    assert {k: n for k, n in seen["over"].items() if n > BOUNDED_MEMORIES.get(k, 0)} == {}, (
         "nothing else remembers them"
     )
-    changes = sum(seen["changes"].values()) / len(p.specs)
+    changes = sum(seen["changes"].values()) / len(cluster.specs)
     assert changes <= 7.5, (
         "submission, end, archive (two), and shares of a chunk: for one job, and its key anew"
     )
-    assert seen["bytes"] / len(p.specs) <= 16_000.0, (
+    assert seen["bytes"] / len(cluster.specs) <= 16_000.0, (
         "on all links together, the quiet time and its questions included"
     )
     return seen
@@ -125,7 +129,7 @@
 def test_short_jobs_are_served_and_leave_memory(
     seed: int, s: float, crash: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    swarmed(seed, s, crash, monkeypatch)
+    assert_short_job_load(seed, s, crash, monkeypatch)
 
 
 def never_archived(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -139,9 +143,9 @@
     """A source that keeps what it knew of a job that is over."""
     real = AllocationStore.on_job
 
-    def on_job(self: AllocationStore, job: Any, jid: str, *a: Any, **kw: Any) -> None:
-        self.__dict__.setdefault("kept", set()).add(jid)
-        real(self, job, jid, *a, **kw)
+    def on_job(self: AllocationStore, job: Any, job_id: str, *a: Any, **kw: Any) -> None:
+        self.__dict__.setdefault("kept", set()).add(job_id)
+        real(self, job, job_id, *a, **kw)
 
     monkeypatch.setattr(AllocationStore, "on_job", on_job)
 
@@ -155,4 +159,4 @@
 ) -> None:
     without(monkeypatch)
     with pytest.raises(AssertionError, match=says):
-        swarmed(3, 20.0, False, monkeypatch)
+        assert_short_job_load(3, 20.0, False, monkeypatch)
--- a/tests/test_simulation_checks.py
+++ b/tests/test_simulation_checks.py
@@ -14,17 +14,20 @@
     """Thirty small gangs are served; of the four largest three can't be (their team's limit is used up), or begin after 240 s."""
     for hours, says in ((False, "largest of group: 1 of 4 served"), (True, "began at")):
 
-        async def scene(p: SimulatedCluster, hours: bool = hours) -> None:
-            await p.submit(p.spec(900, gait="daemon", chicks=12, keeper="team-3", flock="service"))
+        async def scene(cluster: SimulatedCluster, hours: bool = hours) -> None:
+            await cluster.submit(
+                cluster.spec(900, gait="daemon", chicks=12, keeper="team-3", flock="service")
+            )
             await anyio.sleep(5.0)
             for n in range(30):
-                p.tasks.start_soon(
-                    p.submit, p.spec(n, gait="group", flightS=1.0, keeper=f"team-{n % 4}")
+                cluster.tasks.start_soon(
+                    cluster.submit,
+                    cluster.spec(n, gait="group", flightS=1.0, keeper=f"team-{n % 4}"),
                 )
             for n in range(4):
-                p.tasks.start_soon(
-                    p.submit,
-                    p.spec(
+                cluster.tasks.start_soon(
+                    cluster.submit,
+                    cluster.spec(
                         800 + n,
                         gait="group",
                         chicks=6,
@@ -34,7 +37,7 @@
                 )
             await anyio.sleep(250.0 if hours else 50.0)
             if hours:
-                await p.withdraw("j-000900")
+                await cluster.withdraw("j-000900")
                 await anyio.sleep(50.0)
 
         with pytest.raises(AssertionError, match=says):
@@ -52,20 +55,24 @@
         lambda self, js, now: 0 if js.id == "j-000901" else real(self, js, now),
     )
 
-    async def scene(p: SimulatedCluster) -> None:
-        p.fleet.most = len(p.fleet.machines)
-        await p.submit(p.spec(900, gait="daemon", chicks=12, marsh="a"))  # zone a is full
+    async def scene(cluster: SimulatedCluster) -> None:
+        cluster.fleet.most = len(cluster.fleet.machines)
+        await cluster.submit(
+            cluster.spec(900, gait="daemon", chicks=12, marsh="a")
+        )  # zone a is full
         await anyio.sleep(4.0)
-        await p.submit(p.spec(901, gait="array", chicks=1))
-        await p.submit(p.spec(902, gait="daemon", chicks=1, marsh="a"))
-        await p.submit(
-            p.spec(904, gait="daemon", chicks=8, marsh="b")
+        await cluster.submit(cluster.spec(901, gait="array", chicks=1))
+        await cluster.submit(cluster.spec(902, gait="daemon", chicks=1, marsh="a"))
+        await cluster.submit(
+            cluster.spec(904, gait="daemon", chicks=8, marsh="b")
         )  # with 900 beyond the limit of 16
-        await p.submit(p.spec(903, gait="group", chicks=9, together=True, flightS=100.0))
+        await cluster.submit(
+            cluster.spec(903, gait="group", chicks=9, together=True, flightS=100.0)
+        )
         await anyio.sleep(4.0)
-        assert await p.left_waiting(20.0) == {"j-000901"}
-        for jid in p.specs:
-            p.tasks.start_soon(p.withdraw, jid)
+        assert await cluster.left_waiting(20.0) == {"j-000901"}
+        for job_id in cluster.specs:
+            cluster.tasks.start_soon(cluster.withdraw, job_id)
         await anyio.sleep(3.0)
 
     play(scene, machines=6)
--- a/tests/test_stale_heartbeats_at_failover.py
+++ b/tests/test_stale_heartbeats_at_failover.py
@@ -73,38 +73,38 @@
         without(monkeypatch)
     lost: list[int] = []
 
-    async def scene(p: SimulatedCluster) -> None:
-        p.keep_for_next()
+    async def scene(cluster: SimulatedCluster) -> None:
+        cluster.keep_for_next()
         await anyio.sleep(4.0)
         for n in range(900, 904):
-            await p.submit(p.spec(n, gait="daemon", chicks=6))
+            await cluster.submit(cluster.spec(n, gait="daemon", chicks=6))
         await anyio.sleep(6.0)
         if where == "zone":
-            p.cut_zone("b", RESET, 45.0)
+            cluster.cut_zone("b", RESET, 45.0)
             await anyio.sleep(45.0)
         else:
-            mine = p.workers_of("c0")
+            mine = cluster.workers_of("c0")
             if where == "session":
                 for w in mine:
-                    for c in p.names:
-                        p.net.cut(w, c, SILENT, 13.0)
+                    for c in cluster.names:
+                        cluster.net.cut(w, c, SILENT, 13.0)
                 await anyio.sleep(20.0)
                 for n in range(904, 906):
-                    await p.submit(p.spec(n, gait="daemon", chicks=6))
+                    await cluster.submit(cluster.spec(n, gait="daemon", chicks=6))
                 await anyio.sleep(6.0)
-                assert all(p.fleet.workers[w].session > 1 for w in mine) and any(
-                    p.fleet.workers[w].tasks for w in mine
+                assert all(cluster.fleet.workers[w].session > 1 for w in mine) and any(
+                    cluster.fleet.workers[w].tasks for w in mine
                 )
-            before = p.fleet.killed_by_lease
-            p.tasks.start_soon(p.crash, "c0", 25.0)
+            before = cluster.fleet.killed_by_lease
+            cluster.tasks.start_soon(cluster.crash, "c0", 25.0)
             for w in mine if where == "unreached" else ():
-                for c in p.names:
-                    p.net.cut(w, c, SILENT, 9.0)
+                for c in cluster.names:
+                    cluster.net.cut(w, c, SILENT, 9.0)
             await anyio.sleep(30.0)
-            lost.append(p.fleet.killed_by_lease - before)
+            lost.append(cluster.fleet.killed_by_lease - before)
         await anyio.sleep(25.0)
-        assert p.claims() > 0 and p.copies > 200
-        assert not await p.left_waiting(30.0)
+        assert cluster.claims() > 0 and cluster.copies > 200
+        assert not await cluster.left_waiting(30.0)
 
     if without is None:
         play(scene, machines=9)
--- a/tests/test_store_cache.py
+++ b/tests/test_store_cache.py
@@ -27,55 +27,64 @@
     copy is taken and handed on in one step. Without it: ran_cancelled.)
     """
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         service = next(
             n
             for n in range(900, 930)
-            if p.nodes["c2"].context.shard_map.team_shard[f"team-{n % 4}"] == 2
+            if cluster.nodes["c2"].context.shard_map.team_shard[f"team-{n % 4}"] == 2
         )
-        await p.submit(p.spec(service, gait="daemon", chicks=3, marsh="a"))
-        jid = f"j-{service:06d}"
-        while sum(k[0] == jid for w in p.workers_of("c2") for k in p.workers[w].on_machine()) < 1:
+        await cluster.submit(cluster.spec(service, gait="daemon", chicks=3, marsh="a"))
+        job_id = f"j-{service:06d}"
+        while (
+            sum(
+                k[0] == job_id
+                for w in cluster.workers_of("c2")
+                for k in cluster.workers[w].on_machine()
+            )
+            < 1
+        ):
             await anyio.sleep(0.5)
         for other in ("state", "c0", "c1"):
-            p.net.cut("c2", other, RESET, 300.0)
+            cluster.net.cut("c2", other, RESET, 300.0)
         await anyio.sleep(0.5)
-        p.tasks.start_soon(p.withdraw, jid, "c0")
+        cluster.tasks.start_soon(cluster.withdraw, job_id, "c0")
         await anyio.sleep(2.0)
-        assert isinstance(p.state.store.kv[f"p/job/{jid}"][0], dict), "the cancellation has landed"
-        real, seen = p.state.handle, []
+        assert isinstance(cluster.state.store.kv[f"p/job/{job_id}"][0], dict), (
+            "the cancellation has landed"
+        )
+        real, seen = cluster.state.handle, []
 
-        async def handle(q: Any) -> Reply:
-            reply = await real(q)
+        async def handle(request: Any) -> Reply:
+            reply = await real(request)
             if (
-                q.path == "/kv"
-                and q.query.get("starts") == "p/"
+                request.path == "/kv"
+                and request.query.get("starts") == "p/"
                 and isinstance(reply.body, dict)
                 and not reply.body["hasNext"]
             ):
-                seen.append(p.now)
-                p.tasks.start_soon(p.outage, 100.0)
+                seen.append(cluster.now)
+                cluster.tasks.start_soon(cluster.outage, 100.0)
             return reply
 
-        p.state.handle = handle  # type: ignore[method-assign]
-        await p.crash("c1", 0.2)
+        cluster.state.handle = handle  # type: ignore[method-assign]
+        await cluster.crash("c1", 0.2)
         while not seen:
             await anyio.sleep(0.01)
-        p.state.handle = real  # type: ignore[method-assign]
+        cluster.state.handle = real  # type: ignore[method-assign]
         await anyio.sleep(1.0)
         for link in (("c2", "c1"), ("c1", "c2")):
-            del p.net.cuts[link]
+            del cluster.net.cuts[link]
         for _ in range(70):
             await anyio.sleep(1.0)
-            p.tasks.start_soon(p.ask, jid, "c1")
-        p.calm()
+            cluster.tasks.start_soon(cluster.ask, job_id, "c1")
+        cluster.calm()
         await anyio.sleep(45.0)
-        assert jid in p.cancelled and not await p.all_answered(KNOWN_S)
+        assert job_id in cluster.cancelled and not await cluster.all_answered(KNOWN_S)
 
     play(scene)
 
 
-class Copy:
+class StoreCacheModel:
     """A store, and one controller's copy of it; what the plain model knows is what the store held at each revision."""
 
     def __init__(self, seed: int) -> None:
@@ -102,29 +111,29 @@
 
     def step(self) -> None:
         rng, s, c = self.rng, self.store, self.copy
-        jid = f"j-{rng.randrange(1, 7):06d}"
-        value, version = s.kv.get(JOB_PREFIX + jid, (None, 0))
+        job_id = f"j-{rng.randrange(1, 7):06d}"
+        value, version = s.kv.get(JOB_PREFIX + job_id, (None, 0))
         own = rng.random() < 0.6
         match rng.randrange(9):
-            case 0 if not version and "e/" + jid not in s.kv:
+            case 0 if not version and "e/" + job_id not in s.kv:
                 self.write(
-                    {JOB_PREFIX + jid: 0},
-                    {JOB_PREFIX + jid: decision_model.job(Random(1), jid, 0.0).record()},
+                    {JOB_PREFIX + job_id: 0},
+                    {JOB_PREFIX + job_id: decision_model.job(Random(1), job_id, 0.0).record()},
                     [],
                     own,
                 )
             case 1 if isinstance(value, list):
                 self.write(
-                    {JOB_PREFIX + jid: version},
-                    {JOB_PREFIX + jid: end_record(rng.choice([DONE, CANCELLED]), 1)},
+                    {JOB_PREFIX + job_id: version},
+                    {JOB_PREFIX + job_id: end_record(rng.choice([DONE, CANCELLED]), 1)},
                     [],
                     own,
                 )
             case 2 if isinstance(value, dict) and rng.random() < 0.3:
                 self.write(
-                    {JOB_PREFIX + jid: version},
-                    {"e/" + jid: value, "p/archived": 1},
-                    [JOB_PREFIX + jid],
+                    {JOB_PREFIX + job_id: version},
+                    {"e/" + job_id: value, "p/archived": 1},
+                    [JOB_PREFIX + job_id],
                     False,
                 )
             case 3:
@@ -161,27 +170,28 @@
     def judge(self) -> None:
         c = self.copy
         at = {e.key: e.version for e in self.store.log if e.value is None}
-        for jid, how in self.ends.items():
-            if jid not in c.ended_jobs:
-                assert at.get(JOB_PREFIX + jid), f"{jid} was {how}, and is not over any more"
-        for jid, end in c.ended_jobs.items():
+        for job_id, how in self.ends.items():
+            if job_id not in c.ended_jobs:
+                assert at.get(JOB_PREFIX + job_id), f"{job_id} was {how}, and is not over any more"
+        for job_id, end in c.ended_jobs.items():
             assert (
-                self.ends.setdefault(jid, end.outcome) == end.outcome and jid not in c.live_jobs
-            ), f"{jid} ended twice"
-        for jid, (_, version) in c.live_jobs.items():
-            self.own[jid] = version
-        for jid in self.own:
-            assert jid in c.live_jobs or jid in c.ended_jobs or at.get(JOB_PREFIX + jid), (
-                f"{jid} was known, and is not"
+                self.ends.setdefault(job_id, end.outcome) == end.outcome
+                and job_id not in c.live_jobs
+            ), f"{job_id} ended twice"
+        for job_id, (_, version) in c.live_jobs.items():
+            self.own[job_id] = version
+        for job_id in self.own:
+            assert job_id in c.live_jobs or job_id in c.ended_jobs or at.get(JOB_PREFIX + job_id), (
+                f"{job_id} was known, and is not"
             )
         for key, (_, version) in c.entries.items():
             assert version >= self.versions.get(key, 0), f"{key} went back"
             self.versions[key] = version
 
 
-def run_copy(seeds: range) -> None:
+def run_store_cache_model(seeds: range) -> None:
     for seed in seeds:
-        c = Copy(seed)
+        c = StoreCacheModel(seed)
         for _ in range(150):
             c.step()
         c.copy.apply(c.store.rev, c.store.since(c.copy.revision))
@@ -203,7 +213,7 @@
 
 def test_cached_job_state_never_goes_back_in_any_order_of_updates() -> None:
     """Own writes are known before the watch brings them; a listing may be older than they are, and than the watch."""
-    run_copy(range(400))
+    run_store_cache_model(range(400))
 
 
 def everything_goes(self: StoreCache, found: dict[str, tuple[Any, int]], rev: int) -> None:
@@ -237,4 +247,4 @@
 ) -> None:
     monkeypatch.setattr(StoreCache, name, without)
     with pytest.raises(AssertionError):
-        run_copy(range(400))
+        run_store_cache_model(range(400))
--- a/tests/test_store_gateway_errors.py
+++ b/tests/test_store_gateway_errors.py
@@ -58,8 +58,8 @@
         monkeypatch.setattr(*without())
     real, on, rng, met = FakeStoreAndCloud.handle, [False], Random(3), [0]
 
-    async def handle(self: FakeStoreAndCloud, q: Any) -> Reply:
-        if on[0] and q.path.startswith(path) and rng.random() < 0.4:
+    async def handle(self: FakeStoreAndCloud, request: Any) -> Reply:
+        if on[0] and request.path.startswith(path) and rng.random() < 0.4:
             met[0] += 1
             status = rng.choice((500, 502, 504, 200))
             return Reply(
@@ -68,23 +68,23 @@
                 if status != 200
                 else rng.choice([None, [], "ok", {"items": [3]}, {"news": 4}]),
             )
-        return await real(self, q)
+        return await real(self, request)
 
     monkeypatch.setattr(FakeStoreAndCloud, "handle", handle)
 
-    async def scene(p: SimulatedCluster) -> None:
-        await start_background_load(p, 40.0)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await start_background_load(cluster, 40.0)
         await anyio.sleep(10.0)
-        on[0], claims = True, p.claims()
-        p.tasks.start_soon(poll_job_status, p)
+        on[0], claims = True, cluster.claims()
+        cluster.tasks.start_soon(poll_job_status, cluster)
         await anyio.sleep(20.0)
         on[0] = False
         assert met[0] > 5
-        if path == "/grants" and p.claims() != claims:
-            p.broken.append("a part was lost")
+        if path == "/grants" and cluster.claims() != claims:
+            cluster.broken.append("a part was lost")
         await anyio.sleep(12.0)
-        assert not await p.all_answered(10.0)
-        assert_nothing_lost(p, kills=False)
+        assert not await cluster.all_answered(10.0)
+        assert_nothing_lost(cluster, kills=False)
 
     if without is None:
         play(scene, options=settings.Options(keep_ended=4))
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -12,19 +12,18 @@
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.protocol import jobs
 
-from .memory_inspection import held_ids
-from .simulation import cluster
-from .simulation.cluster import SimulatedCluster, play
+from .memory_inspection import job_ids_in_memory
+from .simulation.cluster import FIELDS, SimulatedCluster, play
 
-ODD = "j-000777"
+INVALID_JOB_ID = "j-000777"
 
 
-TINY = 5e-324  # the smallest amount there is: room divided by it is infinite
+SMALLEST_AMOUNT = 5e-324  # the smallest amount there is: room divided by it is infinite
 
 
-REFUSED = [
+REJECTED_SUBMISSIONS = [
     # 400: "malformed: not JSON, not an object, or a field is missing or invalid"
-    *((400, {k: ...}) for k in sorted(cluster.FIELDS)),
+    *((400, {k: ...}) for k in sorted(FIELDS)),
     *(
         (400, {k: v})
         for k in ("cores", "gpus", "ramGb", "pullGb", "flightS", "nestS", "tuckS", "duskS")
@@ -91,7 +90,7 @@
 ]
 
 
-RAW = [
+MALFORMED_BODIES = [
     b"",
     b"{",
     b"null",
@@ -109,64 +108,77 @@
 ]
 
 
-def odd_spec(p: SimulatedCluster, changes: dict[str, Any]) -> dict[str, Any]:
-    spec = {**p.spec(777, gait="array", chicks=2), **changes}
+def submission_with(cluster: SimulatedCluster, changes: dict[str, Any]) -> dict[str, Any]:
+    spec = {**cluster.spec(777, gait="array", chicks=2), **changes}
     return {k: v for k, v in spec.items() if v is not ...}
 
 
 def test_invalid_submissions_are_rejected_with_a_reason_and_nothing_is_kept(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """By which line of the protocol is said in REFUSED. Each is answered the same by every controller, with a reason, at once."""
+    """Every controller answers each at once with the status of the protocol and a reason; REJECTED_SUBMISSIONS names the line."""
     said: list[str] = []
 
-    async def scene(p: SimulatedCluster) -> None:
-        await p.submit(p.spec(1, gait="array", chicks=1))
+    async def scene(cluster: SimulatedCluster) -> None:
+        await cluster.submit(cluster.spec(1, gait="array", chicks=1))
         await anyio.sleep(12.0)
-        keys = {k for k in p.state.store.kv if k.startswith(("p/job/", "e/"))}
+        keys = {k for k in cluster.state.store.kv if k.startswith(("p/job/", "e/"))}
         capsys.readouterr()
-        for i, (status, changes) in enumerate(REFUSED):
-            spec, name = odd_spec(p, changes), p.names[i % 3]
-            got, answer = await p.users[name].call("POST", "/api/jobs", spec, 5.0)
+        for i, (status, changes) in enumerate(REJECTED_SUBMISSIONS):
+            spec, name = submission_with(cluster, changes), cluster.names[i % 3]
+            got, answer = await cluster.users[name].call("POST", "/api/jobs", spec, 5.0)
             assert got == status and isinstance(answer, dict) and answer["error"], (
                 changes,
                 got,
                 answer,
             )
             assert len(str(answer)) < 200, "bounded, whatever was sent"
-            assert status == 400 or p.never(spec) is not None, (
+            assert status == 400 or cluster.never(spec) is not None, (
                 "the plain judge has it from the protocol, too"
             )
-        for body in RAW:
-            got, answer = await raw(p, "c0", "POST", "/api/jobs", body)
+        for body in MALFORMED_BODIES:
+            got, answer = await send_raw_body(cluster, "c0", "POST", "/api/jobs", body)
             assert got == 400 and isinstance(answer, dict) and answer["error"], (
                 body[:20],
                 got,
                 answer,
             )
-        for path in (ODD, "j-000777/x", "", "j-1%20", "J-1", "j-" + 19 * "1", "../healthz"):
-            for name in p.names:
-                assert (await p.users[name].call("GET", f"/api/jobs/{path}", None, 2.0))[
-                    0
-                ] == 404, path
-                assert (await p.users[name].call("POST", f"/api/jobs/{path}/withdraw", {}, 2.0))[
+        for path in (
+            INVALID_JOB_ID,
+            "j-000777/x",
+            "",
+            "j-1%20",
+            "J-1",
+            "j-" + 19 * "1",
+            "../healthz",
+        ):
+            for name in cluster.names:
+                assert (await cluster.users[name].call("GET", f"/api/jobs/{path}", None, 2.0))[
                     0
                 ] == 404, path
+                assert (
+                    await cluster.users[name].call("POST", f"/api/jobs/{path}/withdraw", {}, 2.0)
+                )[0] == 404, path
         await anyio.sleep(1.0)
-        assert {k for k in p.state.store.kv if k.startswith(("p/job/", "e/"))} == keys, (
+        assert {k for k in cluster.state.store.kv if k.startswith(("p/job/", "e/"))} == keys, (
             "nothing is kept in the store"
         )
-        for node in p.nodes.values():
-            assert not [n for n, ids in held_ids(node).items() if ODD in ids], "nor in memory"
+        for node in cluster.nodes.values():
+            assert not [n for n, ids in job_ids_in_memory(node).items() if INVALID_JOB_ID in ids], (
+                "nor in memory"
+            )
         said.extend(capsys.readouterr().err.splitlines())
 
     play(scene)
     refused = [x for x in said if x.startswith("info submission rejected status=4")]
-    assert len(refused) == len(REFUSED) + len(RAW) and max(map(len, refused)) < 200, (
-        "one bounded line each"
-    )
+    assert (
+        len(refused) == len(REJECTED_SUBMISSIONS) + len(MALFORMED_BODIES)
+        and max(map(len, refused)) < 200
+    ), "one bounded line each"
     assert not [
-        x for x in said if x not in refused and ("forged" in x or ODD in x or x.startswith("error"))
+        x
+        for x in said
+        if x not in refused and ("forged" in x or INVALID_JOB_ID in x or x.startswith("error"))
     ], "and no other"
     assert not [x for x in refused if "forged" in x or "team-" in x or "xxx" in x], (
         "with nothing that was sent but an id"
@@ -182,8 +194,8 @@
         job_requests.jobs, "parse_submission", lambda d, at: real_parse({"nestS": 0.0, **d}, at)
     )
 
-    async def scene(p: SimulatedCluster) -> None:
-        await p.try_odd(odd_spec(p, {"gait": "group", **odd}), "c0")
+    async def scene(cluster: SimulatedCluster) -> None:
+        await cluster.try_odd(submission_with(cluster, {"gait": "group", **odd}), "c0")
 
     with pytest.raises(AssertionError, match="accepted though"):
         play(scene)
@@ -192,11 +204,11 @@
 real_parse = jobs.parse_submission
 
 
-async def raw(
-    p: SimulatedCluster, name: str, method: str, path: str, body: bytes
+async def send_raw_body(
+    cluster: SimulatedCluster, name: str, method: str, path: str, body: bytes
 ) -> tuple[int, Any]:
     """A request whose body is no JSON."""
-    stream = await p.net.connect("user", name, 80)
+    stream = await cluster.net.connect("user", name, 80)
     await stream.send(
         f"{method} {path} HTTP/1.1\r\nhost: {name}\r\ncontent-length: {len(body)}\r\n\r\n".encode()
         + body
@@ -209,12 +221,12 @@
     return int(data.split()[1]), orjson.loads(data.partition(b"\r\n\r\n")[2])
 
 
-STRANGE = [
+EXTREME_SUBMISSIONS = [
     *(
-        {k: TINY}
+        {k: SMALLEST_AMOUNT}
         for k in ("cores", "gpus", "ramGb", "pullGb", "flightS", "nestS", "tuckS", "duskS")
     ),
-    {"cores": TINY, "gpus": TINY, "ramGb": TINY},
+    {"cores": SMALLEST_AMOUNT, "gpus": SMALLEST_AMOUNT, "ramGb": SMALLEST_AMOUNT},
     {"cores": 1e-300, "gpus": 0.0},
     {"cores": 0.0, "gpus": 0.0, "ramGb": 0.0},
     *({k: 9e11} for k in ("flightS", "pullGb", "nestS", "tuckS", "duskS")),
@@ -231,26 +243,28 @@
 def test_extreme_but_valid_jobs_do_not_block_other_jobs(gait: str) -> None:
     """A task that takes next to nothing ended every step of its team's source: room divided by it is infinite."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        for i, changes in enumerate(STRANGE):
-            base = p.spec(
+    async def scene(cluster: SimulatedCluster) -> None:
+        for i, changes in enumerate(EXTREME_SUBMISSIONS):
+            base = cluster.spec(
                 100 + i,
                 gait=gait,
                 chicks=1 if gait == "daemon" else 2,
                 flock="strange",
                 keeper=f"team-{i % 3}",
             )
-            p.tasks.start_soon(p.submit, {**base, **changes})
+            cluster.tasks.start_soon(cluster.submit, {**base, **changes})
         await anyio.sleep(5.0)
         for n in range(1, 13):
-            p.tasks.start_soon(p.submit, p.spec(n, gait="array", chicks=1, keeper=f"team-{n % 4}"))
+            cluster.tasks.start_soon(
+                cluster.submit, cluster.spec(n, gait="array", chicks=1, keeper=f"team-{n % 4}")
+            )
         await anyio.sleep(20.0)
-        assert all(a.accepted is not None for a in p.asked.values()) and all(
-            p.served(f"j-{n:06d}") for n in range(1, 13)
+        assert all(a.accepted is not None for a in cluster.asked.values()) and all(
+            cluster.served(f"j-{n:06d}") for n in range(1, 13)
         )
-        for i in range(len(STRANGE)):
-            p.tasks.start_soon(p.withdraw, f"j-{100 + i:06d}")
+        for i in range(len(EXTREME_SUBMISSIONS)):
+            cluster.tasks.start_soon(cluster.withdraw, f"j-{100 + i:06d}")
         await anyio.sleep(12.0)
-        assert not p.state.store.permits()
+        assert not cluster.state.store.permits()
 
     play(scene)
--- a/tests/test_unresponsive_agents.py
+++ b/tests/test_unresponsive_agents.py
@@ -53,30 +53,33 @@
         without(monkeypatch)
     given: list[Any] = []
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
-            await p.submit(p.spec(n, gait="daemon", chicks=6))
-        p.tasks.start_soon(p.flow, 60.0, 0.7)
+            await cluster.submit(cluster.spec(n, gait="daemon", chicks=6))
+        cluster.tasks.start_soon(cluster.flow, 60.0, 0.7)
         await anyio.sleep(7.0)
-        some = [w for c in p.names for w in p.workers_of(c)[:2]]
-        p.mute(some, s)
-        at = p.now
+        some = [w for c in cluster.names for w in cluster.workers_of(c)[:2]]
+        cluster.mute(some, s)
+        at = cluster.now
         for n in (900, 901):
-            await p.withdraw(f"j-{n:06d}")
+            await cluster.withdraw(f"j-{n:06d}")
         await anyio.sleep(1.0)
         assert not [
-            k for w in p.fleet.workers.values() for k in w.on_machine() if k[0] in p.cancelled
+            k
+            for w in cluster.fleet.workers.values()
+            for k in w.on_machine()
+            if k[0] in cluster.cancelled
         ]
         if change:
-            p.tasks.start_soon(p.crash, "c0", 20.0)
-        await anyio.sleep(at + s - p.now)
-        given.extend(x for x in p.fleet.started_on if x[1] in some and x[0] > at + 5.0)
+            cluster.tasks.start_soon(cluster.crash, "c0", 20.0)
+        await anyio.sleep(at + s - cluster.now)
+        given.extend(x for x in cluster.fleet.started_on if x[1] in some and x[0] > at + 5.0)
         await anyio.sleep(15.0)
-        assert not p.starts_after_told()
-        assert any(x[1] in some and x[0] > at + s for x in p.fleet.started_on), (
+        assert not cluster.starts_after_told()
+        assert any(x[1] in some and x[0] > at + s for x in cluster.fleet.started_on), (
             "they are used again"
         )
-        assert not await p.left_waiting(30.0)
+        assert not await cluster.left_waiting(30.0)
 
     if without is None:
         play(scene, machines=12)
@@ -93,22 +96,22 @@
     monkeypatch.setattr(decision_model, "CANCEL", 46.0)
     took: list[float] = []
 
-    async def scene(p: SimulatedCluster) -> None:
-        await p.submit(p.spec(900, gait="daemon", chicks=8))
+    async def scene(cluster: SimulatedCluster) -> None:
+        await cluster.submit(cluster.spec(900, gait="daemon", chicks=8))
         await anyio.sleep(6.0)
-        some = {w.name for w in p.fleet.workers.values() if w.tasks}
+        some = {w.name for w in cluster.fleet.workers.values() if w.tasks}
         if mute:
-            p.mute(some, 30.0)
+            cluster.mute(some, 30.0)
         for w in some:
-            for c in p.names:
-                p.net.cut(c, w, SILENT, 2.5, both=False)
-        at = p.now
-        p.tasks.start_soon(p.withdraw, "j-000900")
-        while any(w.on_machine() for w in p.fleet.workers.values()):
+            for c in cluster.names:
+                cluster.net.cut(c, w, SILENT, 2.5, both=False)
+        at = cluster.now
+        cluster.tasks.start_soon(cluster.withdraw, "j-000900")
+        while any(w.on_machine() for w in cluster.fleet.workers.values()):
             await anyio.sleep(0.1)
-        took.append(p.now - at)
+        took.append(cluster.now - at)
         await anyio.sleep(30.0)
-        assert not p.state.store.permits(), "and is proved gone"
+        assert not cluster.state.store.permits(), "and is proved gone"
 
     play(scene, machines=6)
     assert took[0] < 9.0, took
@@ -154,48 +157,53 @@
     if without is not None:
         without(monkeypatch)
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
-            await p.submit(p.spec(n, gait="daemon", chicks=4))
+            await cluster.submit(cluster.spec(n, gait="daemon", chicks=4))
         await anyio.sleep(6.0)  # all have the image
         for wave in range(2):
             running = [f"j-{900 + 2 * wave + i:06d}" for i in range(2)]
             some = sorted(
-                w.name for w in p.fleet.workers.values() if any(k[0] in running for k in w.tasks)
+                w.name
+                for w in cluster.fleet.workers.values()
+                if any(k[0] in running for k in w.tasks)
             )[:8]
             if how == "hang":
-                p.hang(some, s)
+                cluster.hang(some, s)
             elif how in ("command", "answer"):
-                p.fleet.held_do.update(dict.fromkeys(some, (p.now + s, how == "answer")))
+                cluster.fleet.held_do.update(
+                    dict.fromkeys(some, (cluster.now + s, how == "answer"))
+                )
             elif how == "deaf":
-                p.deafen(some, s)
+                cluster.deafen(some, s)
             else:
                 for w in some:
-                    for c in p.names:
-                        p.net.cut(c, w, HOLD, s)
-            at, sent = p.now, range(910 + 10 * wave, 918 + 10 * wave)
+                    for c in cluster.names:
+                        cluster.net.cut(c, w, HOLD, s)
+            at, sent = cluster.now, range(910 + 10 * wave, 918 + 10 * wave)
             for n in sent:  # they are sent to these machines, too
-                p.tasks.start_soon(
-                    p.submit, p.spec(n, gait="daemon" if n % 2 else "array", chicks=2, flightS=8.0)
+                cluster.tasks.start_soon(
+                    cluster.submit,
+                    cluster.spec(n, gait="daemon" if n % 2 else "array", chicks=2, flightS=8.0),
                 )
-            for jid in running:
-                p.tasks.start_soon(p.withdraw, jid)
+            for job_id in running:
+                cluster.tasks.start_soon(cluster.withdraw, job_id)
             await anyio.sleep(0.6)
             for n in list(sent)[::3]:
-                p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
-            await anyio.sleep(at + s + 4.0 - p.now)
+                cluster.tasks.start_soon(cluster.withdraw, f"j-{n:06d}")
+            await anyio.sleep(at + s + 4.0 - cluster.now)
             if without is None:
                 assert not [
                     k
-                    for w in p.fleet.workers.values()
+                    for w in cluster.fleet.workers.values()
                     for k in w.on_machine()
-                    if k[0] in p.cancelled
+                    if k[0] in cluster.cancelled
                 ]
         late.extend(
-            x for x in p.starts_after_told() if x[1] > 0.5
+            x for x in cluster.starts_after_told() if x[1] > 0.5
         )  # what was on its way in that moment may still start
         await anyio.sleep(45.0 if without is not None else 8.0)
-        assert len(p.cancelled) == 10 and not await p.left_waiting(30.0)
+        assert len(cluster.cancelled) == 10 and not await cluster.left_waiting(30.0)
 
     late: list[Any] = []
     try:
--- a/tests/test_zone_placement_faults.py
+++ b/tests/test_zone_placement_faults.py
@@ -57,9 +57,11 @@
         without(monkeypatch)
     stopped: list[int] = []
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         if not room:
-            p.fleet.most = len(p.fleet.machines)  # and what is taken is not to be had again
+            cluster.fleet.most = len(
+                cluster.fleet.machines
+            )  # and what is taken is not to be had again
         n = 900
         bound: list[tuple[str, dict[str, Any]]] = [
             ("array", {"together": True}),
@@ -68,52 +70,58 @@
         for gait, kw in [*bound, ("group", {"together": True}), ("group", {"marsh": "b"})]:
             for rank, chicks in (("normal", 4), ("best_effort", 3)):
                 flight = 25.0 if rank == "normal" else 6.0
-                await p.submit(p.spec(n, gait=gait, chicks=chicks, rank=rank, flightS=flight, **kw))
+                await cluster.submit(
+                    cluster.spec(n, gait=gait, chicks=chicks, rank=rank, flightS=flight, **kw)
+                )
                 n += 1
         await anyio.sleep(5.0)
-        for a in p.names:
-            for b in (*p.names, *p.workers):
+        for a in cluster.names:
+            for b in (*cluster.names, *cluster.workers):
                 if a != b:
-                    p.net.cut(a, b, SLOW, 25.0)
+                    cluster.net.cut(a, b, SLOW, 25.0)
         for i in range(6):
-            p.tasks.start_soon(
-                p.submit,
-                p.spec(
+            cluster.tasks.start_soon(
+                cluster.submit,
+                cluster.spec(
                     n + i, gait="array", chicks=6, rank=("urgent", "normal")[i % 2], flightS=5.0
                 ),
             )
         for i in range(2):
-            p.tasks.start_soon(
-                p.submit,
-                p.spec(
+            cluster.tasks.start_soon(
+                cluster.submit,
+                cluster.spec(
                     n + 6 + i, gait="group", chicks=4, rank="urgent", together=True, flightS=5.0
                 ),
             )
         await anyio.sleep(3.0)
         busy = [
             w.name
-            for w in p.fleet.workers.values()
+            for w in cluster.fleet.workers.values()
             if any(900 <= int(k[0][2:]) < n for k in w.tasks)
         ]
         taken = next(
-            w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)
+            w.name
+            for w in cluster.fleet.workers.values()
+            if any(k[0] == "j-000900" for k in w.tasks)
         )
         busy.remove(taken)
-        p.fleet.machines.pop(taken)[2].cancel()
+        cluster.fleet.machines.pop(taken)[2].cancel()
         for w in busy[:2]:
-            for c in p.names:
-                p.net.cut(c, w, SILENT, 14.0)
-        p.hang(busy[2:3], 7.0)
-        shard = p.nodes["c0"].context.shard_map.team_shard["team-0"]
-        p.tasks.start_soon(
-            p.crash, next(n for n in p.names if shard in p.nodes[n].context.held_shards), 12.0
+            for c in cluster.names:
+                cluster.net.cut(c, w, SILENT, 14.0)
+        cluster.hang(busy[2:3], 7.0)
+        shard = cluster.nodes["c0"].context.shard_map.team_shard["team-0"]
+        cluster.tasks.start_soon(
+            cluster.crash,
+            next(n for n in cluster.names if shard in cluster.nodes[n].context.held_shards),
+            12.0,
         )
         await anyio.sleep(25.0)
         with anyio.move_on_after(100.0):
-            while not all(p.served(j) for j in p.specs):
+            while not all(cluster.served(j) for j in cluster.specs):
                 await anyio.sleep(0.5)
-        stopped.append(max(p.fleet.begun.values()))
-        assert all(p.served(j) for j in p.specs), "all of it ends"
+        stopped.append(max(cluster.fleet.begun.values()))
+        assert all(cluster.served(j) for j in cluster.specs), "all of it ends"
 
     try:
         play(scene, seed, machines=8)
@@ -134,37 +142,42 @@
         without(monkeypatch)
     zones: set[str] = set()
 
-    async def scene(p: SimulatedCluster) -> None:
-        p.fleet.most = len(p.fleet.machines)
-        await p.submit(p.spec(900, gait="array", chicks=6, flightS=30.0, together=True))
+    async def scene(cluster: SimulatedCluster) -> None:
+        cluster.fleet.most = len(cluster.fleet.machines)
+        await cluster.submit(cluster.spec(900, gait="array", chicks=6, flightS=30.0, together=True))
         await anyio.sleep(4.0)
-        mine = {w.name: w.zone for w in p.fleet.workers.values() if w.tasks}
+        mine = {w.name: w.zone for w in cluster.fleet.workers.values() if w.tasks}
         zone = next(iter(mine.values()))
-        for w in p.fleet.workers.values():  # the rest of its zone is taken
+        for w in cluster.fleet.workers.values():  # the rest of its zone is taken
             if w.zone == zone:
-                n = sum(1 for x in p.asked) + 900
-                await p.submit(
-                    p.spec(n, gait="daemon", chicks=int(4 - w.used()), marsh=zone)
+                n = sum(1 for x in cluster.asked) + 900
+                await cluster.submit(
+                    cluster.spec(n, gait="daemon", chicks=int(4 - w.used()), marsh=zone)
                     if w.used() < 4
-                    else p.spec(n, gait="array")
+                    else cluster.spec(n, gait="array")
                 )
         await anyio.sleep(4.0)
-        shard = p.nodes["c0"].context.shard_map.team_shard["team-0"]
-        p.tasks.start_soon(
-            p.crash, next(n for n in p.names if shard in p.nodes[n].context.held_shards), 12.0
+        shard = cluster.nodes["c0"].context.shard_map.team_shard["team-0"]
+        cluster.tasks.start_soon(
+            cluster.crash,
+            next(n for n in cluster.names if shard in cluster.nodes[n].context.held_shards),
+            12.0,
         )
         lost = min(mine)
         if how == "taken":
-            p.fleet.machines.pop(lost)[2].cancel()
+            cluster.fleet.machines.pop(lost)[2].cancel()
         else:
-            for c in p.names:
-                p.net.cut(c, lost, SILENT, 14.0)
+            for c in cluster.names:
+                cluster.net.cut(c, lost, SILENT, 14.0)
         await anyio.sleep(20.0)
         zones.update(
-            w.zone for w in p.fleet.workers.values() for k in w.on_machine() if k[0] == "j-000900"
+            w.zone
+            for w in cluster.fleet.workers.values()
+            for k in w.on_machine()
+            if k[0] == "j-000900"
         )
         with anyio.fail_after(90.0):
-            while not p.served("j-000900"):
+            while not cluster.served("j-000900"):
                 await anyio.sleep(0.5)
 
     try:
