--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same verdict every time: what is drawn is drawn from the test's own name, and nothing is kept between runs."""
+"""Hypothesis draws its examples from the test's own name and stores none, so every run is the same."""
 
 import pytest
 from hypothesis import settings
--- a/tests/job_sources.py
+++ b/tests/job_sources.py
@@ -58,7 +58,9 @@
 def play_outcomes(
     s: JobSource, seconds: int, outcome: Outcome, machines: int = 8, first: int = 0
 ) -> list[tuple[float, str, int, str]]:
-    """Owners that always have room, on machines in turn: every start that was made, when and where."""
+    """Run a source against owners that always have capacity. Returns each start: when, job, task,
+    machine.
+    """
     starts: list[tuple[float, str, int, str]] = []
     ticket = first * 1000
     board: dict[str, Any] = {}
--- a/tests/shard_owners.py
+++ b/tests/shard_owners.py
@@ -43,7 +43,7 @@
 def failed_on(
     o: ShardOwner, job: str, machine: str, seq: int, broken: int = 0, stance: str = "ended"
 ) -> None:
-    """A task of a job fails on a machine (or runs there)."""
+    """Report a task of a job as failed on a machine, or as running there."""
     record = a_job(job, spot=True).record()
     board: dict[str, Any] = {
         peer_messages.job_key(job): JobUpdate(record, [1.0, 1.0, 1.0], 0, broken)
--- a/tests/store_fault_steps.py
+++ b/tests/store_fault_steps.py
@@ -50,7 +50,7 @@
 
 
 async def poll_job_status(cluster: SimulatedCluster) -> None:
-    """Users ask at all controllers, and submit again, soon after one another, about what is new and what is old."""
+    """Users ask every controller about new and old jobs, and submit them again, for ever."""
     while True:
         await anyio.sleep(1.0)
         accepted = [j for j, a in cluster.asked.items() if a.accepted is not None]
@@ -65,7 +65,7 @@
 
 
 async def place_maintenance_order(cluster: SimulatedCluster, order_id: str, **what: Any) -> None:
-    """An operator has machines emptied, and repeats that until it is known to be placed."""
+    """Place an operator's order, and repeat the request until it is known to be placed."""
     while True:
         for name in ("c2", "c0", "c1"):
             with contextlib.suppress(UnreachableError):
@@ -80,7 +80,10 @@
 
 
 def assert_nothing_lost(cluster: SimulatedCluster, kills: bool) -> None:
-    """Nothing is lost by it. Only where claims are lost while two of three controllers are down may a part be without one for a lease."""
+    """Every shard has one holder, every job and order is as its user was told, and no lease
+    expired. With `kills` tasks may have lost their lease: claims were lost while two of three
+    controllers were down.
+    """
     assert sorted(s for n in cluster.nodes.values() for s in n.context.held_shards) == [0, 1, 2], (
         "nobody holds a part, or two do"
     )
--- a/tests/test_accepted_jobs_known.py
+++ b/tests/test_accepted_jobs_known.py
@@ -1,7 +1,8 @@
-"""Every accepted job is known: asked for all the time, by every controller, also long after it is over.
+"""Every accepted job is known to every controller, also long after it has ended.
 
-`Played` asks about accepted jobs in all scenes, and fails on a 404 or an older answer. Here every job is asked for at every
-controller once all troubles are over, and each must answer within 75 s.
+The simulated cluster asks about accepted jobs in all scenes, and fails on a 404 or an older answer.
+Here every controller is asked about every job once all faults are over, and has to answer within 75
+s.
 """
 
 from __future__ import annotations
@@ -27,7 +28,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_every_controller_answers_for_every_job_once_all_faults_are_over(seed: int) -> None:
-    """Ends of one and of all, cuts, an outage, cancellations meanwhile; few jobs are kept, the others are read from the archive."""
+    """One and all controllers crash, links are cut, the store is down, jobs are cancelled; few
+    ended jobs are kept in memory, the others are read from the archive.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -68,7 +71,9 @@
 
 
 def test_controller_that_never_returns_delays_no_answer() -> None:
-    """A cancellation is told once it must have stopped, however the platform's times are."""
+    """A cancellation is acknowledged once that controller must have stopped, whatever the
+    platform's times.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 20.0)
@@ -87,7 +92,7 @@
 
 
 def test_unreadable_job_record_leaves_other_jobs_answered() -> None:
-    """Untouched, the watch failed on it for ever, and every controller answered 503 to everybody."""
+    """Before, the watch failed on it for ever, and every controller answered 503 to every request."""
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 30.0)
@@ -155,7 +160,7 @@
 
 
 def test_simulation_reports_an_answer_older_than_the_last_one() -> None:
-    """An answer that is older than the last one, or none, or a wrong one."""
+    """The answer says that a job is running which was reported as done."""
 
     async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(1, gait="array", chicks=1))
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -1,4 +1,6 @@
-"""What the renter keeps, rents and returns; its room by kinds against a plain list of machines."""
+"""What the autoscaler keeps, rents and returns; its capacity by kinds against a plain list of
+machines.
+"""
 
 from __future__ import annotations
 
@@ -119,7 +121,9 @@
 
 
 def test_late_boots_cause_few_duplicate_rentals_and_no_return_before_boot() -> None:
-    """At four times the boot time they were counted as none and rented again, then returned just before they came."""
+    """At four times the boot time they were counted as absent and rented again, then returned just
+    before they came up.
+    """
     _, rented, given = play_boots({"a": 90.0, "b": 90.0}, 160.0)
     assert len(rented) <= 24 * 1.5 + 8
     assert not [n for n, at in given.items() if at - rented[n] < 90.0]
@@ -171,7 +175,9 @@
 
 
 def test_unresponsive_zone_is_kept_but_an_unresponsive_machine_is_returned() -> None:
-    """A renter that began in a cut knows the other zone's machines from the cloud's list only, and they run on."""
+    """An autoscaler that started in a partition knows the other zone's machines from the cloud's
+    list only, and they run on.
+    """
     for dark, silent in ((6, 6), (1, 6)):  # machines of zone b that nobody hears, of so many
         r = renter()
         given: dict[str, float] = {}
--- a/tests/test_cancellation_barrier.py
+++ b/tests/test_cancellation_barrier.py
@@ -28,7 +28,7 @@
 
 
 def gossip_up_to(name: str, upto: int) -> CancellationGossip:
-    """A member's word that says no more than how far it has read."""
+    """Gossip of a peer that says no more than up to which revision it has read."""
     return CancellationGossip(upto, "its life", 0.0, 100.0, True, None, [])
 
 
@@ -53,7 +53,9 @@
 
 
 def test_peer_that_rejoined_and_left_between_two_reads_counts_as_newly_absent() -> None:
-    """A controller that reads seldom sees it gone before and after; in between its member was there, and may have read nothing since."""
+    """A controller that reads seldom sees the key absent before and after; in between the peer was
+    a member, and may have read nothing since.
+    """
     t = new_barrier()
     t.receive_gossip("c1", gossip_up_to("c1", 9), 0.0)
     t.peer_absent("c2", 0.0, 5)
@@ -63,7 +65,9 @@
 
 
 def test_peer_in_contact_delays_acknowledgement_until_it_knows_of_the_cancellation() -> None:
-    """In an outage: its key is gone and it goes on; a word with the cancellation ends the waiting, and nothing else does."""
+    """In an outage its key is gone and it goes on; only gossip that names the cancellation ends the
+    wait.
+    """
     p, m = (
         CancellationBarrier(["m"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "p"),
         CancellationBarrier(["p"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "m"),
@@ -138,7 +142,9 @@
 
 
 def test_batch_claims_no_revision_beyond_what_was_read() -> None:
-    """Its own newest writes are named before it has read up to them: there may be others in between that it does not know."""
+    """Own writes are named before the watch has reached them: there may be others in between that
+    this controller does not know.
+    """
     p = CancellationBarrier(["m"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "p")
     for i in range(MAX_CANCELLATIONS_PER_MESSAGE + 1):
         p.record_cancellation(f"j-{i:06d}", 100 + i)
--- a/tests/test_cancellation_barrier_model.py
+++ b/tests/test_cancellation_barrier_model.py
@@ -24,7 +24,7 @@
 
 @dataclass
 class ControllerModel:
-    """One controller: what survives a restart is only its name, its clock and when it may go on."""
+    """One controller. Only its name, its clock and its pause survive a restart."""
 
     name: str
     drift: float
@@ -42,7 +42,9 @@
 
 
 class BarrierModel:
-    """Every controller answers workers whenever it believes that it may; each cancellation is told by whoever may tell first."""
+    """Three controllers that answer agents whenever the barrier lets them; whoever may acknowledge
+    a cancellation first does so.
+    """
 
     def __init__(self, rng: Random, cancel: float, lease: float, cut_off: float) -> None:
         self.rng, self.cancel, self.lease, self.cut_off = rng, cancel, lease, cut_off
@@ -218,7 +220,9 @@
 
 
 def run_random_history(seed: int) -> BarrierModel:
-    """One drawn life of all three, in which the store is down for long at least once and a controller is refused just before."""
+    """A random history in which the store is down for long at least once, and one controller is
+    refused just before.
+    """
     rng = Random(seed)
     cancel, lease = rng.choice([(46.0, 16.0), (38.0, 13.0), (30.0, 25.0)])
     m = BarrierModel(rng, cancel, lease, rng.choice([20.0, 60.0, 300.0]))
@@ -267,7 +271,7 @@
 
 
 def run_guard_history(guard: str) -> BarrierModel:
-    """A controller c that is refused, and what makes one guard necessary, when it is not drawn often enough."""
+    """A history that needs one guard, where random ones seldom do: controller c is refused."""
     m = BarrierModel(Random(1), CANCEL_S, LEASE_S, CUT_OFF_S)
     both = [(x, y) for x in "ab" for y in (x + "c", "c" + x)]
     crashes: list[tuple[float, str]] = []
@@ -300,9 +304,11 @@
 
 
 def test_no_task_outlives_cancel_time_in_random_histories() -> None:
-    """Refusals, outages, links that are lost or held, pauses, restarts, clocks that drift: drawn over three controllers.
+    """Refusals, outages, lost or held messages, pauses, restarts and clock drift over three
+    controllers.
 
-    The teller's argument and the answerer's right are one statement (coordination.cancellation_barrier); this is what it has to give.
+    When a cancellation may be acknowledged and when agents may be answered follow from one
+    statement (coordination.cancellation_barrier); this is what it has to guarantee.
     """
     told = sum(len(run_random_history(seed).told) for seed in range(SEEDS))
     assert told > 4 * SEEDS, "hardly anything was told: nothing was judged"
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -14,7 +14,7 @@
 
 
 def live_machines_taken_for_gone(cluster: SimulatedCluster) -> set[str]:
-    """Machines that live and that somebody believes to be gone for certain."""
+    """Machines that are alive while some shard owner counts them as proved gone."""
     alive = cluster.fleet.workers.keys()
     return {
         m
@@ -25,7 +25,7 @@
 
 
 def no_margin(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What a list doesn't have is gone, however old the list may be."""
+    """A machine that a list lacks is gone, however old the list may be."""
     real = Autoscaler.on_cloud_list
 
     def on_list(self: Autoscaler, items: Any, asked_at: float, now: float) -> None:
@@ -41,7 +41,9 @@
 def test_new_machines_missing_from_cloud_lists_are_not_taken_for_gone(
     seed: int, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Rentals are executed and not answered, or late; lists lag. Nothing that lives is taken for gone; all is used or returned."""
+    """Rentals are executed without an answer, or late, and lists lag, while writes are late and the
+    leader crashes. No live machine is taken for gone, and each one is used or returned.
+    """
     if without is not None:
         without(monkeypatch)
     monkeypatch.setattr(SimulatedCluster, "list_lag_s", 3.0)
@@ -91,7 +93,7 @@
 
 
 def deleted_for_by_name(self: Autoscaler, part: int) -> list[str]:
-    """As it was: the last by name."""
+    """Replace `Autoscaler.deleted_for`: the last 300 by name, as it was."""
     return sorted(self.deleted)[-300:]
 
 
@@ -99,7 +101,9 @@
 def test_new_leader_learns_that_a_machine_unknown_to_it_was_deleted(
     mended: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its tasks start again elsewhere. Where the last 300 by name were told, it counted for its team's limit for ever."""
+    """Its tasks start again elsewhere, although 400 others were deleted meanwhile. When only the
+    last 300 by name were announced, its tasks counted towards the team's limit for ever.
+    """
     if not mended:
         monkeypatch.setattr(Autoscaler, "deleted_for", deleted_for_by_name, raising=False)
     back: list[bool] = []
--- a/tests/test_concurrent_submissions.py
+++ b/tests/test_concurrent_submissions.py
@@ -23,7 +23,9 @@
 
 
 def refuse_share_of_requests(cluster: SimulatedCluster, rng: Random, share: float) -> Counter[int]:
-    """So large a share of all requests is refused by the state service, by its limits or without a reason; how many of each."""
+    """Let the state service refuse a share of all requests with 429 or 503. Returns the count of
+    each status.
+    """
     real, refused = cluster.state.handle, Counter[int]()
 
     async def handle(request: Any) -> Reply:
@@ -37,7 +39,9 @@
 
 
 def run_two_users(seed: int, share: float) -> None:
-    """Each job is submitted by two at once, again and again while it is not over, cancelled by two at once or when it is done."""
+    """Two users submit each job, repeatedly while it is live, and cancel it together or when it is
+    done.
+    """
     accepted: Counter[str] = Counter()
     read: list[float] = []
 
@@ -91,7 +95,9 @@
         cluster.missing = await cluster.all_answered(KNOWN_S)  # type: ignore[attr-defined]
 
     async def burst(cluster: SimulatedCluster, rng: Random) -> None:
-        """Hundreds ask one controller at once, of jobs that run: one read answers those that came before it began."""
+        """Hundreds of requests for running jobs at one controller: one read answers all that came
+        before it began.
+        """
         for n in range(100, 110):
             await cluster.submit(cluster.spec(n, gait="daemon", chicks=1))
         await anyio.sleep(5.0)
@@ -128,7 +134,7 @@
 
 
 def any_submission(real: Any) -> Any:
-    """A submission lands whatever is known of its job."""
+    """A submission is written whatever is known of its job."""
 
     async def txn(
         self: KeyValueStore, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
@@ -180,7 +186,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_of_two_different_jobs_with_one_id_exactly_one_is_accepted(seed: int) -> None:
-    """One job is accepted, whole, and both are told of it; nothing of the other one is ever started."""
+    """One job is accepted whole, and both users are told of it; no task of the other is ever
+    started.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         for n in range(1, 13):
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -1,4 +1,4 @@
-"""Links measured, ways chosen, workers sent home, shards moved: each against what it must not do."""
+"""Link health, relay routes, failback of agents and of shards: each against what it must not do."""
 
 from __future__ import annotations
 
--- a/tests/test_controller_loops.py
+++ b/tests/test_controller_loops.py
@@ -1,4 +1,4 @@
-"""The loops' decisions that need no wire."""
+"""Decisions of the controller's loops that need no network."""
 
 from __future__ import annotations
 
@@ -29,7 +29,9 @@
 
 
 def test_shard_is_kept_while_its_preferred_controller_was_never_seen() -> None:
-    """A home that was down since this process started must not stop the shard loop (kazi-bodi, hunt-13e3-7)."""
+    """A preferred controller that was down since this process started must not stop the shard loop
+    (kazi-bodi, hunt-13e3-7).
+    """
 
     async def play() -> None:
         node = a_node()
@@ -155,7 +157,7 @@
 
 
 def test_write_budget_unused_by_other_controllers_is_lent() -> None:
-    """A swarm of one team waited for one controller's slice while the others' lay idle."""
+    """Many short jobs of one team waited for one controller's slice while the others' were unused."""
     node = a_node()
     own = node.settings.store_write_rps * 0.92 / 2
     now = time.monotonic()
@@ -170,7 +172,9 @@
 
 
 def test_small_writes_do_not_starve_a_large_one_and_patient_writers_yield() -> None:
-    """Every submission took the next change that there was; the writer of permits, who needs two at least, never had them."""
+    """Every submission took the next operation that was free; the writer of permits, which needs
+    two at least, never had them.
+    """
 
     async def play() -> None:
         budget = RateLimiter(20.0)
@@ -230,7 +234,9 @@
 
 
 def test_finished_job_is_reported_without_waiting_for_peers() -> None:
-    """Only a cancellation does: withdrawing a job that was over took a second while a controller was away."""
+    """Only a cancellation has to: cancelling a job that had ended took a second while a controller
+    was away.
+    """
 
     async def play() -> None:
         node = a_node()
@@ -247,7 +253,9 @@
     "addr", ["x", "x:", ":1", "x:99999", "x:²", "a" * 80 + ":80", "é b:80", "127.0.0.1:1"]
 )
 def test_invalid_agent_address_ends_nothing(addr: str) -> None:
-    """It is sent by the worker: `int` of it raised inside the process's own task group, and ended it."""
+    """The agent sends it: `int` of it raised inside the process's own task group, and ended the
+    process.
+    """
 
     async def play() -> None:
         node = a_node()
--- a/tests/test_custom_days.py
+++ b/tests/test_custom_days.py
@@ -1,4 +1,4 @@
-"""Days of scripts/custom_days/further.py: each trouble is on every fourth; a seed repeats."""
+"""Days of scripts/custom_days/further.py: each fault is on every fourth, and a seed repeats."""
 
 from __future__ import annotations
 
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -1,4 +1,6 @@
-"""The real decisions in a plain world, under seeded troubles: every rule is judged after each step."""
+"""The real decisions in a simulated environment with seeded faults: every rule is checked after
+each step.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +47,7 @@
 def test_decision_model_reports_a_missing_guard(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With one guard taken out, the world must see a rule broken; else it judges nothing."""
+    """Without one guard the model has to report a broken rule; else it checks nothing."""
     if guard == "silence counts as gone":
         real = ShardOwner.advance_time
 
@@ -69,7 +71,9 @@
 def test_resumed_controller_claims_nothing_by_its_clock(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One stands still, another takes its part and keeps its work alive, and the source hears of neither: ran_twice without the guard."""
+    """A controller stalls, another acquires its shard and keeps its tasks alive, and the source
+    hears of neither: `ran_twice` without the guard.
+    """
     if not guarded:
         real = ShardOwner.advance_time
 
@@ -118,7 +122,9 @@
 
 
 def cut_off(guarded: bool) -> DecisionModel:
-    """One controller and its zone are cut off for longer than a cancellation has; a job that runs there is cancelled."""
+    """A controller and its zone are partitioned for longer than `cancel_s`, and a job that runs
+    there is cancelled.
+    """
     w = DecisionModel(5, machines=16, chaos=0.0, cut_off=100.0)
     one = replace(
         job(Random(1), "j-000001", 0.0),
@@ -164,6 +170,6 @@
 
 @pytest.mark.parametrize("seed", range(300, 306))
 def test_a_refused_controller_and_then_an_outage_break_no_rule(seed: int) -> None:
-    """The gap in the plain world, with crashes: what is cancelled before the outage may be told in it."""
+    """With crashes in between: what is cancelled before the outage may be acknowledged in it."""
     w = run_with_faults(seed, kinds=(9, 9, 0))
     assert not w.live() and not w.store.permits()
--- a/tests/test_determinism.py
+++ b/tests/test_determinism.py
@@ -1,4 +1,6 @@
-"""One seed, one course of events: whatever the process, its hash seed, its memory, and what ran before."""
+"""One seed gives one course of events, whatever the process, its hash seed, its memory and what ran
+before.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,7 @@
 
 
 def meeting(seed: int) -> str:
-    """Three troubles that meet, with replicas, long work and machines that are given back."""
+    """Three overlapping faults, with replicas, long tasks and machines that are returned."""
     return str(meet(seed, ("alone", "gap", "peers")).net.checksum)
 
 
@@ -55,10 +57,11 @@
 
 
 def test_fault_schedule_plays_the_same_in_another_process(tmp_path: Path) -> None:
-    """The renter asked kinds of machines in the order of a set of names: which one it gave back was another one in every process.
+    """The autoscaler asked for kinds of machines in the order of a set of names, so that each
+    process returned another one.
 
-    And a server ended connections in the order of their addresses in memory: another one where nothing was compiled yet, as in a clean
-    checkout, so that the suite failed there now and then.
+    A server closed connections in the order of their addresses in memory: another one where nothing
+    was compiled yet, as in a clean checkout, so that the suite failed there now and then.
     """
     assert (
         elsewhere("meeting(3)", "0")
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,7 +1,8 @@
-"""Leaders that change many times, all at once, and inside outages; cancellations while work changes hands; a service that refuses.
+"""Repeated leader changes, also of all controllers and in outages; jobs cancelled during a claim; a
+state service that refuses one controller.
 
-Whole controllers. The rules are judged all along; each scene also says what nobody may lose by it, and is played once
-without the guard that keeps it.
+Over whole controllers. The rules are checked all along; each scene also says what must not be lost,
+and is played once without the guard that keeps it.
 """
 
 from __future__ import annotations
@@ -33,7 +34,9 @@
 
 
 class Tokens:
-    """What each worker takes: whose answers, in which order. A worker never goes on with a lower one; epochs are claimed ones."""
+    """The fencing tokens that each agent accepts. None accepts a lower one, and their epochs are
+    claimed ones.
+    """
 
     def __init__(self, p: SimulatedCluster) -> None:
         self.p, self.seen, self.broken = p, dict[str, int](), list[str]()
@@ -57,7 +60,9 @@
 
 
 async def settled(p: SimulatedCluster, within: float = 30.0) -> None:
-    """Every part is held once, by its home in the end, and every worker is answered by the holder of its part."""
+    """Wait until the preferred controller holds each shard, and the shard's holder answers every
+    agent.
+    """
     with anyio.move_on_after(within):
         while True:
             held = {
@@ -80,7 +85,9 @@
 
 
 async def ten(p: SimulatedCluster, rng: Random) -> None:
-    """Ten ends within two minutes, each back within a second or after its part was taken."""
+    """Ten crashes within two minutes, each restarted within a second or after its shard was
+    acquired.
+    """
     for _ in range(10):
         name = rng.choice([n for n in p.names if n not in p.down])
         p.tasks.start_soon(p.crash, name, rng.choice([0.1, 0.4, 1.0, 5.0, 9.0]))
@@ -88,13 +95,15 @@
 
 
 async def ten_inside(p: SimulatedCluster, rng: Random) -> None:
-    """Half of them inside an outage of a minute."""
+    """Half of them during an outage of a minute."""
     p.tasks.start_soon(p.outage, 60.0)
     await ten(p, rng)
 
 
 async def over_and_back(p: SimulatedCluster, rng: Random) -> None:
-    """Each ends until another has its part, comes home, and ends again as soon as it has it back."""
+    """Each controller is down until another holds its shard, restarts, and crashes again once it
+    has the shard back.
+    """
     for name in ("c0", "c1", "c0"):
         await p.crash(name, 6.0)
         with anyio.move_on_after(40.0):
@@ -103,7 +112,7 @@
 
 
 async def one_returns(p: SimulatedCluster, rng: Random) -> None:
-    """All end within a second; one is back at once, the others after the parts were taken."""
+    """All crash within a second; one restarts at once, the others after their shards were acquired."""
     for name, s in zip(rng.sample(p.names, 3), (0.3, 12.0, 25.0), strict=True):
         p.tasks.start_soon(p.crash, name, s)
         await anyio.sleep(0.3)
@@ -111,14 +120,16 @@
 
 
 async def all_away(p: SimulatedCluster, rng: Random) -> None:
-    """All are away for longer than a lease: nothing that ran is there any more, and the next lives find it in the cells."""
+    """All are down for longer than a lease: nothing runs any more, and the new incarnations learn
+    it from the records.
+    """
     for name in p.names:
         p.tasks.start_soon(p.crash, name, LEASE + 3.0 + rng.random())
     await anyio.sleep(LEASE + 20.0)
 
 
 async def all_within(p: SimulatedCluster, rng: Random) -> None:
-    """All are away for a second, three times, every few seconds."""
+    """All are down for a second, three times, every few seconds."""
     for _ in range(3):
         for name in p.names:
             p.tasks.start_soon(p.crash, name, rng.choice([0.1, 0.5, 0.9]))
@@ -126,7 +137,7 @@
 
 
 async def all_inside(p: SimulatedCluster, rng: Random) -> None:
-    """The same inside an outage that lasts for longer than a lease."""
+    """The same during an outage that lasts for longer than a lease."""
     p.tasks.start_soon(p.outage, LEASE + 6.0)
     await anyio.sleep(3.0)
     await all_within(p, rng)
@@ -160,7 +171,7 @@
 
 
 def answers_nobody() -> Any:
-    """Without: a new life does not answer the workers of its earlier one before it holds their part again."""
+    """Without: a restarted controller does not answer its agents before it holds their shard again."""
     return RenewalGrants, "answer_heartbeat", lambda self, r, me, newest, over, wall: None
 
 
@@ -178,7 +189,7 @@
 def test_leader_changes_lose_no_shard_and_break_no_rule(
     course: str, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Who answers which worker, what each life concludes, and what the workers go on with."""
+    """Who answers which agent, what each incarnation concludes, and which tasks go on."""
     if without is not None:
         monkeypatch.setattr(*without())
 
@@ -213,7 +224,9 @@
 
 
 def judged(scene: Any, without: Any, breaks: str) -> None:
-    """With the guard every rule holds; without it the scene breaks in the way that the guard is there for."""
+    """With the guard every rule holds; without it the scene breaks in the way that the guard is
+    there for.
+    """
     if without is None:
         play(scene)
     else:
@@ -228,31 +241,37 @@
 
 
 async def ends(p: SimulatedCluster) -> None:
-    """No source for a while: it ends, and its part is taken when its lease is over."""
+    """No source for a while: the controller crashes, and its shard is acquired once its lease
+    expires.
+    """
     p.tasks.start_soon(p.crash, "c0", 9.0)
 
 
 async def stands_still(p: SimulatedCluster) -> None:
-    """Two sources: it stands still, its part is taken, and then it goes on and believes for a moment that it has it."""
+    """Two sources: the controller stalls, its shard is acquired, and it resumes believing for a
+    moment that it holds it.
+    """
     for other in ("state", "cloud", "user", "c1", "c2", *p.workers):
         p.net.cut("c0", other, HOLD, 9.0)
 
 
 async def all_end(p: SimulatedCluster) -> None:
-    """No source at all: everybody ends, and the part's own controller comes last."""
+    """No source at all: all controllers crash, and the shard's preferred one restarts last."""
     for name, s in (("c1", 2.0), ("c2", 2.5), ("c0", 9.0)):
         p.tasks.start_soon(p.crash, name, s)
 
 
 async def out_of_touch(p: SimulatedCluster) -> None:
-    """The new source is out of touch with a part's owner: who holds the team's shard and who holds the machines do not hear one another."""
+    """The new source can't reach a shard's owner: the holders of the team's shard and of the
+    machines are partitioned.
+    """
     for a, b in (("c0", "c1"), ("c1", "c2"), ("c0", "c2")):
         p.net.cut(a, b, RESET, 2.0 * CANCEL)
     await ends(p)
 
 
 def owners_know_nothing() -> Any:
-    """Without: an owner stops what is over only when its source says so."""
+    """Without: an owner stops tasks of ended jobs only when the source says so."""
     real = ShardRoles.acquire
 
     def take(self: ShardRoles, shard: int, epoch: int) -> None:
@@ -281,9 +300,10 @@
 def test_job_cancelled_during_a_claim_ends_in_time_and_starts_nowhere(
     how: Any, step: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At a step of the claim users cancel half of what runs, of every team, wherever its tasks and its source are.
+    """At a step of the claim users cancel half of the running jobs, of every team, wherever their
+    tasks and sources are.
 
-    What is told is gone in time and starts nowhere; the other half runs on.
+    Tasks of acknowledged cancellations are gone in time and start nowhere; the other half runs on.
     """
     if without is not None:
         monkeypatch.setattr(*without())
@@ -324,7 +344,7 @@
 
 
 def names_nothing() -> Any:
-    """Without: members name no cancellations to one another, and answer none of one another's words."""
+    """Without: controllers name no cancellations to one another, and echo no gossip."""
     real = CancellationBarrier.gossip_for
     return (
         CancellationBarrier,
@@ -347,11 +367,13 @@
 def test_controller_refused_before_an_outage_keeps_its_shard_and_tasks(
     alone: float, slowly: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Refused alone for less and for more than its lease, watches open all along; then an outage for longer than `cancel_s`.
+    """One controller is refused for less or more than its lease, with open watches; then an outage
+    lasts longer than `cancel_s`.
 
-    Everybody has the lease's full time when it is over: nobody lets go of a part, nothing is killed by a lease, and those who cancelled
-    are told, of what was written before the outage within seconds. Where an answer takes up to 1.6 s, more than leases are made for,
-    parts may move and tasks be lost; no rule is broken.
+    All leases get their full time after it: no controller releases a shard, no task loses its
+    lease, and cancellations written before the outage are acknowledged within seconds. Where an
+    answer takes up to 1.6 s, more than leases are made for, shards may move and tasks be lost; no
+    rule is broken.
     """
     if without is not None:
         monkeypatch.setattr(*without())
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Whose fault a failure is: a job that works nowhere, one bad task, one bad machine."""
+"""Attribution of failures to a job that fails everywhere, a single task or a single machine."""
 
 from __future__ import annotations
 
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -1,6 +1,6 @@
-"""Two or three troubles at once, drawn every rule holds, and every job is answered for when they are over.
+"""Random overlapping faults: every rule holds, and every job is answered for when they are over.
 
-Hundreds are played by `python -m tests.simulation.fault_schedules --seeds 300`.
+More by `python -m tests.simulation.fault_schedules --seeds 300`.
 """
 
 from __future__ import annotations
@@ -54,7 +54,9 @@
 
 @pytest.mark.parametrize("seed", range(300, 304))
 def test_slow_state_service_gives_no_stale_or_early_answer(seed: int) -> None:
-    """Neither done nor withdrawn is taken back, or told early, by any controller; every question is answered when it is over."""
+    """No controller takes back "done" or "withdrawn", or acknowledges early; every request is
+    answered once the faults are over.
+    """
     meet(seed, ("slow", "refuse", "outage", "late_writes"))
 
 
@@ -82,10 +84,10 @@
 def test_tasks_that_end_under_different_leaders_are_counted_once(
     seed: int, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Of three tasks one ends under the first leader, one under the second, one under the third; writes are late in between.
+    """Of three tasks one ends under each of three leaders, with late writes in between.
 
-    What ended stays ended (no task is started again that has ended and been recorded), and done is told when all of them have.
-    Where an end is counted twice the judge must see it.
+    No task that has ended and been recorded starts again, and the job is done when all have ended.
+    Where an end is counted twice the simulation has to report it.
     """
     if not kept:
         real = JobState.mark_done
@@ -131,7 +133,9 @@
 
 @pytest.mark.parametrize("mode", [HOLD, RESET])
 def test_partitioned_leader_gives_no_stale_answer_and_accepts_nothing(mode: str) -> None:
-    """Jobs are cancelled through the others; the leader gives no older answer, accepts nothing, and its cancelled tasks end in time."""
+    """Only agents and users reach the leader; jobs are cancelled through the others, and its
+    cancelled tasks end in time.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         for n in range(800, 808):
@@ -170,7 +174,9 @@
 @pytest.mark.parametrize("own", [True, False])
 @pytest.mark.parametrize(("kind", "seed"), [("gap", "1"), ("gap", "2"), ("roll", "1")])
 def test_faults_that_have_not_begun_end_with_the_schedule(own: bool, kind: str, seed: str) -> None:
-    """A gap drawn late began its outage after `Played.calm`, and the day was called forgotten for it. Without a group of their own, so."""
+    """A fault drawn late began its outage after `calm`, and the schedule failed as `forgotten`. So
+    it does without a task group of the faults' own.
+    """
     after: list[str] = []
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -193,7 +199,9 @@
 
 
 def test_failing_schedule_is_shrunk_to_the_fewest_faults_that_still_fail() -> None:
-    """Two of fourteen break it together; other rules broken by less don't count."""
+    """Two of fourteen faults break a rule together; other rules that fewer of them break don't
+    count.
+    """
     troubles, until = draw(1000, times=3)
     a, b, c = troubles[1], troubles[-2], troubles[4]
 
@@ -308,8 +316,10 @@
     without: Any,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What a list omits is gone only under a raised token, and silence proves it only for who has taken this owner's; writes are guarded;
-    nobody is answered from an old copy, told at once, kept alive without a sign, or for longer than its token says.
+    """What a list omits is gone only under a raised token, and silence proves it only for an agent
+    that accepted this owner's; writes are compare-and-swap; no user gets an answer from a stale
+    cache or an early acknowledgement; no agent is kept alive by an isolated controller, or for
+    longer than its token says.
     """
     monkeypatch.setattr(where, name, without)
     with pytest.raises(AssertionError, match=rule):
@@ -318,7 +328,7 @@
 
 @pytest.mark.parametrize("seed", [5002])
 def test_random_machine_faults_leave_no_job_waiting(seed: int) -> None:
-    """Nothing is left waiting at the end of any drawn day.
+    """Nothing is left waiting at the end of any random schedule.
 
     More by `python -m tests.simulation.fault_schedules --only mute --only hang ...`.
     """
--- a/tests/test_http_parser.py
+++ b/tests/test_http_parser.py
@@ -1,4 +1,4 @@
-"""HTTP from bytes: held against h11, cut anywhere, and against what strangers send."""
+"""HTTP from bytes: compared with h11, split anywhere, and against malformed input."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def by_h11(data: bytes) -> tuple[str, str, bytes]:
-    """The plain model: one whole request, read by h11."""
+    """The reference: one whole request, read by h11."""
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(data)
     head, body = conn.next_event(), b""
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -1,7 +1,8 @@
-"""The gap: one controller reads nothing any more, another confirms cancellations, and then the state service is down for all.
+"""A controller can't read the store while another acknowledges cancellations; then the store is
+down for all.
 
-The workers go on reporting to the first. Whole controllers, judged from the workers' side: no task of a job whose
-user has been told is on a machine `cancel_s` later. The argument is in coordination/cancellations.
+Its agents go on reporting to it. Over whole controllers, checked from the agents' side: `cancel_s`
+after the acknowledgement no machine runs a task of the job (coordination/cancellation_barrier.py).
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def hears_all(self: CancellationBarrier, now: float) -> bool:
-    """As it was: in an outage, whoever hears all others goes on, and only the key counts for the telling."""
+    """Replace `isolated`, as it was: in an outage, whoever receives gossip from all peers goes on."""
     return now - self.store_contact_at >= self.max_contact_age_s and any(
         now - m.last_gossip_at > 2.5 for m in self.peers.values()
     )
@@ -38,7 +39,9 @@
 def test_cancellation_acknowledged_in_an_outage_ends_tasks_of_an_isolated_leader(
     mode: str, mended: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its key has gone, nobody has its part yet, it has read none of the cancellations, and can hear the others again."""
+    """Its key is gone, its shard has no new holder yet, it has read none of the cancellations, and
+    receives gossip again.
+    """
     if not mended:
         monkeypatch.setattr(CancellationBarrier, "isolated", hears_all)
         real, word = CancellationBarrier.receive_gossip, CancellationBarrier.gossip_for
@@ -95,7 +98,9 @@
 
 
 def test_outage_without_a_cancellation_kills_nothing() -> None:
-    """For longer than a cut-off controller may go on; each is heard by the others, and that keeps all of them going."""
+    """For longer than an isolated controller may go on; gossip among the controllers keeps all of
+    them going.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 10.0)
@@ -111,7 +116,9 @@
 
 @pytest.mark.parametrize("after", [0.2, 6.0])
 def test_controller_crash_in_an_outage_stops_no_other_controller(after: float) -> None:
-    """Its new life has read nothing, and vouches for what its last one owed (its own workers live on by their tokens, for as long)."""
+    """Its new incarnation has read nothing, and confirms contact for what the last one owed; its
+    agents live on by their tokens for as long.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 10.0)
@@ -136,7 +143,9 @@
 def test_restarted_leader_without_a_read_stops_cancelled_tasks_that_peers_name(
     after: float,
 ) -> None:
-    """The leader ends inside the gap and is back: what others name is over for the workers of its earlier life, too."""
+    """The leader restarts during the outage: cancellations that peers name end tasks of its earlier
+    incarnation, too.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 10.0)
@@ -160,7 +169,7 @@
 
 @pytest.mark.parametrize("older", [0, 1])
 def test_cancellations_reach_a_refused_controller_without_relay(older: int) -> None:
-    """Without carrying a refused one reads nothing at all; it is named what was cancelled all the same."""
+    """Without a relay it reads nothing at all, but peers name the cancellations to it."""
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 10.0)
@@ -179,5 +188,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_isolation_before_an_outage_breaks_no_rule(seed: int) -> None:
-    """Which controller is refused or cut off, which ends and when, when the outage begins, and what is cancelled."""
+    """Random: who is refused or partitioned, who crashes and when, when the outage begins, and what
+    is cancelled.
+    """
     meet(seed, ("gap", "crash", "peers"))
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""A controller that loses the state service and the other controllers, but not its workers."""
+"""A controller that loses the state service and the other controllers, but not its agents."""
 
 from __future__ import annotations
 
@@ -44,7 +44,9 @@
 def test_agents_of_an_isolated_controller_are_redirected_before_leases_expire(
     mode: str, s: float
 ) -> None:
-    """Untouched, nothing started on its part for the 60 s of `cut_off_s`; now for as long as the scouts need."""
+    """Before, nothing started in its shard for the 60 s of `cut_off_s`; now for as long as the
+    redirected probes need.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, s + 60.0)
@@ -72,7 +74,9 @@
 
 @pytest.mark.parametrize("back", [0.0, 0.2])
 def test_isolated_controller_keeps_its_agents_where_no_other_is_reachable(back: float) -> None:
-    """A zone that is cut off: scouts come back, nobody else is sent, and nothing is killed; also when it ends inside."""
+    """A partitioned zone: redirected agents return, no others are sent, and no task is killed, also
+    when it crashes inside.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 90.0)
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -1,4 +1,6 @@
-"""What users are told (coordination/answers): never older than what was told, and of a cancellation only with the right to tell."""
+"""Answers to users: never older than earlier ones, and a cancellation only once it may be
+acknowledged.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +44,9 @@
 
 
 def told_at_once(self: JobAnswers, job_id: str) -> JobStatus | None:
-    """As a repeated submission was answered: what is over is told, whoever knows of it."""
+    """Replace `final`, as repeated submissions were answered: an end is reported whoever knows of
+    it.
+    """
     end = self.store_cache.ended_jobs.get(job_id)
     return (
         None
@@ -56,10 +60,12 @@
 def test_repeated_submission_acknowledges_no_cancellation_early(
     mode: str, guarded: bool, platform_times: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A zone is cut off for 110 s with its controller, and jobs are cancelled outside, while their submissions are repeated.
+    """A zone is partitioned for 110 s with its controller, and jobs are cancelled outside while
+    their submissions are repeated.
 
-    Answered from the copy, which learnt of the cancellation while the question waited for its proof, the user was told within
-    milliseconds, and tasks in the zone ran on for 73 s (`ran_cancelled`).
+    Answered from the store cache, which learnt of the cancellation while the request waited for its
+    read, the user was told within milliseconds, and tasks in the zone ran on for 73 s
+    (`ran_cancelled`).
     """
     if not guarded:
         monkeypatch.setattr(JobAnswers, "final", told_at_once)
@@ -94,7 +100,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frequent_status_requests_get_no_older_answer(seed: int) -> None:
-    """All controllers are asked, and submissions repeated, within 50 ms of each acceptance, end and cancellation; some cancel at once."""
+    """All controllers are asked, and submissions repeated, within 50 ms of each acceptance, end and
+    cancellation; some jobs are cancelled at once.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -121,7 +129,7 @@
 def test_frequent_status_requests_detect_an_older_answer_without_a_guard(
     without: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without the proof, or without the look into the archive, a job that was accepted is not known."""
+    """Without the fresh read, or without a look into the archive, an accepted job is not known."""
     if without == "proof":
         monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     else:
@@ -146,7 +154,9 @@
 
 
 class Copies:
-    """A store whose revisions are counted, three controllers' copies of it, and what has been told so far: the plain model."""
+    """A store with revisions, three controllers' caches of it, and what users have been told so
+    far.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -164,7 +174,7 @@
         self.open: list[tuple[int, str, int, int, int]] = []
 
     def teller(self, i: int) -> Any:
-        """A cancellation may be told by a controller that has read it, once all know of it."""
+        """A cancellation may be acknowledged by a controller that has read it, once all know of it."""
         return lambda end: (
             end.outcome == jobs.DONE or self.copies[i].revision >= end.version <= min(self.known)
         )
@@ -232,7 +242,9 @@
                     self.answer(*self.open.pop(rng.randrange(len(self.open))))
 
     def page(self, i: int, n: int) -> None:
-        """The next keys of a listing; the copy begins anew with the last ones, as old as the first."""
+        """The next keys of a listing; the cache is loaded with the last ones, at the revision of
+        the first.
+        """
         s = self.store
         keys, found, rev = self.listing.pop(
             i, (sorted(k for k in s.kv if k.startswith("p/")), {}, s.rev)
@@ -244,7 +256,9 @@
             self.copies[i].load(found, rev)
 
     def answer(self, i: int, job_id: str, asked: int, since: int, told: int) -> None:
-        """A read is over that began some time before or after the question came, and has brought what there was by then or later."""
+        """A read that began some time before or after the request is over, and has brought what
+        there was by then or later.
+        """
         begun = self.rng.randint(max(since, asked - 3), max(asked, self.store.rev))
         upto = self.rng.randint(min(begun, self.store.rev), self.store.rev)
         self.copies[i].apply(upto, [e for e in self.store.since(since) if e.version <= upto])
@@ -262,7 +276,9 @@
         self.heard(job_id, answer, told)
 
     def heard(self, job_id: str, answer: Any, told: int) -> None:
-        """A user hears it: it is no older than what had been told when he asked, and true."""
+        """A user gets an answer: it is true, and no older than what had been told when the request
+        was sent.
+        """
         if isinstance(answer, Unavailable):
             return
         now = 0 if isinstance(answer, UnknownJob) else 2 if answer.final else 1
@@ -282,7 +298,7 @@
 
 
 def run_copies(seeds: range) -> int:
-    """Many short histories; the number of answers heard."""
+    """Play many short histories. Returns the number of answers that users got."""
     n = 0
     for seed in seeds:
         c = Copies(seed)
@@ -315,14 +331,16 @@
 def test_model_reports_an_older_answer_without_each_guard(
     name: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The proof (that there is one, and that it is no older than the question), the right to tell, the archive."""
+    """The fresh read and its age, the acknowledgement of cancellations, the archive."""
     monkeypatch.setattr(JobAnswers, name, without)
     with pytest.raises(AssertionError):
         run_copies(range(600))
 
 
 def test_only_job_answers_determines_the_reported_job_state() -> None:
-    """Users' requests have no way past coordination.job_answers: they never look at what the copy holds, nor make a view themselves."""
+    """Handlers of users' requests go through coordination.job_answers: they neither look at the
+    store cache nor build a status.
+    """
     for name in ("job_requests", "http_routes"):
         tree = ast.parse(
             (Path(__file__).parent.parent / "ploverhall/controller" / f"{name}.py").read_text()
@@ -353,7 +371,9 @@
 
 
 def test_former_shard_holder_shows_current_job_counts() -> None:
-    """It kept what it had last been told there, and showed the numbers of then for as long as the job lived."""
+    """It kept the last counts that it had received as the holder, and showed them for as long as
+    the job lived.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         n = next(
--- a/tests/test_job_end_races.py
+++ b/tests/test_job_end_races.py
@@ -21,7 +21,9 @@
 
 
 class DelayedStoreRequests:
-    """The state service, held at the steps of a job's end, of its cancellation, or of its move to the archive."""
+    """The state service, held at the steps of a job's end, of its cancellation, or of its move to
+    the archive.
+    """
 
     def __init__(
         self,
@@ -98,7 +100,7 @@
 async def poll_and_resubmit(
     cluster: SimulatedCluster, job_id: str, rng: Random, s: float = 0.3
 ) -> None:
-    """Questions and repeated submissions at all controllers, every few milliseconds."""
+    """Status requests and repeated submissions at all controllers, every few milliseconds."""
     until = cluster.now + s
     while cluster.now < until:
         for name in cluster.names:
@@ -128,7 +130,9 @@
 
 
 def race_with_job_end(step: str, seed: int = 1, jobs: int = 12) -> dict[str, int]:
-    """Jobs end; at each step of some one's end its user looks closely, and of two in three cancels. How many were told what."""
+    """Jobs end; at each step users poll closely, and two in three cancel. Returns how many were
+    told what.
+    """
     which, before, after, late = STEPS[step]
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -197,7 +201,7 @@
 
 
 def unguarded(real: Any) -> Any:
-    """Writes of ends and cancellations land whatever the job's key holds by then."""
+    """Ends and cancellations are written whatever the job's key holds by then."""
 
     async def txn(
         self: KeyValueStore, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
@@ -209,7 +213,7 @@
 
 
 def unread(real: Any) -> Any:
-    """What is taken for a proof that the copy is current reads nothing."""
+    """A fresh read returns without reading."""
 
     async def watch(
         self: KeyValueStore, prefix: str, since: int, hold_ms: int, urgent: bool = False
@@ -220,7 +224,7 @@
 
 
 def unseen(real: Any) -> Any:
-    """Nobody looks into the archive."""
+    """Nothing is found in the archive."""
 
     async def get(self: KeyValueStore, key: str) -> Any:
         return (None, 0) if key.startswith("e/") else await real(self, key)
--- a/tests/test_key_value_store_client.py
+++ b/tests/test_key_value_store_client.py
@@ -13,7 +13,7 @@
 
 
 class FixedResponse:
-    """A caller that always answers the same."""
+    """A caller that always gets the same response."""
 
     def __init__(self, status: int, body: Any) -> None:
         self.answer = status, body
@@ -64,7 +64,7 @@
 
 
 def outcome_of(call: str, status: int, body: Any) -> Any:
-    """What a call makes of an answer: a value, or the name of what it raises."""
+    """What a call makes of a response: a value, or the name of what it raises."""
     try:
         return anyio.run(CALLS[call], KeyValueStore(FixedResponse(status, body), 100.0, 100.0))
     except (RequestRefusedError, OutcomeUnknownError) as e:
--- a/tests/test_largest_jobs.py
+++ b/tests/test_largest_jobs.py
@@ -1,4 +1,6 @@
-"""The largest job of a class against a steady stream of small work of a higher rank, with no machine more to be had."""
+"""The largest job of a class against a steady stream of small tasks of a higher priority, with no
+machine left to rent.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +14,9 @@
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_a_gang_of_whole_machines_begins(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Four of six machines of a zone at once; each time one had room, the next urgent task took it. A controller ends in between."""
+    """Four of six machines of a zone at once; each time one was free, the next urgent task took it.
+    A controller crashes in between.
+    """
     for module in (allocations, permitting):
         monkeypatch.setattr(module, "OVERDUE_START_S", 30.0 if guarded else 1e9)
     began: list[float] = []
--- a/tests/test_late_store_writes.py
+++ b/tests/test_late_store_writes.py
@@ -27,9 +27,11 @@
 def test_late_pause_does_not_stop_a_resumed_order(
     guarded: bool, verbs: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An operator pauses an order, once more since the answer was lost (or not), and resumes it; then the first pause is carried out.
+    """An operator pauses an order, repeats that since the answer was lost (or not), and resumes it;
+    then the first pause is carried out.
 
-    Resumed without a second pause, it ran already for all that was known: nothing was written, and nothing stood against the late pause.
+    Without the second pause the order was running as far as was known: nothing was written, and
+    nothing stood against the late pause.
     """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/upkeep/"))
@@ -79,9 +81,11 @@
 def test_write_that_lands_after_its_writer_restarted_breaks_no_rule(
     after: float, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One write of each kind is held back on its way; its writer ends, and is back at once or after another has had its part.
+    """One write of each kind is delayed; its writer crashes, and restarts at once or after another
+    has acquired its shard.
 
-    With `after` 0.1 the lease that a claim or a member's key is tethered to still lives, and nobody else has claimed.
+    With `after` 0.1 the lease of a claim or a member's key is still alive, and nobody else has
+    claimed.
     """
     if without is not None:
         monkeypatch.setattr(*without())
--- a/tests/test_link_partitions.py
+++ b/tests/test_link_partitions.py
@@ -1,4 +1,4 @@
-"""Links that are cut one by one, under the whole real composition."""
+"""Links that are cut one by one, over whole controllers."""
 
 from __future__ import annotations
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""One controller over real sockets: submit, run, outage, withdraw, repeat."""
+"""One controller over real sockets: submit, run, outage, cancel, repeat."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 @dataclass
 class Place:
-    """A controller over real sockets, with stand-ins around it."""
+    """A controller over real sockets, with simulated services around it."""
 
     s: settings.Settings
     state: FakeStoreAndCloud
--- a/tests/test_lost_store_answers.py
+++ b/tests/test_lost_store_answers.py
@@ -52,7 +52,9 @@
 
 
 class LostAnswers:
-    """The state service, with a share of the transactions of some kinds carried out, and their answers lost or of no use."""
+    """The state service, which carries out a share of the transactions of some kinds without a
+    usable answer.
+    """
 
     def __init__(
         self,
@@ -111,7 +113,9 @@
 async def mixed_work_with_crashes(
     cluster: SimulatedCluster, answers: LostAnswers, s: float = 20.0
 ) -> None:
-    """Jobs of all kinds come, end and are cancelled; an order empties a machine; a controller ends, is replaced, and is back."""
+    """Jobs of all kinds come, end and are cancelled; an order drains a machine; a controller
+    crashes, is replaced, and returns.
+    """
     await start_background_load(cluster, 55.0)
     for n in range(910, 916):
         cluster.tasks.start_soon(
@@ -153,7 +157,9 @@
 
 
 def claims_once() -> Any:
-    """Without: who finds itself as the holder, and does not hold it, leaves it at that."""
+    """Without: a controller that finds itself as the holder, and does not hold the shard, leaves it
+    at that.
+    """
     real = ShardLeases.reconcile_shard
 
     async def check(self: ShardLeases, shard: int, now: float) -> None:
@@ -195,7 +201,9 @@
 def test_every_kind_of_write_recovers_from_a_lost_answer(
     group: str, late: bool, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The writer doesn't know whether it landed; the others read it at once, or only after newer ones of the same writer."""
+    """The writer does not know whether it landed; the others read it at once, or only after newer
+    ones of the same writer.
+    """
     if without is not None:
         monkeypatch.setattr(*without())
     answers = LostAnswers(monkeypatch, WRITE_KIND_GROUPS[group], late)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,6 @@
-"""Orders to empty machines, and the budgets that hold them back: the plain decisions, and the whole of it under failures."""
+"""Maintenance orders and disruption budgets: the decisions by themselves, and over whole
+controllers with faults.
+"""
 
 from __future__ import annotations
 
@@ -158,7 +160,7 @@
 
 
 class Watch:
-    """Replicas that run, by job, at any time."""
+    """The running replicas of each job at any time."""
 
     def __init__(self, p: SimulatedCluster) -> None:
         self.p = p
@@ -254,9 +256,10 @@
 def test_order_survives_crashes_failovers_and_partitions_and_spends_no_budget_twice(
     seed: int,
 ) -> None:
-    """Whoever rents, owns or grants may end at any step: the machines are emptied, and two replicas of a job are never stopped at once.
+    """The controllers that rent, own or grant may crash at any step: the machines are drained, and
+    two replicas of a job are never evicted at once.
 
-    What a crash itself takes down is not the order's doing: no worker is lost here, so replicas go down by the order alone.
+    No agent is lost here, so that replicas go down by the order alone.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -286,7 +289,9 @@
 def test_new_source_counts_grants_of_its_predecessor(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The owner can't be heard for a while: the stop that was granted still runs when the next source looks."""
+    """The owner is unreachable for a while: the eviction that was granted is still under way when
+    the next source looks.
+    """
     if not guarded:
 
         async def forgets(self: StoreReader, key: str) -> tuple[Any, int]:
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -1,4 +1,6 @@
-"""What classes are expected to do, and what is rented for it: room for turns instead of tasks, cheap machines first, never none."""
+"""Service-level objectives of classes and what is rented for them: capacity for successive runs
+instead of all tasks, spot machines first, never none.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +40,9 @@
     ("n", "wall", "room"), [(300, 0.0, 150), (300, 60.0, 300), (300, 500.0, 300), (1, 0.0, 1)]
 )
 def test_array_demand_is_divided_into_successive_runs(n: int, wall: float, room: int) -> None:
-    """120 s, of them 32 for a boot and the fetch: two turns of 25 s and a fifth; later, or too late, all that waits at once."""
+    """120 s, of them 32 for a boot and the image: two runs of 25 s and a fifth. Later, or too late,
+    everything that waits at once.
+    """
     s = source(limit=0.0)
     s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
     job = a_job(task_count=n, gpus=0.0, estimate_s=25.0)
@@ -50,7 +54,9 @@
 
 
 def test_busy_capacity_counts_towards_demand_and_run_times_are_learnt() -> None:
-    """Asking only by what waits rented as much again for the second turn, while the first one's room was about to be free."""
+    """Demand by waiting tasks alone rented as much again for the second run, while the capacity of
+    the first was about to be free.
+    """
     s = source(limit=0.0)
     s.objectives, s.machine_types = Objectives([SWEEP]), {"t": TYPE}
     job = a_job(task_count=40, gpus=0.0, estimate_s=25.0)
@@ -76,7 +82,7 @@
 
 
 def renting(job: Job, n: int, aims: Objectives, cheap: int) -> dict[tuple[str, str, bool], int]:
-    """What is rented in the first 30 s for a job, with so many cheap machines to be had."""
+    """What is rented for a job in the first 30 s, with so many spot machines available."""
     r = Autoscaler(7, 45.0, 1.4, 3.0, 10.0, 0.0)
     r.machine_types, r.list_count, r.objectives = {"t": TYPE}, 1, aims
     r.on_source_update(0, True, {job.id: DemandUpdate(job.record(), n, None, [0.0])})
@@ -102,7 +108,9 @@
 def test_work_due_soon_gets_on_demand_machines_where_spot_ones_are_refused(
     aim: list[dict[str, object]], wanted: dict[tuple[str, str, bool], int]
 ) -> None:
-    """It waited for 120 s for cheap machines that were all taken: 10 of 16 arrays late, and every second gang (shannon-loanworks)."""
+    """It waited for 120 s for spot machines that were all taken: 10 of 16 arrays late, and every
+    second gang (shannon-loanworks).
+    """
     job = a_job(task_count=80, cpus=2.0, gpus=0.0, spot=True)
     assert renting(job, 80, Objectives(aim), 3) == wanted
 
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -1,6 +1,8 @@
-"""A machine whose reports arrive and that hears neither answers nor commands: for a moment, a lease, for good.
+"""An agent whose heartbeats arrive and that receives neither answers nor commands: for a moment,
+for a lease, for good.
 
-Its lease runs out, its session rises, it tries each controller in turn, and looks alive all the time.
+Its lease expires, its incarnation rises, it tries each controller in turn, and looks alive all the
+time.
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 
 
 def given(p: SimulatedCluster, machines: Iterable[str]) -> set[Any]:
-    """The starts that stand on these machines, as whoever holds their parts sees it."""
+    """The permits on these machines, as the holders of their shards see them."""
     return {
         key
         for n in p.nodes.values()
@@ -32,7 +34,9 @@
 
 
 async def watch(p: SimulatedCluster, machines: list[str], s: float) -> set[Any]:
-    """All starts that are given to these machines in so long, besides what is there already."""
+    """All permits that are given to these machines within the time, besides those that are there
+    already.
+    """
     before, seen = given(p, machines), set()
     until = p.now + s
     while p.now < until:
@@ -53,7 +57,9 @@
 
 @pytest.mark.parametrize(("count", "s"), [(1, 5.0), (1, 10.0), (1, 60.0), (6, 60.0)])
 def test_non_receiving_agent_gets_no_work_until_it_receives_again(count: int, s: float) -> None:
-    """Untouched, each lease that ran out was followed by new starts on the same machine: 9 to 40 in a minute."""
+    """Before, each expired lease was followed by new starts on the same machine: 9 to 40 in a
+    minute.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 110.0)
@@ -100,7 +106,9 @@
 
 
 def test_gang_does_not_wait_for_a_task_on_a_non_receiving_agent() -> None:
-    """The others waited for the machine's lease, holding their places; now they leave as soon as it is known to hear nothing."""
+    """The other tasks waited for the machine's lease, holding their places; now they leave as soon
+    as it is known not to receive.
+    """
     left: list[float] = []
 
     async def scene(p: SimulatedCluster) -> None:
@@ -164,7 +172,7 @@
 
 
 def test_agent_that_receives_intermittently_is_used_again_after_growing_delays() -> None:
-    """And it is found again when its rest is over, though nothing happens to it then."""
+    """It is tried again when its quarantine is over, though nothing happens to it then."""
     o, now, seq = owner(), 0.0, 0
 
     def beat(token: int, session: int, s: float = 1.0) -> None:
--- a/tests/test_orphaned_machines.py
+++ b/tests/test_orphaned_machines.py
@@ -1,4 +1,4 @@
-"""A controller that keeps its lease but not its workers."""
+"""A controller that keeps its lease but loses its agents."""
 
 from __future__ import annotations
 
@@ -35,7 +35,9 @@
 def test_machines_never_served_count_at_the_preferred_controller_while_the_holder_is_silent() -> (
     None
 ):
-    """After a takeover beyond a cut nobody was served, and all stayed away until the cut was over."""
+    """After a failover beyond a partition no machine was served, and all stayed away until it was
+    over.
+    """
     s = OrphanedMachines()
     for at in (10.0, 13.0):
         for m in ("n-1", "n-2"):
@@ -46,7 +48,7 @@
 
 
 def test_holder_without_heartbeats_of_two_machines_loses_its_shard_without_further_proof() -> None:
-    """Sent back to it each worker hung for 4 s, and its tasks were lost with its lease."""
+    """Redirected to the holder each agent hung for 4 s, and its tasks were lost with its lease."""
     s = OrphanedMachines()
     s.record(1, "n-1", True, 10.0)
     assert not s.should_acquire(1, True, 10.1, holder_without_heartbeats=True), (
@@ -63,7 +65,9 @@
 
 
 def test_machine_that_came_once_has_not_returned() -> None:
-    """A holder that was back within a second: two workers met its closed port, came here once, and were served by it again."""
+    """A holder restarted within a second: two agents met its closed port, came here once, and were
+    served by it again.
+    """
     s = OrphanedMachines()
     for name in ("n-1", "n-2"):
         s.record(0, name, True, 10.0)
--- a/tests/test_partitioned_zone.py
+++ b/tests/test_partitioned_zone.py
@@ -17,12 +17,12 @@
 
 
 def told_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Users are told of a cancellation as soon as it is written."""
+    """A cancellation is acknowledged as soon as it is written."""
     monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
 
 
 def answers_from_an_old_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever can't read the state service takes his copy for current."""
+    """A controller that can't read the state service takes its store cache for current."""
     monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
 
 
@@ -40,9 +40,11 @@
 def test_partitioned_controller_keeps_work_running_while_others_cancel_jobs(
     how: str, mode: str, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """For six leases (10 s; `cancel_s` 35 s), with close looks: nothing older is told, what is cancelled is gone in time.
+    """For six leases (10 s; `cancel_s` 35 s) with frequent status requests: no answer is older, and
+    cancelled tasks are gone in time.
 
-    In the zone nothing loses its lease; nothing starts after the telling; afterwards nothing is left waiting.
+    In the zone no task loses its lease; nothing starts after the acknowledgement; in the end
+    nothing is left waiting.
     """
     if without is not None:
         without(monkeypatch)
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -1,4 +1,4 @@
-"""The source's decisions and writes."""
+"""The job source's decisions and writes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def told(s: JobSource, part: int = 0, now: float = 1.0) -> tuple[int, int]:
-    """What the owner of a part knows by now: candidates wanted, and permits."""
+    """What the owner of a shard knows by now: requested candidates, and permits."""
     for (p, key), value in s.take_owner_updates(2, now).items():
         BOARD[s, p, key] = value
     want = BOARD.get((s, part, peer_messages.candidate_key("j-000001")))
@@ -164,7 +164,9 @@
 
 
 def test_a_write_of_unknown_outcome_is_fenced_before_its_permits_are_given_anew() -> None:
-    """It may land after the cell was read again; given anew in another chunk, one task would have two permits."""
+    """It may land after the record was read again; with a new permit in another chunk, one task
+    would have two.
+    """
     s, txn = one_permit_being_written()
     (key,) = txn.puts
     s.on_outcome_unknown(txn)
@@ -188,7 +190,9 @@
 
 
 def test_cost_of_a_change_does_not_depend_on_other_jobs() -> None:
-    """Counted, not timed: one task's exit among many jobs and entries, through its write to what owners are told."""
+    """Counted, not timed: one task's exit among many jobs and allocations, through its write to the
+    owners' updates.
+    """
     visits, told_keys = [], []
     for size in (10, 400):
         s = JobSource(0, EPOCH, [Team("t", 0, 0, 0, 0)], ("a",), 4096, 8)
@@ -301,7 +305,9 @@
 
 
 def test_jobs_waiting_for_long_take_turns_ahead_of_others() -> None:
-    """An array with its first task, a gang whole; never before services and guarantees, and not for ever: it may never find room."""
+    """An array with its first task, a gang whole; never before services and guarantees, and not for
+    ever: it may never fit.
+    """
     s = source(limit=0.0)
     s.on_job(a_job("j-000001", task_count=50, priority=3), "j-000001", 5, 0.0)
     s.on_job(a_job("j-000002", task_count=8, kind="gang", priority=2), "j-000002", 5, 0.0)
@@ -356,9 +362,11 @@
 
 
 def test_late_write_fails_its_compare_even_when_its_record_was_empty_meanwhile() -> None:
-    """It found no cell, and says so. The cell was fenced, used, emptied, and deleted: there was none again, and the late write landed.
+    """It compares with an absent record. The record was fenced, used, emptied and deleted: it was
+    absent again, and the late write landed.
 
-    Its permit was one that nobody knew of, for a task that ran elsewhere or was done (share of such writes on a bad day: 0.6).
+    Its permit was unknown to all, for a task that ran elsewhere or was done (share of such writes
+    on a bad day: 0.6).
     """
     store = ModelStore()
     rev, _ = store.txn({}, {JOB_PREFIX + "j-000001": 1, f"{SHARD_PREFIX}0": {"node": "c0"}}, [])
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Candidates that wait for room: what a pass holds, and what it costs."""
+"""Candidates that wait for capacity: what a pass reserves, and what it costs."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def test_a_replica_takes_a_warm_machine_from_work_that_has_hardly_begun() -> None:
-    """Free room is on machines that have just come; the image is where work runs."""
+    """Free capacity is on machines that have just booted; the image is where tasks run."""
     for ran, there in ((1.0, "n-0"), (60.0, "n-1")):
         p = fleet(2)
         warm = p.inventory.machines["n-0"]
@@ -109,7 +109,9 @@
 
 
 def test_a_pass_costs_what_has_changed_whatever_the_fleet_and_the_backlog() -> None:
-    """Counted, not timed: machines looked at when one more candidate comes and one machine falls free."""
+    """Counted, not timed: machines looked at when one more candidate arrives and one machine
+    becomes free.
+    """
     looks = []
     for size in (50, 500):
         p = fleet(size)
@@ -155,7 +157,9 @@
 
 
 def plain_way(p: Placement, w: CandidateRequest, m: Machine) -> bool:
-    """The slow model: whether stopping everything that may be stopped there makes room; held and leaving work counted once."""
+    """The reference: whether preempting everything preemptible on a machine makes it fit; reserved
+    and leaving tasks count once.
+    """
     room, any_one = p.inventory.free_capacity(m), False
     for key, permit in m.permits.items():
         info = p.inventory.job_traits[key[0]]
@@ -177,7 +181,9 @@
 
 
 def test_waiting_job_has_no_placement_that_an_exhaustive_search_finds() -> None:
-    """Machines, tasks and guarantees change at random; who found nothing is asked again only for what has gained."""
+    """Machines, tasks and guarantees change at random; a failed search is repeated only for
+    machines that have gained something.
+    """
     found = 0
     for seed in range(30):
         rng = Random(seed)
@@ -241,7 +247,9 @@
 
 
 def test_failed_preemption_is_retried_only_on_machines_with_new_work() -> None:
-    """Counted, not timed: every quarter of a second each waiting candidate walked over every machine with work of lower rank."""
+    """Counted, not timed: every quarter of a second each waiting candidate looked at every machine
+    with tasks of lower priority.
+    """
     ways = []
     for size in (40, 400):
         p = fleet(size)
@@ -298,7 +306,9 @@
 
 
 def test_single_zone_gang_preempts_in_the_zone_with_most_preemptible_work() -> None:
-    """Zone b, the last by name, has one machine; four are in a, all full of arrays that it may stop."""
+    """Zone b, the last by name, has one machine; four are in a, all full of arrays that may be
+    preempted.
+    """
     p = fleet(5)
     p.inventory.machines["n-4"].zone = "b"
     vec = (16.0, 4.0, 128.0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -70,7 +70,9 @@
 def test_preferred_controller_its_agents_cannot_reach_gets_no_shard_back(
     mode: str, tries: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It can't tell by itself while it holds nothing: 769 tasks were killed. And if it gets the part all the same, it is carried."""
+    """It can't tell by itself while it holds nothing: 769 tasks were killed. If it gets the shard
+    all the same, its agents are relayed.
+    """
     if not tries:
 
         async def believes(self: AgentCommands, member: str, owner: Any) -> bool:
@@ -109,7 +111,7 @@
 
 
 def test_heartbeats_are_relayed_over_two_peers() -> None:
-    """c0's workers reach only c2, and c2 can't speak with c0: c1 stands in between."""
+    """c0's agents reach only c2, and c2 can't reach c0: c1 relays between them."""
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster)
@@ -124,7 +126,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_relay_that_crashes_or_is_partitioned_expires_no_lease(seed: int) -> None:
-    """At moments drawn, for both kinds of cut: while a third can carry, nothing is killed by its lease."""
+    """At random times, for both kinds of cut: while a third controller can relay, no task loses its
+    lease.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -146,7 +150,9 @@
 
 
 def test_relay_stalled_for_longer_than_a_lease_breaks_no_rule() -> None:
-    """All its links are held, and deliver minutes' worth at once when it goes on: questions, answers, reports, transactions."""
+    """All its links are held, and deliver minutes of requests, answers, heartbeats and transactions
+    at once when it resumes.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster, 80.0)
@@ -163,7 +169,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_three_controllers_with_different_partitions_keep_their_shards(seed: int) -> None:
-    """And two that each reach one half: c0 has no state service, c1 no workers, c2 no c0; and the cuts end apart from each other."""
+    """c0 is cut from the state service, c1 from its agents, c2 from c0; the cuts end at different
+    times.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -178,7 +186,7 @@
 
 
 def test_partition_that_ends_while_a_relayed_answer_is_delayed_loses_no_job() -> None:
-    """c1's answers to c0 lie in the network until long after c0 has its own link again."""
+    """c1's answers to c0 stay in the network until long after c0 has its own link again."""
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster, 60.0)
@@ -196,7 +204,9 @@
 def test_shard_moves_where_an_older_release_cannot_relay(
     older: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It says nothing of it and is asked nothing; what can't be carried moves, as it did before."""
+    """It announces no relay and is asked for none; a shard that can't be relayed moves, as it did
+    before.
+    """
     real = Relay.collect
 
     def collect(self: Relay, node: str, now: float) -> list[Any]:
@@ -224,7 +234,9 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_two_or_three_overlapping_partitions_break_no_rule(seed: int) -> None:
-    """Any two or three links or bundles of links, in any mode, overlapping: every rule holds, and all work goes on afterwards."""
+    """Any two or three links or bundles of links, in any mode: every rule holds, and all work goes
+    on afterwards.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(1000 + seed)
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -16,7 +16,9 @@
 
 
 def test_response_to_an_earlier_incarnation_is_ignored() -> None:
-    """A controller that starts anew counts its questions from the beginning; what comes late was for another."""
+    """A restarted controller numbers its requests from the beginning; a late response was for
+    another one.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         await anyio.sleep(2.0)
@@ -60,7 +62,9 @@
 
 
 def test_own_requests_of_a_relay_come_first() -> None:
-    """Who asks for more than its share through another is refused at once, and the other's own work is not late."""
+    """A controller that relays more than its share through another is refused at once, and the
+    other's own requests are not late.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster, 40.0)
--- a/tests/test_relay_safety.py
+++ b/tests/test_relay_safety.py
@@ -27,7 +27,9 @@
 
 
 def test_request_relayed_twice_takes_effect_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every question is put twice: the second transaction fails its guards, the second answer is to no open question."""
+    """Every request is served twice: the second transaction fails its compare, the second response
+    is to no pending request.
+    """
     real = Relay.serve
 
     async def twice(self: Relay, by: str, request: relay_messages.RelayRequest) -> None:
@@ -55,10 +57,12 @@
 def test_relayed_heartbeat_answer_counts_as_an_answer(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An owner that counted only what came by itself would hold its workers for dead while they live on through another.
+    """An owner that counted only direct answers would take its agents for dead while they live on
+    through a relay.
 
-    The argument: whichever way an answer takes, the worker's lease counts from when it *sent* the report, which was before the
-    owner had it; so silence is counted from the owner's receipt of any report, and a carried answer renews nothing for longer.
+    The argument: whichever way an answer takes, the agent's lease counts from when it *sent* the
+    heartbeat, which was before the owner received it; so silence is counted from the owner's
+    receipt of any heartbeat, and a relayed answer renews nothing for longer.
     """
     if not guarded:
         real = HeartbeatRequests._answer_held
@@ -93,7 +97,9 @@
 def test_relayed_write_that_lands_after_another_claim_fails(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """c1 takes a write of c0's and gives no answer; c0's part is taken, its new holder starts replicas, and then the write lands."""
+    """c1 takes a write of c0's and gives no answer; another acquires c0's shard and starts
+    replicas, and then the write lands.
+    """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
     late: list[relay_messages.RelayRequest] = []
@@ -138,7 +144,9 @@
 
 
 def test_late_relayed_renewal_leaves_each_shard_one_holder() -> None:
-    """Renewals of c0 are held back on c1's link: its lease ends or lives, and each shard has one holder by the store."""
+    """Renewals of c0 are delayed on c1's link: its lease expires or lives, and by the store each
+    shard has one holder.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster, 60.0)
@@ -158,7 +166,9 @@
 def test_relayed_read_is_not_older_than_its_request(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A job that was accepted elsewhere a moment ago is known at a controller that reads through another: no 404."""
+    """A job that another controller accepted a moment ago is known to one that reads through a
+    relay: no 404.
+    """
     if not guarded:
         monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     lost: list[int] = []
@@ -180,7 +190,9 @@
 def test_cancellation_is_acknowledged_at_once_while_a_controller_reads_through_one_peer(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It reads through that peer, so it hears of it, and its user is told at once; nobody's word is taken for its reading."""
+    """It reads the cancellation through that peer, and the user is told at once; gossip does not
+    stand in for its own read.
+    """
     if not guarded:  # no carrying, and no waiting for its word
         monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
     options = settings.Options(carry=guarded, cut_off_s=120.0)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,7 +1,8 @@
-"""A controller that ends and is back before anybody missed it, or just after: what its earlier life has left about.
+"""A controller that restarts before its lease expires, or just after: what its earlier incarnation
+has left.
 
-Its lease and key live on for up to 4 s, its connections break, its answers may be half sent, its watches stay open in the store, and
-a write of its may land after it is back.
+Its lease and key live on for up to 4 s, its connections break, its answers may be half sent, its
+watches stay open in the store, and a write of its may land after the restart.
 """
 
 from __future__ import annotations
@@ -21,9 +22,11 @@
 
 @pytest.mark.parametrize("after", [0.1, 0.3, 1.0, 3.9, 4.1])
 def test_restarted_controller_soon_starts_tasks_in_its_shard(after: float) -> None:
-    """Starts go on in its part within a report and a half; back at once, it keeps the part: its workers met a closed port only once.
+    """Within a heartbeat interval and a half; restarted at once, it keeps the shard: its agents met
+    a closed port only once.
 
-    (Two that had come to another controller once counted as coming again 2 s later, though they had long been served at home.)
+    Two that had come to another controller once counted as returning 2 s later, though the
+    preferred one had long served them.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -67,7 +70,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_restart_during_another_claim_leaves_one_holder(seed: int) -> None:
-    """Its lease has just ended: its own claim and another's are on their way together, and one of the two fails its guard."""
+    """Its lease has just expired: its own claim and another's are under way together, and one of
+    the two fails its compare.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -91,7 +96,9 @@
 def test_write_of_an_earlier_incarnation_that_lands_after_the_restart_fails(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A permit's write is held back in the network, its controller ends and is back; the new life starts the replicas elsewhere."""
+    """A permit's write is delayed in the network, its controller restarts, and the new incarnation
+    starts the replicas elsewhere.
+    """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
     late: list[Any] = []
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -1,7 +1,7 @@
-"""A controller that ends where it can't read the store, and is back: what its new life may do.
+"""A controller restarts where it can't read the store: what its new incarnation may do.
 
-The rules are judged from the workers' side in every scene. Where a guard of ours is what keeps a rule, the same scene is played
-without it and has to break.
+The rules are checked from the agents' side in every scene. Where a guard keeps a rule, the same
+scene is played without it and has to break.
 """
 
 from __future__ import annotations
@@ -25,7 +25,9 @@
 
 @pytest.fixture(autouse=True)
 def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A worker that tries two silent controllers in between is back after 11 s and a report's interval: a lease has to be longer."""
+    """An agent that tries two unresponsive controllers returns after 11 s and a heartbeat interval:
+    the lease has to be longer.
+    """
     monkeypatch.setattr(decision_model, "LEASE", 16.0)
     monkeypatch.setattr(decision_model, "CANCEL", 46.0)
 
@@ -52,7 +54,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_repeated_restarts_in_a_partition_extend_no_obligation(seed: int) -> None:
-    """Five lives, none of which knows anything: together they answer for no longer than one."""
+    """Five incarnations that have read nothing answer together for no longer than one."""
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -72,7 +74,7 @@
 
 @pytest.mark.parametrize("which", [["c1"], ["c0", "c2"], ["c0", "c1", "c2"]])
 def test_controllers_that_restart_in_an_outage_lose_no_lease(which: list[str]) -> None:
-    """Nobody has a store to read for 15 s, and those that end come back after 0.2 s, twice."""
+    """The store is down for 15 s, and the controllers that crash restart after 0.2 s, twice."""
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 60.0)
@@ -95,7 +97,7 @@
 def test_jobs_cancelled_during_restart_recovery_end_in_time(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The users are told outside; what runs on inside ends in time, however long the cut lasts."""
+    """Users are told outside the partition; tasks inside end in time, however long it lasts."""
     if guard == "left":
         monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
     if guard == "marked":  # what was sure stays sure: each report counts anew
@@ -123,7 +125,9 @@
 def test_cancellation_read_but_not_executed_before_a_restart_ends_in_time(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A worker doesn't answer while its job is cancelled and the user told; then its controller ends in a cut, and knows nothing."""
+    """An agent does not answer while its job is cancelled and the user told; then its controller
+    restarts in a partition without a read.
+    """
     if not guarded:
         monkeypatch.setattr(RenewalGrants, "informed_renewal_s", property(lambda self: 60.0))
 
@@ -158,7 +162,9 @@
 def test_tokens_of_another_controller_are_not_answered(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """c0's workers reach only c1, which has just started and can read nothing; c0 counts their silence and is right."""
+    """c0's agents reach only c1, which has just started and can read nothing; c0 counts their
+    silence and is right.
+    """
     if not guarded:
         monkeypatch.setattr(restart_recovery.fencing_tokens, "holder_of", lambda token: 1)
         monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
@@ -184,7 +190,9 @@
 def test_failover_outside_a_partition_whose_token_reached_some_agents_breaks_no_rule(
     seed: int,
 ) -> None:
-    """c1's part has been taken while some of its workers could not be reached; then the zone is cut, and c1 is back."""
+    """c1's shard was acquired while some of its agents were unreachable; then the zone is
+    partitioned, and c1 is back.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
--- a/tests/test_served_by_class.py
+++ b/tests/test_served_by_class.py
@@ -1,4 +1,4 @@
-"""Who counts as served, from what a played day leaves behind."""
+"""Which jobs count as served, by the log of a played day."""
 
 from __future__ import annotations
 
@@ -55,7 +55,9 @@
 
 
 def test_the_largest_of_a_class_are_judged_by_themselves() -> None:
-    """Thirty small gangs are served at once; of the three largest one begins late, with its last task, and one never ends."""
+    """Thirty small gangs are served at once; of the three largest one begins late, with its last
+    task, and one never ends.
+    """
     log = [
         f" {i}.0 c0 info accepted job=j-1{i:05d} team=a kind=gang tasks=1 class=z"
         for i in range(30)
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -1,4 +1,6 @@
-"""Controllers that end and are back in 0.1 to 0.5 s at every step of a claim, and a machine back with its tasks gone."""
+"""Controllers restart in 0.1 to 0.5 s at every step of a claim, a machine restarts without its
+tasks, a claim's answer is lost.
+"""
 
 from __future__ import annotations
 
@@ -71,7 +73,9 @@
 
 
 def test_tasks_of_a_machine_that_restarts_at_once_are_not_taken_to_run() -> None:
-    """The same name and address, numbers that begin anew: its old reports are no measure for the new ones for ever."""
+    """The same name and address with numbers from the beginning: its old heartbeats are no measure
+    for the new ones.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster, 50.0)
@@ -100,7 +104,7 @@
 
 
 class Forgets(dict[int, int]):
-    """Which epochs this process has held already is forgotten."""
+    """The epochs that this process has held are forgotten."""
 
     def get(self, key: int, default: Any = None) -> Any:
         return 0
@@ -118,7 +122,9 @@
 def test_claim_with_lost_answer_is_held_at_once_and_no_epoch_is_held_twice(
     lost: float, late: float, without: Any, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All three controllers end one after another, with answers of the state service lost, or with writes carried out late."""
+    """All three controllers crash one after another, with answers of the state service lost, or
+    with late writes.
+    """
     real, real_take = ShardLeases.__init__, ShardRoles.acquire
     taken: list[tuple[str, int, int]] = []
 
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -1,4 +1,4 @@
-"""The owner's proofs and tokens, one by one."""
+"""The shard owner's proofs and fencing tokens, one by one."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def started(direct: bool) -> tuple[ShardOwner, Any]:
-    """An owner that has sent a run and heard nothing of it."""
+    """An owner that has sent a run and got no answer."""
     o = owner()
     base = EPOCH << TOKEN_BITS
     m = o.on_heartbeat(report(1, base), 0.0)
@@ -73,7 +73,7 @@
 
 
 def test_late_run_is_fenced_before_its_start_counts_as_gone() -> None:
-    """A /do may be held back for minutes: an empty list under the same token proves nothing."""
+    """A command may be delayed for minutes: an empty list under the same token proves nothing."""
     o, m = started(direct=True)
     m.command_pending = True
     base = EPOCH << TOKEN_BITS
@@ -131,7 +131,9 @@
 
 
 def test_stalled_controller_proves_nothing_by_its_clock() -> None:
-    """Another may have answered its workers meanwhile: only a read begun after their lease shows that nobody could."""
+    """Another may have answered its agents meanwhile: only a read begun after their lease shows
+    that none could.
+    """
     o, m = started(direct=False)
     o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
     m.last_answer_at = 1.0
@@ -143,7 +145,9 @@
 
 
 def test_unread_heartbeats_are_not_silence() -> None:
-    """After standing still for 30 s the room on machines whose reports are still to be read stays in use."""
+    """After a stall of 30 s the capacity of machines whose heartbeats are still to be read stays in
+    use.
+    """
     o, m = started(direct=False)
     o.epoch_confirmed_at = 40.0
     o.on_event_loop_stall(30.0, 32.0)
@@ -205,7 +209,9 @@
 
 
 def test_permit_takes_the_capacity_of_its_renewed_reservation() -> None:
-    """A write that took longer than the hold time was refused by room that was held for the very same candidate."""
+    """A write that took longer than the hold time was refused by a reservation for the very same
+    candidate.
+    """
     o = owner()
     m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
@@ -226,7 +232,7 @@
 
 
 def test_late_answer_does_not_revive_a_gone_machine() -> None:
-    """It came back silent from the start, last in the order of reports, where the sweep ends before it."""
+    """It returned without heartbeats, last in their order, where the sweep ends before it."""
     o = owner()
     m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
@@ -236,7 +242,9 @@
 
 
 def test_silence_after_a_stall_proves_nothing_until_the_agent_reports_again() -> None:
-    """A new life may have been started meanwhile, and answer the worker with this one's tokens (coordination.restart_recovery)."""
+    """A new incarnation may have started meanwhile, and answer the agent with this one's tokens
+    (coordination.restart_recovery).
+    """
     for back in (False, True):
         o, m = started(direct=False)
         o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
@@ -249,7 +257,9 @@
 
 
 def test_exhausted_token_space_proves_nothing_by_a_token_that_was_not_raised() -> None:
-    """A worker that takes reports' answers but no commands costs a token each; then a new epoch is asked for."""
+    """An agent that takes heartbeats' answers but no commands costs a token each; then a new epoch
+    is asked for.
+    """
     o = ShardOwner(0, EPOCH, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0, 2)
     o.machine_types = {"t": TYPE}
     m = o.on_heartbeat(report(1, o.initial_token), 0.0)
--- a/tests/test_short_job_load.py
+++ b/tests/test_short_job_load.py
@@ -36,7 +36,9 @@
 def short_job_scene(
     seed: int, s: float, crash: bool, seen: dict[str, Any]
 ) -> Callable[[SimulatedCluster], Any]:
-    """For `s` seconds; some are cancelled at once, some while they are placed, some as they end. A leader ends in the middle."""
+    """Four jobs a second for `s` seconds. Users cancel some at once, during placement or as they
+    end; a leader may crash midway.
+    """
 
     async def one(cluster: SimulatedCluster, rng: Random, n: int) -> None:
         spec = cluster.spec(n, gait="array", chicks=1, flightS=rng.choice([1.0, 3.0]))
@@ -140,7 +142,7 @@
 
 
 def remembered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A source that keeps what it knew of a job that is over."""
+    """A source that keeps what it knew of an ended job."""
     real = AllocationStore.on_job
 
     def on_job(self: AllocationStore, job: Any, job_id: str, *a: Any, **kw: Any) -> None:
--- a/tests/test_simulation_checks.py
+++ b/tests/test_simulation_checks.py
@@ -11,7 +11,9 @@
 
 
 def test_largest_jobs_check_fails_for_unserved_and_for_late_jobs() -> None:
-    """Thirty small gangs are served; of the four largest three can't be (their team's limit is used up), or begin after 240 s."""
+    """Thirty small gangs are served; of the four largest three can't be (their team's limit is used
+    up), or begin after 240 s.
+    """
     for hours, says in ((False, "largest of group: 1 of 4 served"), (True, "began at")):
 
         async def scene(cluster: SimulatedCluster, hours: bool = hours) -> None:
@@ -47,7 +49,9 @@
 def test_left_waiting_reports_only_jobs_that_limits_and_capacity_allow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Not what its team's limit holds back, nor what fits in a zone without room only, nor a gang that there is not room for."""
+    """Not those that the team's limit holds back, nor those that fit only in a full zone, nor a
+    gang without enough capacity.
+    """
     real = JobSource.candidate_count
     monkeypatch.setattr(
         JobSource,
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -1,4 +1,4 @@
-"""Reports that come a second time, from seconds to well over a lease later."""
+"""Heartbeats that arrive a second time, from seconds to well over a lease later."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("most", [5.0, 40.0])
 def test_stale_heartbeats_move_no_shard_and_keep_no_machine_alive(most: float) -> None:
-    """To the same controller and others, also across an end and a takeover."""
+    """At the same controller and at others, also across a crash and a failover."""
 
     async def scene(p: SimulatedCluster) -> None:
         p.copy_reports(Random(4), 0.4, 1.0, most)
@@ -44,7 +44,9 @@
 
 
 def test_gone_machine_stays_gone_wherever_its_stale_heartbeats_arrive() -> None:
-    """Its tasks start elsewhere as soon as they would without copies, and its room is nobody's."""
+    """Its tasks start elsewhere as soon as they would without the copies, and nothing is placed on
+    it.
+    """
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 90.0)
@@ -79,7 +81,7 @@
 def test_stale_heartbeats_and_non_receiving_agents_break_no_rule_in_the_decision_model(
     seed: int,
 ) -> None:
-    """Beside ends, pauses, cuts and takeovers: every rule holds, and all of it finishes."""
+    """With crashes, pauses, cuts and failovers: every rule holds, and everything finishes."""
     w = run_with_faults(seed, kinds=(0, 2, 3, 4, 8, 8), copies=0.3)
     assert not w.live() and not w.store.permits()
 
@@ -127,7 +129,9 @@
 
 
 class Small:
-    """Owners decide; two workers do to the letter what reaches them; what is under way may come in any order, or again."""
+    """Owners decide, two agents do exactly what reaches them; messages arrive in any order, or
+    twice.
+    """
 
     def __init__(self) -> None:
         self.now, self.rng, self.nodes = 0.0, Random(1), [0]
--- a/tests/test_stale_heartbeats_at_failover.py
+++ b/tests/test_stale_heartbeats_at_failover.py
@@ -19,7 +19,7 @@
 
 
 def believes_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What a list omits is gone though the machine has not taken this owner's token."""
+    """What a list omits is gone though the machine has not accepted this owner's token."""
     real = PermitTable.check_gone
 
     def check(self: PermitTable, p: Permit) -> None:
@@ -35,7 +35,9 @@
 
 
 def silence_of_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A lease of silence counts though the machine has not taken this owner's token: another may be answering it."""
+    """Silence proves tasks gone though the machine has not accepted this owner's token: another may
+    be answering it.
+    """
     real = ShardOwner.on_heartbeat
 
     def on_report(self: ShardOwner, r: Heartbeat, *a: Any, **kw: Any) -> Any:
@@ -63,11 +65,13 @@
 def test_stale_heartbeats_during_failover_break_no_rule(
     where: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Of before its starts, and of its newest list; to all, from the claim on until it has acted, before anything fresh or after.
+    """Heartbeats of before its starts, and of its newest list; to all controllers, from the claim
+    until the new leader has acted, before any fresh one or after.
 
-    unreached: its machines can reach nobody for as long as they keep their tasks. zone: they go on with their old leader, cut off
-    together. heard: they come at once. session: the copies are of an earlier session, other attempts run there by now. Copies alone
-    cost no task its lease.
+    unreached: its machines can reach no controller for as long as they keep their tasks. zone: they
+    go on with their old leader, partitioned together. heard: they arrive at once. session: the
+    copies are of an earlier incarnation, and other attempts run there by now. Copies alone cost no
+    task its lease.
     """
     if without is not None:
         without(monkeypatch)
--- a/tests/test_state_channel.py
+++ b/tests/test_state_channel.py
@@ -1,4 +1,4 @@
-"""Boards between controllers."""
+"""State channels between controllers: full sync, then deltas."""
 
 from __future__ import annotations
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -1,4 +1,4 @@
-"""One place that tells: all controllers' views in one answer, what is wrong first, bounded in size."""
+"""The status report: all controllers' views in one answer, what is wrong first, bounded in size."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def three() -> list[Controller]:
-    """Three controllers that know of one another; c0 and c1 can speak."""
+    """Three controllers that know of one another; c0 and c1 are connected."""
     nodes = []
     for me in range(3):
         data = config([1, 2, 3, 4])
--- a/tests/test_store_cache.py
+++ b/tests/test_store_cache.py
@@ -20,11 +20,13 @@
 
 
 def test_reloaded_store_cache_claims_no_cancellation_that_it_has_not_passed_on() -> None:
-    """The state service goes away between a new life's listing and the watch that follows it, and stays away.
+    """The state service goes down between a restarted controller's listing and the watch that
+    follows it, and stays down.
 
-    c2 has missed a cancellation (it is cut from all but its workers); c1 begins anew, and has listed it. Its words said that it knew up
-    to there and named nothing: c2 took that for everything and said that it knew, c1 told the user, and c2's task went on. (Guard: the
-    copy is taken and handed on in one step. Without it: ran_cancelled.)
+    c2 has missed a cancellation (it is cut from all but its agents); c1 restarts, and has listed
+    it. Its gossip said that it had read up to there and named nothing: c2 took that for everything
+    and said that it knew, c1 told the user, and c2's task ran on. (Guard: the cache is loaded and
+    passed on in one step. Without it: ran_cancelled.)
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -85,7 +87,7 @@
 
 
 class StoreCacheModel:
-    """A store, and one controller's copy of it; what the plain model knows is what the store held at each revision."""
+    """A store and one controller's cache of it, compared with what the store held at each revision."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.store, self.copy = Random(seed), decision_model.ModelStore(), StoreCache()
@@ -212,12 +214,14 @@
 
 
 def test_cached_job_state_never_goes_back_in_any_order_of_updates() -> None:
-    """Own writes are known before the watch brings them; a listing may be older than they are, and than the watch."""
+    """Own writes are known before the watch brings them; a listing may be older than they are, and
+    than the watch.
+    """
     run_store_cache_model(range(400))
 
 
 def everything_goes(self: StoreCache, found: dict[str, tuple[Any, int]], rev: int) -> None:
-    """A listing as the whole truth: what it does not hold goes, however new it is."""
+    """A listing is taken for complete: a key that it lacks is removed, however new it is."""
     for key in [
         *(JOB_PREFIX + j for j in (*self.live_jobs, *self.ended_jobs, *self.unreadable_jobs)),
         *self.entries,
--- a/tests/test_store_gateway_errors.py
+++ b/tests/test_store_gateway_errors.py
@@ -19,7 +19,7 @@
 
 
 def no_lease_on_500() -> Any:
-    """As it was."""
+    """Replace `renew_lease`, as it was: every other status means that the lease is gone."""
 
     async def renew(self: KeyValueStore, lease: int) -> bool:
         status, _ = await self._call(
@@ -31,7 +31,7 @@
 
 
 def no_key_on_500() -> Any:
-    """As it was."""
+    """Replace `get`, as it was: every other status means that the key is absent."""
 
     async def get(self: KeyValueStore, key: str) -> tuple[Any, int]:
         status, out = await self._call("GET", f"/kv/{key}")
@@ -53,7 +53,9 @@
 def test_gateway_errors_release_no_shard_and_forget_no_job(
     path: str, without: Any, seen: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A gateway in trouble: nothing is concluded from it, nobody lets go of a part, and no job is unknown."""
+    """Nothing is concluded from a gateway's errors: no controller releases a shard, and no job is
+    unknown.
+    """
     if without is not None:
         monkeypatch.setattr(*without())
     real, on, rng, met = FakeStoreAndCloud.handle, [False], Random(3), [0]
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -207,7 +207,7 @@
 async def send_raw_body(
     cluster: SimulatedCluster, name: str, method: str, path: str, body: bytes
 ) -> tuple[int, Any]:
-    """A request whose body is no JSON."""
+    """Send a request whose body need not be JSON. Returns the status and the decoded answer."""
     stream = await cluster.net.connect("user", name, 80)
     await stream.send(
         f"{method} {path} HTTP/1.1\r\nhost: {name}\r\ncontent-length: {len(body)}\r\n\r\n".encode()
@@ -241,7 +241,9 @@
 
 @pytest.mark.parametrize("gait", ["array", "group", "daemon"])
 def test_extreme_but_valid_jobs_do_not_block_other_jobs(gait: str) -> None:
-    """A task that takes next to nothing ended every step of its team's source: room divided by it is infinite."""
+    """A task that takes next to nothing ended every step of its team's source: capacity divided by
+    it is infinite.
+    """
 
     async def scene(cluster: SimulatedCluster) -> None:
         for i, changes in enumerate(EXTREME_SUBMISSIONS):
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -1,6 +1,8 @@
-"""Every team at its limit while jobs are cancelled whose machines can't be asked, and the leader changes.
+"""Every team at its limit while jobs are cancelled whose machines are unreachable, and the leader
+changes.
 
-What is cancelled counts for its team until it is proved gone, under every source and by its own size; then its room is used again.
+Cancelled tasks count for their team until they are proved gone, under every source and by their own
+size; then their capacity is used again.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
 
 
 def over_is_small(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new source does not know the size of what is over."""
+    """A new source does not know the size of an ended job."""
     real = AllocationStore.install_allocations
 
     def install_cell(self: AllocationStore, team: str, found: dict[str, Any], now: float) -> None:
--- a/tests/test_unresponsive_agents.py
+++ b/tests/test_unresponsive_agents.py
@@ -25,7 +25,7 @@
 
 
 def an_answer_to_a_command_is_a_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What answers a command is taken for one whose lease has just been renewed."""
+    """The answer to a command counts as a heartbeat whose lease has just been renewed."""
     real = ShardOwner.on_heartbeat
 
     def on_report(
@@ -48,7 +48,9 @@
 def test_agent_that_cannot_report_gets_no_new_task_although_commands_reach_it(
     s: float, change: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Cancelled tasks there end by command; an answered command renews no lease, so nothing new goes there until they report."""
+    """Cancelled tasks there end by command; an answered command renews no lease, so nothing new
+    starts there until they report.
+    """
     if without is not None:
         without(monkeypatch)
     given: list[Any] = []
@@ -91,7 +93,9 @@
 
 @pytest.mark.parametrize("mute", [True, False])
 def test_lost_kill_command_is_sent_again(mute: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """By command, where that reaches the machine again: it need not wait for a report, or for its lease."""
+    """By command where that reaches the machine again: it waits neither for a heartbeat nor for the
+    lease.
+    """
     monkeypatch.setattr(decision_model, "LEASE", 16.0)
     monkeypatch.setattr(decision_model, "CANCEL", 46.0)
     took: list[float] = []
@@ -124,7 +128,9 @@
 
 
 def nothing_is_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No stop is sent: what hung within its lease goes on, and the judge has to see it."""
+    """No kill is sent: an agent that hung within its lease goes on, and the simulation has to
+    report it.
+    """
     real = CommandBuilder.commands_for
 
     def commands(self: CommandBuilder, *a: Any, **kw: Any) -> Any:
@@ -150,9 +156,11 @@
 def test_cancelled_tasks_end_in_time_when_agents_hang_or_receive_late(
     how: str, s: float, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Some run there, some have just been sent; a lease is 10 s. command, answer: only those are held up, reports come and go.
+    """Some tasks run there, some have just been sent; a lease is 10 s. command, answer: only those
+    are delayed, heartbeats come and go.
 
-    Gone in time from the telling, also where the machine goes on with what it had; no attempt runs beside another.
+    The tasks are gone in time from the acknowledgement, also where the machine goes on with what it
+    had; no attempt runs beside another.
     """
     if without is not None:
         without(monkeypatch)
--- a/tests/test_zone_placement_faults.py
+++ b/tests/test_zone_placement_faults.py
@@ -30,7 +30,7 @@
 
 
 def by_the_letter(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Who may stop whom is a circle: by rank what is within a guarantee, by guarantee what has the higher rank."""
+    """Preemption is a circle: by priority within a guarantee, by guarantee above the priority."""
     real = PreemptionPlanner.may_preempt
     monkeypatch.setattr(
         PreemptionPlanner, "may_preempt", lambda self, w, c: real(self, w, (*c[:4], False))
@@ -49,9 +49,11 @@
 def test_zone_bound_jobs_finish_in_their_zone_despite_lost_machines_and_slow_links(
     seed: int, room: bool, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Gangs and arrays, bound together or to a named zone; machines are taken, cut off and hang, the leader changes.
+    """Gangs and arrays in one zone or a named zone; machines are lost, partitioned and hang, the
+    leader changes.
 
-    No task begins outside its zone; all of it ends; what has room does not wait; nothing is stopped for others again and again.
+    No task begins outside its zone; all jobs end; what fits does not wait; no task is preempted
+    again and again.
     """
     if without is not None:
         without(monkeypatch)
@@ -137,7 +139,7 @@
 def test_single_zone_array_stays_in_its_zone_when_its_leader_and_a_machine_are_lost(
     how: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What is not proved gone holds its zone, under the new source as well."""
+    """A task that is not proved gone holds its job's zone, under the new source as well."""
     if without is not None:
         without(monkeypatch)
     zones: set[str] = set()
