--- a/tests/removed_guards.py
+++ b/tests/removed_guards.py
@@ -7,7 +7,8 @@
 import pytest
 
 from ploverhall.controller.store_watch import StoreWatch
-from ploverhall.coordination.job_answers import FreshRead
+from ploverhall.coordination.job_answers import FreshRead, JobAnswers, JobStatus
+from ploverhall.protocol import jobs
 from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.shard_owner import ShardOwner
 
@@ -17,6 +18,18 @@
     return FreshRead(self.context.clock())
 
 
+def told_at_once(self: JobAnswers, job_id: str) -> JobStatus | None:
+    """Replace `final`, as repeated submissions were answered: an end is reported whoever knows of
+    it.
+    """
+    end = self.store_cache.ended_jobs.get(job_id)
+    return (
+        None
+        if end is None
+        else JobStatus(jobs.status_body(job_id, end.outcome, end.tasks_done), True)
+    )
+
+
 def copies_are_news(monkeypatch: pytest.MonkeyPatch) -> None:
     """Accept stale heartbeats: each counts as newer than any before."""
     real = ShardOwner.on_heartbeat
--- a/tests/test_concurrent_submissions.py
+++ b/tests/test_concurrent_submissions.py
@@ -38,36 +38,68 @@
     return refused
 
 
+async def submit_poll_and_cancel(
+    cluster: SimulatedCluster,
+    spec: dict[str, Any],
+    names: tuple[str, str],
+    seed: int,
+    accepted: Counter[str],
+) -> None:
+    """One user of a job at controller `names[0]`, asking `names[1]`, too.
+
+    Submits until it is accepted, polls, and cancels it: one job in three at once, one when it is done.
+    """
+    name, other = names
+    job_id, rng = spec["id"], Random(f"{seed} {spec['id']} {name}")
+    status = 0
+    for _ in range(30):
+        status = await cluster.call(name, "POST", "/api/jobs", job_id, spec)
+        accepted[job_id] += status == 201
+        if status in (200, 201):
+            break
+        await anyio.sleep(1.0)
+    assert status in (200, 201), f"forgotten: {job_id} is not accepted in 30 s: {status}"
+    for _ in range(rng.randrange(1, 6)):
+        await anyio.sleep(rng.choice([0.0, 0.01, 0.5]))
+        await cluster.resubmit(job_id, other)
+        await cluster.ask(job_id, name)
+    if int(job_id[2:]) % 3 == 0:
+        await cluster.withdraw(job_id)
+        await cluster.resubmit(job_id, other)
+    elif int(job_id[2:]) % 3 == 1:
+        while cluster.told.get(job_id) is None:
+            await anyio.sleep(0.5)
+            await cluster.ask(job_id, name)
+        await cluster.withdraw(job_id, other)  # it is done already
+        assert cluster.told[job_id] == DONE
+
+
+async def assert_reads_are_shared(cluster: SimulatedCluster, rng: Random) -> None:
+    """Hundreds of requests for running jobs at one controller: one read answers all that came
+    before it began.
+    """
+    for n in range(100, 110):
+        await cluster.submit(cluster.spec(n, gait="daemon", chicks=1))
+    await anyio.sleep(5.0)
+    real, read = cluster.state.handle, list[float]()
+
+    async def handle(request: Any) -> Reply:
+        if request.path == "/watch" and request.query.get("holdMs") == "0":
+            read.append(cluster.now)
+        return await real(request)
+
+    cluster.state.handle = handle  # type: ignore[method-assign]
+    for _ in range(300):
+        cluster.tasks.start_soon(cluster.ask, f"j-{rng.randrange(100, 110):06d}", "c0")
+    await anyio.sleep(1.0)
+    assert len(read) < 30, "a read for each would be too many"
+
+
 def run_two_users(seed: int, share: float) -> None:
     """Two users submit each job, repeatedly while it is live, and cancel it together or when it is
     done.
     """
     accepted: Counter[str] = Counter()
-    read: list[float] = []
-
-    async def user(cluster: SimulatedCluster, spec: dict[str, Any], name: str, other: str) -> None:
-        job_id, rng = spec["id"], Random(f"{seed} {spec['id']} {name}")
-        status = 0
-        for _ in range(30):
-            status = await cluster.call(name, "POST", "/api/jobs", job_id, spec)
-            accepted[job_id] += status == 201
-            if status in (200, 201):
-                break
-            await anyio.sleep(1.0)
-        assert status in (200, 201), f"forgotten: {job_id} is not accepted in 30 s: {status}"
-        for _ in range(rng.randrange(1, 6)):
-            await anyio.sleep(rng.choice([0.0, 0.01, 0.5]))
-            await cluster.resubmit(job_id, other)
-            await cluster.ask(job_id, name)
-        if int(job_id[2:]) % 3 == 0:
-            await cluster.withdraw(job_id)
-            await cluster.resubmit(job_id, other)
-        elif int(job_id[2:]) % 3 == 1:
-            while cluster.told.get(job_id) is None:
-                await anyio.sleep(0.5)
-                await cluster.ask(job_id, name)
-            await cluster.withdraw(job_id, other)  # it is done already
-            assert cluster.told[job_id] == DONE
 
     async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -83,37 +115,17 @@
                 jobs.parse_submission(spec, 0.0),
             )
             a, b = rng.sample(cluster.names, 2) if n % 4 else [rng.choice(cluster.names)] * 2
-            cluster.tasks.start_soon(user, cluster, spec, a, b)
-            cluster.tasks.start_soon(user, cluster, spec, b, a)
+            cluster.tasks.start_soon(submit_poll_and_cancel, cluster, spec, (a, b), seed, accepted)
+            cluster.tasks.start_soon(submit_poll_and_cancel, cluster, spec, (b, a), seed, accepted)
             await anyio.sleep(rng.choice([0.0, 0.1, 0.6]))
         await anyio.sleep(30.0)
         if not share:
-            await burst(cluster, rng)
+            await assert_reads_are_shared(cluster, rng)
         cluster.state.handle = FakeStoreAndCloud.handle.__get__(cluster.state)  # type: ignore[method-assign]
         await anyio.sleep(5.0)
         assert not share or min(refused[429], refused[503]) > 10
         cluster.missing = await cluster.all_answered(KNOWN_S)  # type: ignore[attr-defined]
 
-    async def burst(cluster: SimulatedCluster, rng: Random) -> None:
-        """Hundreds of requests for running jobs at one controller: one read answers all that came
-        before it began.
-        """
-        for n in range(100, 110):
-            await cluster.submit(cluster.spec(n, gait="daemon", chicks=1))
-        await anyio.sleep(5.0)
-        real = cluster.state.handle
-
-        async def handle(request: Any) -> Reply:
-            if request.path == "/watch" and request.query.get("holdMs") == "0":
-                read.append(cluster.now)
-            return await real(request)
-
-        cluster.state.handle = handle  # type: ignore[method-assign]
-        for _ in range(300):
-            cluster.tasks.start_soon(cluster.ask, f"j-{rng.randrange(100, 110):06d}", "c0")
-        await anyio.sleep(1.0)
-        assert len(read) < 30, "a read for each would be too many"
-
     cluster = play(scene, seed)
     assert cluster.missing == []  # type: ignore[attr-defined]
     assert (
