--- a/tests/test_custom_days.py
+++ b/tests/test_custom_days.py
@@ -1,4 +1,4 @@
-"""Days of scripts/custom_days/further.py: each fault is on every fourth, and a seed repeats."""
+"""Days of scripts/custom_days/further.py: each trouble is on every fourth; a seed repeats."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 40))
 @pytest.mark.parametrize("first", [0, 20, 40])
-def test_each_additional_fault_is_on_five_of_twenty_days(seed: int, first: int) -> None:
+def test_each_further_trouble_is_on_five_of_twenty_days(seed: int, first: int) -> None:
     on: Counter[str] = Counter()
     for i in range(first, first + 20):
         faults, names = further.faults(SITE, seed, i, Random(f"{seed} {i}"))
--- a/tests/test_served_by_class.py
+++ b/tests/test_served_by_class.py
@@ -1,4 +1,4 @@
-"""Which jobs count as served, by the log of a played day."""
+"""Who counts as served, from what a played day leaves behind."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 }
 
 
-def test_classes_and_teams_served_less_than_half_fail() -> None:
+def test_half_of_everyone() -> None:
     found = served_by_class.jobs(LOG.splitlines())
     lines, least = served_by_class.table({"classes": CLASSES}, found)
     rows = {text.split()[1]: text for text in lines[1:] if not text.startswith("largest")}
@@ -55,9 +55,7 @@
 
 
 def test_the_largest_of_a_class_are_judged_by_themselves() -> None:
-    """Thirty small gangs are served at once; of the three largest one begins late, with its last
-    task, and one never ends.
-    """
+    """Thirty small gangs are served at once; of the three largest one begins late, with its last task, and one never ends."""
     log = [
         f" {i}.0 c0 info accepted job=j-1{i:05d} team=a kind=gang tasks=1 class=z"
         for i in range(30)
