--- a/ploverhall/scheduling/attempt_updates.py
+++ b/ploverhall/scheduling/attempt_updates.py
@@ -61,7 +61,7 @@
             attempt=allocation.attempt,
             machine=allocation.machine,
             state=state,
-            why=update.reason or "-",
+            reason=update.reason or "-",
         )
         job_state.running_count -= allocation.running
         if NOTICE_EVICTION_REQUESTED in (update.notice, allocation.notice):
--- a/ploverhall/status.py
+++ b/ploverhall/status.py
@@ -21,7 +21,7 @@
 MAX_AGENT_SILENCE_S = 10.0  # of all agents of a shard
 # A key-value store that has not answered a controller for longer is a condition
 STORE_ANSWER_MAX_AGE_S = 2.5
-SERVICE_NAMES = {"state": "state service"}  # as shown; other services go by their own names
+SERVICE_NAMES = {"state": "key-value store"}  # as shown; other services go by their own names
 MAX_NAMED_JOBS = 4  # that failed on a machine
 AGE_IN_MINUTES_FROM_S = 120
 
@@ -65,7 +65,7 @@
         _add_job_condition(found, row)
     for place, count, age_s in report["late"]:
         found[f"late {place}"] = (
-            f"{count} machines of {place} do not come: rented up to {age_s:.0f} s ago"
+            f"{count} machines of {place} do not boot: requested up to {age_s:.0f} s ago"
         )
     for row in report["trouble_machines"]:
         _add_machine_condition(found, row)
@@ -78,19 +78,19 @@
     state_age_s = report["state_age_s"]
     if state_age_s > STORE_ANSWER_MAX_AGE_S:
         found["state"] = (
-            f"controller {controller}: the state service has not answered it for"
+            f"controller {controller}: the key-value store has not answered it for"
             f" {state_age_s:.0f} s"
         )
     _add_link_conditions(found, report)
     if report["stood_still"]:
         ago_s, stall_s = report["stood_still"]
         found["~stood"] = (
-            f"controller {controller} stood still for {stall_s:.0f} s, {ago_s:.0f} s ago"
+            f"controller {controller}: its event loop stalled for {stall_s:.0f} s, {ago_s:.0f} s ago"
         )
     for shard, silence_s in report["quiet_s"].items():
         if silence_s > MAX_AGENT_SILENCE_S:
             found[f"quiet {shard}"] = (
-                f"controller {controller}: no worker of part {shard} has reported to it for"
+                f"controller {controller}: no agent of shard {shard} has sent it a heartbeat for"
                 f" {silence_s:.0f} s"
             )
     if lag_s := report["short"].get("processor_lag_s"):
@@ -108,7 +108,7 @@
         )
     if connectivity.get("away"):
         found["away"] = (
-            f"controller {controller}: {connectivity['away']} workers reach it through another"
+            f"controller {controller}: {connectivity['away']} agents reach it through another"
             " controller only"
         )
     for peer in report["unheard"]:
@@ -116,10 +116,10 @@
 
 
 def _add_job_condition(found: dict[str, str], row: dict[str, Any]) -> None:
-    """Add that a job fails everywhere, or waits far longer than its class usually does."""
+    """Add that a job fails on all machines, or waits far longer than its class usually does."""
     if row["broken"]:
         found[f"broken {row['id']}"] = (
-            f"job {row['id']} ({row['team']}) fails everywhere: {row['failures']} times,"
+            f"job {row['id']} ({row['team']}) fails on all machines, {row['failures']} times,"
             f" last {row['last_failure']}"
         )
     elif row["kind"] in ("gang", "service") and _waits_too_long(row):
@@ -137,13 +137,11 @@
 
 def _add_machine_condition(found: dict[str, str], row: dict[str, Any]) -> None:
     """Add why nothing is started on a machine."""
-    problem = f"not trusted, {', '.join(row['failed'][:MAX_NAMED_JOBS])} failed there"
+    problem = f"quarantined, {', '.join(row['failed'][:MAX_NAMED_JOBS])} failed there"
     if row["state"] == "silent":
-        problem = f"silent for {row['silent_s']:.0f} s"
+        problem = f"no heartbeat for {row['silent_s']:.0f} s"
     elif row["state"] == "unreachable":
-        problem = (
-            f"reports, but hears nothing, for {row['unheard_s']:.0f} s: nothing is started there"
-        )
+        problem = f"sends heartbeats, but receives nothing, for {row['unheard_s']:.0f} s: nothing starts there"
     found[f"~machine {row['name']}"] = (
         f"machine {row['name']} ({row['type']}, {row['zone']}): {problem}"
     )
@@ -223,7 +221,7 @@
     for name, answer in sorted(data["controllers"].items()):
         if answer["view"] is None:
             lines.append(
-                f"controller {name} has not been heard of since {data['asked']} started:"
+                f"controller {name} has sent nothing since {data['asked']} started:"
                 " what it holds is not known"
             )
         elif answer["age_s"]:
@@ -233,7 +231,7 @@
         lines += conditions(report).values()
     held = {shard for report in reports.values() for shard in report["shards"]}
     lines += [
-        f"part {shard} of the fleet is held by nobody that can be heard"
+        f"shard {shard} is held by no controller that can be reached"
         for shard in range(len(data["controllers"]))
         if str(shard) not in held
     ]
@@ -245,9 +243,9 @@
     shards = ", ".join(sorted(report["shards"])) or "nothing"
     line = f"controller {name} ({report['zone']}): holds {shards}"
     if report["renter"]:
-        line += ", rents"
+        line += ", runs the autoscaler"
     if relayed_count := (report.get("reach") or {}).get("carried"):
-        line += f", carried {relayed_count} for others"
+        line += f", relayed {relayed_count} for others"
     for key, amount in sorted(report["short"].items()):
         line += f", {key} {amount:g}"
     return line
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -103,12 +103,12 @@
     shown = "\n".join(lines)
     first = shown[: shown.index("machines:")]
     assert (
-        "j-000001 (t) fails everywhere" in first
+        "j-000001 (t) fails on all machines" in first
         and "c2 can't be asked: what it held is as of 3" in first
     )
     assert "gang j-000002 (t) has waited 300 s: no machine has room" in first
     assert (
-        "part 0 of the fleet is held by nobody that can be heard" in first and "part 2" not in first
+        "shard 0 is held by no controller that can be reached" in first and "shard 2" not in first
     )
     assert "died lately:" in shown and "error" in shown[shown.index("died lately:") :]
     only = "\n".join(status.format_text(ask(a, b, {"job": "j-000002"}), {"job": "j-000002"}))
@@ -173,8 +173,8 @@
     )
     b.agent_commands.failback.heartbeat_relayed("n-1", "c0", a_now)
     lines = status.format_text(ask(a, b, {}), {})
-    assert any("c1 reaches the state service through c0 only" in line for line in lines)
-    assert any("c1: 1 workers reach it through another controller only" in line for line in lines)
+    assert any("c1 reaches the key-value store through c0 only" in line for line in lines)
+    assert any("c1: 1 agents reach it through another controller only" in line for line in lines)
     old = {**b.shard_status.report()}
     del old["reach"]
     assert not any("through" in t for t in status.conditions(old).values()), (
