--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -156,14 +156,18 @@
         # A token of the holder's epoch: the agent has left it because its answers did not come
         served = token_epoch == epoch
         cannot_reach_holder = served or self._returned(heartbeat, shard, epoch, now)
-        if controller is not None and controller != own_name:
-            if cannot_reach_holder or self.relay_routes.reports_unreachable_shard(
-                controller, shard
-            ):
-                relayed = await self.heartbeat_relay.relay(body, heartbeat, shard, controller)
-                if relayed is not None:
-                    return relayed
-                now = self.context.clock()
+        if (
+            controller is not None
+            and controller != own_name
+            and (
+                cannot_reach_holder
+                or self.relay_routes.reports_unreachable_shard(controller, shard)
+            )
+        ):
+            relayed = await self.heartbeat_relay.relay(body, heartbeat, shard, controller)
+            if relayed is not None:
+                return relayed
+            now = self.context.clock()
         if holder is not None and holder != own_name and token_epoch <= epoch:
             self.shard_claims.orphaned_machines.record(shard, heartbeat.machine, served, now)
             self.shard_claims.wake.set()
--- a/ploverhall/controller/shard_claims.py
+++ b/ploverhall/controller/shard_claims.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+import contextlib
+
 import anyio
 
 from ploverhall import log
@@ -236,7 +238,6 @@
         """Release a shard and delete its key, so that its preferred controller can claim it."""
         key = shard_key(held.shard)
         self.shard_roles.release(held.shard, "handed back")
-        try:
+        # If the key is still there, the next round claims the shard again
+        with contextlib.suppress(RequestRefusedError, OutcomeUnknownError):
             await self.context.store.compare_and_swap({key: held.epoch}, {}, [key], urgent=True)
-        except (RequestRefusedError, OutcomeUnknownError):
-            pass  # if the key is still there, the next round claims the shard again
--- a/ploverhall/protocol/rate_limiter.py
+++ b/ploverhall/protocol/rate_limiter.py
@@ -34,6 +34,7 @@
     burst: float = 0.0  # most tokens in the bucket, also after `rate` has been changed
 
     def __post_init__(self) -> None:
+        """Start with a full bucket."""
         self.tokens = self.burst = self.rate
         self.refilled_at = self.usage_counted_at = self.clock()
 
--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -336,9 +336,10 @@
         if victims_in_progress.isdisjoint(machine.permits):
             return free
         for attempt_id, permit in machine.permits.items():
-            if attempt_id in victims_in_progress:
-                if occupies(permit, machine.tasks.get(attempt_id)):
-                    free = add_scaled(free, permit.resources)
+            if attempt_id in victims_in_progress and occupies(
+                permit, machine.tasks.get(attempt_id)
+            ):
+                free = add_scaled(free, permit.resources)
         return free
 
     def _possible_victims(
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -270,9 +270,10 @@
             permit = machine.permits.get(attempt_id)
             if permit is not None and permit.running_since is None:
                 permit.running_since = now
-        elif task.state == EXITED and task.reason == "error":
-            if old is None or old.state != EXITED:
-                self.failures.record_failure(machine, attempt_id.job_id, now)
+        elif (
+            task.state == EXITED and task.reason == "error" and (old is None or old.state != EXITED)
+        ):
+            self.failures.record_failure(machine, attempt_id.job_id, now)
 
     # -- time --------------------------------------------------------------------------------
 
--- a/scripts/benchmark_hot_paths/user_load.py
+++ b/scripts/benchmark_hot_paths/user_load.py
@@ -15,6 +15,7 @@
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply, Server
+from tests.simulation.sample_submission import SUBMISSION
 
 POLL = "poll"
 RESUBMISSION = "resubmission"
@@ -27,26 +28,12 @@
 HOST = "127.0.0.1"
 JOB_ID = "j-999999"
 JOB: dict[str, Any] = {
+    **SUBMISSION,
     "id": JOB_ID,
     "flock": "f",
     "keeper": "t",
-    "gait": "array",
-    "rank": "normal",
     "chicks": 4,
-    "cores": 1.0,
-    "gpus": 1.0,
-    "ramGb": 1.0,
-    "plumage": "i",
-    "pullGb": 0.1,
-    "breeds": None,
-    "marsh": None,
-    "together": False,
-    "scatter": False,
-    "driftwood": False,
     "flightS": 9.0,
-    "nestS": 0.0,
-    "tuckS": 0.0,
-    "duskS": None,
 }
 
 
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -14,6 +14,7 @@
 from ploverhall.transport.http_client import Client
 
 from .deployment import HTTP_PORT, SimulatedDeployment
+from .sample_submission import SUBMISSION
 from .submission_rules import rejection_reason
 
 SUBMIT_FOR_S = 60.0  # a user who has not been accepted by then gives up
@@ -61,26 +62,13 @@
         """A submission, drawn; `fields` are taken instead of what is drawn."""
         kind = fields.pop("gait", None) or self.rng.choice(["array", "array", "group"])
         return {
+            **SUBMISSION,
             "id": f"j-{n:06d}",
             "flock": kind,
             "keeper": f"team-{n % len(self.teams)}",
             "gait": kind,
-            "rank": "normal",
             "chicks": self.rng.choice([1, 2, 3]) if kind == "array" else 2,
-            "cores": 1.0,
-            "gpus": 1.0,
-            "ramGb": 1.0,
-            "plumage": "i",
-            "pullGb": 0.1,
-            "breeds": None,
-            "marsh": None,
-            "together": False,
-            "scatter": False,
-            "driftwood": False,
             "flightS": self.rng.choice([1.0, 3.0]),
-            "nestS": 0.0,
-            "tuckS": 0.0,
-            "duskS": None,
             **fields,
         }
 
--- a/tests/test_http_parser.py
+++ b/tests/test_http_parser.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import contextlib
+
 import h11
 import pytest
 from hypothesis import given, settings
@@ -132,10 +134,8 @@
 @settings(max_examples=150)
 @given(st.binary(max_size=300), st.lists(st.integers(0, 300), max_size=5))
 def test_garbage_is_refused_or_waited_for_never_a_fault(data: bytes, cuts: list[int]) -> None:
-    try:
+    with contextlib.suppress(InvalidHttpError):
         fed(data, cuts)
-    except InvalidHttpError:
-        pass
 
 
 def test_a_response_without_a_length_ends_with_its_connection() -> None:
@@ -211,7 +211,5 @@
 @given(ANY)
 def test_no_json_is_a_fault(d: object) -> None:
     for value in (d, {**GOOD, **d} if isinstance(d, dict) else d):
-        try:
+        with contextlib.suppress(InvalidHeartbeatError):
             agents.heartbeat_from_json(value).tasks()
-        except InvalidHeartbeatError:
-            pass
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -19,9 +19,9 @@
 from ploverhall.transport.http_client import Client
 from ploverhall.transport.http_server import Server
 
-from .golden.inputs import SUBMISSION
 from .simulation.fake_agents import FakeAgents
 from .simulation.fake_key_value_store import FakeKeyValueStore
+from .simulation.sample_submission import SUBMISSION
 
 
 def free_ports(n: int) -> list[int]:
