--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -2,9 +2,9 @@
 
     python -m pytest -q -p scripts.known_red -rxX
 
-Each line of the file is `TEST | CAUSE | ISSUE`, TEST being the whole node id as pytest prints it; empty
-lines and lines that begin with `#` are skipped. At most three tests may be listed. A listed test that
-does not exist, or a line in another form, ends the run with an error.
+Each line of the file is `TEST | CAUSE | ISSUE`, TEST being the whole node id as pytest prints it;
+empty lines and lines that begin with `#` are skipped. At most three tests may be listed. A listed
+test that does not exist, or a line in another form, ends the run with an error.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The listed tests. Raises ValueError where a line is not in its form, or there are too many."""
+    """The listed tests. Raises ValueError for a line in another form, or too many tests."""
     tests = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
--- a/scripts/mixed.py
+++ b/scripts/mixed_versions.py
@@ -1,15 +1,17 @@
-"""Two versions of the controller side by side: whether a rolling upgrade, and a way back, break anything.
+"""Two versions of the controller side by side: whether an upgrade or the way back breaks rules.
 
-    python -m scripts.mixed --base REVISION
+    python -m scripts.mixed_versions --base REVISION
 
-Three real controller processes on loopback, beside stand-ins for the state service, the cloud and the agents. The cluster begins
-with the old version (REVISION, taken out of git) on all three. With each proportion of versions every controller is killed and
-started again; then the next one is brought to the new version. At last one is brought back to the old version. Jobs are submitted
+Three real controller processes on loopback, beside stand-ins for the state service, the cloud and
+the agents. The cluster begins with the old version (REVISION, taken out of git) on all three.
+With each proportion of versions every controller is killed and started again; then the next one
+is brought to the new version. At last one is brought back to the old version. Jobs are submitted
 and cancelled all along.
 
-Checked: no task runs twice or on a wrong machine, no team is over its limit, nothing cancelled runs `cancel_s` after its user was
-told; every accepted job is answered by every controller, and no final state changes; what was not cancelled ends; after each
-step every controller hears every other; no controller logs an error or an odd answer, and none ends by itself. The exit code is 1
+Checked: no task runs twice or on a wrong machine, no team is over its limit, nothing cancelled
+runs `cancel_s` after its user was told; every accepted job is answered by every controller, and
+no final state changes; what was not cancelled ends; after each step every controller hears every
+other; no controller logs an error or an odd answer, and none ends by itself. The exit code is 1
 with the reasons if one of these fails, or if the run takes longer than three minutes.
 
 Both versions need the libraries in target/deps, or in the running interpreter.
@@ -89,7 +91,7 @@
 
 
 def node_settings(name: str, ports: list[int]) -> dict[str, Any]:
-    """One controller's settings; the first six ports are the controllers', for users and for each other."""
+    """One controller's settings; the first six ports are the controllers'."""
     data = test_loopback.config(ports[4:])
     listen = {n: f"127.0.0.1:{ports[3 + i]}" for i, n in enumerate(NAMES)}
     zones = dict(zip(NAMES, ZONES, strict=True))
@@ -209,7 +211,7 @@
             return 0, None
 
     async def ask_about(self, job: str, name: str, method: str, path: str, body: Any = None) -> int:
-        """One request about a job. What the user is told must not be less than what was told before the request."""
+        """One request about a job; its answer must say no less than earlier answers said."""
         submitted = self.submitted[job]
         accepted = submitted.accepted
         final = submitted.final
@@ -229,7 +231,7 @@
         return status
 
     async def submit(self, job: str, kind: str, run_s: float) -> None:
-        """Submit a job of two tasks until accepted, at any controller; some are cancelled soon after."""
+        """Submit a job of two tasks, at any controller; some are cancelled soon after."""
         body = test_loopback.spec(job, kind, 2, flightS=run_s)
         self.fleet.specs[job] = jobs.parse_submission(body, 0.0)
         self.submitted[job] = Submitted()
@@ -356,7 +358,8 @@
         await self.all_answered()
         versions = " ".join(self.controllers.version[name] for name in NAMES)
         print(
-            f"{versions}: {self.restarts} restarts, {len(self.submitted)} jobs, {len(self.wrong)} wrong so far",
+            f"{versions}: {self.restarts} restarts, {len(self.submitted)} jobs, "
+            f"{len(self.wrong)} wrong so far",
             flush=True,
         )
 
@@ -433,8 +436,10 @@
         print(f"wrong: {line}")
     told = [submitted.final for submitted in cluster.submitted.values()]
     print(
-        f"{len(told)} jobs: {told.count(jobs.DONE)} done, {told.count(jobs.CANCELLED)} cancelled; {cluster.fleet.starts} tasks started, "
-        f"{cluster.fleet.killed_by_lease} killed by a lease; {cluster.restarts} restarts; {len(wrong)} wrong"
+        f"{len(told)} jobs: {told.count(jobs.DONE)} done, {told.count(jobs.CANCELLED)} cancelled; "
+        f"{cluster.fleet.starts} tasks started, "
+        f"{cluster.fleet.killed_by_lease} killed by a lease; "
+        f"{cluster.restarts} restarts; {len(wrong)} wrong"
     )
     return 1 if wrong else 0
 
--- a/scripts/cuts.py
+++ b/scripts/partition_matrix.py
@@ -1,14 +1,17 @@
-"""Every single partial cut on a deployment of the users' bench: what it costs, one version beside another.
+"""Every partial network cut on a deployment of the users' bench: its cost, by version.
 
-    python -m scripts.cuts --bench FLEETBENCH --site SITE.toml --out DIR [--tree CHECKOUT]... [--only WORDS] [--at 150] [--jobs 4]
+    python -m scripts.partition_matrix --bench FLEETBENCH --site SITE.toml --out DIR
+        [--tree CHECKOUT]... [--only WORDS] [--at 150] [--jobs 4]
 
-One day a cut: a controller (the busiest or another) loses the state service, the workers or the whole network, in every mode
-the bench has for it, for 10, 40 and 90 s, from `--at` on. Days are played in each checkout given (`--tree`, the first is
-"before"), without charging the processor, so that a day mostly repeats; a day whose report lies in DIR already is not played
-again. `--pairs N` plays N days with two or three overlapping cuts drawn from a seed instead.
+One day a cut: a controller (the busiest or another) loses the state service, the workers or the
+whole network, in every mode the bench has for it, for 10, 40 and 90 s, from `--at` on. Days are
+played in each checkout given (`--tree`, the first is "before"), without charging the processor,
+so that a day mostly repeats; a day whose report lies in DIR already is not played again. `--pairs
+N` plays N days with two or three overlapping cuts drawn from a seed instead.
 
-What is counted, of a played day: tasks killed by their lease; the replicas' worst 30 s; the longest time between two permits
-in the cut and 20 s after it; the slowest accepted submission; answers of 503 to users; shards taken after the cut began.
+What is counted, of a played day: tasks killed by their lease; the replicas' worst 30 s; the
+longest time between two permits in the cut and 20 s after it; the slowest accepted submission;
+answers of 503 to users; shards taken after the cut began.
 """
 
 from __future__ import annotations
@@ -22,7 +25,7 @@
 from random import Random
 from typing import Any
 
-from scripts import trees
+from scripts import side_by_side
 
 KINDS = {
     "state": ("hold", "reset", "refuse"),
@@ -54,7 +57,10 @@
     def toml(self) -> str:
         """As the bench wants it."""
         faults = ",\n  ".join(self.faults)
-        return f'[[day]]\nname = "{self.name}"\nslot = "scale"\nlight = true\nseed = 901\nfaults = [\n  {faults},\n]\n'
+        return (
+            f'[[day]]\nname = "{self.name}"\nslot = "scale"\nlight = true\nseed = 901\n'
+            f"faults = [\n  {faults},\n]\n"
+        )
 
 
 def fault(kind: str, mode: str, busiest: bool, lasts: float, at: float) -> str:
@@ -63,7 +69,8 @@
         kind
     ]
     return (
-        f'{{ at_s = {at:.1f}, kind = "node_cut", count = 1, busiest = {str(busiest).lower()}, {which}'
+        f'{{ at_s = {at:.1f}, kind = "node_cut", count = 1, '
+        f"busiest = {str(busiest).lower()}, {which}"
         f'for_s = {lasts:.1f}, mode = "{mode}" }}'
     )
 
@@ -104,7 +111,8 @@
         faults = [fault(*c) for c in sorted(cuts, key=lambda c: c[4])]
         if rng.random() < 0.3:
             faults.append(
-                f'{{ at_s = {at + 20 * rng.random():.1f}, kind = "peers_refuse", for_s = {rng.choice([5.0, 20.0])} }}'
+                f'{{ at_s = {at + 20 * rng.random():.1f}, kind = "peers_refuse", '
+                f"for_s = {rng.choice([5.0, 20.0])} }}"
             )
         out.append(Day(f"drawn-{i}", tuple(faults), at, max(c[4] + c[3] for c in cuts)))
     return out
@@ -163,7 +171,7 @@
 
 def main() -> int:
     """Play what is asked for and print the table."""
-    p = trees.options(__doc__, 4)
+    p = side_by_side.options(__doc__, 4)
     p.add_argument(
         "--pairs",
         type=int,
@@ -178,7 +186,7 @@
         for d in (drawn(args.pairs, args.at) if args.pairs else singles(args.at))
         if args.only in d.name
     ]
-    played = trees.side_by_side(
+    played = side_by_side.compare(
         args,
         days,
         {"day": lambda d: d.name},
--- a/scripts/back.py
+++ b/scripts/restart_latency.py
@@ -1,11 +1,13 @@
-"""How soon a controller that has ended is of use again: a real process on loopback, killed and started anew beside stand-ins.
+"""How soon a controller that was killed serves again: a real process on loopback.
 
-    python -m scripts.back [--after 0.1 0.3 1 3.9 4.1] [--times 3] [--machines 12] [--report 1.0]
+    python -m scripts.restart_latency [--after 0.1 0.3 1 3.9 4.1]
+        [--times 3] [--machines 12] [--report 1.0]
 
-One controller, so nobody else answers meanwhile. Seconds from the start of the new process (which is `after` seconds after the
-end of the old one) to: listening (a connection is accepted), healthy (GET /healthz gives 200), the first worker answered, the
-first start after the end, all workers answered. The lowest and the highest of `--times` ends. The stand-ins are the tests' own; a
-worker whose report meets a refused connection tries again after 1 s, as the protocol has it.
+One controller, so nobody else answers meanwhile. Seconds from the start of the new process (which
+is `after` seconds after the end of the old one) to: listening (a connection is accepted), healthy
+(GET /healthz gives 200), the first worker answered, the first start after the end, all workers
+answered. The lowest and the highest of `--times` ends. The stand-ins are the tests' own; a worker
+whose report meets a refused connection tries again after 1 s, as the protocol has it.
 """
 
 from __future__ import annotations
@@ -14,6 +16,7 @@
 import subprocess
 import sys
 import tempfile
+from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
@@ -83,10 +86,8 @@
             self.jobs += 1
             spec = test_loopback.spec(f"j-{self.jobs:06d}", "array", 1, flightS=0.05, pullGb=0.01)
             self.fleet.specs[spec["id"]] = jobs.parse_submission(spec, 0.0)
-            try:
+            with suppress(UnreachableError):
                 await client.call("POST", "/api/jobs", spec, 1.0)
-            except UnreachableError:
-                pass
             await anyio.sleep(0.05)
 
     async def measure(self, after: float) -> tuple[float, ...]:
@@ -172,7 +173,8 @@
         ]
         print(f"| {after:g} | " + " | ".join(cells) + " |")
     print(
-        f"rules broken, by the workers' own account: {len(bench.fleet.broken)}; killed by a lease: {bench.fleet.killed_by_lease}"
+        f"rules broken, by the workers' own account: {len(bench.fleet.broken)}; "
+        f"killed by a lease: {bench.fleet.killed_by_lease}"
     )
     return 1 if bench.fleet.broken else 0
 
--- a/scripts/served.py
+++ b/scripts/served_by_class.py
@@ -1,16 +1,19 @@
-"""Is at least half of everyone served? Per class and per team, from a played day's report and its controllers' debug logs.
+"""Is at least half of each class and team served? From a played day's report and its debug logs.
 
     fleetbench run SITE DAY --log debug --report day.json > day.log
-    python -m scripts.served day.json day.log
-
-How it is counted. *Served*: a job of an array or gang that completed, a service all of whose replicas ran at some time. Jobs
-that their users cancelled before that count neither way. Classes are counted over all submissions, by the bench's report
-(completed: told so or not); teams over the jobs that a controller accepted, by the logs, since a submission that nobody
-accepted leaves its team's name nowhere. Tasks are shown beside jobs, so that a large job that starves shows among small
-ones. Ends with status 1 where a class or team has less than half of its jobs or tasks served, and says "near" below 0.65.
-
-*Largest*: of each class the tenth of its jobs with the most tasks, three at least, by the logs. Less than half of them served is a
-failed day, and so is one that has not begun within 240 s of its acceptance: a gang with all its tasks, any other job with one.
+    python -m scripts.served_by_class day.json day.log
+
+How it is counted. *Served*: a job of an array or gang that completed, a service all of whose
+replicas ran at some time. Jobs that their users cancelled before that count neither way. Classes
+are counted over all submissions, by the bench's report (completed: told so or not); teams over
+the jobs that a controller accepted, by the logs, since a submission that nobody accepted leaves
+its team's name nowhere. Tasks are shown beside jobs, so that a large job that starves shows among
+small ones. Ends with status 1 where a class or team has less than half of its jobs or tasks
+served, and says "near" below 0.65.
+
+*Largest*: of each class the tenth of its jobs with the most tasks, three at least, by the logs.
+Less than half of them served is a failed day, and so is one that has not begun within 240 s of
+its acceptance: a gang with all its tasks, any other job with one.
 """
 
 from __future__ import annotations
@@ -113,7 +116,7 @@
     tasks: int,
     tasks_served: int,
 ) -> tuple[str, float]:
-    """A line of the table, and the lower of the two shares. `cancelled`: before they were served; they count neither way."""
+    """A line of the table, and the lower of the two shares; `cancelled` ones count neither way."""
     share = served / (asked - cancelled) if asked > cancelled else 1.0
     task_share = tasks_served / tasks if tasks else 1.0
     least = min(share, task_share)
@@ -122,7 +125,10 @@
         f"{tasks:8} {tasks_served:8} {task_share:6.3f}" if tasks else f"{'-':>8} {'-':>8} {'-':>6}"
     )
     return (
-        f"{name:24} {asked:6} {accepted:8} {started:7} {cancelled:9} {served:6} {share:6.3f} {of_tasks} {mark}".rstrip(),
+        (
+            f"{name:24} {asked:6} {accepted:8} {started:7} {cancelled:9} {served:6} "
+            f"{share:6.3f} {of_tasks} {mark}"
+        ).rstrip(),
         least,
     )
 
@@ -171,7 +177,7 @@
 def largest(found: list[Counted]) -> tuple[float, float]:
     """Of a class's largest jobs: the share served, and the longest that one took to begin.
 
-    One that never began counts as infinite; those that were cancelled before they were served don't count.
+    One that never began counts as infinite; those cancelled before they were served don't count.
     """
     ranked = sorted(found, key=lambda j: (-j.tasks, j.at))
     some = [j for j in ranked[: max(3, -(-len(ranked) // 10))] if j.served or not j.withdrawn]
@@ -189,7 +195,10 @@
         most = max(j.tasks for j in mine)
         out.append(
             (
-                f"largest {name} (up to {most} tasks): served {share:.3f}, begun within {begin:.0f} s {mark}".rstrip(),
+                (
+                    f"largest {name} (up to {most} tasks): served {share:.3f}, "
+                    f"begun within {begin:.0f} s {mark}"
+                ).rstrip(),
                 share,
                 begin,
             )
@@ -212,7 +221,8 @@
 def table(report: dict[str, Any], found: dict[str, Counted]) -> tuple[list[str], float]:
     """All lines, and the least share of any class or team."""
     head = (
-        f"{'':24} {'asked':>6} {'accepted':>8} {'started':>7} {'cancelled':>9} {'served':>6} {'share':>6} "
+        f"{'':24} {'asked':>6} {'accepted':>8} {'started':>7} {'cancelled':>9} {'served':>6} "
+        f"{'share':>6} "
         f"{'tasks':>8} {'served':>8} {'share':>6}"
     )
     lines = rows(report, found)
--- a/scripts/trees.py
+++ b/scripts/side_by_side.py
@@ -1,4 +1,4 @@
-"""Days played in one checkout or several side by side: the options they share, and the table, a row a day."""
+"""Days played in one checkout or several side by side: shared options, and a table row a day."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def options(doc: str | None, jobs: int) -> argparse.ArgumentParser:
-    """Where the bench and the site are, what is played in which checkouts, and how many days at once."""
+    """The options: bench, site, checkouts, which days, and how many at once."""
     p = argparse.ArgumentParser(
         description=doc, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -31,16 +31,17 @@
     return p
 
 
-def side_by_side(
+def compare(
     args: argparse.Namespace,
     days: Sequence[D],
     heads: dict[str, Callable[[D], str]],
     columns: Sequence[str],
     play: Callable[[D, Path, Path], dict[str, Any]],
 ) -> list[list[dict[str, Any]]]:
-    """Play all days in all checkouts and print the table as it comes; each day's figures, a checkout after the other.
+    """Play all days in all checkouts and print the table as it comes; returns each day's figures.
 
-    `heads`: the cells that are the day's, by title; `columns`: figures; `play`: a day in a checkout, its figures kept in a folder.
+    `heads`: the cells that are the day's, by title; `columns`: figures; `play`: plays a day in a
+    checkout and keeps its figures in a folder.
     """
     trees = [t.resolve() for t in args.tree or [Path.cwd()]]
     out: list[list[dict[str, Any]]] = []
