--- a/ploverhall/scheduling/command_builder.py
+++ b/ploverhall/scheduling/command_builder.py
@@ -1,7 +1,7 @@
-"""Commands for the agents of one shard: what each has to run, kill and reap.
+"""Commands for the agents of one shard: the tasks that each has to run, kill and reap.
 
-The shard owner asks for the commands of a machine when it answers a heartbeat, and for those worth
-sending directly with each step. A run is marked with the fencing token it leaves under, so that
+The shard owner requests the commands of a machine when it answers a heartbeat, and the direct
+commands with each step. Each run is recorded with the fencing token under which it is sent, so that
 `permit_table` can tell later whether it may still arrive. No I/O.
 """
 
@@ -20,16 +20,17 @@
 
 
 class CommandBuilder:
-    """Derives commands from the permits of a machine and the tasks that it lists."""
+    """Builds commands from the permits of a machine and the tasks that it lists."""
 
     def __init__(self, state: ShardState, permit_table: PermitTable) -> None:
         self.state = state
         self.permit_table = permit_table
 
     def commands_for(self, machine: Machine, direct: bool = False) -> list[Command]:
-        """What an agent has to do; marks runs as sent under the machine's token.
+        """Return the commands for an agent, and record its runs as sent under the machine's token.
 
-        `direct` commands are sent apart from the answers to heartbeats, each only once.
+        `direct` commands are sent outside the answers to heartbeats. Each run is sent directly only
+        once; a kill is sent directly again if its grace period changes or no answer arrived.
         """
         self._grant_renewal(machine)
         commands: list[Command] = []
@@ -42,7 +43,7 @@
                     permit.kill_sent_grace_s = permit.stop_grace_s
             elif self._may_run(permit, machine):
                 if permit.run_token and machine.incarnation > permit.run_incarnation:
-                    continue  # it ran in an incarnation that is over; the source decides
+                    continue  # sent to an earlier incarnation; its source decides what to do
                 if not direct or not permit.run_sent_directly:
                     runs.append(permit)
             elif (
@@ -51,7 +52,7 @@
                 and permit.stop_grace_s is not None
                 and machine.token <= permit.run_token
             ):
-                # A run may be on its way: only a list under a higher token shows that it is not
+                # A run may still be in flight: only a task list under a higher token rules that out
                 self.state.raise_token(machine)
         if not direct and not machine.tasks.keys() <= machine.permits.keys():
             commands += self._unpermitted_task_commands(machine)
@@ -60,11 +61,14 @@
         return commands
 
     def direct_commands(self, now: float) -> list[tuple[Machine, Command]]:
-        """Machines with the request body to send to each; one unanswered request a machine."""
+        """Return (machine, request body) for each direct request to send.
+
+        No machine gets a request while an earlier one is unanswered.
+        """
         requests = []
         for machine in list(self.state.machines_needing_commands.values()):
             if machine.command_pending or now < machine.next_command_at:
-                continue  # looked at again when that is over
+                continue  # it stays in the map and is checked again in the next step
             del self.state.machines_needing_commands[machine.name]
             if machine.lease_expired or not machine.accepted_token or not machine.permits:
                 continue
@@ -76,16 +80,16 @@
         return requests
 
     def _grant_renewal(self, machine: Machine) -> None:
-        """Put the renewal grant of this moment into the machine's token."""
+        """Put the current renewal grant into the machine's token."""
         token = fencing_tokens.with_renewal_grant(machine.token, self.state.renewal_grant)
         if token is not None:
             machine.token = token
         else:
-            # The machine keeps an earlier grant, which ends sooner
+            # The machine keeps its earlier grant, which ends sooner
             self.state.token_space_exhausted = True
 
     def _may_run(self, permit: Permit, machine: Machine) -> bool:
-        """Whether an attempt that its machine does not list may be started there."""
+        """Return whether an attempt that its machine does not list may be started there."""
         return (
             not permit.gone
             and not permit.refused
@@ -97,16 +101,16 @@
         )
 
     def _unpermitted_task_commands(self, machine: Machine) -> list[Command]:
-        """Kills and reaps for the tasks that a machine lists without a permit."""
+        """Return kill and reap commands for the tasks that a machine lists without a permit."""
         commands: list[Command] = []
         all_synced = len(self.state.synced_sources) >= self.state.source_count
         for attempt_id, task in machine.tasks.items():
             if attempt_id in machine.permits:
                 continue
             if task.state != EXITED:
-                # Without its source's permits a task may be permitted all the same. Only if its job
-                # is over it needs no source to be stopped: else cancelled work runs on while a new
-                # owner is cut off from the source
+                # Until all sources are synced, a task may have a permit that is not known here.
+                # Tasks of ended jobs are killed all the same: otherwise cancelled work would run on
+                # while a new owner is partitioned from its source.
                 if all_synced or self.state.job_ended_in_store(attempt_id.job_id):
                     commands.append(agents.kill_command(attempt_id, 0.0))
             elif all_synced and self._may_reap(attempt_id, machine):
@@ -114,7 +118,10 @@
         return commands
 
     def _may_reap(self, attempt_id: AttemptId, machine: Machine) -> bool:
-        """Whether no run of an attempt can arrive after its reap, and start it again."""
+        """Return whether an attempt can be reaped without a late run command starting it again.
+
+        Raises the machine's token to fence a run that is in flight.
+        """
         if attempt_id not in machine.inflight_runs:
             return True
         if not self.state.raise_token(machine):
@@ -123,7 +130,7 @@
         return True
 
     def _run_command(self, permit: Permit, machine: Machine, direct: bool) -> Command:
-        """The run command of a permit, noted as sent."""
+        """Return the run command of a permit, and record it as sent."""
         permit.run_token = machine.token
         permit.run_incarnation = machine.incarnation
         if direct:
@@ -135,7 +142,7 @@
 
 
 def _must_kill(permit: Permit, task: TaskStatus, direct: bool) -> bool:
-    """Whether a listed task that should stop has to be told so (again)."""
+    """Return whether a kill has to be sent, or sent again, for a listed task that should stop."""
     if task.state == EXITED or (task.state == "saving" and permit.stop_grace_s != 0.0):
         return False
     return not direct or permit.kill_sent_grace_s != permit.stop_grace_s
--- a/ploverhall/scheduling/permit_table.py
+++ b/ploverhall/scheduling/permit_table.py
@@ -1,7 +1,7 @@
-"""The permits of one shard: admission, stops, victims, and the evidence that a start is gone.
+"""The permits of one shard: admission, stops, preemption victims, and detection of gone attempts.
 
-Sources write permits; the shard owner hands them in (`PermitTable.update`) and calls `check_gone`
-when something new is known of a machine. No I/O.
+Sources write permits. `source_requests` passes them to `PermitTable.update`, and the shard owner
+calls `check_gone` when it has new information on a machine. No I/O.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from ploverhall.scheduling.resources import NO_RESOURCES, fits
 from ploverhall.scheduling.shard_state import ShardState
 
-# Why a start is gone: texts for people, which are sent to the sources
+# Reasons why a permitted attempt is gone: texts for people, sent to the sources
 GONE_MACHINE = "its machine is gone"
 GONE_REFUSED = "its room was taken"
 GONE_LEASE = "its worker's lease ran out"
@@ -33,13 +33,13 @@
         self.changed_attempts = state.changed_attempts
         self.permits: dict[AttemptId, Permit] = {}
         self.permits_by_job: dict[str, dict[AttemptId, Permit]] = {}
-        # Permits that wait for their victims to leave
+        # Admitted permits whose victims may still occupy the machine
         self.waiting_for_victims: dict[AttemptId, Permit] = {}
 
     def update(
         self, attempt_id: AttemptId, source_shard: int, update: PermitUpdate | None, now: float
     ) -> None:
-        """Take in what a source says of a permit; None: it has left the source's records."""
+        """Apply a source's update of a permit; None means that the source has deleted it."""
         permit = self.permits.get(attempt_id)
         if update is None:
             if permit is not None:
@@ -72,11 +72,11 @@
         )
         self._admit(permit, update.stop_grace_s, now)
         if self.state.job_ended_in_store(attempt_id.job_id) or job is None:
-            permit.stop_grace_s = 0.0  # it was over before this owner heard of the permit
+            permit.stop_grace_s = 0.0  # the job had ended before this owner received the permit
         return permit
 
     def _drop(self, permit: Permit) -> None:
-        """The source has no record of the start any more: it is over or was shown to be gone."""
+        """Remove a permit that its source has deleted: its attempt has ended or is proven gone."""
         attempt_id = permit.attempt_id
         del self.permits[attempt_id]
         self.waiting_for_victims.pop(attempt_id, None)
@@ -96,7 +96,7 @@
     # -- admission ---------------------------------------------------------------------------
 
     def _admit(self, permit: Permit, stop_grace_s: float | None, now: float) -> None:
-        """Admit a new permit to its reservation's capacity; without capacity it is refused."""
+        """Admit a new permit to its reservation's capacity; without capacity, refuse it."""
         attempt_id = permit.attempt_id
         self.permits[attempt_id] = permit
         self.permits_by_job.setdefault(attempt_id.job_id, {})[attempt_id] = permit
@@ -119,21 +119,21 @@
                 self._stop_victims(permit, reservation.victims, machine)
 
     def _reservation_of(self, permit: Permit) -> Reservation | None:
-        """The reservation that a permit takes up; None for a permit of an earlier epoch."""
+        """Return the reservation that a permit uses; None without one or with an earlier epoch."""
         if permit.epoch != self.state.epoch:
             return None
         of_job = self.reservations.by_job.get(permit.attempt_id.job_id, {})
         if (reservation := of_job.get(permit.reservation_id)) is not None:
             return reservation
-        # The hold time may have ended while the permit was written, and the same machine may be
-        # reserved again, for the same candidate
+        # The hold time may have ended while the permit was written, and the same machine may have
+        # been reserved again for the same candidate
         for reservation in of_job.values():
             if reservation.machine == permit.machine:
                 return reservation
         return None
 
     def _may_admit(self, permit: Permit, machine: Machine, reserved: bool, now: float) -> bool:
-        """Whether a machine can take a permit."""
+        """Return whether a machine may admit a permit; `reserved` capacity is not checked again."""
         if machine.lease_expired or self.inventory.unusable(machine, now):
             return False
         return reserved or fits(permit.resources, self.inventory.free_capacity(machine))
@@ -143,7 +143,7 @@
     def _stop_victims(
         self, permit: Permit, victims: tuple[AttemptId, ...], machine: Machine
     ) -> None:
-        """Stop what the reservation named to free its capacity, now that the start is permitted."""
+        """Stop the victims named by a reservation, now that its attempt is permitted."""
         permit.victims = victims
         if victims:
             self.waiting_for_victims[permit.attempt_id] = permit
@@ -160,10 +160,10 @@
             self._claim_guarantee(permit.attempt_id.job_id, traits)
 
     def _claim_guarantee(self, job_id: str, victim: JobTraits) -> None:
-        """Note that a job stops others by its team's guarantee, so that it keeps the capacity.
+        """Record that a job preempts others by its team's guarantee, so that it keeps the capacity.
 
-        A job takes over the claim of the work it stops: else whoever that work had stopped before
-        would stop this job in turn.
+        A job also takes over the claim of a victim that has claimed its guarantee. Otherwise the
+        work that the victim had preempted before could preempt this job in turn.
         """
         traits = self.inventory.job_traits.get(job_id)
         if traits is None or not traits.within_guarantee or traits.claimed_guarantee:
@@ -175,7 +175,7 @@
                 self.state.mark_changed(self.machines.get(permit.machine))
 
     def waits_for_victims(self, permit: Permit, machine: Machine | None) -> bool:
-        """Whether work that is stopped for a permit is still on its machine."""
+        """Return whether a victim of a permit still occupies the machine."""
         return machine is not None and any(
             attempt_id in machine.permits
             and not machine.permits[attempt_id].gone
@@ -184,7 +184,7 @@
         )
 
     def refresh_victims(self) -> set[AttemptId]:
-        """Forget permits whose victims have left; the victims of the others, as a new set."""
+        """Drop permits whose victims have left; return the victims of the others as a new set."""
         for permit in list(self.waiting_for_victims.values()):
             machine = self.machines.get(permit.machine)
             if permit.gone or not self.waits_for_victims(permit, machine):
@@ -198,7 +198,7 @@
     # -- stops and ends ----------------------------------------------------------------------
 
     def stop_job(self, job_id: str) -> None:
-        """Stop every attempt of a job at once, without grace."""
+        """Stop every attempt of a job with a grace period of 0 seconds."""
         for permit in self.permits_by_job.get(job_id, {}).values():
             if permit.stop_grace_s != 0.0:
                 permit.stop_grace_s = 0.0
@@ -207,7 +207,10 @@
                 self.changed_attempts.add(permit.attempt_id)
 
     def expire_machine(self, machine: Machine) -> None:
-        """A machine's lease has run out: what may have run there is gone, the rest refused."""
+        """Resolve the permits of a machine whose lease has expired.
+
+        Attempts that may have run there are gone; the others are refused.
+        """
         for permit in machine.permits.values():
             if (
                 permit.run_token
@@ -222,7 +225,7 @@
             self.changed_attempts.add(permit.attempt_id)
 
     def check_gone(self, permit: Permit) -> None:
-        """Mark a permit as gone if its start is not on its machine and can't get there any more."""
+        """Mark a permit as gone if its attempt is not on its machine and can't start there later."""
         if permit.gone:
             return
         machine = self.machines.get(permit.machine)
@@ -230,7 +233,7 @@
             permit.gone = True
             permit.gone_reason = GONE_MACHINE
         elif permit.refused and permit.run_token == 0 and permit.epoch == self.state.epoch:
-            # This owner offered the capacity and has never sent the run
+            # Only this owner could have sent the run, and it has not
             permit.gone = True
             permit.gone_reason = GONE_REFUSED
         elif (
@@ -244,16 +247,16 @@
             self.state.schedule_commands(machine)
 
     def _check_unlisted(self, permit: Permit, machine: Machine) -> None:
-        """Mark a permit as gone that its machine does not list, if no run can still arrive."""
+        """Mark a permit that its machine does not list as gone, if no run can still arrive."""
         if permit.run_token:
-            # The newest list omits it under a token raised since the last run left, or the agent
-            # has begun a new incarnation
+            # The newest list omits the attempt under a token raised since the last run command was
+            # sent, or the agent has begun a new incarnation
             is_new_incarnation = machine.incarnation > permit.run_incarnation
             permit.gone = machine.seen_token > permit.run_token or is_new_incarnation
             permit.gone_reason = GONE_LEASE if is_new_incarnation else GONE_UNLISTED
         elif permit.epoch < self.state.epoch:
-            # Earlier runs bear tokens below the one the machine has taken
+            # Runs of earlier epochs carry lower tokens than the one the machine has accepted
             permit.gone = True
             permit.gone_reason = GONE_UNLISTED
         elif permit.stop_grace_s is not None and permit.epoch == self.state.epoch:
-            permit.gone = True  # never sent
+            permit.gone = True  # its run was never sent
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -1,12 +1,12 @@
-"""The owner of one shard of the fleet: follows its machines, and decides what runs on them.
-
-`ShardOwner` takes in source updates, heartbeats and the passing of time, and hands out commands for
-agents and updates for the sources and the autoscaler. It is composed of what the sources want
-(`source_requests`), the permits (`permit_table`), the leases (`lease_monitor`) and the health
-(`machine_health`) of the machines, the placement of candidates (`placement`) and the commands
-(`command_builder`). No I/O: messages and the clock are passed in,
-and everything here follows what has changed. Called by the controller's scheduling loop and its
-request handlers.
+"""The owner of one shard of the fleet: tracks its machines and decides what runs on them.
+
+`ShardOwner` processes source updates, heartbeats and the passing of time, and produces commands for
+agents and updates for the sources and the autoscaler. Its components handle the requests of the
+sources (`source_requests`), the permits (`permit_table`), the leases of the machines
+(`lease_monitor`) and their health (`machine_health`), the placement of candidates (`placement`) and
+the commands (`command_builder`). It does no I/O: messages and the clock are passed in. Work is
+incremental: only what has changed is processed. The controller's scheduling loop and its request
+handlers call this module.
 """
 
 from __future__ import annotations
@@ -33,17 +33,20 @@
 from ploverhall.scheduling.source_requests import SourceRequests
 
 TOKEN_BITS = fencing_tokens.TOKEN_BITS
-# A machine that has not answered a direct command is sent none for so long: each costs a token
+# Wait before the next direct command to a machine that has not answered one: each unanswered
+# command uses up a fencing token
 COMMAND_RETRY_S = 5.0
 LONG_COMMAND_RETRY_S = 60.0
-# After so many the wait is the long one: the answers to its heartbeats bring it what it has to do
+# Unanswered commands in a row after which LONG_COMMAND_RETRY_S applies. The machine still receives
+# its commands in the answers to its heartbeats.
 UNANSWERED_BEFORE_LONG_RETRY = 8
-SWEEP_INTERVAL_S = 0.25  # how often time itself is looked at for every machine
-UNRESPONSIVE_INTERVALS = 2.0  # heartbeat intervals after which a heartbeat is news by itself
+SWEEP_INTERVAL_S = 0.25  # between checks of time-based state (leases, quarantines, backoffs)
+# Heartbeat intervals: a heartbeat that comes after a longer gap marks its machine as changed
+UNRESPONSIVE_INTERVALS = 2.0
 
 
 class ShardOwner(ShardState):
-    """Decides for the machines of one shard."""
+    """Scheduler for the machines of one shard under one epoch; times are in seconds."""
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
         holder: int | None = None,
     ) -> None:
         super().__init__(shard, epoch, source_count, lease_s, heartbeat_interval_s, now)
-        # What every machine is given to begin with
+        # The fencing token that every machine starts with
         self.initial_token = fencing_tokens.initial_token(epoch, holder)
         self.started = now
         self.placement = Placement(self.inventory, hold_s, sample, rng)
@@ -74,14 +77,14 @@
         self.lease_monitor = LeaseMonitor(self, self.permit_table, self.placement.reservations)
         self.command_builder = CommandBuilder(self, self.permit_table)
         self.draining_machines: set[str] = set()
-        self.cordoned_machines: set[str] = set()  # machines that a maintenance order wants empty
+        self.cordoned_machines: set[str] = set()  # for maintenance orders
         self.superseded_by = 0
         self.next_sweep_at = 0.0
-        self.last_heartbeat_at = 0.0  # of any machine
+        self.last_heartbeat_at = 0.0  # newest heartbeat of any machine
 
     @property
     def machine_types(self) -> dict[str, MachineType]:
-        """What the cloud sells."""
+        """Return the machine types that the cloud offers, by name."""
         return self.inventory.machine_types
 
     @machine_types.setter
@@ -91,16 +94,22 @@
             self.inventory.mark_changed(machine)
         self.needs_step = True
 
-    # -- what sources want -------------------------------------------------------------------
+    # -- requests of sources -----------------------------------------------------------------
 
     def on_source_update(
         self, source_shard: int, full: bool, changes: dict[str, Any], now: float
     ) -> None:
-        """Take in a source's jobs, candidates and permits; `full` if these are all it has."""
+        """Apply changes to a source's jobs, candidates and permits.
+
+        With `full`, `changes` is the complete state of the source: other known keys are removed.
+        """
         self.source_requests.update(source_shard, full, changes, now)
 
     def job_ended(self, job_id: str) -> None:
-        """The key-value store says that a job is over: stop it, even with its source away."""
+        """Stop a job that has ended according to the key-value store.
+
+        This works even while the job's source is unreachable.
+        """
         self.source_requests.end_job(job_id)
 
     # -- heartbeats --------------------------------------------------------------------------
@@ -108,12 +117,13 @@
     def on_heartbeat(
         self, heartbeat: Heartbeat, now: float, direct: bool = False, relayed: bool = False
     ) -> Machine | None:
-        """Take in a heartbeat and return its machine; None if this owner has been superseded.
+        """Process a heartbeat and return its machine; None if this owner has been superseded.
 
         `direct` marks the answer to a direct command, `relayed` a heartbeat that came through
-        another controller. Only a message newer than all before it says anything. Any other sets
-        `Machine.stale_heartbeat`: it doesn't even show that the machine lives, and its answer
-        renews no lease, for the agent has sent another heartbeat since and waits for that one's.
+        another controller. Only a message newer than all earlier ones is used. Any other message
+        sets `Machine.stale_heartbeat`: it is no evidence that the machine is alive, and its answer
+        renews no lease, because the agent has sent another heartbeat since and waits for the answer
+        to that one.
         """
         epoch = fencing_tokens.epoch_of(heartbeat.token)
         if epoch > self.epoch:
@@ -133,22 +143,26 @@
         machine.stale_heartbeat = number <= (known_number if direct else machine.newest_heartbeat)
         if machine.stale_heartbeat:
             return machine
-        # The answer to this machine's last heartbeat has not come: it went on without
+        # The agent got no answer to its previous heartbeat, and this one came through another
+        # controller
         answer_lost = relayed and machine.newest_heartbeat == (number[0], number[1] - 1)
         if not direct:
             self._record_arrival(machine, number, now)
         if number <= known_number:
-            return machine  # an old message: its list is older than what is known
+            return machine  # its task list is older than the one already known
         if machine.awaited_token and heartbeat.token >= machine.awaited_token:
             self.reception.token_confirmed(machine, now)
         elif answer_lost or 0 < machine.incarnation < heartbeat.incarnation:
-            # Or its lease ran out, though its heartbeats came
+            # In the second case its lease has expired although its heartbeats arrived
             self.reception.await_token(machine, now)
-        self._take_in(machine, heartbeat, epoch, direct, now)
+        self._apply_heartbeat(machine, heartbeat, epoch, direct, now)
         return machine
 
     def _add_machine(self, heartbeat: Heartbeat, now: float) -> Machine:
-        """A machine that is not known yet; marked stale, and not kept, if it was deleted."""
+        """Add and return a machine on its first heartbeat.
+
+        A machine that the cloud has deleted is returned with `stale_heartbeat` set, and not added.
+        """
         name = heartbeat.machine
         machine = Machine(
             name,
@@ -161,7 +175,7 @@
             awaited_since=now,
         )
         if name in self.inventory.proven_gone:
-            machine.stale_heartbeat = True  # sent before it was deleted
+            machine.stale_heartbeat = True  # sent before the deletion
             return machine
         machine.draining = name in self.draining_machines
         machine.cordoned = name in self.cordoned_machines
@@ -173,9 +187,10 @@
         return machine
 
     def _accept_lower_number(self, machine: Machine, number: tuple[int, int], now: float) -> None:
-        """After an expired lease even a lower number counts: the agent may have begun anew.
+        """Accept a heartbeat with a lower number after an expired lease.
 
-        Nothing goes there before it shows that it receives.
+        The agent may have restarted. No commands are sent to the machine before it confirms that it
+        receives messages.
         """
         newest = max(machine.newest_heartbeat, (machine.incarnation, machine.sequence))
         if number <= newest:
@@ -185,22 +200,22 @@
             self.reception.await_token(machine, now)
 
     def _record_arrival(self, machine: Machine, number: tuple[int, int], now: float) -> None:
-        """A heartbeat newer than all before has come."""
+        """Record the arrival time and number of the newest heartbeat."""
         machine.newest_heartbeat = number
         self.last_heartbeat_at = now
-        silence_s = now - machine.last_heartbeat_at
+        heartbeat_gap_s = now - machine.last_heartbeat_at
         machine.last_heartbeat_at = now
         self.machines_by_heartbeat.pop(machine.name, None)
         self.machines_by_heartbeat[machine.name] = machine
-        if silence_s > UNRESPONSIVE_INTERVALS * self.inventory.heartbeat_interval_s:
+        if heartbeat_gap_s > UNRESPONSIVE_INTERVALS * self.inventory.heartbeat_interval_s:
             self.mark_changed(machine)
 
-    def _take_in(
+    def _apply_heartbeat(
         self, machine: Machine, heartbeat: Heartbeat, epoch: int, direct: bool, now: float
     ) -> None:
-        """Bring a machine up to date with a heartbeat that is newer than what is known of it."""
+        """Update a machine from a heartbeat that is newer than its recorded state."""
         same_tasks = heartbeat.listed_tasks == machine.listed_tasks
-        informative = not same_tasks or _says_something_new(machine, heartbeat)
+        informative = not same_tasks or _changes_machine_state(machine, heartbeat)
         if not direct:
             machine.lease_expired = False
         machine.address = heartbeat.address
@@ -217,17 +232,18 @@
             )
         if not direct and machine.runs_in_answer:
             self._check_runs_in_answer(machine, now)
-        # Most heartbeats say nothing new: they can't show that a start is gone if none before did
+        # A heartbeat without new information can't show that an attempt is gone if no earlier one
+        # did; most heartbeats are of this kind
         if informative:
             self.schedule_commands(machine)
             for permit in machine.permits.values():
                 self.permit_table.check_gone(permit)
 
     def _check_runs_in_answer(self, machine: Machine, now: float) -> None:
-        """Await a token if a run in the last answer is not listed.
+        """Await a token if an attempt that the last answer told the machine to run is not listed.
 
-        An agent waits for one answer at a time: it sent this heartbeat when it had that answer, or
-        had given it up.
+        An agent waits for one answer at a time: it sent this heartbeat after it had received the
+        previous answer or had given up waiting for it.
         """
         if any(
             attempt_id not in machine.tasks
@@ -239,13 +255,13 @@
         machine.runs_in_answer.clear()
 
     def _update_tasks(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Replace the tasks of a machine by those that its heartbeat lists."""
+        """Replace the tasks of a machine with those that its heartbeat lists."""
         tasks = heartbeat.tasks()
         for attempt_id, task in tasks.items():
             old = machine.tasks.get(attempt_id)
             if old is None or old != task or heartbeat.termination_notice_s is not None:
                 self.changed_attempts.add(attempt_id)
-                self._follow_task(machine, attempt_id, old, task, now)
+                self._record_task_transition(machine, attempt_id, old, task, now)
         self.changed_attempts.update(
             attempt_id for attempt_id in machine.tasks if attempt_id not in tasks
         )
@@ -257,7 +273,7 @@
                 if permit is not None and permit.image:
                     self.inventory.record_image(machine, permit.image, permit.image_gb)
 
-    def _follow_task(
+    def _record_task_transition(
         self,
         machine: Machine,
         attempt_id: AttemptId,
@@ -265,7 +281,7 @@
         task: TaskStatus,
         now: float,
     ) -> None:
-        """Note when a task was first seen running, and that it has failed."""
+        """Record when a task is first seen running, and when it fails."""
         if task.state == "running":
             permit = machine.permits.get(attempt_id)
             if permit is not None and permit.running_since is None:
@@ -278,12 +294,12 @@
     # -- time --------------------------------------------------------------------------------
 
     def on_event_loop_stall(self, seconds: float, now: float) -> None:
-        """This process stalled for `seconds`: no machine counts as silent for that time."""
+        """Exclude an event-loop stall of `seconds` from each machine's time without heartbeats."""
         for machine in self.machines.values():
             machine.last_heartbeat_at = min(now, machine.last_heartbeat_at + seconds)
             # A new process of this controller may have been started meanwhile, and may answer the
-            # machine with this one's tokens: its silence shows nothing until it has sent a
-            # heartbeat here again (coordination.restart_recovery)
+            # machine with this process's tokens. Missing heartbeats are therefore no evidence until
+            # the machine has sent one here again (coordination.restart_recovery).
             machine.accepted_token = False
         self.last_heartbeat_at = (
             min(now, self.last_heartbeat_at + seconds) if self.last_heartbeat_at else 0.0
@@ -291,14 +307,17 @@
         self.next_sweep_at = now + SWEEP_INTERVAL_S
 
     def advance_time(self, now: float) -> None:
-        """Time passes: reservations expire, and leases of unresponsive machines."""
+        """Expire reservations, and leases of unresponsive machines, that are over at `now`."""
         self.placement.reservations.expire(now)
         if now >= self.next_sweep_at:
             self.next_sweep_at = now + SWEEP_INTERVAL_S
             self._sweep(now)
 
     def _sweep(self, now: float) -> None:
-        """Look at unresponsive and doubtful machines; the others cost nothing, however many."""
+        """Check unresponsive, unconfirmed and quarantined machines.
+
+        All other machines add no cost, whatever the size of the shard.
+        """
         forgotten = self.lease_monitor.sweep(now)
         self.reception.sweep(now)
         self.failures.sweep(now)
@@ -307,17 +326,17 @@
             self.inventory.permits_by_machine.pop(machine.name, None)
             self.changed_for_autoscaler[machine.name] = None
 
-    # -- machines that go --------------------------------------------------------------------
+    # -- removal of machines -----------------------------------------------------------------
 
     def _forget_machine(self, machine: Machine) -> None:
-        """The machine is not known any more."""
+        """Remove a machine from the inventory and from the monitors."""
         self.inventory.remove(machine)
         self.machines_by_heartbeat.pop(machine.name, None)
         self.failures.forget(machine)
         self.reception.forget(machine)
 
     def on_machines_deleted(self, names: list[str]) -> None:
-        """The cloud confirmed that these machines are gone."""
+        """Remove machines whose deletion the cloud has confirmed."""
         for name in names:
             if name in self.inventory.proven_gone:
                 continue
@@ -333,7 +352,7 @@
             self.needs_step = True
 
     def set_cordoned(self, names: list[str]) -> None:
-        """Maintenance orders want these machines empty: sources are asked to evict."""
+        """Cordon exactly these machines for maintenance; sources are asked to evict their work."""
         cordoned = set(names)
         for name in sorted(cordoned ^ self.cordoned_machines):
             machine = self.machines.get(name)
@@ -344,9 +363,9 @@
         self.cordoned_machines = cordoned
 
     def set_draining(self, names: list[str]) -> None:
-        """The autoscaler wants these machines empty.
+        """Drain these machines for the autoscaler.
 
-        Draining is never taken back: a scale-in whose outcome is unknown may still be executed.
+        Draining is never reverted: a scale-in whose outcome is unknown may still be executed.
         """
         draining = set(names)
         for name in sorted(draining - self.draining_machines):
@@ -356,10 +375,10 @@
                 self.mark_changed(machine)
         self.draining_machines = draining
 
-    # -- placing -----------------------------------------------------------------------------
+    # -- placement ---------------------------------------------------------------------------
 
     def place_candidates(self, now: float) -> None:
-        """Reserve for every candidate that fits; the others wait here."""
+        """Reserve capacity for every candidate that fits; the others stay in the queue."""
         for machine in self.inventory.refresh_changed(now):
             self.changed_for_autoscaler[machine.name] = machine
             if machine.reservations and self.inventory.unusable(machine, now):
@@ -375,35 +394,36 @@
     def commands_for(
         self, machine: Machine, now: float, direct: bool = False
     ) -> list[dict[str, Any]]:
-        """What an agent has to do; marks runs as sent under the machine's token."""
+        """Return the commands for an agent, and record its runs as sent."""
         return self.command_builder.commands_for(machine, direct)
 
     def direct_commands(self, now: float) -> list[tuple[Machine, dict[str, Any]]]:
-        """Machines with the body of the direct request to send to each."""
+        """Return (machine, request body) for each direct request to send."""
         return self.command_builder.direct_commands(now)
 
     def on_direct_answer(self, machine: Machine, heartbeat: Heartbeat | None, now: float) -> None:
-        """The answer to a direct command; None if there was none."""
+        """Process the answer to a direct command; `heartbeat` is None if no answer arrived."""
         machine.command_pending = False
         machine.inflight_runs.clear()
         if heartbeat is None:
             self._on_command_unanswered(machine, now)
         elif self.machines.get(machine.name) is machine:
-            # A late answer brings no machine back that is gone: the sweep would never see it
+            # A late answer must not add a removed machine again: the sweep would never check it
             machine.unanswered_commands = 0
             self.on_heartbeat(heartbeat, now, direct=True)
         if self.machines.get(machine.name) is machine:
-            self.schedule_commands(machine)  # it counts as empty for the autoscaler only now
+            # Until this answer it did not count as empty for the autoscaler
+            self.schedule_commands(machine)
 
     def _on_command_unanswered(self, machine: Machine, now: float) -> None:
-        """A direct command may still be executed: raise the token to fence it, and retry later."""
+        """Fence an unanswered direct command, which may still be executed, and schedule a retry."""
         if machine.awaited_token:
-            self.raise_token(machine)  # fenced each time
+            self.raise_token(machine)  # a new token for each unanswered command
         else:
             self.reception.await_token(machine, now)
         for permit in machine.permits.values():
-            # Nor need a kill have arrived: where its heartbeats don't come either, nothing else
-            # would bring it
+            # The kill may not have arrived either, so it has to be sent again: while no heartbeats
+            # arrive, direct commands are the only way to deliver it
             permit.kill_sent_grace_s = None
         machine.unanswered_commands += 1
         machine.next_command_at = now + (
@@ -413,14 +433,14 @@
         )
         self.needs_step = True
 
-    # -- what sources and the autoscaler are told --------------------------------------------
+    # -- updates for sources and the autoscaler ----------------------------------------------
 
     def attempt_update(self, permit: Permit) -> AttemptUpdate:
-        """What became of a permit."""
+        """Return the state of a permit's attempt, as sent to its source."""
         return shard_updates.attempt_update(permit, self.machines.get(permit.machine))
 
     def take_source_updates(self) -> dict[tuple[int, str], Any]:
-        """What has changed for the sources since the last time: (source shard, key) -> value."""
+        """Return and clear the pending updates for sources: (source shard, key) -> value."""
         for attempt_id in sorted(self.changed_attempts):
             if (permit := self.permits.get(attempt_id)) is not None:
                 key = (permit.source_shard, peer_messages.attempt_key(attempt_id))
@@ -431,11 +451,11 @@
         return updates
 
     def machine_update(self, machine: Machine, now: float) -> MachineUpdate | None:
-        """What the autoscaler needs to know of a machine; None if it does not count any more."""
+        """Return the update on a machine for the autoscaler; None if it is expired or removed."""
         return shard_updates.machine_update(self.inventory, machine)
 
     def take_machine_updates(self, now: float) -> dict[str, MachineUpdate | None]:
-        """The machines that have changed since the last time; None for those that are gone."""
+        """Return and clear the pending updates for the autoscaler; None for a removed machine."""
         changed = self.changed_for_autoscaler
         self.changed_for_autoscaler = {}
         return {
@@ -444,27 +464,31 @@
         }
 
     def unprovable_machines(self, now: float) -> list[str]:
-        """Machines with permits that only the cloud can say anything about, sorted by name."""
+        """Return the names of machines whose state only the cloud can tell, sorted.
+
+        They have permits that are not gone, but have not confirmed this owner's token and send no
+        heartbeats. The list is empty for the first `lease_s` seconds of this owner.
+        """
         if now - self.started < self.lease_s:
             return []
         return sorted(
             name
             for name, permits in self.inventory.permits_by_machine.items()
             if permits
-            and self._is_unknown(name, now)
+            and self._is_unobserved(name, now)
             and any(not permit.gone for permit in permits.values())
         )
 
-    def _is_unknown(self, name: str, now: float) -> bool:
-        """Whether a machine has not shown this owner's token, and sends no heartbeats."""
+    def _is_unobserved(self, name: str, now: float) -> bool:
+        """Return whether a machine has not shown this owner's token and sends no heartbeats."""
         machine = self.machines.get(name)
         return machine is None or (
             not machine.accepted_token and now - machine.last_heartbeat_at > self.lease_s
         )
 
 
-def _says_something_new(machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether a heartbeat with the known tasks differs from what is known of its machine."""
+def _changes_machine_state(machine: Machine, heartbeat: Heartbeat) -> bool:
+    """Return whether a heartbeat with an unchanged task list changes other recorded state."""
     return (
         heartbeat.incarnation != machine.incarnation
         or heartbeat.token != machine.seen_token
--- a/ploverhall/scheduling/shard_state.py
+++ b/ploverhall/scheduling/shard_state.py
@@ -1,7 +1,8 @@
-"""What the components of a shard's owner share: its epoch, its machines, and what has changed.
+"""State shared by the components of a shard owner: its epoch, its machines and pending changes.
 
-Base class of `ShardOwner`; the components (`source_requests`, `permit_table`, `lease_monitor`,
-`machine_health`, `command_builder`) hold the same object. Nothing here decides anything but when a fencing token has to rise.
+`ShardState` is the base class of `ShardOwner`. The components (`source_requests`, `permit_table`,
+`lease_monitor`, `machine_health`, `command_builder`) hold the same object. The only logic here
+beyond bookkeeping is the raising of fencing tokens.
 """
 
 from __future__ import annotations
@@ -32,45 +33,49 @@
         self.epoch = epoch
         self.source_count = source_count
         self.lease_s = lease_s
-        # Begin of the newest fresh read of the store that showed this owner's epoch in force
+        # When the newest fresh read of the store that showed this epoch in force was begun
         self.epoch_confirmed_at = now
-        # A lease has run out by this clock, and a fresh read must show who holds the shard
+        # Set when a lease has expired by this clock: a fresh read of the store has to show who
+        # holds the shard before the tasks of that machine count as gone
         self.confirmation_needed = False
-        # Flags that tokens sent from now on carry (coordination.restart_recovery)
+        # Encoded renewal grant of the tokens sent from now on (coordination.restart_recovery)
         self.renewal_grant = 0
-        # A token could not be raised any more: a new epoch is wanted
+        # A token could not be raised within this epoch: a new epoch is needed
         self.token_space_exhausted = False
         self.inventory = Inventory(heartbeat_interval_s)
         self.machines = self.inventory.machines
-        # All machines, the one without heartbeats for longest first
+        # All machines, by the time of their last heartbeat, oldest first
         self.machines_by_heartbeat: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
         self.resources_by_job: dict[str, ResourceVector] = {}
         self.synced_sources: set[int] = set()
-        # Attempts whose sources must hear of them
+        # Attempts with a pending update for their sources
         self.changed_attempts: set[AttemptId] = set()
-        # Machines that may need a command
+        # Machines that may need a direct command
         self.machines_needing_commands: dict[str, Machine] = {}
-        # Machines the autoscaler must hear of; None: forgotten
+        # Machines with a pending update for the autoscaler; None: the machine has been removed
         self.changed_for_autoscaler: dict[str, Machine | None] = {}
         self.needs_step = True
-        # By this controller's own store cache
+        # Whether a job has ended, according to the store cache of this controller
         self.job_ended_in_store: Callable[[str], bool] = lambda job_id: False
 
     def mark_changed(self, machine: Machine | None) -> None:
-        """A machine's free capacity may have changed; None is ignored."""
+        """Note that a machine's free capacity may have changed; None is ignored."""
         if machine is not None:
             self.inventory.mark_changed(machine)
             self.needs_step = True
 
     def schedule_commands(self, machine: Machine | None) -> None:
-        """A machine's free capacity or commands may have changed; None is ignored."""
+        """Note that a machine's free capacity or commands may have changed; None is ignored."""
         if machine is not None:
             self.mark_changed(machine)
             self.machines_needing_commands[machine.name] = machine
 
     def raise_token(self, machine: Machine) -> bool:
-        """Fence what was sent to a machine so far; False if this epoch has no token left for it."""
+        """Raise a machine's fencing token, so that commands sent under earlier tokens are rejected.
+
+        Returns False if this epoch has no higher token for the machine.
+        """
         token = fencing_tokens.next_token(machine.token)
         if token is None:
             self.token_space_exhausted = True
