--- a/ploverhall/scheduling/free_capacity.py
+++ b/ploverhall/scheduling/free_capacity.py
@@ -1,7 +1,7 @@
 """Reserves free capacity for the candidates of one request, best fit first.
 
-The placement pass asks for tasks that don't depend on one another, and for a gang's tasks one by
-one. What no machine fits is remembered for the rest of the pass (`PlacementPass`).
+The placement pass calls it for independent tasks, `gang_placement` for the tasks of a gang. Task
+shapes that fit on no machine are remembered for the rest of the pass (`PlacementPass`).
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from ploverhall.scheduling.resources import ResourceVector, fits
 from ploverhall.scheduling.scoring import score_machine
 
-MAX_PREEMPTION_SEARCHES = 24  # candidates matched in one pass
-# A start that is slower than this is worth the question whether a machine that holds the image is
-# better
+MAX_PREEMPTION_SEARCHES = 24  # preemption searches in one pass
+# If a start would take longer than this, machines that hold the image are searched for a cheaper
+# preemption plan
 WARM_SEARCH_THRESHOLD_S = 2.0
 
 
 class TaskShape(NamedTuple):
-    """What decides where a task without further limits fits."""
+    """The properties that determine where a task without further limits fits."""
 
     resources: ResourceVector
     machine_types: tuple[str, ...] | None
@@ -39,27 +39,27 @@
     """The state of one pass over the queue."""
 
     now: float
-    preempt: bool  # waiting candidates may look for work to stop
+    preempt: bool  # waiting candidates may search for work to preempt
     gained: dict[str, Machine]  # machines with more free capacity than before the pass
-    # May fall below zero, since a new gang's search counts also when none is left
+    # May fall below zero: a new gang's search is counted even when none is left
     searches_left: int = MAX_PREEMPTION_SEARCHES
-    gang_waits: bool = False  # a gang further ahead in the queue has not found all it needs
+    gang_waits: bool = False  # a gang earlier in the queue lacks capacity
     failed_shapes: list[TaskShape] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class MachineSearch:
-    """Where the tasks of one request may go."""
+    """The machines on which the tasks of one request may be placed."""
 
     pools: list[MachinePool]
     zone_limits: dict[str, int] | None  # how many more each zone may take
     avoided: frozenset[str]
-    gained: dict[str, Machine] | None  # only these machines; None: all
-    zone: str | None  # only this zone; None: all
+    gained: dict[str, Machine] | None  # search only these machines; None: all
+    zone: str | None  # search only this zone; None: all
 
     @property
-    def unlimited(self) -> bool:
-        """Whether it depends on nothing but the shape of the task."""
+    def depends_only_on_shape(self) -> bool:
+        """Return whether the result of the search depends only on the shape of the task."""
         return (
             self.gained is None
             and self.zone is None
@@ -68,13 +68,13 @@
         )
 
     def open_pools(self) -> list[MachinePool]:
-        """The pools whose zone may take another task."""
+        """Return the pools whose zone may take another task."""
         limits = self.zone_limits
         return [pool for pool in self.pools if limits is None or limits.get(pool[1], 0) > 0]
 
 
 class FreeCapacity:
-    """Finds machines with free capacity, and reserves it."""
+    """Finds machines with free capacity and reserves it."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
         gained: dict[str, Machine] | None,
         zone: str | None = None,
     ) -> int:
-        """Reserve free capacity for up to `missing` candidates; how many are still missing."""
+        """Reserve free capacity for up to `missing` candidates; return how many still lack it."""
         job = request.job
         shape = TaskShape(job.resources, job.machine_types, job.zone, job.spot)
         if (
@@ -120,19 +120,19 @@
         )
         while missing > 0:
             if not self._reserve_one(request, search, current.now):
-                if search.unlimited:
+                if search.depends_only_on_shape:
                     current.failed_shapes.append(shape)
                 break
             missing -= 1
         return missing
 
     def _pools(self, job: Job, zone: str | None) -> list[MachinePool]:
-        """Where a job may run; with a zone, only there."""
+        """Return the pools in which a job may run, restricted to `zone` unless it is None."""
         pools = self.inventory.allowed_pools(job)
         return [pool for pool in pools if zone is None or pool[1] == zone]
 
     def _reserve_one(self, request: CandidateRequest, search: MachineSearch, now: float) -> bool:
-        """Reserve for one candidate on the machine that fits best; whether any was found."""
+        """Reserve for one candidate on the machine that fits best; return False if none fits."""
         job = request.job
         pools = search.open_pools()
         found = [
@@ -159,13 +159,13 @@
             self.reservations.reserve(request, machine, plan.cost_s, now, plan.victims)
         else:
             self.reservations.reserve(request, machine, cost_s, now)
-        self._count_against(search, machine)
+        self._update_search_limits(search, machine)
         return True
 
     def _find_machines(
         self, job: Job, search: MachineSearch, pools: list[MachinePool]
     ) -> list[Machine]:
-        """A sample of the machines in these pools with free capacity for a task."""
+        """Return a sample of the machines in these pools with free capacity for a task."""
         if search.gained is None:
             return self.inventory.find_machines(
                 job, pools, search.avoided, self.sample, self.random
@@ -180,11 +180,11 @@
             and fits(job.resources, machine.free)
             and machine.name not in search.avoided
         ]
-        most = 2 * self.sample
-        return found if len(found) <= most else self.random.sample(found, most)
+        max_found = 2 * self.sample
+        return found if len(found) <= max_found else self.random.sample(found, max_found)
 
-    def _count_against(self, search: MachineSearch, machine: Machine) -> None:
-        """A candidate was placed on a machine: it counts against the limits of the search."""
+    def _update_search_limits(self, search: MachineSearch, machine: Machine) -> None:
+        """Update the limits of a search after a candidate was placed on a machine."""
         if search.gained is not None:
             machine_type = self.inventory.machine_types[machine.type]
             if self.inventory.whole_units(machine.free, machine_type) == 0:
@@ -194,7 +194,7 @@
 
 
 def _has_failed(shape: TaskShape, failed_shapes: list[TaskShape]) -> bool:
-    """Whether something no larger has found no free capacity in this pass."""
+    """Return whether an equal or smaller shape has found no free capacity in this pass."""
     return any(
         failed[1:] == shape[1:] and fits(failed.resources, shape.resources)
         for failed in failed_shapes
--- a/ploverhall/scheduling/gang_placement.py
+++ b/ploverhall/scheduling/gang_placement.py
@@ -1,7 +1,8 @@
-"""Places gangs: all of a gang's tasks or none, but for the first gang in the queue.
+"""Places gangs: all tasks of a gang or none, except for the first gang in the queue.
 
-Gangs that hold parts of what the others need never run, so only one gang at a time may hold
-reservations for less than all of its tasks. Called by the placement pass, in the queue's order.
+If several gangs held parts of the capacity that they need, they would block each other forever. So
+only one gang at a time may hold reservations for less than all of its tasks. The placement pass
+calls this module in the order of the queue.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
     def place(
         self, request: CandidateRequest, missing: int, is_new: bool, current: PlacementPass
     ) -> int:
-        """Place a gang if anything has changed for it; how many tasks are still missing."""
+        """Place a gang if anything has changed for it; return how many tasks are still missing."""
         may_search = is_new or current.preempt
         if is_new or current.gained or (current.preempt and current.searches_left):
             may_preempt = may_search and current.searches_left > 0
@@ -51,11 +52,11 @@
     def _place_all_or_nothing(
         self, request: CandidateRequest, missing: int, may_preempt: bool, current: PlacementPass
     ) -> int:
-        """Place the whole gang or none of it; the first in the queue may keep a part of it.
+        """Place the whole gang or none of it; the first gang in the queue may be placed in part.
 
-        Gangs that hold parts of what the others need never run. The first keeps what it finds, so
-        that it does not starve, and the others take what it leaves. Returns how many tasks are
-        still missing.
+        Gangs that each hold a part of what the others need would never run. The first gang keeps
+        what it finds, so that it does not starve; the others use the capacity that is left. Returns
+        how many tasks are still missing.
         """
         is_first = not current.gang_waits
         if is_first:
@@ -63,17 +64,17 @@
         pools = self._open_pools(request)
         if not pools:
             return missing
-        of_job = self.reservations.by_job.get(request.job.id, {})
+        job_reservations = self.reservations.by_job.get(request.job.id, {})
         preempt = may_preempt and self.preemption.could_preempt(request)
         zone = None
         if request.job.single_zone:
-            zone = self._gang_zone(request, missing, of_job, pools, preempt)
+            zone = self._gang_zone(request, missing, job_reservations, pools, preempt)
         bound = self.inventory.max_tasks(
             request.job.resources, [pool for pool in pools if zone is None or pool[1] == zone]
         )
         if bound < missing and not is_first and not preempt:
             return missing
-        earlier = set(of_job)
+        earlier = set(job_reservations)
         if bound > 0:
             missing = self.free_capacity.reserve(request, missing, current, None, zone)
         if missing > 0 and preempt:
@@ -83,21 +84,21 @@
         return missing
 
     def _become_partial_gang(self, request: CandidateRequest) -> None:
-        """Give this gang the right to hold reservations for a part of its tasks."""
+        """Make this gang the one that may hold reservations for a part of its tasks."""
         if self.partial_gang == request.job.id:
             return
         previous = self.partial_gang or ""
         held = self.reservations.by_job.get(previous, {})
         previous_request = self.reservations.requests.get(previous)
-        # A complete set is being permitted together with another shard's: if it were given away,
-        # the permits would be refused and the queue would change under the pass
+        # A complete set of reservations is being permitted, together with those of another shard.
+        # Releasing it would get the permits refused and change the queue during the pass.
         if previous_request is not None and len(held) < previous_request.count:
             for reservation in list(held.values()):
-                self.reservations.release(reservation, requeue=False)  # it waits already
+                self.reservations.release(reservation, requeue=False)  # it is queued already
         self.partial_gang = request.job.id
 
     def _open_pools(self, request: CandidateRequest) -> list[MachinePool]:
-        """Where a gang may run, without the zones that may take no more of it."""
+        """Return the pools for a gang, without those in zones that may take no more of it."""
         pools = self.inventory.allowed_pools(request.job)
         limits = self.reservations.remaining_zone_limits(request)
         if limits is None:
@@ -108,13 +109,13 @@
         self,
         request: CandidateRequest,
         missing: int,
-        of_job: dict[int, Reservation],
+        job_reservations: dict[int, Reservation],
         pools: list[MachinePool],
         preempt: bool,
     ) -> str:
-        """The zone for a gang that has to stay in one: where it is already, else the best one."""
-        if of_job:
-            return next(iter(of_job.values())).zone
+        """Return the zone for a single-zone gang: that of its reservations, else the best one."""
+        if job_reservations:
+            return next(iter(job_reservations.values())).zone
         bounds = {
             zone: self.inventory.max_tasks(
                 request.job.resources, [pool for pool in pools if pool[1] == zone]
@@ -123,8 +124,9 @@
         }
         preemptible: Counter[str] = Counter()
         if preempt and max(bounds.values()) < missing:
-            # Machines with work to stop count, too: else, with no free capacity anywhere, the last
-            # zone by name is chosen each time, and gangs wait although work elsewhere may stop
+            # Count machines with preemptible work, too. Otherwise, with no free capacity anywhere,
+            # the last zone by name would be chosen each time, and gangs would wait although work in
+            # other zones may be stopped.
             preemptible = Counter(
                 machine.zone
                 for machine in self.inventory.preemption_index.candidates.values()
@@ -141,13 +143,17 @@
         )
 
     def _release_since(self, request: CandidateRequest, earlier: set[int], now: float) -> None:
-        """Release a gang's reservations but for the earlier ones."""
-        of_job = self.reservations.by_job.get(request.job.id, {})
-        added = [reservation for reservation in of_job.values() if reservation.id not in earlier]
+        """Release a gang's reservations, except for those with the ids in `earlier`."""
+        job_reservations = self.reservations.by_job.get(request.job.id, {})
+        added = [
+            reservation
+            for reservation in job_reservations.values()
+            if reservation.id not in earlier
+        ]
         for reservation in added:
             self.reservations.release(reservation, requeue=False)
             machine = self.inventory.machines.get(reservation.machine)
             if machine is not None:
                 self.inventory.refresh(machine, now)
-                # Nothing was gained: trying again at once would find the same
+                # This is no gain: a new search would only find the same capacity again
                 self.inventory.machines_with_gains.pop(reservation.machine, None)
--- a/ploverhall/scheduling/inventory.py
+++ b/ploverhall/scheduling/inventory.py
@@ -1,8 +1,8 @@
 """The machines of one shard, and an index of those with free capacity.
 
-Finding capacity must not cost a walk over the fleet: machines stand in buckets by pool (type, zone,
-spot), whole units free and core level, and only machines that something happened to are refreshed.
-Called by the shard owner, which marks what has changed, and by placement and preemption.
+Finding capacity must not require a scan of the fleet: machines are indexed in buckets by pool
+(type, zone, spot), whole units free and core level, and only machines marked as changed are
+refreshed. The shard owner, which marks the changes, placement and preemption call this module.
 """
 
 from __future__ import annotations
@@ -30,19 +30,20 @@
     max_count,
 )
 
-CapacityLevel = tuple[int, int]  # whole units free, and the free cores' power of two
-# Without heartbeats for so many intervals, and seconds besides, a machine gets nothing new
+CapacityLevel = tuple[int, int]  # whole units free, and core level of the free cores
+# A machine gets no new work after so many heartbeat intervals without a heartbeat, plus a margin
 UNRESPONSIVE_INTERVALS = 2.0
 UNRESPONSIVE_MARGIN_S = 1.5
-CORE_FRACTION = 4  # core levels count quarters of a core
-# Tasks on one machine that need no whole unit: a bound on their number
+CORE_FRACTION = 4  # the unit of core levels is a quarter of a core
+# Upper bound on the number of tasks on one machine that need less than a whole unit
 MAX_TASKS_WITHOUT_UNITS = 1000
-# A bucket is given up after so many tries for each machine wanted, once one was found
+# Once one machine was found in a bucket, the search there ends after this many tries for each
+# machine wanted
 TRIES_PER_MACHINE = 4
 
 
 class Inventory:
-    """Machines by name, by free capacity, by image and by what could be stopped on them."""
+    """Machines by name, by free capacity, by cached image and by preemptible work."""
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self.heartbeat_interval_s = heartbeat_interval_s
@@ -51,34 +52,37 @@
         )
         self.machine_types: dict[str, MachineType] = {}
         self.machines: dict[str, Machine] = {}
-        # By machine, known or not yet
+        # By machine name, also for machines that are not known yet
         self.permits_by_machine: dict[str, dict[AttemptId, Permit]] = {}
-        self.proven_gone: set[str] = set()  # machines that the cloud has deleted
+        self.deleted_machines: set[str] = set()  # names of machines that the cloud has deleted
         self.job_traits: dict[str, JobTraits] = {}
         self.preemption_index = PreemptionIndex(self.job_traits)
         self.resources_of_job: Callable[[str], ResourceVector | None] = lambda job_id: None
         self.capacity_index: dict[MachinePool, dict[CapacityLevel, list[Machine]]] = {}
-        # Machines in the index that hold an image and have a unit free
+        # Indexed machines that hold an image and have at least one whole unit free
         self.warm_machines: dict[tuple[MachinePool, str], dict[str, Machine]] = {}
         self.image_holders: dict[str, dict[str, Machine]] = {}  # image -> all machines that hold it
         self.changed_machines: dict[str, Machine] = {}
         # Machines with more free capacity than at their last refresh
         self.machines_with_gains: dict[str, Machine] = {}
-        # Images that an earlier owner knew of, on machines not yet seen
+        # Images recorded by an earlier owner, for machines not known yet
         self.remembered_images: dict[str, dict[str, float]] = {}
         self.images_changed = False
-        # Machines refreshed, and checked for a fit: what the tests of growth count
+        # Numbers of refreshes and of checks for a fit; tests of how the cost scales read them
         self.refresh_count = self.fit_checks = 0
 
     # -- free capacity -----------------------------------------------------------------------
 
     def mark_changed(self, machine: Machine | None) -> None:
-        """Something happened to a machine: refresh it before the next decision. Ignores None."""
+        """Mark a machine to be refreshed before the next placement decision; None is ignored."""
         if machine is not None:
             self.changed_machines[machine.name] = machine
 
     def free_capacity(self, machine: Machine) -> ResourceVector:
-        """What listed tasks, permits and reservations leave free; nothing for unknown types."""
+        """Return what listed tasks, permits and reservations leave free.
+
+        A machine of an unknown type has no capacity.
+        """
         machine_type = self.machine_types.get(machine.type)
         if machine_type is None:
             return NO_RESOURCES
@@ -88,7 +92,7 @@
                 free = add_scaled(free, permit.resources, -1)
         for attempt_id, task in machine.tasks.items():
             if attempt_id not in machine.permits and task.state != EXITED:
-                # What is not known may take the whole machine
+                # A task of an unknown job may use the whole machine
                 resources = self.resources_of_job(attempt_id.job_id) or machine_type.resources
                 free = add_scaled(free, resources, -1)
         for reservation in machine.reservations.values():
@@ -96,7 +100,10 @@
         return free
 
     def capacity_for_services(self, machine: Machine, free: ResourceVector) -> ResourceVector:
-        """What services could have: `free`, and what is taken by work that yields to services."""
+        """Return the capacity available to services.
+
+        This is `free` plus the resources of work that yields to services.
+        """
         for attempt_id, permit in machine.permits.items():
             traits = self.job_traits.get(attempt_id.job_id)
             task = machine.tasks.get(attempt_id)
@@ -111,7 +118,7 @@
         return free
 
     def unusable(self, machine: Machine, now: float) -> bool:
-        """Whether nothing new may go there."""
+        """Return whether a machine may get no new work."""
         return (
             machine.lease_expired
             or machine.draining
@@ -120,7 +127,7 @@
             or not machine.accepted_token
             or machine.quarantined_until > now
             or now - machine.last_heartbeat_at > self.unresponsive_after_s
-            or machine.name in self.proven_gone
+            or machine.name in self.deleted_machines
             or machine.awaited_token > 0
             or now < machine.receiving_again_at + machine.flap_backoff_s
         )
@@ -128,20 +135,21 @@
     # -- the index ---------------------------------------------------------------------------
 
     def whole_units(self, resources: ResourceVector, machine_type: MachineType) -> int:
-        """Whole units in an amount: gpus where the type has them, else cores."""
+        """Return the whole units in an amount: gpus if the machine type has any, else cores."""
         cpus, gpus, _ = resources
         return max(0, int((gpus if machine_type.gpus > 0 else cpus) + EPSILON))
 
     def core_level(self, resources: ResourceVector) -> int:
-        """The power of two of an amount of cores, in quarters.
+        """Return the binary order of magnitude of an amount of cores, in quarters of a core.
 
-        Without it, work that needs no gpus walks over the machines with no core free.
+        It is part of the index because otherwise a search for work that needs no gpus would scan
+        the machines without free cores.
         """
         cpus, _, _ = resources
         return int(max(0.0, cpus) * CORE_FRACTION + EPSILON).bit_length()
 
     def refresh(self, machine: Machine, now: float) -> None:
-        """Bring the index up to date with one machine."""
+        """Recompute the free capacity of one machine and update the index."""
         self.refresh_count += 1
         free_before, was_indexed = machine.free, machine.index_bucket is not None
         machine.free = self.free_capacity(machine)
@@ -167,7 +175,7 @@
         )
 
     def _index(self, machine: Machine, machine_type: MachineType) -> None:
-        """Put a usable machine into the bucket of its free capacity."""
+        """Put a usable machine into the index bucket of its free capacity."""
         units = self.whole_units(machine.free, machine_type)
         bucket = self.capacity_index.setdefault(machine.pool, {}).setdefault(
             (units, self.core_level(machine.free)), []
@@ -182,6 +190,7 @@
                 self.warm_machines.setdefault((machine.pool, image), {})[machine.name] = machine
 
     def _unindex(self, machine: Machine) -> None:
+        """Remove a machine from the index of free capacity, if it is there."""
         if machine.index_bucket is None:
             return
         last = machine.index_bucket.pop()
@@ -193,6 +202,7 @@
             self._remove_warm(machine, image)
 
     def _remove_warm(self, machine: Machine, image: str) -> None:
+        """Remove a machine from `warm_machines` for one image."""
         key = (machine.pool, image)
         if (holders := self.warm_machines.get(key)) is not None:
             holders.pop(machine.name, None)
@@ -200,20 +210,21 @@
                 del self.warm_machines[key]
 
     def _remove_holder(self, machine: Machine, image: str) -> None:
+        """Remove a machine from `image_holders` for one image."""
         if (holders := self.image_holders.get(image)) is not None:
             holders.pop(machine.name, None)
             if not holders:
                 del self.image_holders[image]
 
     def refresh_changed(self, now: float) -> list[Machine]:
-        """Refresh every machine that something happened to, and return these."""
+        """Refresh every machine that was marked as changed, and return these machines."""
         changed, self.changed_machines = list(self.changed_machines.values()), {}
         for machine in changed:
             self.refresh(machine, now)
         return changed
 
     def remove(self, machine: Machine) -> None:
-        """The machine is not known any more."""
+        """Remove a machine from the inventory and all its indexes."""
         self._unindex(machine)
         self.preemption_index.update(machine, {}, False)
         for image in machine.images:
@@ -225,7 +236,7 @@
     # -- images ------------------------------------------------------------------------------
 
     def record_image(self, machine: Machine, image: str, gb: float) -> None:
-        """A machine was seen with an image: the most recent one it holds."""
+        """Record that a machine holds an image, as the most recently used one."""
         is_new = image not in machine.images
         self.images_changed = self.images_changed or is_new
         machine.images.pop(image, None)
@@ -242,7 +253,7 @@
         self._evict_images(machine, machine_type.image_cache_gb if machine_type else 0.0)
 
     def _evict_images(self, machine: Machine, cache_gb: float) -> None:
-        """Forget the least recent images of a machine beyond the size of its cache."""
+        """Forget a machine's least recently used images, down to the size of its image cache."""
         while machine.images and sum(machine.images.values()) > cache_gb:
             least_recent = next(iter(machine.images))
             del machine.images[least_recent]
@@ -250,7 +261,10 @@
             self._remove_holder(machine, least_recent)
 
     def restore_images(self, images: dict[str, dict[str, float]]) -> None:
-        """What an earlier owner knew, by machine: older than what has been seen since."""
+        """Restore the images recorded by an earlier owner, by machine name.
+
+        They count as used less recently than the images seen since.
+        """
         for name, known in images.items():
             machine = self.machines.get(name)
             if machine is None:
@@ -270,7 +284,7 @@
     # -- finding capacity --------------------------------------------------------------------
 
     def allowed_pools(self, job: Job) -> list[MachinePool]:
-        """Where a job may run, as the machines themselves report type, zone and spot."""
+        """Return the pools where a job may run, by the type, zone and spot that machines report."""
         return [
             (machine_type, zone, spot)
             for machine_type, zone, spot in self.capacity_index
@@ -280,7 +294,10 @@
         ]
 
     def max_tasks(self, resources: ResourceVector, pools: Iterable[MachinePool]) -> int:
-        """No more tasks than this fit: a bound read off the index, without looking at a machine."""
+        """Return an upper bound on how many such tasks fit in these pools.
+
+        It is computed from the buckets of the index, without looking at single machines.
+        """
         count = 0
         cpus, _, _ = resources
         needed_level = self.core_level(resources)
@@ -297,9 +314,10 @@
     def find_machines(
         self, job: Job, pools: list[MachinePool], avoided: frozenset[str], sample: int, rng: Random
     ) -> list[Machine]:
-        """A sample of the machines with free capacity for a task, without the avoided ones.
+        """Return a sample of the machines with free capacity for a task, except the avoided ones.
 
-        Those that hold its image first, then in each pool the fullest first.
+        Machines that hold the image come first, then the others by pool, those with the least free
+        capacity first.
         """
         found: list[Machine] = []
         seen = set(avoided)
@@ -330,9 +348,9 @@
         seen: set[str],
         found: list[Machine],
     ) -> None:
-        """Add up to `sample` machines that fit and were not seen, from a random one on.
+        """Add up to `sample` machines that fit and are not in `seen`, starting at a random one.
 
-        All are tried only while none was found.
+        The whole bucket is tried only if no machine is found earlier.
         """
         start = rng.randrange(len(bucket))
         count = 0
--- a/ploverhall/scheduling/kept_machines.py
+++ b/ploverhall/scheduling/kept_machines.py
@@ -1,8 +1,9 @@
-"""Machines kept free of other work for a gang that has waited for long.
+"""Machines kept free of other work for an overdue gang.
 
-Capacity falls free one task at a time, and without this the next small task takes it at once: a
-gang of whole machines never finds one empty (tests/test_largest_jobs.py). Machines are kept for one gang
-at a time, and no longer than its turn. Called by the placement pass and by preemption.
+Capacity becomes free one task at a time, and the next small task would use it at once: a gang that
+needs whole machines would never find an empty one (tests/test_largest_jobs.py). Machines are kept
+for one gang at a time, and only while it is overdue. The placement pass and preemption call this
+module.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class KeptMachines:
-    """Which machines are kept for which job."""
+    """Map of the kept machines to the job for which each is kept."""
 
     def __init__(self, inventory: Inventory, reservations: ReservationTable) -> None:
         self.inventory = inventory
@@ -24,7 +25,10 @@
         self.job_by_machine: dict[str, str] = {}
 
     def avoided_machines(self, request: CandidateRequest) -> frozenset[str]:
-        """Machines that a request may not use: those it names, and those kept for other jobs."""
+        """Return the machines that a request may not use.
+
+        These are the ones that it names itself and the ones kept for other jobs.
+        """
         if not self.job_by_machine:
             return request.avoided_machines
         return request.avoided_machines.union(
@@ -32,15 +36,16 @@
         )
 
     def update(self, now: float) -> None:
-        """Keep machines for the first overdue gang of the queue, and give the others back."""
+        """Keep machines for the first overdue gang in the queue, and release all others."""
         request = self._first_overdue_gang()
         kept = self._choose(request, now) if request is not None else {}
         for name in self.job_by_machine.keys() - kept.keys():
             if (machine := self.inventory.machines.get(name)) is not None:
-                self.inventory.machines_with_gains[name] = machine  # others may have it again
+                self.inventory.machines_with_gains[name] = machine  # available to others again
         self.job_by_machine = kept
 
     def _first_overdue_gang(self) -> CandidateRequest | None:
+        """Return the request of the first overdue gang in the queue that lacks reservations."""
         for _, job_id in self.reservations.queue.entries:
             request = self.reservations.requests.get(job_id)
             if (
@@ -53,7 +58,7 @@
         return None
 
     def _choose(self, request: CandidateRequest, now: float) -> dict[str, str]:
-        """Machine name -> job id, for as many machines as the gang's missing tasks need."""
+        """Return machine name -> job id, for as many machines as the gang's missing tasks need."""
         kept: dict[str, str] = {}
         missing = self.reservations.missing(request)
         for machine in sorted(self._usable_machines(request, now), key=self._preference):
@@ -66,7 +71,10 @@
         return kept
 
     def _usable_machines(self, request: CandidateRequest, now: float) -> list[Machine]:
-        """Where the gang may run; for a gang of a single zone, in the zone with most machines."""
+        """Return the usable machines for a gang.
+
+        For a single-zone gang these are the machines of the zone that has the most of them.
+        """
         zone_limits = self.reservations.remaining_zone_limits(request)
         pools = {
             pool
@@ -87,7 +95,7 @@
         return [machine for machine in machines if machine.zone == largest]
 
     def _preference(self, machine: Machine) -> tuple[bool, list[float], str]:
-        """Sort key: machines that are kept already first, then the emptiest."""
+        """Return a sort key: machines already kept come first, then those with the most free."""
         return (
             machine.name not in self.job_by_machine,
             [-amount for amount in machine.free],
@@ -95,7 +103,7 @@
         )
 
     def _tasks_on_empty_machine(self, request: CandidateRequest, machine: Machine) -> int:
-        """How many tasks of the gang an empty machine of this type could run."""
+        """Return how many tasks of the gang an empty machine of this type could run."""
         capacity = self.inventory.machine_types[machine.type].resources
         return min(
             (
--- a/ploverhall/scheduling/lease_monitor.py
+++ b/ploverhall/scheduling/lease_monitor.py
@@ -1,7 +1,8 @@
 """Expiry of the leases of machines that have sent no heartbeats for too long.
 
-Only when a machine's lease must have run out by its own clock, and this owner's shard is known to
-be nobody else's, do its tasks count as gone. Called by the shard owner with each sweep; no I/O.
+The tasks of a machine count as gone only when its lease must have expired by the machine's own
+clock, and a fresh read has confirmed that no other controller owns the shard. The shard owner calls
+this module with each sweep. No I/O.
 """
 
 from __future__ import annotations
@@ -11,14 +12,15 @@
 from ploverhall.scheduling.reservations import ReservationTable
 from ploverhall.scheduling.shard_state import ShardState
 
-# A lease of the machine's clock is over for sure: clocks differ by this factor, and a margin
+# A lease has certainly expired by the machine's clock after the lease time multiplied by this bound
+# on clock drift, plus a margin
 LEASE_CLOCK_FACTOR = 1.002
 LEASE_MARGIN_S = 1.0
-FORGET_MACHINE_AFTER_S = 900.0  # without heartbeats and permits
+FORGET_MACHINE_AFTER_S = 900.0  # time without heartbeats, for a machine without permits
 
 
 class LeaseMonitor:
-    """Follows the leases of the machines of one shard."""
+    """Tracks the leases of the machines of one shard."""
 
     def __init__(
         self, state: ShardState, permit_table: PermitTable, reservations: ReservationTable
@@ -28,18 +30,20 @@
         self.reservations = reservations
 
     def sweep(self, now: float) -> list[Machine]:
-        """Expire the leases that are over; the machines that can be forgotten."""
+        """Expire the leases that are over, and return the machines that can be forgotten."""
         forgotten = []
         for machine in self.state.machines_by_heartbeat.values():
             if now - machine.last_heartbeat_at <= self.state.inventory.unresponsive_after_s:
-                break  # and all that follow have sent a heartbeat later
+                break  # all machines that follow have sent a later heartbeat
             last_contact = max(machine.last_answer_at, machine.last_heartbeat_at)
             lease_end = last_contact + self.state.lease_s * LEASE_CLOCK_FACTOR + LEASE_MARGIN_S
             if machine.accepted_token and not machine.lease_expired and now > lease_end:
-                # It took this owner's token, and its lease has not been renewed since: it has
-                # killed everything. But only if nobody else could renew it: a controller wakes from
-                # an event-loop stall with old beliefs, and a source that doesn't follow the store
-                # just then would believe it. A fresh read begun later shows who holds the shard.
+                # The machine has accepted this owner's token and its lease has not been renewed
+                # since, so it has killed all its tasks. This holds only if no other controller
+                # could have renewed the lease: after an event-loop stall this controller's state
+                # may be outdated, and a source that is not following the store at that time would
+                # rely on it. A fresh read begun after the end of the lease shows who holds the
+                # shard.
                 if self.state.epoch_confirmed_at <= lease_end:
                     self.state.confirmation_needed = True
                     continue
@@ -54,6 +58,7 @@
         return forgotten
 
     def _can_forget(self, machine: Machine, now: float) -> bool:
+        """Return whether a machine has been unresponsive for so long that it can be removed."""
         return (
             (machine.lease_expired or not machine.accepted_token)
             and now - machine.last_heartbeat_at > FORGET_MACHINE_AFTER_S
@@ -61,7 +66,7 @@
         )
 
     def _expire_lease(self, machine: Machine) -> None:
-        """Nothing runs on a machine any more: its lease has run out."""
+        """Expire the lease of a machine: its agent has killed all tasks there."""
         machine.lease_expired = True
         machine.command_pending = False
         self.state.schedule_commands(machine)
--- a/ploverhall/scheduling/machine_health.py
+++ b/ploverhall/scheduling/machine_health.py
@@ -1,8 +1,8 @@
-"""Which machines of a shard may not be trusted with new work, though they send heartbeats.
+"""Detection of machines that send heartbeats but should get no new work.
 
-`FailureAttribution` quarantines machines on which several jobs fail. `ReceptionMonitor` watches for
-one-way partitions: machines that send heartbeats but do not receive what they are told. Called by
-the shard owner with each heartbeat and each sweep; no I/O.
+`FailureAttribution` quarantines machines on which several jobs fail. `ReceptionMonitor` detects
+one-way partitions: machines that send heartbeats but do not receive what is sent to them. The shard
+owner calls this module with each heartbeat and each sweep. No I/O.
 """
 
 from __future__ import annotations
@@ -10,33 +10,35 @@
 from ploverhall.scheduling.machines import Machine
 from ploverhall.scheduling.shard_state import ShardState
 
-FAILURE_WINDOW_S = 300.0  # how long a failure on a machine counts against it
-FAILED_JOBS_TO_QUARANTINE = 2  # different jobs that have to fail on a machine
-QUARANTINE_S = 600.0  # how long such a machine is not trusted
-# Before it is given back: a job that fails everywhere is found out sooner
+FAILURE_WINDOW_S = 300.0  # time for which a failure counts against a machine
+FAILED_JOBS_TO_QUARANTINE = 2  # number of different jobs that fail on the machine
+QUARANTINE_S = 600.0  # time without new work, from the last such failure
+# Time in quarantine before a machine is replaced: a job that fails everywhere is detected sooner
 REPLACEMENT_DELAY_S = 20.0
-# A machine that stops receiving again so soon is left alone, twice as long each time
+# A machine that stops receiving again within this window after its last backoff is flapping: it
+# gets no new work for another backoff, twice as long each time
 FLAP_WINDOW_S = 60.0
 INITIAL_FLAP_BACKOFF_S = 5.0
 MAX_FLAP_BACKOFF_S = 120.0
-# How long a machine may take to show an awaited token: heartbeat intervals, and seconds besides
+# Time for a machine to show an awaited token: heartbeat intervals, plus a margin
 CONFIRMATION_INTERVALS = 2.5
 CONFIRMATION_MARGIN_S = 2.0
 
 
 class FailureAttribution:
-    """Tells failures of machines from failures of jobs, and quarantines machines."""
+    """Attributes task failures to machines or to jobs, and quarantines machines."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
         self.suspected_machines: dict[str, Machine] = {}  # in quarantine, by name
 
     def record_failure(self, machine: Machine, job_id: str, now: float) -> None:
-        """A task has failed on a machine; quarantine the machine if it is the second job.
+        """Record a task failure; quarantine the machine if two different jobs have failed there.
 
-        One job that fails may be at fault itself. A job that its source knows to fail everywhere
-        counts against no machine: else two such jobs take good machines away one by one. Until that
-        is settled the machine takes nothing new, but it is not given back.
+        A single failing job may be at fault itself. A job that its source has found to fail
+        everywhere counts against no machine: otherwise two such jobs would remove good machines one
+        by one. Until the source has found that out, the machine gets no new work, but it is not yet
+        replaced.
         """
         traits = self.state.inventory.job_traits.get(job_id)
         machine.failures_by_job = {
@@ -54,7 +56,10 @@
         self.suspected_machines[machine.name] = machine
 
     def clear_machines(self, job_id: str) -> None:
-        """A job fails everywhere: the machines that it failed on are not to blame for it."""
+        """Remove the failures of a job that fails everywhere from all machines.
+
+        This ends quarantines that depended on them, except on machines due for replacement.
+        """
         for machine in self.state.machines.values():
             if (
                 machine.failures_by_job.pop(job_id, None) is not None
@@ -66,7 +71,7 @@
                 self.state.mark_changed(machine)
 
     def sweep(self, now: float) -> None:
-        """End quarantines that are over, and have machines replaced that stay in quarantine."""
+        """End quarantines that are over, and mark machines that stay in one for replacement."""
         for machine in list(self.suspected_machines.values()):
             if not machine.quarantined_until or machine.quarantined_until <= now:
                 machine.quarantined_until = machine.quarantined_since = 0.0
@@ -81,23 +86,23 @@
                 self.state.changed_for_autoscaler[machine.name] = machine
 
     def forget(self, machine: Machine) -> None:
-        """The machine is not known any more."""
+        """Stop tracking a machine that was removed."""
         self.suspected_machines.pop(machine.name, None)
 
 
 class ReceptionMonitor:
-    """Watches whether machines receive what they are told, by the fencing tokens they show."""
+    """Detects by their fencing tokens whether machines receive what is sent to them."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
-        # Machines that may not receive, or that have begun to again a short time ago
+        # Machines that may not receive messages, or that only recently began to receive them again
         self.unconfirmed_machines: dict[str, Machine] = {}
 
     def await_token(self, machine: Machine, now: float) -> None:
-        """Something sent to a machine has not reached it: it has to show a higher token.
+        """Require a machine that has missed a message to show a higher token.
 
-        Until then nothing new goes there. Its heartbeats may arrive all the time: without this it
-        looks alive and empty, and each lease that runs out there is followed by new starts.
+        Until then it gets no new work. Its heartbeats may keep arriving: without this check it
+        would look alive and empty, and would get new tasks each time a lease expires there.
         """
         if not machine.awaited_token and self.state.raise_token(machine):
             machine.awaited_token = machine.token
@@ -106,7 +111,7 @@
             self.state.mark_changed(machine)
 
     def token_confirmed(self, machine: Machine, now: float) -> None:
-        """A machine has shown the awaited token: it receives again.
+        """Note that a machine has shown the awaited token, so it receives messages again.
 
         It leaves `unconfirmed_machines` with the first sweep after its backoff.
         """
@@ -123,8 +128,8 @@
         self.state.mark_changed(machine)
 
     def sweep(self, now: float) -> None:
-        """End backoffs that are over, and give machines up that show no token for too long."""
-        patience_s = (
+        """End backoffs that are over, and mark machines that fail to show a token in time."""
+        confirmation_timeout_s = (
             CONFIRMATION_INTERVALS * self.state.inventory.heartbeat_interval_s
             + CONFIRMATION_MARGIN_S
         )
@@ -135,7 +140,7 @@
                     self.state.mark_changed(machine)
             elif (
                 not machine.not_receiving
-                and now - machine.awaited_since > patience_s
+                and now - machine.awaited_since > confirmation_timeout_s
                 and machine.last_heartbeat_at > machine.awaited_since
             ):
                 machine.not_receiving = True
@@ -143,7 +148,7 @@
                 self._evict_unstarted_gang_tasks(machine)
 
     def _evict_unstarted_gang_tasks(self, machine: Machine) -> None:
-        """Ask the sources for gang tasks back that can't start here: the others wait in vain."""
+        """Ask the sources to evict gang tasks that can't start here and keep their gang waiting."""
         for permit in machine.permits.values():
             traits = self.state.inventory.job_traits.get(permit.attempt_id.job_id)
             if (
@@ -157,5 +162,5 @@
                 self.state.changed_attempts.add(permit.attempt_id)
 
     def forget(self, machine: Machine) -> None:
-        """The machine is not known any more."""
+        """Stop tracking a machine that was removed."""
         self.unconfirmed_machines.pop(machine.name, None)
--- a/ploverhall/scheduling/machines.py
+++ b/ploverhall/scheduling/machines.py
@@ -1,6 +1,6 @@
-"""What a shard's owner knows of its machines, their permits and reservations, and the jobs there.
+"""Records of a shard's machines, their permits and reservations, and the traits of their jobs.
 
-Plain data, changed by the shard owner and its components; the index over it is `inventory`'s.
+The classes hold data that the shard owner and its components change; `inventory` indexes it.
 """
 
 from __future__ import annotations
@@ -11,18 +11,19 @@
 from ploverhall.scheduling.resources import NO_RESOURCES, ResourceVector
 
 MachinePool = tuple[str, str, bool]  # type, zone, spot
-# What decides who may stop a task: priority, within its team's guarantee, team, kind, and whether
-# its job has claimed that guarantee
+# The properties that decide which work may preempt a task: priority, whether it is within its
+# team's guarantee, team, kind, and whether its job has claimed that guarantee
 PreemptionClass = tuple[int, bool, str, str, bool]
-# Saving a checkpoint before a preemption is worth it only if checkpoints are this far apart
-CHECKPOINT_PER_SAVE = 2.0
+# A task is given time to save a checkpoint before a preemption only if its checkpoints are further
+# apart than this many times the time to save one, plus CHECKPOINT_MARGIN_S
+MIN_CHECKPOINT_INTERVAL_PER_SAVE = 2.0
 CHECKPOINT_MARGIN_S = 15.0
 SAVE_MARGIN_S = 1.0
 
 
 @dataclass(slots=True)
 class Permit:
-    """A start that a source has written: the wanted state of a task attempt on its machine."""
+    """Desired state of a task attempt on its machine, as written by its source."""
 
     attempt_id: AttemptId
     source_shard: int
@@ -32,25 +33,25 @@
     resources: ResourceVector
     image: str
     image_gb: float
-    stop_grace_s: float | None = None  # None: should run; else the grace it is stopped with
-    run_token: int = 0  # fencing token of the last run command that left, 0: none has
-    run_incarnation: int = 0  # of the agent at that time
-    run_sent_directly: bool = False  # a run has been tried with a direct command
-    kill_sent_grace_s: float | None = None  # grace of the last kill sent directly
+    stop_grace_s: float | None = None  # None: it should run; else the grace period of its stop
+    run_token: int = 0  # fencing token of the last run command sent; 0: none was
+    run_incarnation: int = 0  # the agent's incarnation at that time
+    run_sent_directly: bool = False  # a run has been sent as a direct command
+    kill_sent_grace_s: float | None = None  # grace period of the last kill sent
     refused: bool = False
-    gone: bool = False  # it is not on its machine and can't get there any more
-    gone_reason: str = ""  # for people
-    victims: tuple[AttemptId, ...] = ()  # what is stopped for it
+    gone: bool = False  # it is not on its machine and can't start there later
+    gone_reason: str = ""  # text for people
+    victims: tuple[AttemptId, ...] = ()  # attempts that are stopped for it
     running_since: float | None = None  # when it was first seen running
-    # It began in its job's turn, after a long wait: higher priorities don't stop it again
+    # It was placed while its job was overdue: higher priorities don't preempt it again
     overdue: bool = False
-    # A gang's task whose capacity is needed: its source stops the whole gang in order
+    # A task of a gang whose capacity is needed: its source stops the whole gang in an orderly way
     evict_requested: bool = False
 
 
 @dataclass(slots=True)
 class Reservation:
-    """Capacity held for a candidate until it is permitted, cancelled or the hold time is over."""
+    """Capacity held for a candidate until its permit, its cancellation or its expiry."""
 
     id: int
     source_shard: int
@@ -62,36 +63,36 @@
     image: str
     cost: float  # in seconds, see `scoring` and `preemption`
     victims: tuple[AttemptId, ...] = ()
-    overdue: bool = False  # its job has waited for long, and has its turn
+    overdue: bool = False  # its job was overdue: queued above its priority after a long wait
 
 
 @dataclass(slots=True)
 class JobTraits:
-    """What is known of a job with tasks here: what stopping one of them would mean."""
+    """Properties of a job that decide whether and how its tasks may be preempted."""
 
     priority: int  # 0 is the most important
-    within_guarantee: bool  # of its team's guarantee
+    within_guarantee: bool  # the job is within its team's guarantee
     team: str
     kind: str
-    checkpoint_s: float  # seconds between checkpoints; 0: it makes none
-    save_s: float  # seconds that saving one takes
-    spot_allowed: bool  # could be on a spot machine
-    failing_everywhere: bool = False  # fails wherever it starts
-    # It has had work of another team stopped for its team's guarantee
+    checkpoint_s: float  # seconds between checkpoints; 0: it saves none
+    save_s: float  # seconds to save a checkpoint
+    spot_allowed: bool  # may run on spot machines
+    failing_everywhere: bool = False  # its tasks fail on every machine
+    # It has preempted work by its team's guarantee, or taken over such a claim
     claimed_guarantee: bool = False
 
     @property
     def preemption_grace_s(self) -> float:
-        """Time to save a checkpoint when stopped for others; 0 unless it keeps more than it costs.
+        """Return the seconds for saving a checkpoint at a preemption; 0 if not worth the wait.
 
-        Without this limit replicas wait for tasks that have saved only a moment ago.
+        Without this limit replicas would wait for tasks that have saved only a moment ago.
         """
-        worth_saving_s = CHECKPOINT_PER_SAVE * self.save_s + CHECKPOINT_MARGIN_S
+        worth_saving_s = MIN_CHECKPOINT_INTERVAL_PER_SAVE * self.save_s + CHECKPOINT_MARGIN_S
         return self.save_s + SAVE_MARGIN_S if self.checkpoint_s > worth_saving_s else 0.0
 
     @property
     def preemption_class(self) -> PreemptionClass:
-        """What decides who may stop its tasks."""
+        """Return the properties that decide which work may preempt its tasks."""
         return (
             self.priority,
             self.within_guarantee,
@@ -102,72 +103,72 @@
 
     @property
     def yields_to_services(self) -> bool:
-        """Whether its capacity counts as free for services."""
+        """Return whether its capacity counts as available to services."""
         return self.priority > 0 and self.spot_allowed and self.kind == "array"
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """One machine: its agent's last heartbeat, what it has been answered, and its capacity."""
+    """One machine: its agent's last heartbeat, the messages sent to it, and its capacity."""
 
     name: str
     address: str
     type: str
     zone: str
     spot: bool
-    token: int  # the fencing token that commands to it bear
+    token: int  # the fencing token of commands to it
     incarnation: int = 0
     sequence: int = 0
-    seen_token: int = 0  # of its last heartbeat
+    seen_token: int = 0  # fencing token of its last heartbeat
     accepted_token: bool = False  # its heartbeats have shown a token of this owner
     termination_notice_s: float | None = None
     tasks: dict[AttemptId, TaskStatus] = field(default_factory=dict)
-    listed_tasks: list[ListedTask] | None = None  # the list that `tasks` was made of
+    listed_tasks: list[ListedTask] | None = None  # the list from which `tasks` was built
     last_heartbeat_at: float = 0.0
     last_answer_at: float = 0.0
     lease_expired: bool = False  # unresponsive for longer than its lease
-    images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recent first
-    draining: bool = False  # the autoscaler wants it empty
-    cordoned: bool = False  # a maintenance order wants it empty: nothing new goes there meanwhile
+    images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
+    draining: bool = False  # being emptied for the autoscaler
+    cordoned: bool = False  # being emptied for maintenance: it gets no new work meanwhile
     quarantined_until: float = 0.0
     quarantined_since: float = 0.0
-    replacement_due: bool = False  # in quarantine for long enough to be given back
-    # Job -> when it failed here; without jobs that fail everywhere
+    replacement_due: bool = False  # in quarantine for long enough to be replaced
+    # Job id -> time of its last failure here; without jobs that fail everywhere
     failures_by_job: dict[str, float] = field(default_factory=dict)
-    # Attempts whose run is in an unanswered direct command
+    # Attempts whose run command is in an unanswered direct request
     inflight_runs: set[AttemptId] = field(default_factory=set)
-    command_pending: bool = False  # a direct command is unanswered
+    command_pending: bool = False  # a direct request is unanswered
     next_command_at: float = 0.0
-    unanswered_commands: int = 0  # direct commands in a row that it has not answered
-    # Incarnation and sequence of the newest heartbeat, which answers to commands may have overtaken
+    unanswered_commands: int = 0  # consecutive direct requests without an answer
+    # Incarnation and sequence of the newest heartbeat; answers to direct requests may be newer
     newest_heartbeat: tuple[int, int] = (0, 0)
-    stale_heartbeat: bool = False  # the last message was no newer than that
-    # Attempts whose run is in the answer to its newest heartbeat
+    stale_heartbeat: bool = False  # the last message was not newer than the messages before it
+    # Attempts whose run command is in the answer to its newest heartbeat
     runs_in_answer: set[AttemptId] = field(default_factory=set)
-    # The token that it has to show before it counts as receiving again; 0: it does receive
+    # The token that it has to show before it counts as receiving messages again; 0: it does receive
     awaited_token: int = 0
     awaited_since: float = 0.0
-    not_receiving: bool = False  # it has not shown it for so long that it is one-way partitioned
-    receiving_again_at: float = -1e9  # when that was last over
-    flap_backoff_s: float = 0.0  # one that receives now and then is used again ever later
+    not_receiving: bool = False  # awaited for too long: one-way partitioned
+    receiving_again_at: float = -1e9  # end of its last one-way partition
+    flap_backoff_s: float = 0.0  # wait before it is used again; grows if it flaps
     permits: dict[AttemptId, Permit] = field(default_factory=dict)
     reservations: dict[int, Reservation] = field(default_factory=dict)
-    free: ResourceVector = NO_RESOURCES  # as of the last refresh
+    free: ResourceVector = NO_RESOURCES  # at the last refresh
     free_for_services: ResourceVector = NO_RESOURCES
-    index_bucket: list[Machine] | None = None  # where it stands in the index
+    index_bucket: list[Machine] | None = None  # its bucket in the index; None: not indexed
     index_position: int = 0
-    # Its tasks that somebody might stop, as of the last refresh
+    # Its preemptible tasks at the last refresh
     preemptible: dict[AttemptId, PreemptionClass] = field(default_factory=dict)
     preemptible_classes: frozenset[PreemptionClass] = frozenset()
-    # `PreemptionIndex.generation` when it last gained such a task or free capacity
+    # `PreemptionIndex.generation` when it last gained a preemptible task or free capacity
     preemptible_since: int = 0
 
     @property
     def pool(self) -> MachinePool:
-        """What it is and where."""
+        """Return its type, zone and whether it is a spot machine."""
         return (self.type, self.zone, self.spot)
 
 
 def occupies(permit: Permit, task: TaskStatus | None) -> bool:
-    """Whether a permit takes capacity of its machine, given what the machine lists of it."""
+    """Return whether a permit uses capacity; `task` is its entry in the machine's list, if any."""
     return not permit.gone and not (task.state == EXITED if task is not None else permit.refused)
--- a/ploverhall/scheduling/permit_table.py
+++ b/ploverhall/scheduling/permit_table.py
@@ -59,6 +59,7 @@
     def _add(
         self, attempt_id: AttemptId, source_shard: int, update: PermitUpdate, now: float
     ) -> Permit:
+        """Add a new permit, admit or refuse it, and return it."""
         job = self.state.jobs.get(attempt_id.job_id)
         permit = Permit(
             attempt_id,
@@ -225,11 +226,11 @@
             self.changed_attempts.add(permit.attempt_id)
 
     def check_gone(self, permit: Permit) -> None:
-        """Mark a permit as gone if its attempt is not on its machine and can't start there later."""
+        """Mark a permit as gone if its attempt is not on its machine and can't get there later."""
         if permit.gone:
             return
         machine = self.machines.get(permit.machine)
-        if permit.machine in self.inventory.proven_gone:
+        if permit.machine in self.inventory.deleted_machines:
             permit.gone = True
             permit.gone_reason = GONE_MACHINE
         elif permit.refused and permit.run_token == 0 and permit.epoch == self.state.epoch:
--- a/ploverhall/scheduling/placement.py
+++ b/ploverhall/scheduling/placement.py
@@ -1,8 +1,9 @@
 """The placement pass: reserves free capacity for the candidates of one shard, best fit first.
 
-A pass costs what has changed: new candidates look at a sample of the machines with free capacity,
-waiting ones only at machines that have gained some since. Gangs are placed all or nothing. Called
-by the shard owner, which also hands in the candidate requests (`request`, `cancel`).
+The cost of a pass depends on what has changed: new candidates are matched with a sample of the
+machines with free capacity, waiting ones only with machines that have gained capacity since. Gangs
+are placed all or nothing. The shard owner runs the passes; `source_requests` updates the candidate
+requests (`request`, `cancel`).
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from ploverhall.scheduling.preemption import PreemptionPlanner
 from ploverhall.scheduling.reservations import CandidateRequest, ReservationTable
 
-# How often a waiting candidate is matched anew against work that may be stopped
+# Between passes in which waiting candidates search again for work to preempt
 PREEMPTION_INTERVAL_S = 0.25
-# How often every waiting candidate is looked at anew, whatever has been seen to change
+# Between passes that treat every waiting candidate as new, even without a recorded change
 REVISIT_INTERVAL_S = 2.0
 
 
 class Placement:
-    """Reserves free capacity for the candidates of one shard."""
+    """Runs the placement passes of one shard."""
 
     def __init__(self, inventory: Inventory, hold_s: float, sample: int, random: Random) -> None:
         self.inventory = inventory
@@ -51,14 +52,17 @@
         self.reservations.update_request(source_shard, job, update, within_guarantee)
 
     def cancel(self, job_id: str) -> None:
-        """Forget the request for a job, and give back what is reserved for it."""
+        """Remove the request for a job, and release its reservations."""
         self.preemption.forget_search(job_id)
         self.reservations.cancel_request(job_id)
 
     # -- the pass ----------------------------------------------------------------------------
 
     def place_waiting(self, now: float) -> None:
-        """One pass: new candidates anywhere, waiting ones on machines that have gained capacity."""
+        """Run one pass over the queue.
+
+        New candidates may go to any machine, waiting ones to machines that have gained capacity.
+        """
         inventory, queue = self.inventory, self.reservations.queue
         preempt = now >= self.next_preemption_at
         nothing_changed = not (queue.new_jobs or inventory.machines_with_gains or preempt)
@@ -76,7 +80,7 @@
         for position, entry in enumerate(queue.entries):
             if self._is_finished(current):
                 waiting += queue.entries[position:]
-                # Not all were seen: the partial gang may still be among the rest
+                # The rest was not looked at: the partial gang may still be in it
                 current.gang_waits = True
                 break
             if self._place_job(entry[1], current):
@@ -86,14 +90,14 @@
             self.gangs.partial_gang = None
 
     def _revisit_all(self, now: float) -> None:
-        """Treat every waiting job as new, and choose the machines to keep for an overdue gang."""
+        """Queue every waiting job as new, and choose the machines to keep for an overdue gang."""
         self.preemption.forget_all_searches()
         for job_id in self.reservations.requests:
             self.reservations.enqueue_if_missing(job_id)
         self.kept_machines.update(now)
 
     def _is_finished(self, current: PlacementPass) -> bool:
-        """Whether there is nothing left to try for the rest of the queue."""
+        """Return whether the rest of the queue has nothing left to try in this pass."""
         return not (
             self.reservations.queue.new_jobs
             or current.gained
@@ -101,7 +105,7 @@
         )
 
     def _place_job(self, job_id: str, current: PlacementPass) -> bool:
-        """Place what a job misses; whether it goes on waiting."""
+        """Place the missing candidates of a job, and return whether it still waits."""
         request = self.reservations.requests.get(job_id)
         if request is None:
             return False
@@ -121,7 +125,7 @@
     def _place_tasks(
         self, request: CandidateRequest, missing: int, is_new: bool, current: PlacementPass
     ) -> int:
-        """Place tasks that don't depend on one another; how many are still missing."""
+        """Place independent tasks, and return how many are still missing."""
         if is_new:
             missing = self.free_capacity.reserve(request, missing, current, None)
         elif current.gained:
--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -1,9 +1,9 @@
-"""Preemption: which less important work is stopped to free capacity for a candidate.
+"""Preemption: selects less important work to stop, to free capacity for a candidate.
 
 `PreemptionPlanner` applies the published rules (`may_preempt`), makes the cheapest plan for a
 machine, and reserves capacity by the best plans found. It remembers which searches found too
-little, so that they are repeated only after a machine has gained something. Called by the placement
-pass; the victims themselves are stopped by the shard owner, once the source permits the start.
+little, and repeats them only after a machine has gained free capacity or preemptible work. The
+placement pass calls it. The permit table stops the victims, once the source permits the attempt.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 from ploverhall.scheduling.scoring import score_machine
 
 LOWEST_PRIORITY = max(PRIORITIES.values())
-PREEMPTION_DELAY_S = 1.0  # what stopping others takes, until their capacity is free
-LOST_WORK_WEIGHT = 0.2  # seconds of waiting that a second of lost work is worth
-GANG_VICTIM_COST_S = 1000.0  # a gang's task takes its whole gang with it: only as a last resort
-# Machines searched for a plan: at least so many, and so many a task
+PREEMPTION_DELAY_S = 1.0  # from stopping victims until their capacity is free
+LOST_WORK_WEIGHT = 0.2  # seconds of waiting that weigh as much as a second of lost work
+GANG_VICTIM_COST_S = 1000.0  # stopping one task of a gang stops all of it: a last resort
+# Machines searched for a plan: the larger of a minimum and a number for each task
 PREEMPTION_SAMPLE = 64
 PREEMPTION_SAMPLE_PER_TASK = 4
-PLANS_PER_TASK = 2  # a search ends after its sample when it has so many plans a task
-WARM_SAMPLE = 24  # machines that hold the image, searched for a plan
+PLANS_PER_TASK = 2  # a search ends after its sample once it has this many
+WARM_SAMPLE = 24  # machines holding the image that are searched for a plan
 
 
 class PreemptionPlan(NamedTuple):
-    """What to stop on one machine for one candidate; orders by cost, then by name."""
+    """The victims on one machine for one candidate; sorts by cost, then by machine name."""
 
     cost_s: float
     machine_name: str
@@ -48,21 +48,21 @@
     victims: tuple[AttemptId, ...]
 
 
-# A task attempt that may be stopped: seconds of work lost with it, which orders them, the attempt,
-# and its resources. A plain tuple, since a search makes one for every task that it looks at.
+# A task attempt that may be stopped: the cost in seconds of lost work, by which victims are sorted,
+# the attempt and its resources. A plain tuple, since a search makes one for every task it looks at.
 PossibleVictim = tuple[float, AttemptId, ResourceVector]
 
 
 class ExhaustedSearch(NamedTuple):
-    """A search that found fewer plans than it needed."""
+    """The result of a search that found fewer plans than it needed."""
 
-    generation: int  # `PreemptionIndex.generation` at the time
+    generation: int  # `PreemptionIndex.generation` at the time of the search
     found: int
     zone: str | None
 
 
 class GangShape(NamedTuple):
-    """What two gangs have in common when a search finds the same for both."""
+    """The properties that determine the result of a gang's search."""
 
     resources: ResourceVector
     machine_types: tuple[str, ...] | None
@@ -76,7 +76,7 @@
 
 
 class PreemptionPlanner:
-    """Finds work to stop on the machines of one shard."""
+    """Finds work to preempt on the machines of one shard."""
 
     def __init__(
         self,
@@ -89,26 +89,26 @@
         self.reservations = reservations
         self.kept_machines = kept_machines
         self.random = random
-        # What permits that are being carried out stop already; the shard owner sets it
+        # Victims of admitted permits that have not left yet; the shard owner sets it
         self.victims: set[AttemptId] = set()
-        # Machines searched for a plan: what the tests of growth count
+        # Number of machines searched for a plan; tests of how the cost scales read it
         self.checks = 0
         self._exhausted_by_job: dict[str, ExhaustedSearch] = {}
         self._exhausted_by_shape: dict[GangShape, ExhaustedSearch] = {}
 
     def forget_search(self, job_id: str) -> None:
-        """A job's request has changed: what its last search found no longer holds."""
+        """Discard the result of a job's last search, because its request has changed."""
         self._exhausted_by_job.pop(job_id, None)
 
     def forget_all_searches(self) -> None:
-        """Let every job search all machines again."""
+        """Discard all search results, so that every job searches all machines again."""
         self._exhausted_by_job.clear()
         self._exhausted_by_shape.clear()
 
-    # -- who may stop whom -------------------------------------------------------------------
+    # -- preemption rules --------------------------------------------------------------------
 
     def could_preempt(self, request: CandidateRequest) -> bool:
-        """Whether there is any work in this shard that this candidate may stop."""
+        """Return whether this shard has any work that the candidate may preempt."""
         traits = self.inventory.job_traits.get(request.job.id)
         if request.job.priority >= LOWEST_PRIORITY and not request.within_guarantee:
             return False
@@ -120,17 +120,20 @@
         )
 
     def may_preempt(self, request: CandidateRequest, preemption_class: PreemptionClass) -> bool:
-        """Whether a candidate may stop work of this class, by the rules without their circle.
-
-        By rank an urgent array beyond its team's guarantee may stop another team's lower work
-        within its own, which may stop it in turn for the guarantee: without the exception for work
-        that has claimed its guarantee, both are started and stopped over and over. What is of the
-        highest rank is never stopped itself, and so stands in no circle.
+        """Return whether a candidate may preempt work of this class.
+
+        Work that has claimed its team's guarantee is excepted from preemption by priority, unless
+        the candidate is within its own team's guarantee or has the highest priority. Without the
+        exception two jobs could preempt each other forever: an urgent array beyond its team's
+        guarantee stops another team's work of lower priority that is within its guarantee, and that
+        work then stops the array by its guarantee. Work of the highest priority is never preempted,
+        so it can't be part of such a cycle.
         """
         priority, within_guarantee, team, kind, claimed = preemption_class
         if priority > request.job.priority:
             return not claimed or request.within_guarantee or request.job.priority == 0
-        # To give a team its guarantee: only where little is lost, not a whole gang
+        # To fulfil a team's guarantee only arrays are stopped, where little work is lost: stopping
+        # a gang's task would stop the whole gang
         return (
             request.within_guarantee
             and not within_guarantee
@@ -139,7 +142,7 @@
         )
 
     def victims_in_progress(self) -> set[AttemptId]:
-        """The task attempts that are stopped for others already, as a new set."""
+        """Return the task attempts that are already being stopped for others, as a new set."""
         return {
             attempt_id
             for reservation in self.reservations.preempting.values()
@@ -151,11 +154,12 @@
     def reserve(
         self, request: CandidateRequest, missing: int, now: float, zone: str | None = None
     ) -> int:
-        """Reserve for up to `missing` candidates where stopping others is enough; how many it were.
+        """Reserve capacity for up to `missing` candidates by preemption, and return how many.
 
-        The least lost work first, from a sample of the machines with such work, and from all of
-        them only while it is not enough. A search that found too little looks only at machines that
-        have gained something since: else the searches grow with the square of the fleet.
+        The cheapest plans are used first. They come from a sample of the machines with preemptible
+        work, and from all of them only while the sample yields too few. After a search that found
+        too little, the next one considers only machines that have gained something since: otherwise
+        the cost of searches would grow with the square of the fleet.
         """
         classes = {
             preemption_class
@@ -179,14 +183,14 @@
         return found
 
     def _job_is_exhausted(self, request: CandidateRequest, missing: int, zone: str | None) -> bool:
-        """Whether the job's last search found too little, and nothing has been gained since."""
+        """Return whether the job's last search found too little and no machine has gained since."""
         last = self._exhausted_by_job.get(request.job.id, NO_SEARCH)
         if last.generation < self.inventory.preemption_index.generation:
             return False
         return request.job.kind != "gang" or (last.found < missing and last.zone == zone)
 
     def _shape_is_exhausted(self, shape: GangShape, missing: int) -> bool:
-        """Whether a gang like this one has just found fewer plans than this one needs."""
+        """Return whether a search for the same shape has just found fewer plans than needed."""
         last = self._exhausted_by_shape.get(shape)
         return (
             last is not None
@@ -197,7 +201,11 @@
     def _machines_to_search(
         self, request: CandidateRequest, classes: set[PreemptionClass], zone: str | None
     ) -> list[Machine]:
-        """Machines with work of these classes, from a random one on; for a gang, all of them."""
+        """Return machines with work of these classes, rotated to start at a random one.
+
+        For a gang these are all such machines; for other jobs, those that have gained something
+        since the job's last exhausted search.
+        """
         since = 0
         if request.job.kind != "gang":
             since = self._exhausted_by_job.get(request.job.id, NO_SEARCH).generation
@@ -209,7 +217,7 @@
         machines: list[Machine] = []
         for machine in reversed(self.inventory.preemption_index.candidates.values()):
             if machine.preemptible_since <= since:
-                break  # and all that follow have gained nothing for longer
+                break  # the machines that follow have gained nothing for even longer
             if machine.pool in pools and not machine.preemptible_classes.isdisjoint(classes):
                 machines.append(machine)
         start = self.random.randrange(len(machines)) if machines else 0
@@ -223,10 +231,10 @@
         victims_in_progress: set[AttemptId],
         now: float,
     ) -> list[PreemptionPlan]:
-        """Plans for a sample of the machines, and for all of them while there are too few.
+        """Return plans for a sample of the machines, or for more while there are too few plans.
 
-        Every machine that holds the image is searched first: a sample of all machines misses them
-        in a large fleet, and the task starts late because it has to fetch.
+        Every machine that holds the image is searched first: in a large fleet a sample of all
+        machines misses them, and the task would start late because it has to fetch the image.
         """
         avoided = self.kept_machines.avoided_machines(request)
         holders = self.inventory.image_holders.get(request.job.image, {})
@@ -253,7 +261,10 @@
         victims_in_progress: set[AttemptId],
         now: float,
     ) -> int:
-        """Carry out the cheapest plans, and plan again for each machine used; how many it were."""
+        """Reserve by the cheapest plans, and return how many were used.
+
+        A machine that was used is planned again, since it may have room for another candidate.
+        """
         zone_limits = self.reservations.remaining_zone_limits(request)
         heapq.heapify(plans)
         found = 0
@@ -275,11 +286,11 @@
     def find_warm_plan(
         self, request: CandidateRequest, pools: list[MachinePool], now: float
     ) -> PreemptionPlan | None:
-        """The cheapest plan on a sample of the machines that hold the image; None without any.
+        """Return the cheapest plan on a sample of the machines that hold the image, or None.
 
-        Free capacity is mostly on machines that have just come and hold nothing. There a task
-        fetches for longer than its user waits, while a machine that holds the image often runs work
-        that has hardly begun.
+        Free capacity is mostly on new machines with an empty image cache. There the task fetches
+        its image for longer than its user waits, while a machine that holds the image often runs
+        work that has hardly begun.
         """
         holders = self.inventory.image_holders.get(request.job.image)
         if not holders or not self.could_preempt(request):
@@ -309,7 +320,10 @@
         victims_in_progress: set[AttemptId],
         now: float,
     ) -> PreemptionPlan | None:
-        """The cheapest plan on a machine; None if nothing has to stop, or it is not enough."""
+        """Return the cheapest plan on a machine.
+
+        None if the task fits without stopping anything, or not even by stopping all victims.
+        """
         self.checks += 1
         need = request.job.resources
         free = self._free_after_victims_in_progress(machine, victims_in_progress)
@@ -331,7 +345,10 @@
     def _free_after_victims_in_progress(
         self, machine: Machine, victims_in_progress: set[AttemptId]
     ) -> ResourceVector:
-        """Free capacity once the victims leave; what they leave for is counted already."""
+        """Return a machine's free capacity once the victims in progress have left.
+
+        The reservations and permits that they are stopped for are counted as used already.
+        """
         free = machine.free
         if victims_in_progress.isdisjoint(machine.permits):
             return free
@@ -349,7 +366,10 @@
         victims_in_progress: set[AttemptId],
         now: float,
     ) -> list[PossibleVictim]:
-        """The task attempts on a machine that the candidate may stop, and nobody stops yet."""
+        """Return the attempts on a machine that the candidate may preempt.
+
+        Attempts that are already being stopped are left out.
+        """
         victims: list[PossibleVictim] = []
         for attempt_id, permit in machine.permits.items():
             preemption_class = machine.preemptible.get(attempt_id)
@@ -375,7 +395,7 @@
 def _gang_shape(
     request: CandidateRequest, zone: str | None, classes: set[PreemptionClass]
 ) -> GangShape | None:
-    """The shape of a gang's request; None if it is no gang, or is limited in a way of its own."""
+    """Return the shape of a gang's request; None for other kinds and for further limits."""
     job = request.job
     if job.kind != "gang" or request.zone_limits is not None or request.avoided_machines:
         return None
@@ -383,7 +403,7 @@
 
 
 def _lost_work_s(permit: Permit, traits: JobTraits, now: float) -> float:
-    """Seconds of work lost if a task attempt is stopped."""
+    """Return the seconds of work lost if a task attempt is stopped."""
     ran_s = now - permit.running_since if permit.running_since is not None else 0.0
     if traits.checkpoint_s <= 0:
         return ran_s
--- a/ploverhall/scheduling/preemption_index.py
+++ b/ploverhall/scheduling/preemption_index.py
@@ -1,6 +1,6 @@
-"""Index of the tasks that could be stopped for others, over the machines of one shard.
+"""Index of the preemptible tasks on the machines of one shard.
 
-`Inventory` keeps it up to date with each refresh of a machine; the preemption planner reads it.
+`Inventory` updates it with each refresh of a machine; the preemption planner reads it.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 
 class PreemptionIndex:
-    """Usable machines by the classes of the tasks that could be stopped on them."""
+    """Usable machines by the preemption classes of the tasks on them."""
 
     def __init__(self, job_traits: dict[str, JobTraits]) -> None:
         self.job_traits = job_traits
-        # Usable machines with tasks of that class that could be stopped; none is no key
+        # Number of usable machines with preemptible tasks of each class; never 0
         self.classes: Counter[PreemptionClass] = Counter()
-        # These machines, the one that gained something last at the end
+        # The same machines by name, in the order of their last gain, latest last
         self.candidates: dict[str, Machine] = {}
-        self.generation = 0  # rises with every such gain
+        self.generation = 0  # increases with every such gain
 
     def preemptible_tasks(self, machine: Machine) -> dict[AttemptId, PreemptionClass]:
-        """The tasks on a machine that somebody might stop, with their preemption classes."""
+        """Return the preemptible tasks on a machine with their preemption classes."""
         preemptible: dict[AttemptId, PreemptionClass] = {}
         for attempt_id, permit in machine.permits.items():
             traits = self.job_traits.get(attempt_id.job_id)
             if traits is None or traits.priority == 0 or traits.kind == "service":
-                continue  # a replica is never stopped for others: its user feels it at once
+                continue  # replicas are never preempted: their users would notice at once
             task = machine.tasks.get(attempt_id)
             if (
                 task is not None
@@ -40,7 +40,7 @@
                     or permit.evict_requested
                 )
             ):
-                # In its job's turn, after a long wait, it counts as most important
+                # A task placed while its job was overdue counts as one of the highest priority
                 preemptible[attempt_id] = (
                     (0, *traits.preemption_class[1:]) if permit.overdue else traits.preemption_class
                 )
@@ -49,10 +49,10 @@
     def update(
         self, machine: Machine, preemptible: dict[AttemptId, PreemptionClass], has_gained: bool
     ) -> None:
-        """Keep the index of what could be stopped.
+        """Update the index for one machine.
 
-        A machine that has gained something gets a new generation: who found no preemption plan
-        searches only such machines again.
+        A machine that has gained free capacity or a preemptible task gets a new generation: after a
+        search that found too few plans, only such machines are searched again.
         """
         if preemptible != machine.preemptible:
             has_gained = has_gained or any(
--- a/ploverhall/scheduling/reservations.py
+++ b/ploverhall/scheduling/reservations.py
@@ -1,10 +1,10 @@
 """Candidate requests of one shard, and the free capacity reserved for them.
 
-A source asks for candidates (`ReservationTable.update_request`); the placement pass reserves free
+A source requests candidates (`ReservationTable.update_request`); the placement pass reserves free
 capacity on a machine for each one that fits (`reserve`). A reservation ends when its task is
 permitted, when its candidate is cancelled or when its hold time is over (`release`, `expire`).
-Sources read about every change in `source_updates`. Called by `placement`, `preemption` and the
-shard owner; no I/O.
+Every change is put into `source_updates` for the sources. `placement`, `preemption` and the shard
+owner call this module. No I/O.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class CandidateRequest:
-    """What a source wants placed: a candidate for each waiting task of a job."""
+    """A source's request for candidates: one for each waiting task of a job."""
 
     source_shard: int
     job: Job
@@ -39,11 +39,11 @@
 
     @property
     def overdue(self) -> bool:
-        """Whether its source puts it before its rank, since it has waited for so long."""
+        """Return whether its source queues it above its priority after a long wait."""
         return len(self.queue_order) > 2 and self.queue_order[2] < self.job.priority
 
-    def wants_the_same_as(self, other: CandidateRequest) -> bool:
-        """Whether placing the other request would give the same result as placing this one."""
+    def has_same_demand(self, other: CandidateRequest) -> bool:
+        """Return whether placing the other request would give the same result as placing this."""
         return (
             self.count == other.count
             and self.zone_limits == other.zone_limits
@@ -57,10 +57,10 @@
 
     def __init__(self) -> None:
         self.entries: list[QueueEntry] = []
-        self.new_jobs: set[str] = set()  # those that no placement pass has looked at
+        self.new_jobs: set[str] = set()  # not yet looked at by a placement pass
 
     def insert(self, job_id: str, order: QueueOrder) -> None:
-        """Mark a job as new, and queue it unless it waits in that place already."""
+        """Mark a job as new, and queue it unless this entry is in the queue already."""
         self.new_jobs.add(job_id)
         entry = (order, job_id)
         position = bisect_left(self.entries, entry)
@@ -68,7 +68,7 @@
             self.entries.insert(position, entry)
 
     def remove(self, job_id: str, order: QueueOrder) -> None:
-        """Take a job out of the queue, if it is there."""
+        """Remove a job from the queue, if it is there."""
         self.new_jobs.discard(job_id)
         entry = (order, job_id)
         position = bisect_left(self.entries, entry)
@@ -85,9 +85,9 @@
         self.requests: dict[str, CandidateRequest] = {}
         self.by_job: dict[str, dict[int, Reservation]] = {}  # job id -> reservation id
         self.queue = CandidateQueue()
-        # Reservations that need victims to be stopped, by their id
+        # Reservations that have preemption victims, by reservation id
         self.preempting: dict[int, Reservation] = {}
-        # What the sources have to hear: (source shard, key) -> value
+        # Pending updates for the sources: (source shard, key) -> value
         self.source_updates: SourceUpdates = {}
         self._expiry_queue: deque[Reservation] = deque()  # in the order in which hold times end
         self._next_id = 1
@@ -97,7 +97,7 @@
     def update_request(
         self, source_shard: int, job: Job, update: CandidateUpdate, within_guarantee: bool
     ) -> None:
-        """Replace a source's request for a job, and give back reservations beyond its count."""
+        """Replace a source's request for a job, and release reservations beyond its count."""
         old = self.requests.get(job.id)
         request = CandidateRequest(
             source_shard,
@@ -112,11 +112,11 @@
             self.queue.remove(job.id, old.queue_order)
         self.requests[job.id] = request
         self._release_surplus(job.id)
-        if old is None or not request.wants_the_same_as(old):
+        if old is None or not request.has_same_demand(old):
             self.enqueue_if_missing(job.id)
 
     def cancel_request(self, job_id: str) -> None:
-        """Forget the request for a job, and give back all its reservations."""
+        """Remove the request for a job, and release all its reservations."""
         request = self.requests.pop(job_id, None)
         if request is not None:
             self.queue.remove(job_id, request.queue_order)
@@ -129,11 +129,11 @@
             self.queue.insert(job_id, request.queue_order)
 
     def missing(self, request: CandidateRequest) -> int:
-        """How many candidates of a request have no reservation; negative if there are too many."""
+        """Return how many candidates lack a reservation; negative if there are too many."""
         return request.count - len(self.by_job.get(request.job.id, ()))
 
     def remaining_zone_limits(self, request: CandidateRequest) -> dict[str, int] | None:
-        """How many more candidates each zone may take, as a new dict; None without limits."""
+        """Return how many more candidates each zone may take, as a new dict; None: no limits."""
         if request.zone_limits is None:
             return None
         remaining = dict(request.zone_limits)
@@ -153,8 +153,8 @@
     ) -> Reservation:
         """Reserve capacity for one candidate for `hold_s` seconds, and offer it to the source.
 
-        `cost` is in seconds, as the sources compare offers. `victims` are the task attempts that
-        have to be stopped before the task can start. Returns the reservation.
+        `cost` is in seconds; sources compare offers by it. `victims` are the task attempts that
+        have to be stopped before the task can start. Returns the new reservation.
         """
         reservation = Reservation(
             self._next_id,
@@ -177,11 +177,11 @@
             self.preempting[reservation.id] = reservation
         self._offer(reservation)
         self.inventory.refresh(machine, now)
-        self.inventory.mark_changed(machine)  # for the autoscaler
+        self.inventory.mark_changed(machine)  # so that the autoscaler gets an update
         return reservation
 
     def _offer(self, reservation: Reservation) -> None:
-        """Tell the source of a new reservation."""
+        """Queue the offer of a new reservation for its source."""
         key = (reservation.source_shard, peer_messages.offer_key(reservation.id))
         self.source_updates[key] = peer_messages.OfferUpdate(
             reservation.job_id,
@@ -192,14 +192,14 @@
         )
 
     def release(self, reservation: Reservation, requeue: bool = True) -> None:
-        """Give a reservation's capacity back; with `requeue`, its job is queued if it still waits.
+        """Release a reservation; with `requeue`, queue its job again if candidates are missing.
 
-        Does nothing for a reservation that has been released before.
+        Does nothing for a reservation that has been released already.
         """
-        of_job = self.by_job.get(reservation.job_id)
-        if of_job is None or of_job.pop(reservation.id, None) is None:
+        job_reservations = self.by_job.get(reservation.job_id)
+        if job_reservations is None or job_reservations.pop(reservation.id, None) is None:
             return
-        if not of_job:
+        if not job_reservations:
             del self.by_job[reservation.job_id]
         self.preempting.pop(reservation.id, None)
         key = (reservation.source_shard, peer_messages.offer_key(reservation.id))
@@ -212,17 +212,18 @@
             self.enqueue_if_missing(reservation.job_id)
 
     def _release_surplus(self, job_id: str) -> None:
-        """Release the most expensive reservations that a job has beyond its count."""
-        of_job = self.by_job.get(job_id)
-        if not of_job:
+        """Release the reservations of a job beyond its count, the most expensive ones first."""
+        job_reservations = self.by_job.get(job_id)
+        if not job_reservations:
             return
         request = self.requests.get(job_id)
-        surplus = len(of_job) - (request.count if request else 0)
+        surplus = len(job_reservations) - (request.count if request else 0)
         if surplus > 0:
-            dearest_first = sorted(
-                of_job.values(), key=lambda reservation: (-reservation.cost, -reservation.id)
+            most_expensive_first = sorted(
+                job_reservations.values(),
+                key=lambda reservation: (-reservation.cost, -reservation.id),
             )
-            for reservation in dearest_first[:surplus]:
+            for reservation in most_expensive_first[:surplus]:
                 self.release(reservation, requeue=False)
 
     def expire(self, now: float) -> None:
@@ -234,6 +235,6 @@
             self.release(self._expiry_queue.popleft())
 
     def release_machine(self, machine: Machine) -> None:
-        """Release every reservation on a machine that can't be used."""
+        """Release every reservation on a machine that has become unusable."""
         for reservation in list(machine.reservations.values()):
             self.release(reservation)
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -174,7 +174,7 @@
             awaited_token=self.initial_token,
             awaited_since=now,
         )
-        if name in self.inventory.proven_gone:
+        if name in self.inventory.deleted_machines:
             machine.stale_heartbeat = True  # sent before the deletion
             return machine
         machine.draining = name in self.draining_machines
@@ -338,9 +338,9 @@
     def on_machines_deleted(self, names: list[str]) -> None:
         """Remove machines whose deletion the cloud has confirmed."""
         for name in names:
-            if name in self.inventory.proven_gone:
+            if name in self.inventory.deleted_machines:
                 continue
-            self.inventory.proven_gone.add(name)
+            self.inventory.deleted_machines.add(name)
             machine = self.machines.get(name)
             if machine is not None:
                 self.placement.reservations.release_machine(machine)
--- a/ploverhall/scheduling/shard_updates.py
+++ b/ploverhall/scheduling/shard_updates.py
@@ -1,6 +1,6 @@
-"""What a shard's owner tells the sources of an attempt, and the autoscaler of a machine.
+"""Builds the updates that a shard owner sends: attempts to sources, machines to the autoscaler.
 
-Pure functions, called by the shard owner for what has changed.
+The functions have no side effects. The shard owner calls them for each change.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ploverhall.scheduling.inventory import Inventory
 from ploverhall.scheduling.machines import Machine, Permit
 
-# Values of the wire, see protocol.peer_messages
+# Wire values, see protocol.peer_messages
 NO_NOTICE = 0
 NOTICE_TERMINATION = 1
 NOTICE_PREEMPTED = 2
@@ -23,7 +23,7 @@
 
 
 def attempt_update(permit: Permit, machine: Machine | None) -> AttemptUpdate:
-    """What became of a permit, for its source; `machine` is None if it is not known."""
+    """Return the state of a permit's attempt for its source; `machine` is None if unknown."""
     if permit.gone:
         return AttemptUpdate("gone", permit.gone_reason, 0, NO_NOTICE)
     task = machine.tasks.get(permit.attempt_id) if machine is not None else None
@@ -43,7 +43,7 @@
 
 
 def _notice(permit: Permit, machine: Machine) -> int:
-    """Why an attempt should leave its machine, if it should."""
+    """Return the notice for an attempt: why it should leave its machine, or NO_NOTICE."""
     if machine.termination_notice_s is not None:
         return NOTICE_TERMINATION
     if permit.evict_requested:
@@ -52,7 +52,7 @@
 
 
 def machine_update(inventory: Inventory, machine: Machine) -> MachineUpdate | None:
-    """What the autoscaler needs to know of a machine; None if it does not count any more."""
+    """Return the update on a machine for the autoscaler; None if it is expired or removed."""
     if machine.lease_expired or inventory.machines.get(machine.name) is not machine:
         return None
     free = inventory.free_capacity(machine)
@@ -75,7 +75,7 @@
 
 
 def _is_empty(machine: Machine) -> bool:
-    """Whether nothing runs on a machine, and nothing can be on its way there."""
+    """Return whether nothing runs on a machine and nothing can still start there."""
     return (
         not machine.tasks
         and not machine.reservations
@@ -85,13 +85,14 @@
 
 
 def _drain_state(machine: Machine) -> int:
+    """Return the wire value of who drains a machine, if anybody does."""
     if machine.draining:
         return DRAINED_BY_AUTOSCALER
     return DRAINED_BY_ORDER if machine.cordoned else NOT_DRAINED
 
 
 def _has_ordinary_work(inventory: Inventory, machine: Machine) -> bool:
-    """Whether there is work on a machine that may not run on spot machines."""
+    """Return whether a machine has work that may not run on spot machines."""
     for attempt_id in machine.permits:
         traits = inventory.job_traits.get(attempt_id.job_id)
         if traits is not None and not traits.spot_allowed:
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -21,7 +21,7 @@
         m
         for n in cluster.nodes.values()
         for h in n.context.held_shards.values()
-        for m in h.owner.inventory.proven_gone & alive
+        for m in h.owner.inventory.deleted_machines & alive
     }
 
 
