--- a/ploverhall/scheduling/permit_table.py
+++ b/ploverhall/scheduling/permit_table.py
@@ -81,9 +81,9 @@
         attempt_id = permit.attempt_id
         del self.permits[attempt_id]
         self.waiting_for_victims.pop(attempt_id, None)
-        of_job = self.permits_by_job[attempt_id.job_id]
-        del of_job[attempt_id]
-        if not of_job:
+        job_permits = self.permits_by_job[attempt_id.job_id]
+        del job_permits[attempt_id]
+        if not job_permits:
             del self.permits_by_job[attempt_id.job_id]
         on_machine = self.inventory.permits_by_machine[permit.machine]
         on_machine.pop(attempt_id, None)
@@ -123,12 +123,12 @@
         """Return the reservation that a permit uses; None without one or with an earlier epoch."""
         if permit.epoch != self.state.epoch:
             return None
-        of_job = self.reservations.by_job.get(permit.attempt_id.job_id, {})
-        if (reservation := of_job.get(permit.reservation_id)) is not None:
+        job_reservations = self.reservations.by_job.get(permit.attempt_id.job_id, {})
+        if (reservation := job_reservations.get(permit.reservation_id)) is not None:
             return reservation
         # The hold time may have ended while the permit was written, and the same machine may have
         # been reserved again for the same candidate
-        for reservation in of_job.values():
+        for reservation in job_reservations.values():
             if reservation.machine == permit.machine:
                 return reservation
         return None
--- a/ploverhall/scheduling/preemption.py
+++ b/ploverhall/scheduling/preemption.py
@@ -29,7 +29,7 @@
 from ploverhall.scheduling.scoring import score_machine
 
 LOWEST_PRIORITY = max(PRIORITIES.values())
-PREEMPTION_DELAY_S = 1.0  # from stopping victims until their capacity is free
+PREEMPTION_DELAY_S = 1.0  # time from stopping victims until their capacity is free
 LOST_WORK_WEIGHT = 0.2  # seconds of waiting that weigh as much as a second of lost work
 GANG_VICTIM_COST_S = 1000.0  # stopping one task of a gang stops all of it: a last resort
 # Machines searched for a plan: the larger of a minimum and a number for each task
@@ -231,7 +231,7 @@
         victims_in_progress: set[AttemptId],
         now: float,
     ) -> list[PreemptionPlan]:
-        """Return plans for a sample of the machines, or for more while there are too few plans.
+        """Return plans for a sample of the machines, and for more while there are too few plans.
 
         Every machine that holds the image is searched first: in a large fleet a sample of all
         machines misses them, and the task would start late because it has to fetch the image.
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -240,7 +240,7 @@
                 self.permit_table.check_gone(permit)
 
     def _check_runs_in_answer(self, machine: Machine, now: float) -> None:
-        """Await a token if an attempt that the last answer told the machine to run is not listed.
+        """Await a token if an attempt that the last answer commanded to run is not listed.
 
         An agent waits for one answer at a time: it sent this heartbeat after it had received the
         previous answer or had given up waiting for it.
--- a/ploverhall/scheduling/shard_state.py
+++ b/ploverhall/scheduling/shard_state.py
@@ -33,7 +33,7 @@
         self.epoch = epoch
         self.source_count = source_count
         self.lease_s = lease_s
-        # When the newest fresh read of the store that showed this epoch in force was begun
+        # Start of the newest fresh read of the store that showed this epoch in force
         self.epoch_confirmed_at = now
         # Set when a lease has expired by this clock: a fresh read of the store has to show who
         # holds the shard before the tasks of that machine count as gone
