--- a/ploverhall/autoscaling/demand_forecast.py
+++ b/ploverhall/autoscaling/demand_forecast.py
@@ -59,7 +59,7 @@
 
     def _starts_before_boot(self, job: Job) -> bool:
         """Whether a job's objective is to start sooner than any machine boots."""
-        start_s = self.objectives.of(job).start_s
+        start_s = self.objectives.for_job(job).start_s
         return start_s is not None and start_s < min(
             (machine_type.boot_s for machine_type in self.machine_types.values()), default=0.0
         )
@@ -70,7 +70,7 @@
             # Of an array with an objective, no more is requested than must run now
             return (
                 self._starts_before_boot(job)
-                or self.objectives.of(job).finish_s is not None
+                or self.objectives.for_job(job).finish_s is not None
                 or self.wall_time - job.submitted_at > MAX_SPOT_WAIT_S
             )
         return (
--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -88,8 +88,8 @@
             now = self.context.clock()
             self._add_live_jobs(held, source, now)
             for team_name, stored_team in stored.items():
-                source.records.install_allocations(team_name, stored_team.allocations, now)
-                source.records.install_progress(team_name, stored_team.progress)
+                source.record_loader.install_allocations(team_name, stored_team.allocations, now)
+                source.record_loader.install_progress(team_name, stored_team.progress)
                 source.grants.install_grants(team_name, *stored_team.eviction_grants)
             self._publish_source(held, source, now)
             await self._write_loop(held, source)
@@ -206,7 +206,7 @@
         """
         for team_name in teams:
             found = await self.reader.list_prefix(allocation_prefix(team_name))
-            source.records.install_allocations(team_name, found, self.context.clock())
+            source.record_loader.install_allocations(team_name, found, self.context.clock())
         for team_name in write.eviction_grants:
             source.grants.install_grants(
                 team_name, *await self.reader.read_key(grants_key(team_name))
--- a/ploverhall/scheduling/__init__.py
+++ b/ploverhall/scheduling/__init__.py
@@ -1,1 +1,5 @@
-"""Who may start what, and where: the source side permits, the owner side places. No I/O."""
+"""Scheduling decisions, without I/O.
+
+The source of a shard holds the jobs of the shard's teams and permits their tasks. The owner of a
+shard places tasks on the shard's machines and reserves resources for them.
+"""
--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -1,8 +1,9 @@
-"""The jobs of one shard's teams, their allocations, and the record chunks that hold these.
+"""The jobs of one shard's teams, their allocations, and the record chunks that store these.
 
-`AllocationStore` holds state and its bookkeeping only. `JobSource` has one, and hands it to the
-components that decide on that state: `StoreWriter` plans what is written, `EvictionGrants` adds the
-granted evictions, `TeamQuotas` says how much may be permitted. No I/O.
+`AllocationStore` only holds this state and keeps its totals and indexes up to date. `JobSource`
+creates it and passes it to the components that make decisions: `StoreWriter` plans the writes,
+`EvictionGrants` adds the granted evictions to them, and `TeamQuotas` computes how many tasks may be
+permitted. No I/O.
 """
 
 from __future__ import annotations
@@ -24,18 +25,21 @@
 from ploverhall.settings import Team
 from ploverhall.storage.schema import progress_prefix
 
-# Share of a value's limit that a chunk may fill; the rest is for what JSON may add
+# Share of the store's limit for a value that a chunk may fill; the rest is a margin for JSON's
+# overhead
 CHUNK_FILL_FACTOR = 0.92
-# A large array queues behind smaller ones that arrived up to this much later
+# A large array queues behind smaller arrays that arrived up to this much later
 MAX_LARGE_ARRAY_DELAY_S = 120.0
-# A job of which no task has run for this long goes ahead of others of its kind until it starts
+# A job that has not started for this long goes ahead of higher priorities, in every second interval
+# of this length until it starts (see `AllocationStore.queue_order`)
 OVERDUE_START_S = 120.0
-# Assumed for a job without deadline or objective: it queues behind what arrives within this time
+# A job without deadline or objective is due this long after its submission, so it queues behind
+# urgent jobs that arrive within this time
 DEFAULT_DUE_S = 600.0
-MAX_HISTORY = 200  # failed attempts and ended jobs kept for the status pages
-OUTCOME_DONE = "done"  # outcomes of an ended job, as /status shows them
+MAX_HISTORY = 200  # failed attempts, and ended jobs, that are kept for the status pages
+OUTCOME_DONE = "done"  # outcomes of an ended job, as shown by /status
 OUTCOME_CANCELLED = "withdrawn"
-WORK_AVERAGE_WEIGHT = 0.2  # of the newest array in its class's average
+WORK_AVERAGE_WEIGHT = 0.2  # weight of the newest array in the average of its class
 
 
 class FailedAttempt(NamedTuple):
@@ -49,7 +53,7 @@
 
 
 class EndedJobEntry(NamedTuple):
-    """A job that has ended."""
+    """A job that has ended, as shown on the status pages."""
 
     at: float
     job_id: str
@@ -62,7 +66,7 @@
 
 
 class AllocationStore:
-    """The jobs of one shard's teams, and each of their attempts that may be on a machine.
+    """The jobs of one shard's teams, and the allocations of all attempts that may be on a machine.
 
     `max_value_bytes` is the key-value store's limit for a value.
     """
@@ -73,47 +77,49 @@
             int(max_value_bytes * CHUNK_FILL_FACTOR), MAX_TRANSACTION_BYTES // 2
         )
 
-        # Jobs and what their teams use
+        # Jobs, and the resources that their teams use
         self.jobs: dict[str, JobState] = {}
         self.used: dict[str, ResourceVector] = {team.name: (0.0, 0.0, 0.0) for team in teams}
-        # Live jobs by time of submission, oldest first
+        # By team: (time of submission, job id) of its live jobs, oldest first
         self.jobs_by_age: dict[str, list[tuple[float, str]]] = {team.name: [] for team in teams}
         self.jobs_within_guarantee: dict[str, set[str]] = {team.name: set() for team in teams}
-        # Jobs with waiting tasks
+        # By team and job id: jobs with waiting tasks
         self.waiting_jobs: dict[str, dict[str, JobState]] = {team.name: {} for team in teams}
         self.job_by_offer: dict[tuple[int, int], str] = {}
-        # The share of a team's limit that is kept for waiting replicas
+        # By team: the part of its limit that is reserved for waiting replicas of services
         self.reserved_for_services: dict[str, ResourceVector] = {}
 
-        # What is to be written
+        # State to be written to the key-value store
         self.chunks: dict[str, dict[int, RecordChunk]] = {team.name: {} for team in teams}
-        # Chunks to be written; True: it holds permits that wait for that
+        # Chunks to be written; True: the chunk holds permits that are not sent before it is written
         self.dirty_chunks: dict[RecordChunk, bool] = {}
-        # Complete jobs whose end is still to be written
+        # Complete jobs whose end has not been written yet
         self.jobs_to_end: dict[str, JobState] = {}
-        self.obsolete_keys: list[str] = []  # progress values of ended jobs
+        self.obsolete_keys: list[str] = []  # keys of ended jobs' progress values, to be deleted
 
-        # What is to be decided or sent
-        self.changed_jobs: set[str] = set()  # jobs that shard owners must be sent
-        self.changed_counts: set[str] = set()  # jobs whose task counts for users have changed
-        # By shard and key on the state channel
+        # Work queued for decisions, and updates to be sent
+        self.changed_jobs: set[str] = set()  # jobs to be sent to the shard owners
+        # Jobs of which the counts of done and running tasks, as shown to users, have changed
+        self.jobs_with_changed_counts: set[str] = set()
+        # By shard and key on the state channel; None: the key is to be deleted
         self.permit_updates: dict[tuple[int, str], PermitUpdate | None] = {}
-        self.jobs_to_decide: set[str] = set()  # jobs whose offers are to be looked at
+        self.jobs_to_decide: set[str] = set()  # jobs whose offers are to be evaluated
         self.teams_with_changed_usage: set[str] = set()
-        self.teams_to_reorder: set[str] = set(self.teams)  # their guarantees are to be divided anew
-        self.timers: list[tuple[float, str]] = []  # a heap of times at which a job is looked at
+        # Teams whose jobs within the guarantee must be determined again
+        self.teams_with_stale_guarantees: set[str] = set(self.teams)
+        self.timers: list[tuple[float, str]] = []  # a heap of (time of the next check, job id)
 
         # History
         self.failed_attempts: deque[FailedAttempt] = deque(maxlen=MAX_HISTORY)
         self.recently_ended: deque[EndedJobEntry] = deque(maxlen=MAX_HISTORY)
-        # Moving averages by job class: the wait of its gangs and services until all tasks run, and
-        # the task seconds of its arrays
+        # Moving averages by job class: how long its gangs and services wait until all tasks run,
+        # and the total task seconds of its arrays
         self.typical_wait_s: dict[str, float] = {}
         self.typical_work_s: dict[str, float] = {}
-        # Jobs and allocations looked at, for the tests of how the work grows
+        # Jobs and allocations visited so far, for the tests of how the work grows with their number
         self.visit_count = 0
 
-        # Set by the controller
+        # Replaced by the controller
         self.objectives = Objectives()
         self.log_debug: Callable[..., None] = lambda *args, **fields: None
         self.log_info: Callable[..., None] = lambda *args, **fields: None
@@ -123,16 +129,16 @@
     def on_job(
         self, job: Job | None, job_id: str, version: int, now: float, age: float = 0.0
     ) -> None:
-        """Take in a job from the watch, submitted `age` seconds ago, or its end (`job` is None)."""
+        """Add or update a job from the watch, submitted `age` seconds ago, or end it (None)."""
         self.changed_jobs.add(job_id)
-        self.changed_counts.add(job_id)
+        self.jobs_with_changed_counts.add(job_id)
         if job is not None:
             self._install_job(job, job_id, version, now, age)
         elif (job_state := self.jobs.get(job_id)) is not None:
             self._end_job(job_state, now)
 
     def _install_job(self, job: Job, job_id: str, version: int, now: float, age: float) -> None:
-        self.teams_to_reorder.add(job.team)
+        self.teams_with_stale_guarantees.add(job.team)
         job_state = self.jobs.get(job_id)
         if job_state is None:
             job_state = self.jobs[job_id] = JobState(
@@ -153,7 +159,7 @@
             heapq.heappush(self.timers, (job_state.overdue_check_at, job_id))
 
     def _end_job(self, job_state: JobState, now: float) -> None:
-        """Forget a job; where it has allocations, stop these first."""
+        """End a job: stop its allocations, or remove it at once if it has none."""
         job_id = job_state.id
         if job_state.job is not None:
             self.recently_ended.append(
@@ -173,7 +179,7 @@
                 f"{progress_prefix(job_state.team)}{job_id}/{value_index}"
                 for value_index in job_state.stored_progress | job_state.dirty_progress
             ]
-        self.teams_to_reorder.add(job_state.team)
+        self.teams_with_stale_guarantees.add(job_state.team)
         self.jobs_to_end.pop(job_id, None)
         job_state.job = None
         job_state.version = 0
@@ -204,7 +210,7 @@
         self.teams_with_changed_usage.add(job_state.team)
 
     def remove(self, job_state: JobState, allocation: Allocation) -> None:
-        """Undo `insert`; a job that has ended goes with its last allocation."""
+        """Undo `insert`; an ended job is removed together with its last allocation."""
         del job_state.allocations[allocation.task]
         job_state.allocations_per_zone[allocation.zone] -= 1
         if not job_state.allocations_per_zone[allocation.zone]:
@@ -223,7 +229,7 @@
         allocation.chunk.remove(allocation, job_state.resources)
         job_state.running_count -= allocation.running
         self.changed_jobs.add(job_state.id)
-        self.changed_counts.add(job_state.id)
+        self.jobs_with_changed_counts.add(job_state.id)
         self.teams_with_changed_usage.add(job_state.team)
         if job_state.offers:
             self.jobs_to_decide.add(job_state.id)
@@ -236,17 +242,17 @@
             del job_state.uncommitted_per_shard[allocation.shard]
 
     def mark_committed(self, job_state: JobState, allocation: Allocation) -> None:
-        """A permit is written: its shard owner may be sent it."""
+        """Record that a permit has been written, so that it may be sent to its shard owner."""
         if not allocation.committed:
             self._decrement_uncommitted(job_state, allocation)
             allocation.committed = True
             self.changed_jobs.add(job_state.id)
         if job_state.job is None and not allocation.finished:
-            allocation.stop_grace_s = 0.0  # the job ended while the write was in flight
+            allocation.stop_grace_s = 0.0  # the job ended during the write
         self.update_permit(allocation)
 
     def update_permit(self, allocation: Allocation) -> None:
-        """Send a written permit, with what has changed in it, to its shard owner."""
+        """Queue a written permit, as it now is, for its shard owner; do nothing if unwritten."""
         if allocation.committed:
             self.permit_updates[
                 allocation.shard,
@@ -259,13 +265,13 @@
             )
 
     def request_stop(self, allocation: Allocation, grace_s: float) -> None:
-        """Stop an attempt, with this much time to save before it is killed."""
+        """Request the stop of an attempt; it has `grace_s` seconds to save before it is killed."""
         if allocation.stop_grace_s != grace_s:
             allocation.stop_grace_s = grace_s
             self.update_permit(allocation)
 
     def chunk_for(self, team: str, size_bytes: int) -> RecordChunk:
-        """Return a chunk with that much space: a dirty one, else any, else a new one."""
+        """Return a chunk that can take `size_bytes` more: a dirty one, else any, else a new one."""
         chunks = self.chunks[team]
         best: RecordChunk | None = None
         for chunk in chunks.values():
@@ -281,7 +287,7 @@
         return best
 
     def drop_offer(self, key: tuple[int, int]) -> None:
-        """Forget an offer, given by shard and reservation id, if it is known."""
+        """Remove an offer, given as (shard, reservation id); do nothing if it is unknown."""
         job_id = self.job_by_offer.pop(key, None)
         if job_id is not None and (job_state := self.jobs.get(job_id)) is not None:
             job_state.offers.pop(key, None)
@@ -291,7 +297,7 @@
             self.drop_offer(key)
 
     def mark_complete(self, job_state: JobState) -> None:
-        """Every task of a job is done: its end is to be written."""
+        """Record that every task of a job is done, and queue the job's end for writing."""
         job_state.complete = True
         self.jobs_to_end[job_state.id] = job_state
         self.changed_jobs.add(job_state.id)
@@ -299,13 +305,13 @@
     def _due_time(self, job: Job) -> float:
         """Return the wall-clock time by which a job should be done.
 
-        Among arrays of a class with an objective, small ones go before large ones that arrived a
-        little sooner: in the order of arrival a large array makes all of them miss the objective.
-        A large one is delayed by no more than its objective allows.
+        Among the arrays of a class with an objective, a small one goes before a large one that
+        arrived a little sooner: in order of arrival, the large array would make all small ones miss
+        the objective. A large array is delayed by no more than its objective allows.
         """
         if job.deadline_s is not None:
             return job.submitted_at + job.deadline_s
-        if job.kind != "array" or (finish_s := self.objectives.of(job).finish_s) is None:
+        if job.kind != "array" or (finish_s := self.objectives.for_job(job).finish_s) is None:
             return job.submitted_at + DEFAULT_DUE_S
         work_s = job.task_count * max(1.0, job.estimate_s)
         typical_s = self.typical_work_s.get(job.job_class, work_s)
@@ -315,12 +321,13 @@
         )
 
     def queue_order(self, job_state: JobState) -> tuple[float, ...]:
-        """Return a job's place in every queue, as a tuple to sort by.
+        """Return a job's sort key in every queue; lower keys go first.
 
-        Services come first, then work within its guarantee, then by priority and due time. An
-        overdue job goes ahead of all priorities, but not of services and work within a guarantee:
-        else a large gang would lose the reservations it has gathered to each task of a higher
-        priority that arrives.
+        Jobs of priority 0 (production) come first, then jobs within their team's guarantee, then
+        the others by priority and due time; jobs that fail on every machine come last. An overdue
+        job goes ahead of all other priorities, because a large gang would otherwise lose the
+        reservations that it has gathered to every arriving task of a higher priority. It does not
+        go ahead of production jobs and jobs within a guarantee.
         """
         job = job_state.job
         assert job is not None
--- a/ploverhall/scheduling/attempt_updates.py
+++ b/ploverhall/scheduling/attempt_updates.py
@@ -1,6 +1,6 @@
-"""What follows from the states of attempts that shard owners send: results, failures, evictions.
+"""Handles the states of attempts that shard owners send: results, failures and evictions.
 
-`JobSource` passes in each update of an attempt that is still outstanding.
+`JobSource` calls it for each update of an attempt that still has an allocation.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from ploverhall.protocol.peer_messages import NOTICE_EVICTION_REQUESTED, AttemptUpdate
 from ploverhall.scheduling.allocations import AllocationStore, FailedAttempt
 from ploverhall.scheduling.eviction_grants import EvictionGrants
-from ploverhall.scheduling.failure_attribution import FAILURE_REASONS, FailureAttribution
+from ploverhall.scheduling.failure_attribution import FAILURE_REASONS, JobFailureTracker
 from ploverhall.scheduling.job_state import (
     HEALTHY_RUN_S,
     JobState,
@@ -28,16 +28,16 @@
 FINISHED_STATES = (STATE_EXITED, "gone")
 REASON_DONE = "done"
 
-HEALTH_CHECK_MARGIN_S = 0.1  # after which a job is surely seen as healthy
-WAIT_AVERAGE_WEIGHT = 0.2  # of the newest job in its class's average
-DURATION_AVERAGE_WEIGHT = 0.1  # of the newest task in its job's average
+HEALTH_CHECK_MARGIN_S = 0.1  # beyond `HEALTHY_RUN_S`, so that the check finds the job healthy
+WAIT_AVERAGE_WEIGHT = 0.2  # weight of the newest job in the average of its class
+DURATION_AVERAGE_WEIGHT = 0.1  # weight of the newest task in the average of its job
 
 
 class AttemptUpdates:
-    """Takes in the states of attempts."""
+    """Applies the reported states of attempts to their jobs and allocations."""
 
     def __init__(
-        self, store: AllocationStore, failures: FailureAttribution, grants: EvictionGrants
+        self, store: AllocationStore, failures: JobFailureTracker, grants: EvictionGrants
     ) -> None:
         self.store = store
         self.failures = failures
@@ -46,7 +46,10 @@
     def update(
         self, job_state: JobState, allocation: Allocation, update: AttemptUpdate, now: float
     ) -> None:
-        """Take in an attempt's state as its shard owner sees it."""
+        """Apply the state of an attempt that its shard owner reports; ignore it if nothing changed.
+
+        An attempt that has finished keeps its state.
+        """
         state = update.state
         if allocation.finished or (
             state == allocation.state
@@ -76,7 +79,7 @@
         if state == STATE_RUNNING and allocation.running_since is None:
             allocation.running_since = now
             self._on_attempt_running(job_state, now)
-        self.store.changed_counts.add(job_state.id)
+        self.store.jobs_with_changed_counts.add(job_state.id)
         if allocation.finished:
             self._on_attempt_finished(job_state, allocation, bool(update.machine_suspect), now)
         elif job_state.job is not None and update.notice in (
@@ -86,14 +89,14 @@
             self._evict(job_state, allocation, update.notice)
 
     def _on_attempt_running(self, job_state: JobState, now: float) -> None:
-        """Record that an attempt of a job runs for the first time."""
+        """Update a job when one of its attempts is first reported as running."""
         job = job_state.job
         all_running = job_state.running_count == job_state.task_count
         if not job_state.started and (job is None or job.kind != "gang" or all_running):
             job_state.started = True
             self.store.changed_jobs.add(job_state.id)
-        if job is not None and all_running and job.kind != "array" and not job_state.fully_ran:
-            job_state.fully_ran = True
+        if job is not None and all_running and job.kind != "array" and not job_state.all_tasks_ran:
+            job_state.all_tasks_ran = True
             typical_s = self.store.typical_wait_s.get(job.job_class)
             self.store.typical_wait_s[job.job_class] = moving_average(
                 typical_s, now - job_state.arrived_at, WAIT_AVERAGE_WEIGHT
@@ -106,7 +109,7 @@
     def _on_attempt_finished(
         self, job_state: JobState, allocation: Allocation, machine_suspect: bool, now: float
     ) -> None:
-        """Record the result of an attempt: done, failed, or stopped."""
+        """Record the outcome of a finished attempt: done, failed or stopped."""
         job = job_state.job
         reason = allocation.reason
         exited = allocation.state == STATE_EXITED
@@ -129,12 +132,12 @@
                 self.store.mark_complete(job_state)  # a gang completes as a whole
             else:
                 self._on_task_done(job_state, allocation, now)
-            self.store.teams_to_reorder.add(job_state.team)
+            self.store.teams_with_stale_guarantees.add(job_state.team)
             return
         if exited and reason in FAILURE_REASONS:
             self.failures.record_failure(job_state, allocation, reason, machine_suspect, now)
         if job.kind == "gang":
-            self._stop_gang(job_state, 0.0)  # it starts anew as a whole
+            self._stop_gang(job_state, 0.0)  # it is restarted as a whole
 
     def _on_task_done(self, job_state: JobState, allocation: Allocation, now: float) -> None:
         job_state.mark_done(allocation.task)
@@ -148,15 +151,17 @@
             self.store.mark_complete(job_state)
 
     def _stop_gang(self, job_state: JobState, grace_s: float) -> None:
-        """Stop those of a gang's attempts that are not stopping yet."""
+        """Stop the attempts of a gang that are not stopping yet; each may save for `grace_s`."""
         for allocation in job_state.allocations.values():
             if not allocation.finished and allocation.stop_grace_s is None:
                 self.store.request_stop(allocation, grace_s)
 
     def _evict(self, job_state: JobState, allocation: Allocation, notice: int) -> None:
-        """Stop an attempt that is preempted, or whose machine goes away, with time to save.
+        """Stop an attempt that is preempted or whose machine is being terminated.
 
-        A gang's attempts are stopped all together.
+        It gets time to save if its job makes checkpoints; a preempted attempt only if saving is
+        worthwhile. All attempts of a gang are stopped together. If the machine is being terminated,
+        an array task that can't save is not stopped.
         """
         job = job_state.job
         assert job is not None
@@ -171,5 +176,5 @@
 
 
 def moving_average(average: float | None, value: float, weight: float) -> float:
-    """Return the average with a new value of this weight; the first value is taken as it is."""
+    """Return the average updated with `value`; `value` itself if there is no average yet."""
     return value if average is None else (1.0 - weight) * average + weight * value
--- a/ploverhall/scheduling/eviction_grants.py
+++ b/ploverhall/scheduling/eviction_grants.py
@@ -1,9 +1,10 @@
 """Grants evictions from machines under maintenance, within each team's disruption budget.
 
-A shard owner requests an eviction; the source grants it within the budget, writes the grant, and
-stops the attempt once that has landed. A new source reads the grants, counts them, and stops the
-attempts again if they still run: else two sources could spend the same budget. A grant that is over
-is removed with the team's next one. `JobSource` calls this.
+A shard owner requests an eviction. The source grants it within the budget, writes the grant to the
+key-value store, and stops the attempt once the write is committed. After a failover, the new source
+reads the grants, counts them against the budget, and stops the attempts again if they still run;
+otherwise two sources could spend the same budget. The grant of an attempt that has ended is removed
+when the team's grants are next written. `JobSource` calls this.
 """
 
 from __future__ import annotations
@@ -25,16 +26,16 @@
 from ploverhall.scheduling.store_writer import StoreWriter
 from ploverhall.storage.schema import grants_key
 
-GRANT_INTERVAL_S = 0.5
-MAX_GRANTS_PER_TEAM = 48  # in the one value that holds a team's grants
-GRANT_BYTES = 40
-GRANTS_OVERHEAD_BYTES = 100
-VALUE_FILL_FACTOR = 0.9  # of a value's limit that the grants may fill
+GRANT_INTERVAL_S = 0.5  # minimum time between two rounds of granting
+MAX_GRANTS_PER_TEAM = 48  # all grants of a team are stored in one value
+GRANT_BYTES = 40  # assumed size of one grant in a team's value
+GRANTS_OVERHEAD_BYTES = 100  # assumed size besides the grants
+VALUE_FILL_FACTOR = 0.9  # share of the limit for a value that the grants may fill
 REASON_TOO_MANY_GRANTS = "so many of its team are being stopped"
 
 
 class EvictionGrants:
-    """The evictions that shard owners have requested, and those that are granted."""
+    """The evictions that shard owners have requested and those that have been granted."""
 
     def __init__(self, store: AllocationStore, writer: StoreWriter, max_value_bytes: int) -> None:
         self.store = store
@@ -44,8 +45,8 @@
             MAX_GRANTS_PER_TEAM, int(max_value_bytes * VALUE_FILL_FACTOR) // GRANT_BYTES
         )
         self.requested_since: dict[AttemptId, float] = {}
-        self.denial_reasons: dict[AttemptId, str] = {}  # for the maintenance status
-        # By team and attempt; True: the grant is written
+        self.denial_reasons: dict[AttemptId, str] = {}  # shown in the maintenance status
+        # By team and attempt; True: the grant has been written
         self.grants_by_team: dict[str, dict[AttemptId, bool]] = {team: {} for team in store.teams}
         self.grant_versions: dict[str, int] = dict.fromkeys(store.teams, 0)
         self.teams_with_unwritten_grants: set[str] = set()
@@ -57,7 +58,7 @@
     # -- requests ----------------------------------------------------------------------------
 
     def request_eviction(self, allocation: Allocation, requested: bool, now: float) -> None:
-        """A shard owner requests the eviction of an attempt, or takes the request back."""
+        """Record that a shard owner requests an attempt's eviction, or withdraws the request."""
         attempt_id = allocation.attempt_id
         if requested:
             self.requested_since.setdefault(attempt_id, now)
@@ -65,14 +66,14 @@
             self.denial_reasons.pop(attempt_id, None)
             granted = self.grants_by_team[self.store.jobs[allocation.job_id].team]
             if granted.get(attempt_id) is False:
-                del granted[attempt_id]  # not written yet
+                del granted[attempt_id]  # a grant that has not been written yet is withdrawn
 
     # -- granting ----------------------------------------------------------------------------
 
     def grant_evictions(self, now: float, wall_time: float) -> None:
-        """Grant what the budgets allow, the oldest requests first; at most every half second.
+        """Grant the requests that the budgets allow, oldest first, at most every half second.
 
-        `wall_time` decides which of a budget's maintenance windows is open.
+        `wall_time` determines which maintenance windows of a budget are open.
         """
         if not self.requested_since or now < self.next_grant_at:
             return
@@ -80,7 +81,7 @@
         unavailable_per_team: dict[str, int] = {}
         for attempt_id in sorted(
             self.requested_since,
-            key=lambda waiting: (self.requested_since[waiting], waiting),
+            key=lambda requested: (self.requested_since[requested], requested),
         ):
             job_state = self.store.jobs.get(attempt_id.job_id)
             allocation = self._outstanding_allocation(attempt_id)
@@ -90,7 +91,7 @@
                 or allocation is None
                 or allocation.stop_grace_s is not None
             ):
-                del self.requested_since[attempt_id]  # it has ended, or is stopping already
+                del self.requested_since[attempt_id]  # the attempt has ended or is stopping already
                 self.denial_reasons.pop(attempt_id, None)
             elif attempt_id not in self.grants_by_team[job_state.team]:
                 if job_state.team not in unavailable_per_team:
@@ -108,7 +109,7 @@
         now: float,
         wall_time: float,
     ) -> None:
-        """Grant one eviction, of a gang with all its attempts, or record why it is denied."""
+        """Grant one eviction, for a gang that of all its attempts, or record why it is denied."""
         attempt_id = allocation.attempt_id
         team = job_state.team
         granted = self.grants_by_team[team]
@@ -139,15 +140,15 @@
         self.teams_with_unwritten_grants.add(team)
 
     def _team_unavailable(self, team: str) -> int:
-        """Return how many replicas of a team's services are unavailable, once they all ran."""
+        """Return how many replicas of a team are unavailable, in services that once ran fully."""
         return sum(
             self._unavailable_replicas(job_state)
             for job_state in self.store.jobs.values()
-            if job_state.team == team and job_state.fully_ran
+            if job_state.team == team and job_state.all_tasks_ran
         )
 
     def _unavailable_replicas(self, job_state: JobState) -> int:
-        """Return how many of a service's replicas don't run or will stop; 0 for other jobs."""
+        """Return how many replicas of a service are not running or will stop; 0 for other jobs."""
         return (
             job_state.task_count - self._available_replicas(job_state)
             if job_state.job is not None and job_state.job.kind == "service"
@@ -185,7 +186,7 @@
         )
 
     def _stop_granted(self, job_state: JobState, allocation: Allocation) -> None:
-        """Stop an attempt whose grant is written, with time to save where its job can."""
+        """Stop an attempt whose grant has been written, with time to save if its job can save."""
         job = job_state.job
         if not allocation.finished and allocation.stop_grace_s is None and allocation.committed:
             self.store.request_stop(allocation, save_grace_s(job) if job is not None else 0.0)
@@ -193,9 +194,10 @@
     # -- writing -----------------------------------------------------------------------------
 
     def add_to_write(self, txn: PendingWrite | None) -> PendingWrite | None:
-        """Return the next transaction with the grants that wait for one; None: nothing waits.
+        """Return the next transaction, with unwritten grants; None if there is nothing to write.
 
-        `txn` is the one that `StoreWriter.next_write` has just returned.
+        `txn` is the transaction that `StoreWriter.next_write` has just returned. Nothing is added
+        while chunks are being fenced.
         """
         if not self.teams_with_unwritten_grants or self.writer.chunks_to_fence:
             return txn
@@ -207,7 +209,7 @@
         return txn if txn.operation_count else None
 
     def _add_grants(self, txn: PendingWrite, team: str) -> bool:
-        """Add a team's grants, without those that are over; False when they don't fit."""
+        """Add a team's grants, except those of ended attempts; return False if they don't fit."""
         granted = self.grants_by_team[team]
         key = grants_key(team)
         size_bytes = GRANT_BYTES * len(granted) + GRANTS_OVERHEAD_BYTES
@@ -223,7 +225,7 @@
         for attempt_id in ended:
             del granted[attempt_id]
         if not granted and not self.grant_versions[team]:
-            self.teams_with_unwritten_grants.discard(team)  # nothing is stored either
+            self.teams_with_unwritten_grants.discard(team)  # the key-value store holds none either
             return True
         txn.compare[key] = self.grant_versions[team]
         if granted:
@@ -235,7 +237,7 @@
         return True
 
     def _known_allocation(self, attempt_id: AttemptId) -> Allocation | None:
-        """Return the allocation of an attempt, finished or not; None if there is none."""
+        """Return the allocation of an attempt, finished or not; None if it has none."""
         job_state = self.store.jobs.get(attempt_id.job_id)
         if job_state is None:
             return None
@@ -245,12 +247,12 @@
         return allocation
 
     def _outstanding_allocation(self, attempt_id: AttemptId) -> Allocation | None:
-        """Return the allocation of an attempt that has not finished."""
+        """Return the allocation of an attempt; None if it has none or has finished."""
         allocation = self._known_allocation(attempt_id)
         return allocation if allocation is not None and not allocation.finished else None
 
     def on_committed(self, txn: PendingWrite, revision: int) -> None:
-        """A transaction has landed: stop the attempts whose grants it holds."""
+        """Handle a committed transaction: stop the attempts whose grants it contains."""
         for team, attempt_ids in txn.eviction_grants.items():
             self.grant_versions[team] = revision if grants_key(team) in txn.puts else 0
             if sorted(self.grants_by_team[team]) == attempt_ids:
@@ -265,9 +267,10 @@
                 self._stop_granted(self.store.jobs[allocation.job_id], allocation)
 
     def install_grants(self, team: str, value: Any, version: int) -> None:
-        """Take in a team's grants as read, at the start and after a write of unknown outcome.
+        """Replace a team's written grants by those read from the key-value store.
 
-        The team's allocations must have been read before.
+        Called when the source starts and after a write of unknown outcome. The team's allocations
+        must have been installed before.
         """
         self.grant_versions[team] = version
         granted = self.grants_by_team[team]
--- a/ploverhall/scheduling/failure_attribution.py
+++ b/ploverhall/scheduling/failure_attribution.py
@@ -1,8 +1,8 @@
 """Decides whether a failed attempt is the fault of its machine, of its task, or of the whole job.
 
-A failed task is retried after a backoff while the job's other tasks go on. A job that fails on
-several machines, with no healthy task, is taken to be at fault itself: it is retried rarely, and
-its failures count against no machine. `AttemptUpdates` calls this for each failed attempt.
+A failed task is retried after a backoff, and the job's other tasks keep running. A job that fails
+on several machines and has no healthy task is considered faulty itself: it is retried rarely, and
+its failures do not count against any machine. `AttemptUpdates` calls this for each failed attempt.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.record_chunks import Allocation
 
-# Exit reasons of an attempt that failed; all others are stops
+# Exit reasons that count as failures; all other reasons mean that the attempt was stopped
 FAILURE_REASONS = ("error", "unknown", "no_room", "in_use")
 REASON_ERROR = "error"
 REASON_UNKNOWN = "unknown"
 AVOID_MACHINE_S = 120.0  # how long a job avoids a machine on which it failed
-MIN_FAILED_MACHINES = 2  # failures on this many machines are the job's own fault
-# First and longest pause between two retries of a job that fails everywhere
+MIN_FAILED_MACHINES = 2  # a job that fails on this many machines is faulty itself
+# First and longest backoff of a job that fails on every machine
 INITIAL_JOB_BACKOFF_S = 5.0
 MAX_JOB_BACKOFF_S = 90.0
-# The same for one failing task of a job that works otherwise
+# First and longest backoff of a failing task in a job whose other tasks work
 INITIAL_TASK_BACKOFF_S = 1.0
 MAX_TASK_BACKOFF_S = 60.0
 UNKNOWN_FAILURE_BACKOFF_S = 1.0
@@ -31,8 +31,8 @@
 ATTEMPT_STATES_BEFORE_RUNNING = ("permitted", "fetching")
 
 
-class FailureAttribution:
-    """Failure counts and backoff of the jobs of one shard's teams."""
+class JobFailureTracker:
+    """Failure counts and retry backoff of the jobs of one shard's teams."""
 
     def __init__(self, store: AllocationStore) -> None:
         self.store = store
@@ -45,9 +45,9 @@
         machine_suspect: bool,
         now: float,
     ) -> None:
-        """Count a failed attempt, and set when its task, or a gang as a whole, may be retried.
+        """Count a failed attempt, and set when its task (for a gang, the job) may be retried.
 
-        `machine_suspect` says that the machine fails for other jobs as well.
+        `machine_suspect` is True if other jobs have failed on the machine as well.
         """
         job_state.failure_count += 1
         job_state.last_failure = f"{reason} on {allocation.machine}"
@@ -78,7 +78,10 @@
     def _attribute_error(
         self, job_state: JobState, allocation: Allocation, machine_suspect: bool, now: float
     ) -> float:
-        """Attribute an exit with an error; return the task's backoff in seconds."""
+        """Attribute an exit with an error, and return the task's backoff in seconds.
+
+        A failure on a suspect machine does not count towards `MIN_FAILED_MACHINES`.
+        """
         job_state.failed_on = {
             machine: failed_at
             for machine, failed_at in job_state.failed_on.items()
@@ -100,7 +103,7 @@
         return task_backoff_s(failures)
 
     def set_failing_everywhere(self, job_state: JobState, failing: bool, now: float) -> None:
-        """Record that a job is at fault itself, or that it has shown that it works."""
+        """Mark a job as failing on every machine, or clear the mark once one of its tasks works."""
         if job_state.failing_everywhere == failing or job_state.job is None:
             return
         job_state.failing_everywhere = failing
@@ -113,7 +116,7 @@
         )
         self.store.changed_jobs.add(job_state.id)
         self.store.jobs_to_decide.add(job_state.id)
-        self.store.teams_to_reorder.add(job_state.team)
+        self.store.teams_with_stale_guarantees.add(job_state.team)
         if failing:
             job_state.failing_attempts = 0
             self._back_off(job_state, now)
@@ -136,7 +139,7 @@
                 self.store.request_stop(allocation, 0.0)
 
     def _back_off(self, job_state: JobState, now: float) -> None:
-        """Set the next retry of a job that fails everywhere, later each time."""
+        """Set the next retry of a job that fails on every machine, with exponential backoff."""
         if now >= job_state.retry_at:
             doublings = min(job_state.failing_attempts, MAX_BACKOFF_DOUBLINGS)
             job_state.retry_at = now + min(
@@ -147,7 +150,7 @@
 
 
 def task_backoff_s(failures: int) -> float:
-    """Return the pause in seconds before a task's retry; the first failure is retried at once."""
+    """Return the backoff in seconds before a task is retried; 0 after its first failure."""
     if failures < 2:
         return 0.0
     doublings = min(failures - 2, MAX_BACKOFF_DOUBLINGS)
--- a/ploverhall/scheduling/gangs.py
+++ b/ploverhall/scheduling/gangs.py
@@ -1,4 +1,4 @@
-"""The choice of offers for a gang, whose tasks start all together or not at all."""
+"""Selects offers for a gang, whose tasks start all together or not at all."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 
 def pick_gang_offers(job: Job, offers: list[Offer]) -> list[Offer]:
-    """Return one offer for each task of a gang, or none where the offers don't suffice.
+    """Return one offer for each task of a gang; an empty list if the offers don't suffice.
 
-    Offers of one shard within one zone are preferred, then those of one zone, then those of any,
-    unless a later group's costliest offer is cheaper. `offers` are sorted by preference.
+    Offers from one shard and zone are preferred, then offers from one zone, then offers from all
+    zones. A less preferred group is chosen only if its costliest offer is cheaper. `offers` must be
+    sorted by preference.
     """
     best: list[Offer] = []
-    for group in _groups(job, offers):
+    for group in _group_offers(job, offers):
         picked = _pick_within_zone_limit(job, group)
         if len(picked) == job.task_count and (not best or _max_cost(picked) < _max_cost(best)):
             best = picked
     return best
 
 
-def _groups(job: Job, offers: list[Offer]) -> list[list[Offer]]:
-    """Group the offers by shard and zone, and by zone; and all of them where zones may mix."""
+def _group_offers(job: Job, offers: list[Offer]) -> list[list[Offer]]:
+    """Group the offers by shard and zone, by zone, and, unless `single_zone`, all together."""
     groups: dict[tuple[int, str] | str, list[Offer]] = {}
     for offer in offers:
         groups.setdefault((offer.shard, offer.zone), []).append(offer)
@@ -35,7 +36,7 @@
 
 
 def _pick_within_zone_limit(job: Job, offers: list[Offer]) -> list[Offer]:
-    """Return the first offers, up to the gang's size, that keep to its limit of tasks per zone."""
+    """Return the first offers, up to the gang's size, that respect its limit of tasks per zone."""
     picked: list[Offer] = []
     picked_per_zone: dict[str, int] = {}
     for offer in offers:
--- a/ploverhall/scheduling/job_state.py
+++ b/ploverhall/scheduling/job_state.py
@@ -1,7 +1,7 @@
-"""What the source knows of one job: its queue of tasks, its allocations, and the offers for it.
+"""The state that a source keeps of one job: its task queue, its allocations, and its offers.
 
-A `JobState` lives as long as its job, or as any task of it may still be on a machine. It is kept by
-`AllocationStore`; the decisions are made in `permitting`.
+A `JobState` exists until its job has ended and none of the job's tasks can still be on a machine.
+`AllocationStore` holds it; `permitting` makes the decisions.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from ploverhall.scheduling.record_chunks import Allocation
 from ploverhall.scheduling.resources import ResourceVector
 
-TASKS_PER_PROGRESS_VALUE = 8192  # tasks whose result bits share one value: about 1.4 KB
-# A task that has run for this long is healthy: one with a fault of its own fails as soon as it has
-# its image
+TASKS_PER_PROGRESS_VALUE = 8192  # tasks whose done bits share one value, of about 1.4 KB
+# A task that has run for this long is healthy: a faulty task fails as soon as its image has been
+# fetched
 HEALTHY_RUN_S = 5.0
-SAVE_MARGIN_S = 1.0  # beyond the time that a job says its tasks need to save
-SAVE_OVERHEAD_S = 15.0  # what stopping, moving and restoring a task takes besides two saves
+SAVE_MARGIN_S = 1.0  # added to the time that a job states its tasks need to save
+SAVE_OVERHEAD_S = 15.0  # time to stop, move and restore a task, besides twice its save time
 
 
 @dataclass(slots=True, eq=False)
 class Offer:
-    """Resources on one machine that a shard owner has reserved for a candidate task."""
+    """A reservation on one machine that a shard owner has made for a candidate task."""
 
     shard: int
     epoch: int  # of the shard owner
@@ -36,63 +36,63 @@
 
 @dataclass(eq=False)
 class JobState:
-    """A job that is live, or has ended and may still have tasks on machines."""
+    """A live job, or an ended job that may still have tasks on machines."""
 
     id: str
     team: str
     resources: ResourceVector
-    job: Job | None = None  # None: it has ended, only its allocations remain
+    job: Job | None = None  # None: the job has ended and only its allocations remain
     version: int = 0  # of the job's key in the key-value store
-    # By task: at most one attempt of a task at a time
+    # By task; a task has at most one attempt at a time
     allocations: dict[int, Allocation] = field(default_factory=dict)
     allocations_per_zone: dict[str, int] = field(default_factory=dict)
-    # Permits that are not written yet
+    # By shard: number of permits that have not been written yet
     uncommitted_per_shard: dict[int, int] = field(default_factory=dict)
-    # Shard, epoch and reservation id of its allocations
+    # (Shard, epoch, reservation id) of its allocations
     used_reservations: set[tuple[int, int, int]] = field(default_factory=set)
     running_count: int = 0
-    done_bits: bytearray = field(default_factory=bytearray)  # one bit a task; empty: none is done
+    done_bits: bytearray = field(default_factory=bytearray)  # one bit per task; empty: none is done
     done_count: int = 0
-    # Indexes of the progress values that are to be written, and of those in the key-value store
+    # Indexes of the progress values to be written, and of those that are in the key-value store
     dirty_progress: set[int] = field(default_factory=set)
     stored_progress: set[int] = field(default_factory=set)
-    next_new_task: int = 0  # tasks from here on were never permitted by this source
-    retry_tasks: list[int] = field(default_factory=list)  # a heap
-    # By shard and reservation id
+    next_new_task: int = 0  # this source has not permitted any task from this one on
+    retry_tasks: list[int] = field(default_factory=list)  # a heap of tasks to permit again
+    # By (shard, reservation id)
     offers: dict[tuple[int, int], Offer] = field(default_factory=dict)
-    retry_at: float = 0.0
-    # Machines that it avoids, and since when
+    retry_at: float = 0.0  # no task is permitted before this time
+    # Machines that the job avoids -> time of its last failure there
     failed_on: dict[str, float] = field(default_factory=dict)
-    task_failures: dict[int, int] = field(default_factory=dict)
-    # Tasks that failed -> when they may be retried
+    task_failures: dict[int, int] = field(default_factory=dict)  # exits with an error, by task
+    # Failed tasks -> time from which they may be retried
     task_retry_at: dict[int, float] = field(default_factory=dict)
-    # It fails on every machine: the fault is its own, not the machines'
+    # It fails on every machine, so the job itself is at fault and not the machines
     failing_everywhere: bool = False
-    failing_attempts: int = 0  # since `failing_everywhere` was set
-    failure_count: int = 0  # in all, for display
+    failing_attempts: int = 0  # backoffs since `failing_everywhere` was set
+    failure_count: int = 0  # total, shown in the status
     last_failure: str = ""
-    complete: bool = False  # every task is done; its end is still to be written
-    blocked: bool = False  # its key has changed: no permits until the watch brings it
-    # It fits its team's guarantee together with the team's earlier jobs
+    complete: bool = False  # every task is done, but the job's end may not be written yet
+    blocked: bool = False  # its key has changed: nothing is permitted until the watch sends it
+    # It fits within its team's guarantee, together with the team's earlier jobs
     within_guarantee: bool = False
-    waiting_since: float = 0.0  # when it arrived, or an attempt of it last ended
-    arrived_at: float = 0.0  # when this source first knew of it
-    fully_ran: bool = False  # all of its tasks have run at once
-    started: bool = False  # a task of it has run; of a gang, all of them
-    # It has waited too long to start, and goes ahead of other jobs just now
+    waiting_since: float = 0.0  # when it arrived, or when one of its attempts last ended
+    arrived_at: float = 0.0  # time of its submission, on this source's clock
+    all_tasks_ran: bool = False  # all of its tasks have run at the same time
+    started: bool = False  # one of its tasks (for a gang, all of them) has run
+    # It has waited too long to start and now goes ahead of other jobs
     overdue: bool = False
     overdue_check_at: float = 0.0
-    # Wall-clock time by which it should be done, for its place in the queue
+    # Wall-clock time by which it should be done; determines its place in the queue
     due_at: float | None = None
     task_duration_s: float | None = None  # moving average of its completed tasks
 
     @property
     def task_count(self) -> int:
-        """Number of tasks; 0 once the job has ended."""
+        """Return the number of tasks; 0 once the job has ended."""
         return self.job.task_count if self.job else 0
 
     def is_done(self, task: int) -> bool:
-        """Whether a task has completed."""
+        """Return whether a task has completed."""
         return bool(self.done_bits) and bool(self.done_bits[task >> 3] & (1 << (task & 7)))
 
     def mark_done(self, task: int) -> None:
@@ -111,7 +111,7 @@
         return self.task_count - self.done_count - len(self.allocations)
 
     def next_task(self) -> int | None:
-        """Remove and return the next task to permit: retries first; None where no task waits."""
+        """Remove and return the next task to permit, retries first; None if no task waits."""
         while self.retry_tasks:
             task = heapq.heappop(self.retry_tasks)
             if task not in self.allocations and not self.is_done(task):
@@ -124,19 +124,22 @@
         return None
 
     def requeue(self, task: int) -> None:
-        """Put a task whose attempt has ended back into the queue, unless it is in backoff."""
+        """Put a task whose attempt has ended back into the queue, unless it is in backoff.
+
+        A task that is not below `next_new_task` is still in the queue.
+        """
         if task < self.next_new_task and task not in self.task_retry_at:
             heapq.heappush(self.retry_tasks, task)
 
     def release_backoff(self, now: float) -> None:
-        """Requeue the failed tasks whose backoff is over."""
+        """Requeue the failed tasks whose backoff has expired."""
         for task in [task for task, retry_at in self.task_retry_at.items() if retry_at <= now]:
             del self.task_retry_at[task]
             if task not in self.allocations:
                 self.requeue(task)
 
     def is_healthy(self, now: float) -> bool:
-        """Whether any of its tasks has completed, or has run for `HEALTHY_RUN_S`."""
+        """Return whether any task has completed, or has run for more than `HEALTHY_RUN_S`."""
         return self.done_count > 0 or any(
             allocation.running
             and allocation.running_since is not None
@@ -148,11 +151,11 @@
 def save_grace_s(job: Job, min_checkpoint_s: float = 0.0) -> float:
     """Return the seconds that a task gets to save before it is stopped.
 
-    0 where its job makes no checkpoints, or none for at least `min_checkpoint_s` of work.
+    0 if its job makes no checkpoints, or if its checkpoint interval is at most `min_checkpoint_s`.
     """
     return job.save_s + SAVE_MARGIN_S if job.checkpoint_s > min_checkpoint_s else 0.0
 
 
 def min_worthwhile_checkpoint_s(job: Job) -> float:
-    """Return the checkpoint interval in seconds above which a preempted task should save first."""
+    """Return the checkpoint interval, in seconds, above which a preempted task should save."""
     return 2.0 * job.save_s + SAVE_OVERHEAD_S
--- a/ploverhall/scheduling/objectives.py
+++ b/ploverhall/scheduling/objectives.py
@@ -1,8 +1,8 @@
-"""Service-level objectives of job classes: by when a job should start, and be done.
+"""Service-level objectives of job classes: how soon a job should start and be done.
 
-A job's own deadline goes before its class's objective; a job with neither is not urgent. The source
-orders its queue by them, and the autoscaler provides machines for them. Times are seconds from a
-job's submission. No I/O.
+A job's own deadline overrides the objective of its class; a job with neither is not urgent. The
+source orders its queue by objectives, and the autoscaler provides machines to meet them. Times are
+in seconds from a job's submission. No I/O.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from ploverhall.protocol.jobs import Job
 
-KIND_WAIT = "wait"  # kinds of objectives as the settings call them
+KIND_WAIT = "wait"  # kinds of objectives, as named in the settings
 KIND_FINISHED = "finished"
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """By when the jobs of a class should start, and be done; None: no objective."""
+    """The times within which the jobs of a class should start and be done; None: no objective."""
 
     start_s: float | None = None
     finish_s: float | None = None
@@ -29,9 +29,9 @@
 
 
 class Objectives:
-    """The objectives of all classes; of several for one class the strictest counts.
+    """The objectives of all classes; if a class has several of one kind, the strictest applies.
 
-    Takes them as they stand in the settings, and ignores those that it does not understand.
+    `objectives` are the entries of the settings; unknown kinds and invalid entries are ignored.
     """
 
     def __init__(self, objectives: Iterable[Mapping[str, Any]] = ()) -> None:
@@ -47,18 +47,18 @@
                 or not within_s > 0
             ):
                 continue
-            known = self.by_class.get(job_class, NO_OBJECTIVE)
+            existing = self.by_class.get(job_class, NO_OBJECTIVE)
             if kind == KIND_WAIT:
                 self.by_class[job_class] = Objective(
-                    min(within_s, known.start_s or within_s), known.finish_s
+                    min(within_s, existing.start_s or within_s), existing.finish_s
                 )
             elif kind == KIND_FINISHED:
                 self.by_class[job_class] = Objective(
-                    known.start_s, min(within_s, known.finish_s or within_s)
+                    existing.start_s, min(within_s, existing.finish_s or within_s)
                 )
 
-    def of(self, job: Job) -> Objective:
-        """Return the objective of a job's class; none for a job with a deadline of its own."""
+    def for_job(self, job: Job) -> Objective:
+        """Return the objective of a job's class; `NO_OBJECTIVE` if the job has its own deadline."""
         return (
             self.by_class.get(job.job_class, NO_OBJECTIVE)
             if job.deadline_s is None
--- a/ploverhall/scheduling/pending_write.py
+++ b/ploverhall/scheduling/pending_write.py
@@ -1,7 +1,7 @@
-"""One transaction that a `StoreWriter` has planned, and what it changes once it lands.
+"""A transaction planned by `StoreWriter`, and the state changes to apply once it is committed.
 
-The planner fills it in, the controller's write loop sends it, and the planner gets it back with the
-outcome.
+`StoreWriter` fills it in, the controller's write loop sends it to the key-value store, and
+`StoreWriter` gets it back with the outcome.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from ploverhall.scheduling.job_state import JobState
 from ploverhall.scheduling.record_chunks import Allocation, RecordChunk
 
-MAX_TRANSACTION_BYTES = 56_000  # of the 64 KiB that a transaction may take
-EMPTY_TRANSACTION_BYTES = 400
+MAX_TRANSACTION_BYTES = 56_000  # below the 64 KiB that a transaction may have
+EMPTY_TRANSACTION_BYTES = 400  # assumed size without any changes
 
 
 @dataclass(slots=True)
 class ChunkWrite:
-    """What one transaction changes in one chunk."""
+    """The permits that one transaction adds to a chunk and removes from it."""
 
     chunk: RecordChunk
     added: list[Allocation] = field(default_factory=list)
@@ -28,24 +28,25 @@
 
 @dataclass(slots=True)
 class PendingWrite:
-    """A transaction: its compare conditions, its changes, and what they mean once it lands."""
+    """A transaction: its conditions, its changes, and the state to update once it is committed."""
 
-    compare: dict[str, int]  # key -> version that it must still have
+    compare: dict[str, int]  # key -> version that the key must still have
     puts: dict[str, Any]
     deletes: list[str]
     chunks: list[ChunkWrite] = field(default_factory=list)
-    progress_parts: list[tuple[JobState, int]] = field(default_factory=list)
+    # (job, index of its progress value)
+    progress_values: list[tuple[JobState, int]] = field(default_factory=list)
     ended_jobs: list[JobState] = field(default_factory=list)
-    # Team -> the granted evictions that it writes
+    # Team -> its granted evictions in this transaction
     eviction_grants: dict[str, list[AttemptId]] = field(default_factory=dict)
     size_bytes: int = EMPTY_TRANSACTION_BYTES
 
     @property
     def operation_count(self) -> int:
-        """Number of puts and deletes."""
+        """Return the number of puts and deletes."""
         return len(self.puts) + len(self.deletes)
 
     @property
     def added(self) -> list[Allocation]:
-        """The permits that are in force once this transaction lands."""
+        """Return the permits that take effect once this transaction is committed."""
         return [allocation for write in self.chunks for allocation in write.added]
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -1,12 +1,12 @@
 """Decides which waiting task of one shard's teams starts next, and where.
 
-`JobSource` takes in the offers and task states of the shard owners, permits tasks within limit,
-zone and gang rules, and returns what the shard owners and the autoscaler are to be sent. A permit
-is written to the team's allocation record before its shard owner is sent it, and is removed only
-when the attempt is proven gone.
+`JobSource` handles the offers and task states from the shard owners, permits tasks within the
+limits, zone rules and gang rules, and returns the updates for the shard owners and the autoscaler.
+A permit is written to the team's allocation record before it is sent to its shard owner, and is
+removed only when the attempt has exited or is proven gone.
 
-No I/O: the controller passes in what it has received and sends what is returned. Work follows what
-has changed (a job, a dirty chunk, a team's usage) and never scans all jobs or all allocations.
+No I/O: the controller passes in what it has received and sends what is returned. Only what has
+changed is processed (a job, a dirty chunk, a team's usage), never all jobs or all allocations.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from ploverhall.scheduling.allocations import OVERDUE_START_S, AllocationStore
 from ploverhall.scheduling.attempt_updates import AttemptUpdates
 from ploverhall.scheduling.eviction_grants import EvictionGrants
-from ploverhall.scheduling.failure_attribution import FailureAttribution
+from ploverhall.scheduling.failure_attribution import JobFailureTracker
 from ploverhall.scheduling.gangs import pick_gang_offers
 from ploverhall.scheduling.job_state import JobState, Offer
 from ploverhall.scheduling.pending_write import PendingWrite
@@ -41,22 +41,23 @@
 from ploverhall.scheduling.unmet_demand import UnmetDemand
 from ploverhall.settings import Team
 
-ATTEMPT_BITS = 28  # of an attempt's number; the bits above hold the source's epoch
-# How long a costlier offer waits for a better one: a few round trips between controllers
+ATTEMPT_BITS = 28  # low bits of an attempt's number; the bits above hold the source's epoch
+# How long a costlier offer is held back for a better one: a few round trips between controllers
 OFFER_WAIT_S = 0.06
-MAX_IMMEDIATE_COST = 1.0  # an offer up to this cost is taken at once
-TEAM_CHECK_INTERVAL_S = 0.2  # between two checks of a team's waiting jobs against its limit
-SERVICE_CHECK_INTERVAL_S = 0.5  # between two checks of waiting replicas against their team's arrays
-REVISIT_INTERVAL_S = 1.0  # between two looks at every job with offers, changed or not
+MAX_IMMEDIATE_COST = 1.0  # an offer up to this cost is accepted at once
+TEAM_CHECK_INTERVAL_S = 0.2  # between checks of teams' waiting jobs against their limits
+SERVICE_CHECK_INTERVAL_S = 0.5  # between checks for replicas that wait for their team's limit
+REVISIT_INTERVAL_S = 1.0  # between decisions on all jobs with offers, changed or not
 
 
 class JobSource:
     """Permits the tasks of one shard's teams.
 
-    Has the jobs and allocations (`store`), what reads them (`records`), the plans of what is written (`writer`), the eviction
-    grants (`grants`), the teams' limits (`quotas`), what is known of failures (`failures`) and the
-    demand for machines (`unmet_demand`). `max_value_bytes` and `max_transaction_ops` are the limits
-    of the key-value store.
+    Its components are the jobs and allocations (`store`), the loader of stored records
+    (`record_loader`), the planner of transactions (`writer`), the eviction grants (`grants`), the
+    teams' limits (`quotas`), the handler of attempt states (`attempt_updates`), the failure counts
+    (`failures`), the updates to be sent (`source_updates`) and the demand for machines
+    (`unmet_demand`). `max_value_bytes` and `max_transaction_ops` are limits of the key-value store.
     """
 
     def __init__(
@@ -73,36 +74,39 @@
         self.writer = StoreWriter(self.store, shard, epoch, max_transaction_ops)
         self.grants = EvictionGrants(self.store, self.writer, max_value_bytes)
         self.quotas = TeamQuotas(self.store, zones)
-        self.failures = FailureAttribution(self.store)
+        self.failures = JobFailureTracker(self.store)
         self.unmet_demand = UnmetDemand(self.store, self.quotas)
         self.attempt_updates = AttemptUpdates(self.store, self.failures, self.grants)
-        self.records = RecordLoader(self.store)
+        self.record_loader = RecordLoader(self.store)
         self.source_updates = SourceUpdates(self.store, self.quotas)
-        self.attempt_count = 0  # attempts that this source has numbered
-        self.holding_back_offers = False  # costlier offers wait a moment for better ones
+        self.attempt_count = 0  # attempt numbers that this source has assigned
+        self.holding_back_offers = False  # costlier offers wait for better ones
         self.next_team_check_at = 0.0
         self.next_revisit_at = 0.0
         self.next_service_check_at = 0.0
 
     @property
     def jobs(self) -> dict[str, JobState]:
-        """The jobs of the shard's teams, and ended ones that may still have tasks on machines."""
+        """Return the shard's live jobs, and ended jobs that may still have tasks on machines."""
         return self.store.jobs
 
     def on_job(
         self, job: Job | None, job_id: str, version: int, now: float, age: float = 0.0
     ) -> None:
-        """Take in a job from the watch, submitted `age` seconds ago, or its end (`job` is None)."""
+        """Add or update a job from the watch, submitted `age` seconds ago, or end it (None)."""
         self.store.on_job(job, job_id, version, now, age)
 
     # -- writing -----------------------------------------------------------------------------
 
     def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
-        """Return the next transaction, of at most `max_operations` changes; None: nothing waits."""
+        """Return the next transaction, of at most `max_operations` changes, or None.
+
+        None means that there is nothing to write.
+        """
         return self.grants.add_to_write(self.writer.next_write(max_operations))
 
     def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
-        """A transaction has landed."""
+        """Handle a transaction that was committed at `revision`."""
         self.writer.on_committed(txn, revision, now)
         self.grants.on_committed(txn, revision)
 
@@ -111,9 +115,9 @@
     def on_owner_update(
         self, shard: int, epoch: int, full: bool, changes: dict[str, Any], now: float
     ) -> None:
-        """Take in a shard owner's state channel: its offers, and the states of attempts.
+        """Handle changes on a shard owner's state channel: its offers and its attempts' states.
 
-        `full` says that `changes` holds everything, so that offers not in it are gone.
+        If `full`, `changes` holds the complete state, and offers that are not in it are dropped.
         """
         if full:
             missing_offers = [
@@ -170,9 +174,9 @@
     # -- deciding ----------------------------------------------------------------------------
 
     def decide(self, now: float) -> None:
-        """Permit tasks in memory; their shard owners are sent them once they are written."""
+        """Permit tasks in memory; permits are sent to shard owners once they have been written."""
         self._run_timers(now)
-        if self.store.teams_to_reorder:
+        if self.store.teams_with_stale_guarantees:
             self.quotas.update_guarantees()
         self.holding_back_offers = False
         if not self.store.jobs_to_decide:
@@ -189,7 +193,7 @@
             self._decide_job(job_state, now)
 
     def _run_timers(self, now: float) -> None:
-        """Look at the jobs whose time has come, and at teams whose usage has changed."""
+        """Queue decisions for jobs with expired timers and for teams whose usage has changed."""
         while self.store.timers and self.store.timers[0][0] <= now:
             _, job_id = heapq.heappop(self.store.timers)
             if (job_state := self.store.jobs.get(job_id)) is not None:
@@ -227,8 +231,8 @@
     def _toggle_overdue(self, job_state: JobState, now: float) -> None:
         """Put a job that waits too long to start ahead of others, in every second interval.
 
-        Were it ahead all the time, a job that never finds enough free capacity would keep its
-        reservations from all others for good.
+        If it were ahead all the time, a job that never finds enough free capacity would hold its
+        reservations forever, and no other job could use them.
         """
         job_state.overdue_check_at = now + OVERDUE_START_S
         job_state.overdue = (
@@ -275,10 +279,10 @@
         self._permit_offers(job_state, chosen)
 
     def _offers_by_preference(self, job_state: JobState, job: Job) -> list[Offer]:
-        """Return a job's offers, best first, without those on machines that it avoids.
+        """Return a job's offers, best first, except those on machines that the job avoids.
 
-        An offer's cost includes the work lost by preemption. Spot work, which can run anywhere,
-        takes offers without victims first whatever they cost.
+        An offer's cost includes the work lost by preemption. A spot job can run on any machine, so
+        it prefers offers without victims, whatever their cost.
         """
         return sorted(
             (
@@ -295,10 +299,10 @@
         )
 
     def _without_costly_offers(self, job_state: JobState, offers: list[Offer]) -> list[Offer]:
-        """Return the offers that need no better answer to wait for; the rest is decided later.
+        """Return the offers that may be accepted at once; the others are decided on later.
 
-        Offers by preemption, or of machines without the image, wait for other shards' answers:
-        else the shard owner on the same controller would always be first.
+        Offers that preempt tasks, or are on machines without the image, wait for the offers of
+        other shards. Otherwise the shard owner on the same controller would always win.
         """
         immediate = [
             offer for offer in offers if not offer.victim_count and offer.cost <= MAX_IMMEDIATE_COST
@@ -309,7 +313,7 @@
         return immediate
 
     def _permit_offers(self, job_state: JobState, chosen: list[Offer]) -> None:
-        """Permit the next tasks of a job, one for each offer."""
+        """Permit a job's next tasks, one for each chosen offer."""
         attempt = self._next_attempt()
         permitted: list[Allocation] = []
         unassigned_chunk = RecordChunk(job_state.team, -1)
@@ -334,7 +338,7 @@
         self._assign_chunks(job_state, permitted)
 
     def _assign_chunks(self, job_state: JobState, permitted: list[Allocation]) -> None:
-        """Put new allocations into chunks; a gang's into one if possible, to land together."""
+        """Assign allocations to chunks; a gang's to one chunk if possible, to commit together."""
         sizes = [allocation_bytes(allocation) for allocation in permitted]
         header = header_bytes(job_state.id, job_state.resources)
         total = header + sum(sizes)
@@ -350,34 +354,34 @@
             self.store.dirty_chunks[allocation.chunk] = True
 
     def _next_attempt(self) -> int:
-        """Return an attempt number that no source has used before."""
+        """Return an attempt number that no source has used: it contains the epoch."""
         self.attempt_count += 1
         return (self.epoch << ATTEMPT_BITS) + self.attempt_count
 
     # -- updates for shard owners and users --------------------------------------------------
 
     def take_owner_updates(self, shard_count: int, now: float) -> dict[tuple[int, str], Any]:
-        """Return what has changed for the shard owners since the last call.
+        """Return the updates for the shard owners since the last call.
 
-        Maps (shard, key on the state channel) to the new value, None to delete the key.
+        Maps (shard, key on the state channel) to the new value; None deletes the key.
         """
-        return self.source_updates.take(shard_count, now)
+        return self.source_updates.take_owner_updates(shard_count, now)
 
     def take_task_counts(self) -> dict[str, list[int] | None]:
-        """Return [done, running] of the jobs where it has changed; None for jobs that are gone."""
+        """Return the changed counts [done, running] by job since the last call; None: job ended."""
         return self.source_updates.take_task_counts()
 
     def task_counts(self, job_id: str) -> tuple[int, int]:
-        """Return a job's numbers of done and running tasks; zeros for an unknown job."""
+        """Return a job's counts of done and running tasks; zeros for an unknown job."""
         return self.source_updates.task_counts(job_id)
 
 
 def choose_within_zones(
     job: Job, offers: Iterable[Offer], count: int, zone_limits: dict[str, int] | None
 ) -> list[Offer]:
-    """Return the first offers, up to `count`, that keep to the zone limits.
+    """Return the first offers, up to `count`, that respect the zone limits.
 
-    For a job that must stay within one zone, the first offer's zone closes the others.
+    A job that must stay within one zone takes offers from the first chosen offer's zone only.
     """
     chosen: list[Offer] = []
     for offer in offers:
--- a/ploverhall/scheduling/quota.py
+++ b/ploverhall/scheduling/quota.py
@@ -1,8 +1,8 @@
 """Limits and guarantees of teams: how many tasks of a job may be permitted now, and where.
 
-A team's limit bounds what all of its jobs use together; within it, replicas of services go before
-arrays. Its guarantee puts the team's earliest jobs ahead of other teams' work. `JobSource` calls
-this before it permits tasks.
+A team's limit bounds the total resources that its jobs use; within the limit, replicas of services
+have precedence over arrays. A team's guarantee puts its oldest jobs ahead of other teams' jobs.
+`JobSource` calls this before it permits tasks.
 """
 
 from __future__ import annotations
@@ -24,18 +24,21 @@
 )
 from ploverhall.settings import Team
 
-UNLIMITED = 1e18  # of a resource for which a team has no limit
+UNLIMITED = 1e18  # limit of a resource for which the team has none
 
 
 class TeamQuotas:
-    """Limits, guarantees and zone limits of the jobs of one shard's teams."""
+    """Applies limits, guarantees and zone limits to the jobs of one shard's teams."""
 
     def __init__(self, store: AllocationStore, zones: tuple[str, ...]) -> None:
         self.store = store
         self.zones = zones
 
     def quota_headroom(self, job_state: JobState) -> int:
-        """Return how many more tasks of this job the team's limit allows."""
+        """Return how many more tasks of a job its team's limit allows.
+
+        Only services may use the part of the limit that is reserved for services.
+        """
         team = self.store.teams[job_state.team]
         used = self.store.used[job_state.team]
         if job_state.job is not None and job_state.job.kind != "service":
@@ -54,7 +57,7 @@
         return count
 
     def zone_limits(self, job_state: JobState) -> dict[str, int] | None:
-        """Return how many more tasks each zone may take; None: no limit."""
+        """Return how many more tasks of a job each zone may run; None if zones are not limited."""
         job = job_state.job
         if job is None or not (job.spread_zones or job.single_zone or job.zone):
             return None
@@ -74,7 +77,7 @@
         return limits
 
     def candidate_count(self, job_state: JobState, now: float) -> int:
-        """Return how many tasks of this job may be permitted now, and so need offers."""
+        """Return how many tasks of a job may be permitted now and therefore need offers."""
         job = job_state.job
         if job is None or job_state.blocked or job_state.complete or now < job_state.retry_at:
             return 0
@@ -90,24 +93,24 @@
         if job_state.failing_everywhere and job.kind != "gang":
             count = min(count, 0 if job_state.allocations else 1)
         if job.kind == "gang" and (job_state.allocations or count < job_state.task_count):
-            return 0  # all or nothing, and not before the last attempt's tasks are gone
+            return 0  # all tasks or none, and only once no task of an earlier attempt is left
         return max(0, count)
 
     # -- guarantees --------------------------------------------------------------------------
 
     def update_guarantees(self) -> None:
-        """Decide for the changed teams which of their jobs are within the guarantee."""
-        for team_name in sorted(self.store.teams_to_reorder):
+        """Determine, for teams with changes, which of their jobs are within the guarantee."""
+        for team_name in sorted(self.store.teams_with_stale_guarantees):
             within = self._jobs_that_fit_guarantee(self.store.teams[team_name])
             for job_id in sorted(within ^ self.store.jobs_within_guarantee[team_name]):
                 if (job_state := self.store.jobs.get(job_id)) is not None:
                     job_state.within_guarantee = job_id in within
                     self.store.changed_jobs.add(job_id)
             self.store.jobs_within_guarantee[team_name] = within
-        self.store.teams_to_reorder.clear()
+        self.store.teams_with_stale_guarantees.clear()
 
     def _jobs_that_fit_guarantee(self, team: Team) -> set[str]:
-        """Return the oldest unfinished jobs of a team that fit its guarantee together."""
+        """Return the oldest unfinished jobs of a team that fit within its guarantee together."""
         within: set[str] = set()
         if team.guaranteed_cpus <= 0 and team.guaranteed_gpus <= 0:
             return within
@@ -116,24 +119,24 @@
             job_state = self.store.jobs[job_id]
             self.store.visit_count += 1
             if job_state.failing_everywhere:
-                continue  # else a broken job would use up the guarantee of the others
+                continue  # otherwise a faulty job would use up the guarantee of the others
             unfinished = job_state.task_count - job_state.done_count
             total = add_scaled(total, job_state.resources, unfinished)
             cpus, gpus, _ = total
             exceeds_cpus = team.guaranteed_cpus > 0 and cpus > team.guaranteed_cpus + EPSILON
             exceeds_gpus = team.guaranteed_gpus > 0 and gpus > team.guaranteed_gpus + EPSILON
             if exceeds_cpus or exceeds_gpus:
-                break  # and so are all later ones
+                break  # all later jobs exceed the guarantee too
             within.add(job_id)
         return within
 
     # -- services within a limit -------------------------------------------------------------
 
     def free_quota_for_services(self, now: float) -> None:
-        """Stop arrays of teams whose replicas wait for the team's limit, least lost work first.
+        """Stop array tasks where replicas wait for their team's limit, least lost work first.
 
-        The freed share of the limit is reserved for the replicas. Else a replica would wait for as
-        long as an array of its own team, which arrived a moment earlier, holds the limit's rest.
+        The freed part of the limit is reserved for the replicas. Otherwise a replica would wait for
+        as long as an array of its team that arrived a moment earlier uses the rest of the limit.
         """
         for team_name, team in self.store.teams.items():
             reserved_before = self.store.reserved_for_services.pop(team_name, NO_RESOURCES)
@@ -167,7 +170,7 @@
     def _stop_array_tasks(
         self, team_name: str, used: ResourceVector, limit: ResourceVector, now: float
     ) -> None:
-        """Stop tasks of a team's arrays until the rest of `used` is within the limit."""
+        """Stop tasks of a team's arrays until `used`, less what they use, is within the limit."""
         stopping, candidates = self._stoppable_array_tasks(team_name, now)
         for _, _, allocation, job_state in sorted(candidates, key=lambda task: task[:2]):
             if within_limit(add_scaled(used, stopping, -1), limit):
@@ -180,9 +183,9 @@
     def _stoppable_array_tasks(
         self, team_name: str, now: float
     ) -> tuple[ResourceVector, list[tuple[float, int, Allocation, JobState]]]:
-        """Return what a team's stopping array tasks use, and those that may be stopped.
+        """Return the resources of a team's stopping array tasks, and the tasks that may be stopped.
 
-        The latter as (seconds run, task, allocation, job).
+        Each task that may be stopped is given as (seconds run, task, allocation, job).
         """
         stopping = NO_RESOURCES
         candidates: list[tuple[float, int, Allocation, JobState]] = []
@@ -204,5 +207,5 @@
 
 
 def within_limit(used: ResourceVector, limit: ResourceVector) -> bool:
-    """Whether no resource exceeds its limit."""
-    return all(amount <= most + EPSILON for amount, most in zip(used, limit, strict=True))
+    """Return whether no resource exceeds its limit."""
+    return all(amount <= maximum + EPSILON for amount, maximum in zip(used, limit, strict=True))
--- a/ploverhall/scheduling/record_chunks.py
+++ b/ploverhall/scheduling/record_chunks.py
@@ -1,8 +1,8 @@
-"""Outstanding permits in the form in which the key-value store keeps them.
+"""Outstanding permits, and the chunks in which they are stored in the key-value store.
 
-A team's allocation record is split into chunks, each one value of the key-value store that stays
-below the store's limit for a value. The module owns `Allocation`, the chunks and the stored form of
-both; `AllocationStore` keeps the chunks up to date and `StoreWriter` writes them.
+A team's allocation record is split into chunks. Each chunk is one value, and stays below the
+key-value store's limit for a value. This module defines `Allocation`, `RecordChunk` and the stored
+form of both; `AllocationStore` keeps the chunks up to date and `StoreWriter` writes them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class Allocation:
-    """One outstanding permit: a task attempt that may run on a machine."""
+    """An outstanding permit: a task attempt that may run on a machine."""
 
     job_id: str
     task: int
@@ -27,21 +27,22 @@
     machine: str
     shard: int
     zone: str
-    epoch: int  # of the shard owner whose offer was taken
+    epoch: int  # of the shard owner whose offer was accepted
     reservation_id: int
     chunk: RecordChunk
-    committed: bool = False
+    committed: bool = False  # the permit has been written to the key-value store
     state: str = "permitted"
     reason: str = ""
-    # 1: its machine is terminated, 2: it is preempted, 3: its machine is drained
+    # 1: its machine is being terminated, 2: it is preempted, 3: its eviction is requested, as its
+    # machine is drained
     notice: int = 0
-    stop_grace_s: float | None = None  # time to save before it is stopped; None: it runs on
+    stop_grace_s: float | None = None  # seconds to save before the stop; None: it is not to stop
     running_since: float | None = None  # when it was first reported as running
-    # It exited or is proven gone, and is to be removed from the allocation record
+    # It has exited or is proven gone, and is to be removed from the allocation record
     finished: bool = False
 
     def record(self) -> list[Any]:
-        """Return the form kept in the allocation record."""
+        """Return the stored form of this allocation."""
         return [
             self.task,
             self.attempt,
@@ -54,21 +55,22 @@
 
     @property
     def attempt_id(self) -> AttemptId:
-        """The task attempt that is permitted."""
+        """Return the id of the permitted attempt."""
         return AttemptId(self.job_id, self.task, self.attempt)
 
     @property
     def running(self) -> bool:
-        """Whether users see it as running."""
+        """Return whether users are shown this attempt as running."""
         return not self.finished and self.state in ("running", "saving")
 
 
 @dataclass(slots=True, eq=False)
 class RecordChunk:
-    """One value of a team's allocation record, with its size in bytes as encoded.
+    """One value of a team's allocation record, with its encoded size in bytes.
 
-    Its key is never deleted, only written empty: with the version back at 0, a delayed or repeated
-    write that had found no key would land a permit that no controller knows of.
+    The key is never deleted; an empty value is written instead. A deletion would reset the key's
+    version to 0, so a delayed or repeated write conditional on a missing key would be committed
+    and add a permit that no controller knows of.
     """
 
     team: str
@@ -80,11 +82,11 @@
 
     @property
     def key(self) -> str:
-        """The key of this chunk in the key-value store."""
+        """Return the key of this chunk in the key-value store."""
         return f"{allocation_prefix(self.team)}{self.index}"
 
     def add(self, allocation: Allocation, resources: ResourceVector) -> None:
-        """Add an allocation of a job whose tasks need these resources each."""
+        """Add an allocation; each task of its job needs `resources`."""
         self.allocations[allocation.job_id, allocation.task] = allocation
         if allocation.job_id not in self.allocations_per_job:
             self.size_bytes += header_bytes(allocation.job_id, resources)
@@ -95,7 +97,7 @@
         allocation.chunk = self
 
     def remove(self, allocation: Allocation, resources: ResourceVector) -> None:
-        """Remove an allocation; does nothing if another attempt has taken its place."""
+        """Remove an allocation; do nothing if another attempt of the task has replaced it."""
         if self.allocations.get((allocation.job_id, allocation.task)) is not allocation:
             return
         del self.allocations[allocation.job_id, allocation.task]
@@ -107,18 +109,18 @@
 
 
 def allocation_bytes(allocation: Allocation) -> int:
-    """Return the encoded size in bytes of an allocation within a chunk's value."""
+    """Return the encoded size, in bytes, of an allocation within a chunk's value."""
     return len(orjson.dumps(allocation.record())) + 1
 
 
 def header_bytes(job_id: str, resources: ResourceVector) -> int:
-    """Return the encoded size in bytes that a job adds to a chunk besides its allocations."""
+    """Return the encoded size, in bytes, that a job adds to a chunk besides its allocations."""
     return len(orjson.dumps({job_id: [list(resources), []]}))
 
 
 def append_allocation(
     value: dict[str, Any], resources: ResourceVector, allocation: Allocation
 ) -> None:
-    """Add an allocation to a chunk's value, under its job and the resources of one of its tasks."""
+    """Add an allocation to a chunk's value, under its job; `resources` are those of one task."""
     job_value = value.setdefault(allocation.job_id, [list(resources), []])
     job_value[1].append(allocation.record())
--- a/ploverhall/scheduling/record_loader.py
+++ b/ploverhall/scheduling/record_loader.py
@@ -1,7 +1,7 @@
-"""Takes in what the key-value store holds of a team: its allocation records and its progress.
+"""Loads the allocation records and progress values that the key-value store holds for a team.
 
-Called by the controller's write loop at the start of a source, and whenever the outcome of a write
-is unknown or its conditions failed. No I/O.
+Called by the controller's write loop when a source starts, and whenever the outcome of a write is
+unknown or its conditions failed. No I/O.
 """
 
 from __future__ import annotations
@@ -17,22 +17,25 @@
 
 
 class RecordLoader:
-    """Brings the jobs and allocations of a source into agreement with what is stored."""
+    """Updates the jobs and allocations of a source to match the key-value store."""
 
     def __init__(self, store: AllocationStore) -> None:
         self.store = store
 
-    def install_allocations(self, team: str, found: dict[str, tuple[Any, int]], now: float) -> None:
-        """Replace a team's chunks by those read, given as key -> (value, version).
+    def install_allocations(
+        self, team: str, stored_values: dict[str, tuple[Any, int]], now: float
+    ) -> None:
+        """Replace a team's chunks by those read from the store, given as key -> (value, version).
 
-        Called at the start, and whenever the outcome of a write is unknown.
+        Called when a source starts, and whenever the outcome of a write is unknown or its
+        conditions failed. Allocations that are not stored are removed.
         """
         stored_attempts: set[AttemptId] = set()
         old_chunks = self.store.chunks[team]
         for chunk in old_chunks.values():
             self.store.dirty_chunks.pop(chunk, None)
         self.store.chunks[team] = {}
-        for key, (value, version) in found.items():
+        for key, (value, version) in stored_values.items():
             chunk = RecordChunk(team, int(key.rsplit("/", 1)[1]), version)
             self.store.chunks[team][chunk.index] = chunk
             for job_id, (resources, records) in value.items():
@@ -47,7 +50,7 @@
     def _job_of_record(
         self, job_id: str, team: str, resources: list[float], now: float
     ) -> JobState:
-        """Return the state of a stored job; one that is not known is taken to have ended."""
+        """Return the state of a stored job; an unknown job is assumed to have ended."""
         job_state = self.store.jobs.get(job_id)
         if job_state is None:
             job_state = self.store.jobs[job_id] = JobState(
@@ -62,15 +65,15 @@
     def _install_record(
         self, job_state: JobState, chunk: RecordChunk, record: list[Any]
     ) -> Allocation:
-        """Return the allocation of a stored record: the one that is known, or a new one."""
+        """Return the allocation of a stored record: the existing one, or a new one."""
         task, attempt, machine, shard, zone, epoch, reservation_id = record
-        known = job_state.allocations.get(task)
-        if known is not None and known.attempt == attempt:
-            chunk.add(known, job_state.resources)
-            self.store.mark_committed(job_state, known)
-            return known
-        if known is not None:
-            self.store.remove(job_state, known)
+        existing = job_state.allocations.get(task)
+        if existing is not None and existing.attempt == attempt:
+            chunk.add(existing, job_state.resources)
+            self.store.mark_committed(job_state, existing)
+            return existing
+        if existing is not None:
+            self.store.remove(job_state, existing)
             self.store.jobs[job_state.id] = job_state
         allocation = Allocation(
             job_state.id,
@@ -93,7 +96,10 @@
     def _remove_unstored(
         self, old_chunks: dict[int, RecordChunk], stored_attempts: set[AttemptId]
     ) -> None:
-        """Remove allocations that are not stored: they never landed, or their removal did."""
+        """Remove the allocations that are not stored, and requeue their tasks.
+
+        Either their write was never committed, or their removal was.
+        """
         for chunk in old_chunks.values():
             for allocation in list(chunk.allocations.values()):
                 job_state = self.store.jobs.get(allocation.job_id)
@@ -105,12 +111,13 @@
                     self.store.remove(job_state, allocation)
                     job_state.requeue(allocation.task)
 
-    def install_progress(self, team: str, found: dict[str, tuple[Any, int]]) -> None:
-        """Take in the progress values of a team's arrays, given as key -> (value, version).
+    def install_progress(self, team: str, stored_values: dict[str, tuple[Any, int]]) -> None:
+        """Load the progress values of a team's arrays, given as key -> (value, version).
 
-        The team's live jobs must be known; values of other jobs are marked for deletion.
+        The team's live jobs must have been added before; values of other jobs are queued for
+        deletion.
         """
-        for key, (value, _) in found.items():
+        for key, (value, _) in stored_values.items():
             job_id, _, index = key[len(progress_prefix(team)) :].rpartition("/")
             job_state = self.store.jobs.get(job_id)
             if job_state is None or job_state.job is None:
--- a/ploverhall/scheduling/source_requests.py
+++ b/ploverhall/scheduling/source_requests.py
@@ -1,7 +1,7 @@
-"""What the sources want of one shard: their jobs, candidates and permits, as they change.
+"""Handles the jobs, candidates and permits that sources send to the owner of one shard.
 
-The shard owner passes in what comes on a source's state channel. Candidates go to the placement,
-permits to the permit table. No I/O.
+The shard owner passes in the changes that arrive on a source's state channel. Candidates are passed
+on to `Placement`, permits to `PermitTable`. No I/O.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class SourceRequests:
-    """Takes in the state channels of the sources."""
+    """Applies the changes on the sources' state channels to the shard."""
 
     def __init__(
         self,
@@ -32,10 +32,13 @@
         self.permit_table = permit_table
         self.placement = placement
         self.failures = failures
-        self.known_keys: dict[int, set[str]] = {}  # by source: the keys on its state channel
+        self.known_keys: dict[int, set[str]] = {}  # by source shard: keys on its state channel
 
     def update(self, source_shard: int, full: bool, changes: dict[str, Any], now: float) -> None:
-        """Take in a source's jobs, candidates and permits; `full` if these are all it has."""
+        """Apply changes of a source's jobs, candidates and permits; a None value deletes the key.
+
+        If `full`, `changes` holds the complete state, and all other known keys are deleted.
+        """
         known = self.known_keys.setdefault(source_shard, set())
         if full:
             self.state.synced_sources.add(source_shard)
@@ -48,7 +51,7 @@
         for key, value in by_kind.get(peer_messages.JOB, ()):
             if value is not None:
                 self._update_job(key[1:], JobUpdate(*value))
-        # A permit takes up its reservation before fewer candidates give that reservation away
+        # Permits claim their reservations before a lower candidate count releases these
         for key, value in by_kind.get(peer_messages.PERMIT, ()):
             attempt_id = peer_messages.attempt_id_of_key(key)
             update = PermitUpdate(*value) if value is not None else None
@@ -85,7 +88,7 @@
         traits = _job_traits(self.state.jobs[job_id], update, old)
         self.state.inventory.job_traits[job_id] = traits
         if old is None or old.preemption_class != traits.preemption_class:
-            # Who may stop its tasks has changed
+            # A change of the preemption class changes which jobs may preempt its tasks
             for permit in self.permit_table.permits_by_job.get(job_id, {}).values():
                 self.state.mark_changed(self.state.machines.get(permit.machine))
         if update.failing_everywhere and not (old is not None and old.failing_everywhere):
@@ -98,13 +101,13 @@
         self.placement.cancel(job_id)
 
     def end_job(self, job_id: str) -> None:
-        """The key-value store says that a job is over: stop it, even with its source away."""
+        """Stop a job that has ended in the key-value store, even if its source is unreachable."""
         self.permit_table.stop_job(job_id)
         self.placement.cancel(job_id)
 
 
 def _job_traits(job: Job, update: JobUpdate, old: JobTraits | None) -> JobTraits:
-    """The traits of a job after an update; a claim to its guarantee outlives it."""
+    """Return the traits of a job after an update; `claimed_guarantee` is kept once it is set."""
     return JobTraits(
         job.priority,
         bool(update.within_guarantee),
--- a/ploverhall/scheduling/source_updates.py
+++ b/ploverhall/scheduling/source_updates.py
@@ -1,6 +1,7 @@
-"""What a source sends to the shard owners, and the task counts that users are shown.
+"""Collects a source's updates for the shard owners, and the task counts shown to users.
 
-Only what has changed since the last time. `JobSource` is asked for it by the scheduling loop.
+Each call returns only what has changed since the previous one. The scheduling loop fetches the
+updates through `JobSource`.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
         self.store = store
         self.quotas = quotas
 
-    def take(self, shard_count: int, now: float) -> dict[tuple[int, str], Any]:
-        """Return what has changed for the shard owners since the last call.
+    def take_owner_updates(self, shard_count: int, now: float) -> dict[tuple[int, str], Any]:
+        """Return the updates for the shard owners since the last call.
 
-        Maps (shard, key on the state channel) to the new value, None to delete the key.
+        Maps (shard, key on the state channel) to the new value; None deletes the key.
         """
         updates: dict[tuple[int, str], Any] = dict(self.store.permit_updates)
         self.store.permit_updates.clear()
@@ -53,7 +54,7 @@
         shard_count: int,
         now: float,
     ) -> None:
-        """Add a job, and how many candidate tasks of it there are, for every shard."""
+        """Add the updates of a job, and of its number of candidate tasks, for every shard."""
         job_update = JobUpdate(
             job_state.job.record() if job_state.job is not None else None,
             list(job_state.resources),
@@ -67,24 +68,24 @@
         job_key = peer_messages.job_key(job_state.id)
         candidate_key = peer_messages.candidate_key(job_state.id)
         for shard in range(shard_count):
-            # Permits being written still need their reservations: if they were not counted, shard
-            # owners would release these, and refuse the permits a moment later
-            wanted = count + job_state.uncommitted_per_shard.get(shard, 0)
+            # Permits that are being written still need their reservations: if they were not
+            # counted, shard owners would release the reservations and then refuse the permits
+            waiting_tasks = count + job_state.uncommitted_per_shard.get(shard, 0)
             updates[shard, job_key] = job_update
             updates[shard, candidate_key] = (
                 CandidateUpdate(
-                    wanted,
+                    waiting_tasks,
                     list(self.store.queue_order(job_state)),
                     zone_limits,
                     sorted(job_state.failed_on),
                 )
-                if wanted and job_state.job is not None
+                if waiting_tasks and job_state.job is not None
                 else None
             )
 
     def take_task_counts(self) -> dict[str, list[int] | None]:
-        """Return [done, running] of the jobs where it has changed; None for jobs that are gone."""
-        changed, self.store.changed_counts = self.store.changed_counts, set()
+        """Return the changed counts [done, running] by job since the last call; None: job ended."""
+        changed, self.store.jobs_with_changed_counts = self.store.jobs_with_changed_counts, set()
         return {
             job_id: [job_state.done_count, job_state.running_count]
             if (job_state := self.store.jobs.get(job_id)) is not None and job_state.job
@@ -93,6 +94,6 @@
         }
 
     def task_counts(self, job_id: str) -> tuple[int, int]:
-        """Return a job's numbers of done and running tasks; zeros for an unknown job."""
+        """Return a job's counts of done and running tasks; zeros for an unknown job."""
         job_state = self.store.jobs.get(job_id)
         return (job_state.done_count, job_state.running_count) if job_state is not None else (0, 0)
--- a/ploverhall/scheduling/store_writer.py
+++ b/ploverhall/scheduling/store_writer.py
@@ -1,8 +1,9 @@
-"""Plans the transactions of one shard's teams, and takes in their outcomes.
+"""Plans the transactions of one shard's teams, and applies their outcomes.
 
-A permit is sent only after the transaction that lists it has landed. Where a transaction can't take
-all that waits, the most important jobs' changes go first. The controller's write loop sends what
-`next_write` returns and calls `on_committed`, `on_compare_failed` or `on_outcome_unknown`. No I/O.
+A permit is sent only after the transaction that contains it has been committed. If not all pending
+changes fit a transaction, those of the most important jobs go first. The controller's write loop
+sends what `next_write` returns and calls `on_committed`, `on_compare_failed` or
+`on_outcome_unknown` with the outcome. No I/O.
 """
 
 from __future__ import annotations
@@ -24,23 +25,24 @@
     progress_prefix,
 )
 
-# Sizes in a transaction besides keys and values; the first is an upper bound for a chunk
+# Assumed sizes in a transaction besides keys and values; the first is an upper bound for a chunk
 MAX_CHUNK_OVERHEAD_BYTES = 300
 CHUNK_OVERHEAD_BYTES = 100
 KEY_OVERHEAD_BYTES = 40
 JOB_END_BYTES = 150
-MIN_OPERATIONS = 2
-COMPARISONS_PER_OPERATION = 4  # a transaction may have so many times more conditions than changes
-# One in so many overfull transactions takes the changes in the order in which they came
+MIN_OPERATIONS = 2  # lowest limit for the changes of a transaction
+COMPARISONS_PER_OPERATION = 4  # limit for conditions, as a multiple of the limit for changes
+# When not all changes fit, one in this many transactions takes the changes in order of arrival
 FAIR_WRITE_INTERVAL = 4
-LAST_IN_QUEUE = (9.0,)  # behind every `queue_order`
+LAST_IN_QUEUE = (9.0,)  # sorts after every `queue_order`
 BYTES_PER_PROGRESS_VALUE = TASKS_PER_PROGRESS_VALUE // 8
 
 
 class StoreWriter:
     """Plans the transactions of one shard's teams.
 
-    `epoch` is the shard's, `max_transaction_ops` the key-value store's limit for a transaction.
+    `epoch` is the shard's epoch under this source; `max_transaction_ops` is the key-value store's
+    limit for the changes of a transaction.
     """
 
     def __init__(
@@ -52,15 +54,15 @@
         self.max_transaction_ops = max_transaction_ops
         # Chunks that a write of unknown outcome may still change
         self.chunks_to_fence: set[tuple[str, int]] = set()
-        self.write_operation_limit = max_transaction_ops  # of the transaction being planned
-        self.crowded_writes = 0  # transactions that could not take all that waited
+        self.write_operation_limit = max_transaction_ops  # for the transaction being planned
+        self.truncated_write_count = 0  # transactions that could not hold all changes
 
     def next_write(self, max_operations: int | None = None) -> PendingWrite | None:
-        """Return the next transaction, of at most `max_operations` changes; None: nothing waits.
+        """Return the next transaction, of at most `max_operations` changes, or None.
 
-        Permits go first, then ends of jobs, then exits. Where more waits than fits, the changes of
-        the most important jobs go first; every fourth such transaction takes the oldest changes, so
-        that the others land as well.
+        None means that there is nothing to write. Permits go first, then ends of jobs, then exits.
+        If not all changes fit, those of the most important jobs go first; every fourth such
+        transaction takes the oldest changes instead, so that the other jobs are not starved.
         """
         txn = self.empty_write()
         if self.chunks_to_fence:
@@ -81,11 +83,11 @@
         return txn if txn.operation_count else None
 
     def empty_write(self) -> PendingWrite:
-        """Return a transaction that lands only while this source's epoch is the shard's."""
+        """Return a transaction that fails if the shard's epoch is no longer that of this source."""
         return PendingWrite({f"{SHARD_PREFIX}{self.shard}": self.epoch}, {}, [])
 
     def _pending_changes(self) -> list[RecordChunk | JobState]:
-        """Return the chunks and ends of jobs to be written, in the order of their writing."""
+        """Return the chunks and the ends of jobs to be written, in the order of writing."""
         changes: list[RecordChunk | JobState] = [
             chunk for chunk, has_permits in self.store.dirty_chunks.items() if has_permits
         ]
@@ -94,13 +96,13 @@
             chunk for chunk, has_permits in self.store.dirty_chunks.items() if not has_permits
         ]
         if len(changes) > self.write_operation_limit:
-            self.crowded_writes += 1
-            if self.crowded_writes % FAIR_WRITE_INTERVAL:
+            self.truncated_write_count += 1
+            if self.truncated_write_count % FAIR_WRITE_INTERVAL:
                 changes.sort(key=self._write_order)
         return changes
 
     def _write_order(self, item: RecordChunk | JobState) -> tuple[float, ...]:
-        """Return a change's place: by its job's, then permits before ends before exits."""
+        """Return a change's sort key: by its most important job, then permits, ends, exits."""
         if isinstance(item, JobState):
             return (
                 (*self.store.queue_order(item)[:3], 1.0) if item.job is not None else LAST_IN_QUEUE
@@ -120,9 +122,9 @@
         )
 
     def _add_deletions(self, txn: PendingWrite) -> None:
-        """Fill a transaction that has other changes up with deletions of obsolete keys.
+        """Fill up a transaction that has other changes with deletions of obsolete keys.
 
-        They are not kept for a retry: if the transaction fails, the next source finds the keys.
+        The deletions are not retried: if the transaction fails, the next source finds the keys.
         """
         while (
             self.store.obsolete_keys
@@ -136,7 +138,11 @@
                 txn.size_bytes += len(key) + KEY_OVERHEAD_BYTES
 
     def _add_job_end(self, txn: PendingWrite, job_state: JobState) -> bool:
-        """Add a complete job's end; False when it does not fit."""
+        """Add the end of a complete job; return False if it does not fit.
+
+        Returns True without adding it if the job's key has changed, or if the transaction already
+        has a condition on that key.
+        """
         key = JOB_PREFIX + job_state.id
         if job_state.blocked or job_state.job is None or key in txn.compare:
             return True
@@ -154,11 +160,11 @@
 
     @property
     def max_comparisons(self) -> int:
-        """The most conditions that a transaction may have."""
+        """Return the maximum number of conditions in a transaction."""
         return COMPARISONS_PER_OPERATION * self.max_transaction_ops
 
     def _add_chunk(self, txn: PendingWrite, chunk: RecordChunk) -> bool:
-        """Add a chunk's value with the conditions for it; False when it does not fit."""
+        """Add a chunk's value and its conditions; return False if they do not fit."""
         if (
             txn.operation_count + 1 > self.write_operation_limit
             or len(txn.compare) + 2 > self.max_comparisons
@@ -173,7 +179,7 @@
             if not allocation.committed:
                 job_key = JOB_PREFIX + job_id
                 if job_state.job is None or job_state.blocked or job_key in txn.puts:
-                    write.removed.append(allocation)  # it was never written
+                    write.removed.append(allocation)  # the permit was never written
                     continue
                 if not self._add_job_condition(txn, job_key, job_state):
                     continue
@@ -190,7 +196,7 @@
         return True
 
     def _add_job_condition(self, txn: PendingWrite, key: str, job_state: JobState) -> bool:
-        """Let a transaction land only if the job is unchanged; False when that does not fit."""
+        """Add the condition that a job is unchanged; return False if it does not fit."""
         if key not in txn.compare:
             if len(txn.compare) + 2 > self.max_comparisons:
                 return False
@@ -201,9 +207,9 @@
     def _add_progress(
         self, txn: PendingWrite, chunk: RecordChunk, job_state: JobState, task: int
     ) -> bool:
-        """Add the progress value with a finished task's result, if it has changed.
+        """Add the progress value that holds a finished task's result, if it has changed.
 
-        False when it does not fit: the task's allocation must then stay in its chunk.
+        Returns False if it does not fit; the task's allocation must then stay in its chunk.
         """
         value_index = task // TASKS_PER_PROGRESS_VALUE
         if (
@@ -223,24 +229,25 @@
         first_byte = value_index * BYTES_PER_PROGRESS_VALUE
         done_bits = job_state.done_bits[first_byte : first_byte + BYTES_PER_PROGRESS_VALUE]
         txn.puts[key] = base64.b64encode(bytes(done_bits)).decode()
-        txn.progress_parts.append((job_state, value_index))
+        txn.progress_values.append((job_state, value_index))
         txn.size_bytes += len(txn.puts[key]) + len(key) + KEY_OVERHEAD_BYTES
         return True
 
     # -- fencing -----------------------------------------------------------------------------
 
     def on_outcome_unknown(self, txn: PendingWrite) -> None:
-        """Fence a transaction that may land at any later time, until its chunks are written again.
+        """Fence a transaction that may be committed later: queue its chunks to be written again.
 
-        Reading the record again is not enough. A permit that has not landed may be given anew in
-        another chunk; if the delayed write lands after that, one task has two permits.
+        Reading the record again is not enough. The task of an uncommitted permit may be permitted
+        again in another chunk; if the delayed write is committed after that, the task has two
+        permits.
         """
         self.chunks_to_fence.update((write.chunk.team, write.chunk.index) for write in txn.chunks)
 
     def _fencing_write(self, txn: PendingWrite) -> PendingWrite:
         """Write chunks again as they were read, so that the delayed write's conditions fail.
 
-        This goes alone and before all other changes.
+        The transaction contains nothing else and precedes all other changes.
         """
         for team, index in sorted(self.chunks_to_fence):
             chunk = self.store.chunks[team].setdefault(index, RecordChunk(team, index))
@@ -264,8 +271,8 @@
     # -- outcomes ----------------------------------------------------------------------------
 
     def on_committed(self, txn: PendingWrite, revision: int, now: float) -> None:
-        """A transaction has landed: send its permits, and forget the exits that it removes."""
-        for job_state, value_index in txn.progress_parts:
+        """Handle a committed transaction: send its permits, and remove its finished attempts."""
+        for job_state, value_index in txn.progress_values:
             job_state.dirty_progress.discard(value_index)
             job_state.stored_progress.add(value_index)
         for write in txn.chunks:
@@ -300,7 +307,7 @@
                     job_state.requeue(allocation.task)
 
     def _mark_still_dirty(self, chunk: RecordChunk) -> None:
-        """Keep a written chunk dirty if it has changed while the write was in flight."""
+        """Keep a written chunk dirty if it has changed during the write."""
         self.store.dirty_chunks.pop(chunk, None)
         for allocation in chunk.allocations.values():
             self.store.visit_count += 1
@@ -312,7 +319,7 @@
             self.store.chunks[chunk.team].pop(chunk.index, None)
 
     def on_compare_failed(self, txn: PendingWrite, failed: list[str]) -> list[str]:
-        """Conditions on these keys failed; return the teams whose record must be read again."""
+        """Handle failed conditions on keys; return the teams whose records must be read again."""
         for key in failed:
             if key.startswith(JOB_PREFIX):
                 job_state = self.store.jobs.get(key[len(JOB_PREFIX) :])
--- a/ploverhall/scheduling/unmet_demand.py
+++ b/ploverhall/scheduling/unmet_demand.py
@@ -1,4 +1,4 @@
-"""The waiting tasks of one shard's teams for which the autoscaler should provide machines."""
+"""Computes for which waiting tasks of one shard's teams the autoscaler should add machines."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 from ploverhall.scheduling.quota import UNLIMITED, TeamQuotas
 from ploverhall.scheduling.resources import EPSILON, fits, max_count
 
-DEFAULT_READY_S = 60.0  # boot and image time where no machine type is known to fit
+DEFAULT_READY_S = 60.0  # time to boot and fetch the image if no known machine type fits
+# Safety factors on expected boot, fetch and task times
 BOOT_TIME_MARGIN = 1.5
 FETCH_TIME_MARGIN = 2.0
 TASK_TIME_MARGIN = 1.2
 MIN_FETCH_GB_S = 0.01
-RETRY_SOON_S = 5  # a job that is retried within this time counts as waiting
+RETRY_SOON_S = 5  # a job in backoff counts as waiting if it is retried within this time
 
 
 class UnmetDemand:
-    """Waiting tasks within the teams' limits."""
+    """The waiting tasks that fit within their teams' limits."""
 
     def __init__(self, store: AllocationStore, quotas: TeamQuotas) -> None:
         self.store = store
         self.quotas = quotas
-        self.machine_types: dict[str, MachineType] = {}  # that the cloud offers
+        self.machine_types: dict[str, MachineType] = {}  # by name, as the cloud offers them
 
     def demand(self, now: float, wall_time: float) -> dict[str, DemandUpdate]:
-        """Return by job the waiting tasks for which the autoscaler should provide machines.
+        """Return the waiting tasks, by job, for which the autoscaler should provide machines.
 
-        Tasks beyond the team's limit are left out, and a gang that doesn't fit it as a whole.
+        Tasks beyond the team's limit are left out, and so are gangs of which not all tasks fit.
         """
         demand: dict[str, DemandUpdate] = {}
         unused: dict[str, tuple[float, float]] = {}  # cpus and gpus within the team's limit
@@ -60,7 +61,7 @@
         return demand
 
     def _waiting_within(self, job_state: JobState, cpus: float, gpus: float, now: float) -> int:
-        """Return how many of a job's waiting tasks fit what is left of the team's limit."""
+        """Return how many of a job's waiting tasks fit within the rest of the team's limit."""
         if job_state.failing_everywhere or job_state.retry_at > now + RETRY_SOON_S:
             return 0
         task_cpus, task_gpus, _ = job_state.resources
@@ -75,12 +76,12 @@
     def _concurrent_tasks_needed(self, job_state: JobState, waiting: int, wall_time: float) -> int:
         """Return how many waiting tasks must start now for the job to meet its objective.
 
-        A slot runs one task of an array after the other. A slot for each task at once would pay for
-        a boot per short task; none until the job is late would miss most objectives.
+        Each slot runs tasks of an array one after another. A slot for every task would cost a
+        machine boot for each short task; no slots until the job is late would miss most objectives.
         """
         job = job_state.job
         assert job is not None
-        if job.kind != "array" or (finish_s := self.store.objectives.of(job).finish_s) is None:
+        if job.kind != "array" or (finish_s := self.store.objectives.for_job(job).finish_s) is None:
             return waiting
         duration_s = TASK_TIME_MARGIN * max(
             1.0, job.estimate_s if job_state.task_duration_s is None else job_state.task_duration_s
@@ -90,11 +91,11 @@
         if rounds <= 1:
             return waiting
         active = sum(1 for allocation in job_state.allocations.values() if not allocation.finished)
-        slots = -(-(waiting + active) // rounds)  # rounded up
+        slots = -(-(waiting + active) // rounds)  # division rounded up
         return max(0, min(waiting, slots - active))
 
     def _time_to_ready_s(self, job: Job) -> float:
-        """Return how long the fastest suitable machine takes to boot and fetch the job's image."""
+        """Return the seconds in which the fastest suitable machine boots and fetches the image."""
         return min(
             (
                 BOOT_TIME_MARGIN * machine_type.boot_s
--- a/tests/simulation/model_shard.py
+++ b/tests/simulation/model_shard.py
@@ -54,7 +54,7 @@
         self._read_jobs()
         for team in teams:
             self.read_allocations(team.name)
-            self.source.records.install_progress(
+            self.source.record_loader.install_progress(
                 team.name, model.store.read(progress_prefix(team.name))
             )
         for source in range(len(model.nodes)):
@@ -70,6 +70,6 @@
     def read_allocations(self, team: str) -> None:
         """Read a team's allocations from the store."""
         model = self.controller.model
-        self.source.records.install_allocations(
+        self.source.record_loader.install_allocations(
             team, model.store.read(allocation_prefix(team)), model.now
         )
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -32,8 +32,10 @@
             {"kind": "finished", "class": "d", "within_s": float("nan")},
         ]
     )
-    assert aims.of(a_job()) == Objective(6.0, 120.0)
-    assert aims.of(a_job(deadline_s=500.0)) == aims.of(a_job(job_class="d")) == Objective()
+    assert aims.for_job(a_job()) == Objective(6.0, 120.0)
+    assert (
+        aims.for_job(a_job(deadline_s=500.0)) == aims.for_job(a_job(job_class="d")) == Objective()
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -122,10 +122,10 @@
 
 def test_write_of_unknown_outcome_that_landed_late_is_taken_from_the_record() -> None:
     s, txn = one_permit_being_written()
-    s.records.install_allocations("t", {}, 2.0)  # read again: not there yet
+    s.record_loader.install_allocations("t", {}, 2.0)  # read again: not there yet
     assert s.jobs["j-000001"].allocations == {}
     ((key, value),) = [(k, v) for k, v in txn.puts.items()]
-    s.records.install_allocations(
+    s.record_loader.install_allocations(
         "t", {key: (value, 30)}, 3.0
     )  # the next write failed its guard: it has landed after all
     assert s.jobs["j-000001"].allocations[0].committed
@@ -168,7 +168,7 @@
     s, txn = one_permit_being_written()
     (key,) = txn.puts
     s.writer.on_outcome_unknown(txn)
-    s.records.install_allocations("t", {}, 2.0)
+    s.record_loader.install_allocations("t", {}, 2.0)
     s.on_owner_update(0, 3, True, offers(1, first=7), 2.0)
     s.decide(2.0)
     fence = s.next_write()
@@ -363,7 +363,7 @@
     late = s.next_write()
     assert late is not None and len(late.added) == 1
     s.writer.on_outcome_unknown(late)
-    s.records.install_allocations("t", store.read("c/t/"), 2.0)
+    s.record_loader.install_allocations("t", store.read("c/t/"), 2.0)
 
     def write() -> None:
         while (txn := s.next_write()) is not None:
