--- a/ploverhall/scheduling/allocations.py
+++ b/ploverhall/scheduling/allocations.py
@@ -129,7 +129,11 @@
     def on_job(
         self, job: Job | None, job_id: str, version: int, now: float, age: float = 0.0
     ) -> None:
-        """Add or update a job from the watch, submitted `age` seconds ago, or end it (None)."""
+        """Add or update a job submitted `age` seconds ago, or end it if `job` is None.
+
+        Called for the jobs that are read at the start, for those that the watch delivers, and by
+        `StoreWriter` when it has written the end of a job.
+        """
         self.changed_jobs.add(job_id)
         self.jobs_with_changed_counts.add(job_id)
         if job is not None:
--- a/ploverhall/scheduling/permitting.py
+++ b/ploverhall/scheduling/permitting.py
@@ -93,7 +93,10 @@
     def on_job(
         self, job: Job | None, job_id: str, version: int, now: float, age: float = 0.0
     ) -> None:
-        """Add or update a job from the watch, submitted `age` seconds ago, or end it (None)."""
+        """Add or update a job submitted `age` seconds ago, or end it if `job` is None.
+
+        Called for the jobs that are read at the start and for those that the watch delivers.
+        """
         self.store.on_job(job, job_id, version, now, age)
 
     # -- writing -----------------------------------------------------------------------------
--- a/ploverhall/scheduling/source_requests.py
+++ b/ploverhall/scheduling/source_requests.py
@@ -51,7 +51,7 @@
         for key, value in by_kind.get(peer_messages.JOB, ()):
             if value is not None:
                 self._update_job(key[1:], JobUpdate(*value))
-        # Permits claim their reservations before a lower candidate count releases these
+        # Permits claim their reservations before a lower candidate count would release them
         for key, value in by_kind.get(peer_messages.PERMIT, ()):
             attempt_id = peer_messages.attempt_id_of_key(key)
             update = PermitUpdate(*value) if value is not None else None
