--- a/ploverhall/connectivity/__init__.py
+++ b/ploverhall/connectivity/__init__.py
@@ -1,5 +1,5 @@
-"""Which services and peers this controller reaches, and relaying through peers where it does not.
+"""Track which services and peers this controller reaches, and choose relays for the others.
 
-No I/O: times and measurements are passed in, routes and decisions come out. `controller.relay` does
-the sending. See docs/reach.md.
+No I/O: the caller passes in times and measurements and gets routes and decisions back.
+`controller.relay` sends the messages. See docs/reach.md.
 """
--- a/ploverhall/connectivity/heartbeat_failback.py
+++ b/ploverhall/connectivity/heartbeat_failback.py
@@ -1,45 +1,50 @@
-"""Agents whose heartbeats come through a peer: when they are told to send them here directly again.
-
-An agent that is redirected while its link is still cut waits for seconds until it turns elsewhere,
-and nothing starts on its machine meanwhile. So the shard's owner first probes the agent directly (a
-connection needs both directions), and redirects it only once it has answered. An agent that comes
-back through a peer all the same (a filter that blocks one side's connections only) is probed ever
-more seldom. Used by `controller.heartbeat_requests` and `controller.agent_commands`.
+"""Decide when agents whose heartbeats are relayed by a peer should send them directly again.
+
+An agent that is redirected while its link is still cut waits for seconds before it tries another
+controller, and no task starts on its machine meanwhile. So the shard's owner first probes the agent
+directly (a connection needs both directions) and redirects it only after it has answered. If the
+agent's heartbeats are relayed again all the same (a filter may block connections from one side
+only), the delay before the next probe doubles. Used by `controller.heartbeat_requests` and
+`controller.agent_commands`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-PROBE_INTERVAL_S = 2.0  # between two probes of one agent
+PROBE_INTERVAL_S = 2.0  # minimum time between two probes of one agent
 MAX_CONCURRENT_PROBES = 8
-# An agent that comes through a peer so soon after a redirect could not reach this controller
+# A relayed heartbeat within this time after a redirect means that the agent could not reach this
+# controller directly
 FAILED_FAILBACK_S = 20.0
 INITIAL_BACKOFF_S = 10.0
 MAX_BACKOFF_S = 120.0
-FORGET_AGENT_S = 60.0
-NEVER = -1e9  # before any time of the clock
+AGENT_RETENTION_S = 60.0
+NEVER = -1e9  # earlier than any time of the steady clock
 
 
 @dataclass(slots=True)
 class RelayedAgent:
     """An agent whose heartbeats come through a peer."""
 
-    via: str  # name of the peer
-    last_heartbeat_at: float  # of the last relayed one
+    via: str  # name of the relaying peer
+    last_heartbeat_at: float  # time of the last relayed heartbeat
     next_probe_at: float = NEVER
     probing: bool = False
-    failback_due: bool = False  # it answered a probe: its next heartbeat is answered by a redirect
+    failback_due: bool = False  # it answered a probe: answer its next heartbeat by a redirect
     redirected_at: float = NEVER
     backoff_s: float = 0.0
 
     @property
     def redirected(self) -> bool:
-        """Whether it was told to come directly, and has not come through a peer soon after."""
+        """Whether the agent was redirected here and that redirect has not failed."""
         return self.redirected_at > NEVER
 
     def redirect_failed(self, now: float) -> bool:
-        """Return whether a relayed heartbeat now means that it could not come directly."""
+        """Return whether a heartbeat relayed now shows that the last redirect failed.
+
+        It does if it comes within `FAILED_FAILBACK_S` of the redirect.
+        """
         return (
             self.redirected
             and not self.failback_due
@@ -47,13 +52,13 @@
         )
 
     def back_off(self, now: float) -> None:
-        """Delay the next probe, twice as long as the last time."""
+        """Double the backoff and delay the next probe by it."""
         self.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2 * self.backoff_s))
         self.next_probe_at = now + self.backoff_s
         self.redirected_at = NEVER
 
     def probe_due(self, now: float) -> bool:
-        """Return whether it may be probed now."""
+        """Return whether the agent may be probed now."""
         return (
             not self.probing
             and not self.failback_due
@@ -64,13 +69,13 @@
 
 @dataclass
 class HeartbeatFailback:
-    """The agents of this controller's shards whose heartbeats come through peers."""
+    """The agents of this controller's shards whose heartbeats are relayed by peers."""
 
     relayed_agents: dict[str, RelayedAgent] = field(default_factory=dict)  # by machine
     open_probes: int = 0
 
     def heartbeat_relayed(self, machine: str, via: str, now: float) -> bool:
-        """Record a heartbeat through a peer; return whether to answer it by a redirect."""
+        """Record a heartbeat relayed by a peer; return whether to answer it by a redirect."""
         agent = self.relayed_agents.get(machine)
         if agent is None:
             agent = self.relayed_agents[machine] = RelayedAgent(via, now)
@@ -85,18 +90,19 @@
         return False
 
     def heartbeat_direct(self, machine: str, now: float) -> None:
-        """Record a heartbeat that came directly."""
+        """Record a heartbeat that the agent sent directly to this controller."""
         agent = self.relayed_agents.get(machine)
         if agent is None:
             return
-        # An agent that has failed before is remembered for a while: it may be about to fail again
+        # An agent whose redirect has failed before keeps its backoff for a while, because its link
+        # may fail again
         if agent.backoff_s == 0.0 or now - agent.redirected_at > FAILED_FAILBACK_S:
             del self.relayed_agents[machine]
 
     def relay_for(self, machine: str, now: float, max_age_s: float) -> str | None:
-        """Return the peer through which an agent's heartbeats come, None if they come directly.
+        """Return the peer that relays an agent's heartbeats; None if the agent sends them directly.
 
-        A heartbeat that is older than `max_age_s` seconds does not count.
+        None as well if the last relayed heartbeat is at least `max_age_s` seconds old.
         """
         agent = self.relayed_agents.get(machine)
         if agent is None or agent.redirected or now - agent.last_heartbeat_at >= max_age_s:
@@ -104,10 +110,14 @@
         return agent.via
 
     def due_probes(self, now: float) -> list[str]:
-        """Return the machines whose agents are to be probed now; each counts as an open probe."""
+        """Return the machines whose agents should be probed now, and count each as an open probe.
+
+        Also drops agents that have sent no relayed heartbeat for more than `AGENT_RETENTION_S` and
+        were not redirected within that time either.
+        """
         due = []
         for machine, agent in list(self.relayed_agents.items()):
-            if now - max(agent.last_heartbeat_at, agent.redirected_at) > FORGET_AGENT_S:
+            if now - max(agent.last_heartbeat_at, agent.redirected_at) > AGENT_RETENTION_S:
                 del self.relayed_agents[machine]
             elif self.open_probes < MAX_CONCURRENT_PROBES and agent.probe_due(now):
                 agent.probing = True
@@ -117,7 +127,7 @@
         return due
 
     def probe_finished(self, machine: str, answered: bool, now: float) -> None:
-        """Record the result of a probe."""
+        """Record the result of a probe, which closes it."""
         self.open_probes -= 1
         agent = self.relayed_agents.get(machine)
         if agent is not None:
--- a/ploverhall/connectivity/link_health.py
+++ b/ploverhall/connectivity/link_health.py
@@ -1,40 +1,41 @@
-"""Health of one link as this process measures it, with hysteresis.
+"""Measure the health of one link, with hysteresis.
 
-A link turns unhealthy quickly, since requests hang meanwhile. To turn healthy again it must answer
-for a while, and for longer if it keeps failing, since each return costs those who trust it. Used by
-`controller.outbound` for each outside service.
+A link becomes unhealthy quickly, since requests on a failed link hang. To become healthy again it
+must answer for some time, and for longer if it keeps flapping, since its callers pay for every
+return to a link that fails again. Used by `controller.outbound` for each outside service.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Failures or silence for so long make a link unhealthy; an answer takes a few hundred ms at most
+# Failures or silence for this time make a link unhealthy; an answer takes a few hundred ms at most
 MIN_FAILURE_S = 0.6
-FAILURE_RTT_MULTIPLE = 4.0  # and so many times the usual latency: a slow service is no partition
-INITIAL_RECOVERY_S = 1.5  # answers, and no failures, for so long make it healthy again
-FLAP_WINDOW_S = 30.0  # failing again so soon after it recovered doubles that time
+# The time is also at least this multiple of the typical latency: a slow service is no partition
+FAILURE_RTT_MULTIPLE = 4.0
+INITIAL_RECOVERY_S = 1.5  # answers without failures for this time make a link healthy again
+FLAP_WINDOW_S = 30.0  # a failure within this time of the last recovery doubles the recovery time
 MAX_RECOVERY_S = 24.0
 MAX_LATENCY_SAMPLE_S = 2.0
-LATENCY_WEIGHT = 0.1  # of a new sample in the average
+LATENCY_WEIGHT = 0.1  # weight of a new sample in the moving average
 
 
 @dataclass(slots=True)
 class LinkHealth:
-    """State of a link, from the requests sent on it and their answers; all times by one clock."""
+    """State of a link, derived from its requests and their answers; all times are of one clock."""
 
     typical_latency_s: float = 0.02  # moving average
     healthy: bool = True
     changed_at: float = -1e9  # when `healthy` last changed
     last_answer_at: float = -1e9
-    failing_since: float | None = None  # beginning of the present failures or silence
+    failing_since: float | None = None  # start of the current failures or silence
     answering_since: float | None = None  # first answer since the last failure
-    recovery_s: float = INITIAL_RECOVERY_S  # what it now takes to become healthy again
-    failure_count: int = 0  # how often it became unhealthy
+    recovery_s: float = INITIAL_RECOVERY_S  # seconds of answers needed to become healthy
+    failure_count: int = 0  # number of times it became unhealthy
 
     @property
     def failure_threshold_s(self) -> float:
-        """Seconds of failures or silence that make the link unhealthy."""
+        """The seconds of failures or silence after which the link becomes unhealthy."""
         return max(MIN_FAILURE_S, FAILURE_RTT_MULTIPLE * self.typical_latency_s)
 
     def record_answer(self, latency_s: float, now: float) -> None:
@@ -55,18 +56,24 @@
         self._extend_failure(started_at, now)
 
     def record_overdue(self, oldest_due_at: float, now: float) -> None:
-        """Record that the oldest request that should be answered by now was sent at that time."""
+        """Record that a request is overdue.
+
+        `oldest_due_at` is the earliest time at which an unanswered request should have been
+        answered.
+        """
         if now - max(oldest_due_at, self.last_answer_at) > self.failure_threshold_s:
             self.answering_since = None
             self._extend_failure(oldest_due_at, now)
 
     def _extend_failure(self, started_at: float, now: float) -> None:
-        # A later answer to another request shows that the link was up until then
+        """Extend the current failure back to `started_at`, or start one there."""
+        # An answer after `started_at` shows that the link was up until that answer
         since = max(started_at, self.last_answer_at)
         self.failing_since = since if self.failing_since is None else min(self.failing_since, since)
         self._update_state(now)
 
     def _update_state(self, now: float) -> None:
+        """Mark the link unhealthy once it has failed for `failure_threshold_s`."""
         if not self.healthy or self.failing_since is None:
             return
         if now - self.failing_since < self.failure_threshold_s:
--- a/ploverhall/connectivity/relay_routes.py
+++ b/ploverhall/connectivity/relay_routes.py
@@ -1,8 +1,9 @@
-"""What each peer reaches by its own account, and the routes that follow for this controller.
+"""Choose routes through peers from the connectivity that each peer reports.
 
-A route through a peer is worth trying only while that peer says that its own link is healthy, has
-said so just now, and has not just failed. Where no single peer has both links, a route leads over
-two: the first relays to the second. Used by `controller.relay` and those that relay through it.
+A route through a peer is tried only if the peer's latest report is fresh and says that the peer's
+own link is healthy, and if the route is not in backoff after a failure. If no single peer has both
+links, a route leads through two peers: the first relays to the second. Used by `controller.relay`
+and the modules that relay through it.
 """
 
 from __future__ import annotations
@@ -10,13 +11,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-REPORT_MAX_AGE_S = 1.6  # peers report twice a second; an older report may not hold any more
-# Time for which a route that has just failed is not used, doubled with every further failure
+REPORT_MAX_AGE_S = 1.6  # peers report twice a second; an older report may be outdated
+# Time for which a route is not used after a failure; doubles with every further failure
 INITIAL_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
-NEVER = -1e9  # before any time of the clock
+NEVER = -1e9  # earlier than any time of the steady clock
 MAX_INCARNATION_LENGTH = 40
-OUTSIDE_SERVICES = frozenset(("state", "cloud"))  # as relay_messages.STORE and CLOUD
+OUTSIDE_SERVICES = frozenset(("state", "cloud"))  # equal to relay_messages.STORE and CLOUD
 
 # Field names of a connectivity report
 INCARNATION_FIELD = "life"
@@ -29,17 +30,17 @@
 
 @dataclass(slots=True)
 class PeerConnectivity:
-    """One peer's newest report on its links."""
+    """One peer's newest connectivity report, and the backoff of routes through it."""
 
     received_at: float = NEVER
     incarnation: str = ""  # of the peer's process
     relay_kinds: frozenset[str] = frozenset()  # kinds of requests that it relays
     reachable_services: frozenset[str] = frozenset()  # outside services that it reaches directly
-    relays_in_use: dict[str, str] = field(default_factory=dict)  # by service: its relay to it
-    heard_peers: frozenset[str] = frozenset()  # peers whose messages reach it
-    # Epochs by shard held whose agents don't reach it
+    relays_in_use: dict[str, str] = field(default_factory=dict)  # by service: the relay it uses
+    heard_peers: frozenset[str] = frozenset()  # peers whose messages it receives
+    # By shard: the epoch at which the peer holds it while no agent of the shard reaches the peer
     unreachable_shards: dict[int, int] = field(default_factory=dict)
-    backoff_until: float = NEVER  # no route leads through it before
+    backoff_until: float = NEVER  # no route uses the peer before this time
     backoff_s: float = INITIAL_BACKOFF_S
 
 
@@ -48,11 +49,11 @@
 
     def __init__(self, peer_names: list[str]) -> None:
         self.peers = {name: PeerConnectivity() for name in sorted(peer_names)}
-        # Peer that relays to each service; kept while it can, so that routes don't alternate
+        # By service: the chosen relay, kept while it remains usable so that routes don't alternate
         self.chosen_relays: dict[str, str] = {}
 
     def update(self, name: str, report: dict[str, Any], now: float) -> None:
-        """Record a peer's report. Whatever in it is not in the known form counts as missing."""
+        """Record a peer's report; malformed fields are treated as missing."""
         peer = self.peers.get(name)
         if peer is None:
             return
@@ -65,11 +66,11 @@
         peer.unreachable_shards = _integer_table(report.get(UNREACHABLE_SHARDS_FIELD))
 
     def is_fresh(self, name: str, now: float) -> bool:
-        """Return whether a peer's report is recent enough to be relied on."""
+        """Return whether a peer's latest report is recent enough to be relied on."""
         return name in self.peers and now - self.peers[name].received_at < REPORT_MAX_AGE_S
 
     def can_relay_now(self, name: str, kind: str, now: float) -> bool:
-        """Return whether a peer can be asked now to relay a request of that kind."""
+        """Return whether a peer can be asked now to relay a request of the given kind."""
         return (
             self.is_fresh(name, now)
             and kind in self.peers[name].relay_kinds
@@ -77,7 +78,7 @@
         )
 
     def supports_relay(self, name: str, kind: str) -> bool:
-        """Return whether a peer's last report, of whatever age, says that it relays that kind."""
+        """Return whether a peer's last report, however old, lists this kind as relayed."""
         return name in self.peers and kind in self.peers[name].relay_kinds
 
     def route_to_service(
@@ -88,10 +89,11 @@
         avoid: frozenset[str] = frozenset(),
         hops: int = 2,
     ) -> str | None:
-        """Return the peer to relay requests to an outside service through, None if there is none.
+        """Return the peer through which to relay requests to an outside service; None if none can.
 
-        A peer that reaches the service directly, else (with two `hops`) one that hears such a peer.
-        Peers of `avoid` are left out, also as the second hop.
+        Prefers a peer that reaches the service directly. If there is none and `hops` is 2, chooses
+        a peer that receives the messages of such a peer. Peers in `avoid` are excluded from both
+        hops.
         """
         candidates = [
             name for name in self.peers if name not in avoid and self.can_relay_now(name, kind, now)
@@ -110,7 +112,10 @@
     def _hears_direct_relay(
         self, name: str, service: str, kind: str, avoid: frozenset[str]
     ) -> bool:
-        """Whether a peer hears another that reaches the service, by the reports of both."""
+        """Return whether a peer receives the messages of another one that reaches the service.
+
+        Relies on the latest reports of both.
+        """
         return any(
             other not in avoid
             and other != name
@@ -123,10 +128,10 @@
     def route_to_peer(
         self, name: str, kind: str, now: float, avoid: frozenset[str] = frozenset(), hops: int = 2
     ) -> str | None:
-        """Return the peer to send a request for `name` to, None if there is no route.
+        """Return the peer to which to send a request meant for `name`; None if there is no route.
 
-        That peer itself if it can be heard, else (with two `hops`) one that hears it and is not in
-        `avoid`.
+        Prefers `name` itself if it can be asked directly. If it cannot and `hops` is 2, chooses a
+        peer that receives the messages of `name` and is not in `avoid`.
         """
         if self.can_relay_now(name, kind, now):
             return name
@@ -140,13 +145,13 @@
         return None
 
     def reports_unreachable_shard(self, name: str, shard: int) -> bool:
-        """Return whether a peer reports that no agent of a shard that it holds reaches it."""
+        """Return whether a peer reports that it holds a shard but no agent of it reaches the peer."""
         return name in self.peers and shard in self.peers[name].unreachable_shards
 
     def all_services_reachable(self, name: str, now: float) -> bool:
         """Return whether a peer reaches all outside services directly.
 
-        One that has never reported counts as well: it may be of a release that sends no reports.
+        True as well for a peer that has never reported: its release may not send reports.
         """
         peer = self.peers.get(name)
         if peer is None or peer.received_at < 0:
@@ -154,26 +159,28 @@
         return self.is_fresh(name, now) and peer.reachable_services >= OUTSIDE_SERVICES
 
     def record_success(self, name: str) -> None:
-        """Record that a route through a peer worked."""
+        """Record that a route through a peer worked, and reset the peer's backoff."""
         peer = self.peers[name]
         peer.backoff_s = INITIAL_BACKOFF_S
         peer.backoff_until = NEVER
 
     def record_failure(self, name: str, now: float) -> None:
-        """Record that a route through a peer failed: it is not used for a while."""
+        """Record that a route through a peer failed, and start the peer's backoff."""
         peer = self.peers[name]
-        if now >= peer.backoff_until:  # else a request that was sent before the last failure
+        if now >= peer.backoff_until:  # otherwise the request was sent before the last failure
             peer.backoff_until = now + peer.backoff_s
             peer.backoff_s = min(MAX_BACKOFF_S, 2 * peer.backoff_s)
 
 
 def _string_set(value: Any) -> frozenset[str]:
+    """Return the strings of a list; empty if the value is not a list."""
     if not isinstance(value, (list, tuple)):
         return frozenset()
     return frozenset(item for item in value if isinstance(item, str))
 
 
 def _string_table(value: Any) -> dict[str, str]:
+    """Return the entries with string keys and values; empty if the value is not a dict."""
     if not isinstance(value, dict):
         return {}
     return {
@@ -182,6 +189,7 @@
 
 
 def _integer_table(value: Any) -> dict[int, int]:
+    """Return the entries with integer keys and values; empty if the value is not a dict."""
     if not isinstance(value, dict):
         return {}
     return {
