--- a/ploverhall/coordination/fencing_tokens.py
+++ b/ploverhall/coordination/fencing_tokens.py
@@ -1,19 +1,19 @@
-"""Layout of fencing tokens: who issued a token, and how long its agent's lease may be renewed.
+"""Encode in fencing tokens who issued them and how long the agent's lease may be renewed.
 
     epoch (44 bits) | holder + 1 (5) | count (7) | renewal grant (8)
 
 An agent keeps the highest token it has seen and drops messages with lower ones. `holder` is the
-dense index of the controller that issued the token; the field is 0 in tokens that do not say, which
-releases before this layout issued, with a count of 20 bits. `count` rises to fence commands that
-may still be on their way. The renewal grant is encoded by `restart_recovery.RenewalGrants`. Shard
-owners and the restart recovery call this module; docs/design.md, "Fencing tokens", has the reasons.
-No I/O.
+dense index of the controller that issued the token. The field is 0 in tokens that name no holder:
+releases before this layout issued them, with a count of 20 bits. `count` is incremented to fence
+commands that may still be in flight. `restart_recovery.RenewalGrants` encodes the renewal grant.
+Shard owners and the restart recovery call this module; docs/design.md, "Fencing tokens", explains
+the design. No I/O.
 """
 
 from __future__ import annotations
 
-# Bits below the epoch: the same as before this layout, since a release with another number would
-# take tokens of the other for tokens of a different epoch
+# Number of bits below the epoch. Earlier layouts had the same number, since releases that differ in
+# it would read each other's tokens as tokens of a different epoch
 TOKEN_BITS = 20
 RENEWAL_GRANT_BITS = 8
 COUNT_BITS = 7
@@ -25,7 +25,7 @@
 
 
 def initial_token(epoch: int, holder: int | None) -> int:
-    """Return an epoch's lowest token; it names the holder if the field can hold its index."""
+    """Return an epoch's lowest token, which names the holder if its index fits into the field."""
     encoded_holder = holder + 1 if holder is not None and 0 <= holder < HOLDER_MASK else 0
     return epoch << TOKEN_BITS | encoded_holder << (RENEWAL_GRANT_BITS + COUNT_BITS)
 
@@ -36,7 +36,7 @@
 
 
 def holder_of(token: int) -> int | None:
-    """Return the index of the controller that issued a token; None: it does not say."""
+    """Return the index of the controller that issued a token; None if the token does not say."""
     encoded_holder = token >> (RENEWAL_GRANT_BITS + COUNT_BITS) & HOLDER_MASK
     return encoded_holder - 1 if encoded_holder else None
 
@@ -47,14 +47,17 @@
 
 
 def next_token(token: int) -> int | None:
-    """Return the next token, which fences messages with this one; None: the epoch has no more."""
+    """Return the next token, which fences messages with this one; None if no more exist."""
     if holder_of(token) is None:
         return token + 1 if token & UNNAMED_HOLDER_MASK < UNNAMED_HOLDER_MASK else None
     return token + (1 << RENEWAL_GRANT_BITS) if token & COUNT_MASK < COUNT_MASK else None
 
 
 def with_renewal_grant(token: int, renewal_grant: int) -> int | None:
-    """Return the lowest token that is no lower and has this grant; None: the epoch has no more."""
+    """Return the lowest token that is not below `token` and holds this grant.
+
+    Returns `token` itself if it names no holder, and None if the epoch has no tokens left.
+    """
     if holder_of(token) is None or renewal_grant_of(token) == renewal_grant:
         return token
     if renewal_grant > renewal_grant_of(token):
--- a/ploverhall/coordination/job_answers.py
+++ b/ploverhall/coordination/job_answers.py
@@ -1,9 +1,10 @@
-"""What a user may be told of a job: the only place where a job's state becomes an answer.
+"""Decide what a user may be told of a job; no other module turns a job's state into an answer.
 
-Three things go in: the store cache, a fresh read that shows it to be current, and, for a
-cancellation, whether it may be acknowledged (`cancellation_barrier`). No controller gives an older
-answer than any controller before it; docs/design.md, "What a user is told", shows why.
-`controller.job_requests` asks, makes the fresh reads and looks into the archive. No I/O.
+An answer depends on the store cache, on a fresh read that proves the cache to be current, and, for
+a cancellation, on whether it may be acknowledged (`cancellation_barrier`). No controller gives an
+answer older than one that any controller gave before; docs/design.md, "What a user is told", shows
+why. `controller.job_requests` calls this module, makes the fresh reads and reads the archive. No
+I/O.
 """
 
 from __future__ import annotations
@@ -17,30 +18,30 @@
 
 
 class FreshRead(NamedTuple):
-    """A read of the store, begun at this time of the steady clock, that updated the store cache."""
+    """A read that updated the store cache; `started_at` is its start by the steady clock."""
 
     started_at: float
 
 
 class JobStatus(NamedTuple):
-    """The body of the answer, and whether the state is final."""
+    """A job's state: the body of the answer, and whether the state is final."""
 
     body: dict[str, Any]
     final: bool
 
 
 class Unavailable(NamedTuple):
-    """Nothing may be said of the job at the moment: the user is to ask again."""
+    """The answer that nothing certain is known of the job now; the user should ask again."""
 
     reason: str
 
 
 class UnknownJob(NamedTuple):
-    """Nobody has submitted the job."""
+    """The answer that no such job has been submitted."""
 
 
 class ArchiveLookupNeeded(NamedTuple):
-    """Only the archive can say whether there was such a job."""
+    """The result that only the archive can tell whether the job exists."""
 
 
 JobAnswer = JobStatus | Unavailable | UnknownJob
@@ -49,7 +50,7 @@
 
 
 class JobAnswers:
-    """One controller's answers."""
+    """The answers that one controller gives to users who ask about jobs."""
 
     def __init__(
         self,
@@ -59,13 +60,14 @@
     ) -> None:
         self.store_cache = store_cache
         self.may_acknowledge = may_acknowledge
-        # A live job's numbers of completed and running tasks, for display
+        # Returns the numbers of completed and running tasks of a live job, for display
         self.progress = progress
 
     def final(self, job_id: str) -> JobStatus | Unavailable | None:
-        """Return how a job ended, or Unavailable; None: it has not, as far as the cache knows.
+        """Return how a job ended; None if the cache knows of no end.
 
-        It needs no fresh read: nothing overrules an end that has been written.
+        Returns Unavailable for a cancellation that may not be acknowledged yet. Needs no fresh
+        read, since nothing overrides an end that has been written.
         """
         end = self.store_cache.ended_jobs.get(job_id)
         if end is None:
@@ -77,9 +79,10 @@
     def verified(
         self, job_id: str, asked_at: float, fresh_read: FreshRead | None
     ) -> JobAnswer | ArchiveLookupNeeded:
-        """Return what is certain about a job that was asked about at `asked_at` (steady clock).
+        """Return what is certain about a job that a user asked about at `asked_at` (steady clock).
 
-        A fresh read that began before the question shows nothing about what was written since.
+        A fresh read that began before the request arrived is not enough, since it shows nothing
+        that was written in between.
         """
         if (end := self.final(job_id)) is not None:
             return end
@@ -100,9 +103,9 @@
     def archived(
         self, job_id: str, value: dict[str, Any] | None, version: int
     ) -> JobStatus | UnknownJob:
-        """Return the answer by an archive lookup that began after the fresh read.
+        """Return the answer that follows from an archive lookup that began after the fresh read.
 
-        `value` is the archived record, None where there is none, and `version` that of its key.
+        `value` is the archived record, None if there is none; `version` is the version of its key.
         """
         if value is None:
             return UnknownJob()
@@ -110,20 +113,20 @@
         return JobStatus(jobs.status_body(job_id, end.outcome, end.tasks_done), True)
 
     def accepted(self, job_id: str) -> JobStatus:
-        """Return the answer to a submission that this controller has written."""
+        """Return the answer to a submission that this controller has written to the store."""
         return JobStatus({"id": job_id, "stance": jobs.QUEUED}, False)
 
     def live_version(self, job_id: str) -> int | None:
-        """Return the key's version of a job that is not over, which a cancellation compares.
+        """Return the version of a live job's key, for a cancellation's compare-and-swap.
 
-        None where the cache has no such job.
+        None if the cache has no such live job.
         """
         live = self.store_cache.live_jobs.get(job_id)
         return live[1] if live is not None else None
 
     def is_live(self, job_id: str) -> bool:
-        """Return whether the cache has the job as accepted and not over.
+        """Return whether the cache holds the job as accepted and not ended.
 
-        This decides what to do next; it is not certain enough to be told.
+        Use this to decide what to do next, not to answer a user: the cache may be outdated.
         """
         return job_id in self.store_cache.live_jobs or job_id in self.store_cache.unreadable_jobs
--- a/ploverhall/coordination/orphaned_machines.py
+++ b/ploverhall/coordination/orphaned_machines.py
@@ -1,10 +1,11 @@
-"""Machines that can't reach the controller that holds their shard, though it keeps its lease.
+"""Detect machines that can't reach the holder of their shard although the holder keeps its lease.
 
-A controller may lose its machines, or everything but the key-value store: its lease stays alive,
-nobody acquires its shard, and the leases of its agents expire while they are redirected to it.
-Whichever controller the agents come to instead may acquire the shard: the write is a
-compare-and-swap, and the new epoch fences the old holder. `controller.heartbeat_requests` records
-sightings and asks. No I/O; times are seconds of the process's steady clock.
+A controller may lose contact with its machines, or with everything but the key-value store. Then
+its lease stays alive, no other controller acquires its shard, and its agents' leases expire while
+they are redirected to it. Any other controller that receives the agents' heartbeats may acquire the
+shard: the write is a compare-and-swap, and the new epoch fences the old holder.
+`controller.heartbeat_requests` records the heartbeats and asks whether to acquire the shard. No
+I/O; times are seconds of the process's steady clock.
 """
 
 from __future__ import annotations
@@ -12,39 +13,40 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-RECENT_SIGHTING_S = 4.0  # an agent's own timeout
-RETURNED_AFTER_S = 2.0  # redirected to the holder, and here again after at least this
-# An agent that tries two unresponsive controllers in between is back after 10 s
-FORGET_SIGHTING_S = 12.0
-REQUIRED_MACHINES = 2  # so that one faulty agent moves no shard
+RECENT_HEARTBEAT_S = 4.0  # the time for which an agent waits for an answer
+# A machine whose heartbeats here span at least this time was redirected to the holder and returned
+MIN_RETURN_S = 2.0
+# An agent that tries two unresponsive controllers in between comes back after 10 s
+MAX_HEARTBEAT_GAP_S = 12.0
+REQUIRED_MACHINES = 2  # so that a single faulty agent cannot move a shard
 
 
-class Sighting(NamedTuple):
-    """Since when and until when a machine has kept coming, and whether its holder has served it."""
+class HeartbeatSeries(NamedTuple):
+    """A series of heartbeats that a machine of another controller's shard has sent here."""
 
     first_at: float
     last_at: float
-    served_by_holder: bool
+    served_by_holder: bool  # the shard's holder has answered the machine before
 
 
 @dataclass(slots=True)
 class OrphanedMachines:
-    """Which machines of other controllers' shards came here, and since when they keep coming."""
+    """The heartbeats that machines of other controllers' shards have sent to this controller."""
 
-    sightings: dict[int, dict[str, Sighting]] = field(default_factory=dict)
+    heartbeat_series: dict[int, dict[str, HeartbeatSeries]] = field(default_factory=dict)
 
     def record(self, shard: int, machine: str, served_by_holder: bool, now: float) -> None:
-        """Record a machine's heartbeat here, and whether the holder has answered it before."""
-        machines = self.sightings.setdefault(shard, {})
+        """Record a machine's heartbeat and whether the shard's holder has answered the machine."""
+        machines = self.heartbeat_series.setdefault(shard, {})
         known = machines.get(machine)
-        continues = known is not None and now - known.last_at < FORGET_SIGHTING_S
+        continues = known is not None and now - known.last_at < MAX_HEARTBEAT_GAP_S
         first_at = known.first_at if known is not None and continues else now
-        machines[machine] = Sighting(first_at, now, served_by_holder)
+        machines[machine] = HeartbeatSeries(first_at, now, served_by_holder)
 
     def returned(self, shard: int, machine: str, now: float) -> bool:
-        """Return whether a machine was here lately, so was redirected and is back."""
-        known = self.sightings.get(shard, {}).get(machine)
-        return known is not None and now - known.last_at < FORGET_SIGHTING_S
+        """Return whether a machine sent a heartbeat here lately, so was redirected and is back."""
+        known = self.heartbeat_series.get(shard, {}).get(machine)
+        return known is not None and now - known.last_at < MAX_HEARTBEAT_GAP_S
 
     def should_acquire(
         self,
@@ -56,36 +58,32 @@
     ) -> bool:
         """Return whether to acquire a shard from its holder.
 
-        `holder_heard`: the holder's messages arrive here; `is_preferred`: this controller is the
-        shard's preferred one; `holder_without_heartbeats`: the holder says that none of its agents
-        sends heartbeats any more. Then machines need not return first: redirected to it, each would
-        wait for 4 s while its lease runs out.
+        `holder_heard`: whether the holder's messages arrive here. `is_preferred`: whether this
+        controller is the shard's preferred one. `holder_without_heartbeats`: whether the holder
+        reports that none of its agents sends heartbeats any more. If so, machines need not return
+        first, since each one redirected to the holder would wait for 4 s while its lease runs out.
 
-        Machines that the holder has never served may just be on their way to it, as after every
-        boot and takeover. They count only at the preferred controller, and only while the holder is
-        not heard: counted elsewhere, they make two controllers acquire a shard from each other in
-        turn.
+        Machines that the holder has never served may simply not have reached it yet, as after every
+        boot and takeover. They count only at the preferred controller, and only while the holder's
+        messages do not arrive there. If they counted elsewhere, two controllers would acquire the
+        shard from each other in turn.
         """
-        machines = self.sightings.get(shard)
+        machines = self.heartbeat_series.get(shard)
         if not machines:
             return False
         recent = [
-            sighting for sighting in machines.values() if now - sighting.last_at < RECENT_SIGHTING_S
+            series for series in machines.values() if now - series.last_at < RECENT_HEARTBEAT_S
         ]
         if not recent and all(
-            now - sighting.last_at > FORGET_SIGHTING_S for sighting in machines.values()
+            now - series.last_at > MAX_HEARTBEAT_GAP_S for series in machines.values()
         ):
-            del self.sightings[shard]
-        served = [sighting for sighting in recent if sighting.served_by_holder]
+            del self.heartbeat_series[shard]
+        served = [series for series in recent if series.served_by_holder]
         if holder_without_heartbeats and len(served) >= REQUIRED_MACHINES:
             return True
-        # Returned, not merely seen lately: a controller that restarts within a second would lose
-        # its shard to machines that met its closed port once and are served by it again
-        returned = [
-            sighting
-            for sighting in served
-            if sighting.last_at - sighting.first_at >= RETURNED_AFTER_S
-        ]
+        # A recent heartbeat is not enough: a controller that restarts within a second would lose
+        # its shard to machines that found its port closed once and are served by it again
+        returned = [series for series in served if series.last_at - series.first_at >= MIN_RETURN_S]
         if len(returned) >= REQUIRED_MACHINES:
             return True
         counted = recent if is_preferred else served
--- a/ploverhall/coordination/state_channel.py
+++ b/ploverhall/coordination/state_channel.py
@@ -1,10 +1,10 @@
-"""State channels: keyed state from one role to another, as a full sync and then deltas.
+"""Synchronize keyed state from one role to another: the full state first, deltas afterwards.
 
-A channel belongs to a role held here (a kind and a shard, at an epoch) and is addressed to another
-role, wherever that is held. What is sent is always the newest value of what changed. A new holder,
-a new connection or a new epoch gets the full state; nothing else is sent again, nothing is queued,
-and every message may arrive twice. `controller.routing` collects outgoing messages and accepts
-incoming ones.
+A channel belongs to a role that this controller holds (a kind and a shard, at an epoch) and is
+addressed to another role, whichever controller holds that. A message holds the newest values of the
+keys that changed. A new holder, a new connection or a new epoch gets the full state; apart from
+that, nothing is sent again and nothing is queued. Every message may arrive twice.
+`controller.routing` collects outgoing messages and accepts incoming ones.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-Message = list[Any]  # as sent between controllers; of a state channel: the fields of StateUpdate
+Message = list[Any]  # sent between controllers; for a state channel, the fields of StateUpdate
 ChannelKey = tuple[str, int, int]  # kind, source shard, destination shard
-AUTOSCALER_ENDPOINT = -1  # stands for the autoscaler where a shard is named
+AUTOSCALER_ENDPOINT = -1  # stands for the autoscaler in place of a shard
 
 
 class StateUpdate(NamedTuple):
-    """A channel's message; the order of the fields is that of the message's list."""
+    """A channel's message, with its fields in the order of the list that is sent."""
 
     kind: str
     source: int
     epoch: int
     destination: int
-    is_full: bool  # `changes` is the full state; else what changed, with None for removed keys
+    is_full: bool  # `changes` is the full state, else only changed keys (None: removed)
     changes: dict[str, Any]
-    # Counts a channel's messages: what an old connection delivers after a newer one has delivered
-    # would otherwise bring back state that is over, and a refused permit would run
+    # Number of the message in its channel. Without it, a late message of an old connection would
+    # restore outdated state, and a refused permit would run
     sequence: int
 
 
 def peer_message(kind: str, sender: int, value: Any, sequence: int = 0) -> Message:
-    """Return a message between controllers that belongs to no channel, in the channels' form.
+    """Return a message that belongs to no channel, in the format of the channels' messages.
 
-    `sender`: the controller's index. A release that does not know the kind takes it for the state
-    of an endpoint that nobody holds.
+    `sender` is the index of the sending controller. A release that does not know the kind treats
+    the message as state of an endpoint that nobody holds.
     """
     return [kind, sender, 0, 0, True, value, sequence]
 
 
 @dataclass(slots=True)
 class StateChannel:
-    """The state that one role sends to another."""
+    """The state that one role sends to another, and which of its keys have yet to be sent."""
 
     kind: str
     source: int
@@ -51,13 +51,13 @@
     epoch: int
     state: dict[str, Any] = field(default_factory=dict)
     changed_keys: set[str] = field(default_factory=set)
-    sent_to: tuple[str, int] | None = None  # controller, and the connection's generation
+    sent_to: tuple[str, int] | None = None  # controller, and generation of the connection
     sequence: int = 0
-    # Shared by all channels of an OutboundChannels: those with something to be sent
+    # The channels with changes to send; one set is shared by all channels of an OutboundChannels
     pending_channels: set[ChannelKey] = field(default_factory=set)
 
     def put(self, key: str, value: Any) -> None:
-        """Set one key, or remove it (None)."""
+        """Set one key, or remove it if the value is None."""
         if self.state.get(key) == value:
             return
         if not self.changed_keys:
@@ -69,17 +69,17 @@
         self.changed_keys.add(key)
 
     def update(self, changes: dict[str, Any]) -> None:
-        """Set or remove (None) some keys."""
+        """Set some keys, and remove those whose value is None."""
         for key, value in changes.items():
             self.put(key, value)
 
     def replace(self, state: dict[str, Any]) -> None:
-        """Set all keys; those that are not given are removed."""
+        """Replace the whole state; keys that are not in `state` are removed."""
         self.update({key: None for key in self.state if key not in state})
         self.update(state)
 
     def next_update(self, controller: str, generation: int) -> StateUpdate | None:
-        """Return what has to be sent on a controller's connection now; None: nothing."""
+        """Return the update to send on a controller's connection now; None if nothing is new."""
         is_full = self.sent_to != (controller, generation)
         if not is_full and not self.changed_keys:
             return None
@@ -102,16 +102,16 @@
 
 
 class OutboundChannels:
-    """All channels of the roles held here."""
+    """All channels of the roles that this controller holds."""
 
     def __init__(self) -> None:
         self.channels: dict[ChannelKey, StateChannel] = {}
-        self.pending: set[ChannelKey] = set()  # channels with something to be sent
-        # Per controller: the generation and the routing that all its channels were sent under
+        self.pending: set[ChannelKey] = set()  # channels with changes to send
+        # By controller: generation and routing with which its channels were last collected
         self.routes: dict[str, tuple[int, int | None]] = {}
 
     def channel(self, kind: str, source: int, destination: int, epoch: int) -> StateChannel:
-        """Return a role's channel; a new epoch begins an empty one."""
+        """Return a role's channel; create an empty one if there is none at this epoch."""
         key = (kind, source, destination)
         channel = self.channels.get(key)
         if channel is None or channel.epoch != epoch:
@@ -122,7 +122,7 @@
         return channel
 
     def drop(self, kinds: tuple[str, ...], source: int) -> None:
-        """Remove the channels of a role that is not held here any more."""
+        """Remove the channels of a role that this controller no longer holds."""
         for key in [key for key in self.channels if key[0] in kinds and key[1] == source]:
             del self.channels[key]
             self.pending.discard(key)
@@ -134,17 +134,18 @@
         holder: Callable[[int], str | None],
         routing: int | None = None,
     ) -> list[Message]:
-        """Return the messages that have to go to a controller now, and count them as sent.
+        """Return the messages to send to a controller now, and mark them as sent.
 
-        `generation` numbers the connections to it, `holder` names the controller that holds a
-        destination. `routing` changes whenever `holder` may answer otherwise than before: only
-        then, and on a new connection, are all channels looked at, else those with something to be
-        sent. None: all channels, always.
+        `generation` numbers the connections to the controller, and `holder` returns the name of the
+        controller that holds a destination. `routing` changes whenever the results of `holder` may
+        have changed. All channels are checked only after such a change and on a new connection;
+        otherwise only channels with changes to send are. If `routing` is None, all channels are
+        always checked.
         """
         route = (generation, routing)
         route_unchanged = routing is not None and self.routes.get(controller) == route
         self.routes[controller] = route
-        # Sorted, since a set's order differs from process to process: runs would not be repeatable
+        # Sorted, since a set's order differs between processes and runs would not be reproducible
         keys = sorted(self.pending) if route_unchanged else list(self.channels)
         messages: list[Message] = []
         for key in keys:
@@ -159,17 +160,18 @@
 
 
 class InboundChannels:
-    """The newest state received, whether or not the role it is meant for is held here yet."""
+    """The newest state received, also for roles that this controller does not hold yet."""
 
     def __init__(self) -> None:
         self.channels: dict[ChannelKey, tuple[int, dict[str, Any]]] = {}  # epoch, state
         self.sequences: dict[ChannelKey, int] = {}
 
     def accept(self, message: Message) -> bool:
-        """Apply a channel's message; return False for one that is not to be applied.
+        """Apply a channel's message; return False if it must not be applied.
 
-        That is one of an earlier epoch, one that is no newer than what is known, and a delta whose
-        predecessor has not come. Raises ValueError for a message with other than seven fields.
+        That is a message of an earlier epoch, one that is not newer than the last one applied, or a
+        delta whose predecessor has not arrived. Raises ValueError if the message does not have
+        seven fields.
         """
         kind, source, epoch, destination, is_full, changes, sequence = message
         key = (kind, source, destination)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -89,7 +89,7 @@
         await anyio.sleep(30.0)
         if not back:
             assert p.nodes["c1"].cancellation_state.isolated_redirects.round_interval_s > 15.0, (
-                "scouts were sent, and came back"
+                "canaries were redirected, and came back"
             )
         await anyio.sleep(45.0)
         assert p.fleet.killed_by_lease <= (0 if not back else 60)
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -68,7 +68,7 @@
             await anyio.sleep(2.0 * rng.random())
         await anyio.sleep(50.0)
         assert p.fleet.killed_by_lease <= 6, (
-            "a scout that was away when the first life ended has lost what ran on it"
+            "a canary that was away when the first life ended has lost what ran on it"
         )
 
     play(scene, seed)
