--- a/ploverhall/connectivity/relay_routes.py
+++ b/ploverhall/connectivity/relay_routes.py
@@ -145,7 +145,7 @@
         return None
 
     def reports_unreachable_shard(self, name: str, shard: int) -> bool:
-        """Return whether a peer reports that it holds a shard but no agent of it reaches the peer."""
+        """Return whether a peer reports that no agent of a shard that it holds reaches the peer."""
         return name in self.peers and shard in self.peers[name].unreachable_shards
 
     def all_services_reachable(self, name: str, now: float) -> bool:
--- a/ploverhall/maintenance/command.py
+++ b/ploverhall/maintenance/command.py
@@ -1,7 +1,7 @@
-"""The commands `ploverhall drain` and `ploverhall maintenance`.
+"""Implement the commands `ploverhall drain` and `ploverhall maintenance`.
 
-They ask a running controller, whichever; `ploverhall.cli` calls `drain` and `maintenance` with the
-parsed arguments and exits with what they return.
+The commands send their requests to a running controller; any controller will do. `ploverhall.cli`
+calls `drain` and `maintenance` with the parsed arguments and exits with the code that they return.
 """
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 
 MAX_ATTEMPTS = 5
 TIMEOUT_S = 5
-NO_RESPONSE = 0  # in place of an HTTP status
+NO_RESPONSE = 0  # stands for a missing HTTP status
 
 
 def request(address: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-    """Send one request to a controller (HOST:PORT); return the HTTP status and the decoded JSON.
+    """Send a request to a controller (HOST:PORT); return the HTTP status and the decoded JSON.
 
-    Repeated while the controller cannot decide (503) or does not answer: an order with the same id
-    is stored once, whatever became of the earlier answers. Status 0: no response at all.
+    The request is repeated while the controller cannot decide (503) or does not answer. That is
+    safe: an order with the same id is stored once, even if answers to earlier requests were lost.
+    Status 0 means that no response came at all.
     """
     data = _encode_body(method, body)
     status = NO_RESPONSE
@@ -45,13 +46,14 @@
 
 
 def _encode_body(method: str, body: Any) -> bytes | None:
+    """Return the JSON body of a request; a POST without one gets an empty body, others None."""
     if body is not None:
         return json.dumps(body).encode()
     return b"" if method == "POST" else None
 
 
 def _decode_error(error: urllib.error.HTTPError) -> Any:
-    """The JSON of an error response; None if it holds none."""
+    """Return the decoded JSON of an error response; None if its body is not JSON."""
     try:
         return json.load(error)
     except ValueError:
@@ -59,20 +61,20 @@
 
 
 def _print_refusal(status: int, answer: Any) -> int:
-    """Print why a request failed; returns the exit code."""
+    """Print why a request failed, and return the exit code."""
     reason = answer.get("error") if isinstance(answer, dict) else None
     print(f"ploverhall: {reason or f'status {status}'}", file=sys.stderr)
     return 1
 
 
 def _print_state(order: dict[str, Any]) -> int:
-    """Print the state of an order that was created or changed; returns the exit code."""
+    """Print the state of an order that was created or changed, and return the exit code."""
     print(f"order {order['id']} is {order['state']}")
     return 0
 
 
 def drain(args: argparse.Namespace) -> int:
-    """Create an order, or with `--dry-run` print its preview; returns the exit code."""
+    """Create an order, or print its preview with `--dry-run`; return the exit code."""
     order = {
         "id": args.id or f"u-{secrets.token_hex(4)}",
         "machines": args.machine,
@@ -91,7 +93,7 @@
 
 
 def _print_preview(preview: dict[str, Any]) -> int:
-    """Print what an order would drain; returns the exit code."""
+    """Print what an order would drain, and return the exit code."""
     print(f"{preview['machines']} machines, in at least {preview['rounds_at_least']} rounds")
     for team, kinds in sorted(preview["teams"].items()):
         tasks = ", ".join(f"{count} tasks of {kind}s" for kind, count in sorted(kinds.items()))
@@ -102,31 +104,35 @@
 
 
 def maintenance(args: argparse.Namespace) -> int:
-    """List, show or change orders; returns the exit code."""
+    """List, show or change orders, and return the exit code."""
     if args.verb in ("list", "show"):
         return _show_orders(args)
     if not args.id:
-        return _print_refusal(NO_RESPONSE, {"error": "which order?"})
+        return _print_refusal(
+            NO_RESPONSE, {"error": f"maintenance {args.verb}: the id of an order is required"}
+        )
     status, answer = request(args.address, "POST", f"/upkeep/{args.id}/{args.verb}")
     return _print_state(answer) if status == 200 else _print_refusal(status, answer)
 
 
 def _show_orders(args: argparse.Namespace) -> int:
-    """Print all orders, or the one that was named; returns the exit code."""
+    """Print all orders or the one that was named, and return the exit code."""
     status, answer = request(args.address, "GET", "/upkeep")
     if status != 200:
         return _print_refusal(status, answer)
-    found = [order for order in answer["orders"] if args.verb == "list" or order["id"] == args.id]
-    if args.verb == "show" and not found:
-        return _print_refusal(404, {"error": "no such order"})
-    print("\n".join(format_lines(found, answer["stops_that_wait"])))
+    selected = [
+        order for order in answer["orders"] if args.verb == "list" or order["id"] == args.id
+    ]
+    if args.verb == "show" and not selected:
+        return _print_refusal(404, {"error": f"no such order: {args.id!r}"})
+    print("\n".join(format_orders(selected, answer["stops_that_wait"])))
     return 0
 
 
-def format_lines(found: list[dict[str, Any]], denial_counts: dict[str, int]) -> list[str]:
-    """Orders as text lines, then how many evictions wait and why."""
+def format_orders(orders: list[dict[str, Any]], denial_counts: dict[str, int]) -> list[str]:
+    """Return text lines that describe orders, and the number of waiting evictions by reason."""
     lines = []
-    for order in found:
+    for order in orders:
         lines += _order_lines(order)
     lines += [
         f"stops that wait: {count}, {reason}" for reason, count in sorted(denial_counts.items())
@@ -135,7 +141,7 @@
 
 
 def _order_lines(order: dict[str, Any]) -> list[str]:
-    """One order and its progress."""
+    """Return text lines that describe one order and its progress."""
     note = f" ({order['note']})" if order["note"] else ""
     lines = [
         f"{order['id']}: {order['state']}, {', '.join(_criteria(order))},"
@@ -150,7 +156,7 @@
 
 
 def _criteria(order: dict[str, Any]) -> list[str]:
-    """What an order selects machines by."""
+    """Return descriptions of the criteria by which an order selects machines."""
     criteria = [f"{key} {order[key]}" for key in ("zone", "type", "part") if order[key] is not None]
     if order["spot"] is not None:
         criteria.append("spot" if order["spot"] else "ordinary")
--- a/ploverhall/maintenance/orders.py
+++ b/ploverhall/maintenance/orders.py
@@ -1,7 +1,7 @@
-"""Maintenance orders: what they say, which machines they match, and their stored form.
+"""Define maintenance orders: their fields, the machines that they match, and their stored form.
 
-Owns the names of that form, which operators send and see as well. `controller.maintenance_requests`
-parses operators' orders; the autoscaler reads stored ones.
+This module owns the field names of the stored form, which operators also send and see.
+`controller.maintenance_requests` parses operators' orders; the autoscaler reads stored ones.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 from ploverhall.errors import InvalidOrderError
 
-ORDER_PREFIX = "p/upkeep/"  # of the keys of orders in the key-value store
+ORDER_PREFIX = "p/upkeep/"  # prefix of the keys of orders in the key-value store
 FEATURE_MAINTENANCE = "upkeep"  # announced by controllers that request and grant evictions
-MAX_ACTIVE_ORDERS = 32  # orders that are not finished
+MAX_ACTIVE_ORDERS = 32  # limit on orders that are not finished
 MAX_MACHINES_PER_ORDER = 100
-MAX_CONCURRENT_LIMIT = 1000  # machines evicted at the same time by one order
+MAX_CONCURRENT_LIMIT = 1000  # highest `max_concurrent` of an order
 DEFAULT_MAX_CONCURRENT = 4
 MAX_TEXT_LENGTH = 200
 MAX_MACHINE_NAME_LENGTH = 100
-RETENTION_S = 3600.0  # for which a finished order is kept
+RETENTION_S = 3600.0  # time for which a finished order is kept
 
-# States, as they are stored
+# Stored names of the states
 RUNNING = "running"
 PAUSED = "paused"
 STOPPED = "stopped"
@@ -31,7 +31,7 @@
 STATE_BY_VERB = {"pause": PAUSED, "resume": RUNNING, "stop": STOPPED}
 ORDER_ID_PATTERN = re.compile(r"u-[0-9a-z-]{1,40}\Z")
 
-# Field names, as they are stored
+# Stored names of the fields
 ID_FIELD = "id"
 MACHINES_FIELD = "machines"
 ZONE_FIELD = "zone"
@@ -46,9 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceOrder:
-    """An order to evict the tasks of machines and delete them.
+    """An order to evict the tasks of machines and to delete the machines.
 
-    A machine is meant if it matches all fields; a field that is None matches any.
+    It applies to the machines that match all of `machines`, `zone`, `machine_type`, `spot` and
+    `shard`; a field that is None matches any machine.
     """
 
     id: str
@@ -57,14 +58,17 @@
     machine_type: str | None = None
     spot: bool | None = None
     shard: int | None = None
-    max_concurrent: int = DEFAULT_MAX_CONCURRENT  # machines being evicted at the same time
+    max_concurrent: int = DEFAULT_MAX_CONCURRENT  # machines that are being drained at the same time
     state: str = RUNNING
     created_at: float = 0.0  # wall clock
     note: str = ""
-    version: int = 0  # of its key in the key-value store
+    version: int = 0  # version of the order's key in the key-value store
 
     def matches(self, name: str, pool: tuple[str, str, bool], shard: int) -> bool:
-        """Return whether a machine is meant; `pool`: its type, zone and whether it is spot."""
+        """Return whether the order applies to a machine.
+
+        `pool` is the machine's type, its zone and whether it is a spot machine.
+        """
         return (
             (self.machines is None or name in self.machines)
             and self.machine_type in (None, pool[0])
@@ -74,7 +78,10 @@
         )
 
     def blocks_rental(self, pool: tuple[str, str, bool]) -> bool:
-        """Return whether no machine of a pool (type, zone, spot) is to be rented meanwhile."""
+        """Return whether no machine of a pool may be rented while the order is running.
+
+        `pool` is the machine type, the zone and whether its machines are spot machines.
+        """
         return (
             self.state == RUNNING
             and self.machines is None
@@ -84,11 +91,11 @@
 
     @property
     def finished(self) -> bool:
-        """Whether it is stopped or done."""
+        """Whether the order is stopped or done."""
         return self.state in (STOPPED, DONE)
 
     def record(self) -> dict[str, Any]:
-        """Return the form that is stored, and shown to operators."""
+        """Return the form of the order that is stored and shown to operators."""
         return {
             MACHINES_FIELD: sorted(self.machines) if self.machines is not None else None,
             ZONE_FIELD: self.zone,
@@ -103,9 +110,10 @@
 
 
 def parse_order(order_id: Any, fields: Any, version: int = 0) -> MaintenanceOrder:
-    """Check an order in the form that operators send and that is stored, and return it.
+    """Parse and check an order in the form that operators send and that is stored.
 
-    `version`: of its key in the key-value store. Raises InvalidOrderError, which names the field.
+    `version` is the version of the order's key in the key-value store. Raises InvalidOrderError if
+    the order is invalid; the error names the field, if a single one is wrong.
     """
     if not isinstance(order_id, str) or not ORDER_ID_PATTERN.match(order_id):
         raise InvalidOrderError(ID_FIELD, "must be like u-7f3a")
@@ -132,11 +140,13 @@
 
 
 def _matches_all(order: MaintenanceOrder) -> bool:
+    """Return whether an order has no condition, so that it would match every machine."""
     conditions = (order.machines, order.zone, order.machine_type, order.spot, order.shard)
     return all(condition is None for condition in conditions)
 
 
 def _machines(fields: dict[str, Any]) -> frozenset[str] | None:
+    """Return the names of the machines, None if the field is missing."""
     names = fields.get(MACHINES_FIELD)
     if names is None:
         return None
@@ -149,10 +159,12 @@
 
 
 def _is_machine_name(value: Any) -> bool:
+    """Return whether a value is a string of a length that a machine name may have."""
     return isinstance(value, str) and 0 < len(value) <= MAX_MACHINE_NAME_LENGTH
 
 
 def _spot(fields: dict[str, Any]) -> bool | None:
+    """Return whether only spot or only other machines are meant, None if the field is missing."""
     spot = fields.get(SPOT_FIELD)
     if spot is not None and not isinstance(spot, bool):
         raise InvalidOrderError(SPOT_FIELD, "must be true or false")
@@ -160,6 +172,7 @@
 
 
 def _shard(fields: dict[str, Any]) -> int | None:
+    """Return the shard index, None if the field is missing."""
     shard = fields.get(SHARD_FIELD)
     if shard is None:
         return None
@@ -169,6 +182,7 @@
 
 
 def _max_concurrent(fields: dict[str, Any]) -> int:
+    """Return the limit on machines being drained, the default if the field is missing."""
     count = fields.get(MAX_CONCURRENT_FIELD, DEFAULT_MAX_CONCURRENT)
     is_integer = isinstance(count, int) and not isinstance(count, bool)
     if not is_integer or not 1 <= count <= MAX_CONCURRENT_LIMIT:
@@ -177,6 +191,7 @@
 
 
 def _state(fields: dict[str, Any]) -> str:
+    """Return the state, `RUNNING` if the field is missing."""
     state = fields.get(STATE_FIELD, RUNNING)
     if state not in STATES:
         raise InvalidOrderError(STATE_FIELD, "unknown")
@@ -184,6 +199,7 @@
 
 
 def _created_at(fields: dict[str, Any]) -> float:
+    """Return the creation time (wall clock), 0 if the field is missing."""
     created_at = fields.get(CREATED_AT_FIELD, 0.0)
     if isinstance(created_at, bool) or not isinstance(created_at, (int, float)):
         raise InvalidOrderError(CREATED_AT_FIELD, "must be a time")
@@ -191,6 +207,7 @@
 
 
 def _text(fields: dict[str, Any], field: str) -> str | None:
+    """Return a printable text of bounded length, None if the field is missing."""
     value = fields.get(field)
     if value is None:
         return None
@@ -201,9 +218,9 @@
 
 
 def orders_in(entries: dict[str, tuple[Any, int]]) -> list[MaintenanceOrder]:
-    """Return the orders among a store's entries (value and version by key), the oldest first.
+    """Return the orders among a store's entries (value and version by key), oldest first.
 
-    Entries that are not in an order's form are left out.
+    Entries that can't be parsed as an order are skipped.
     """
     orders = []
     for key, (value, version) in entries.items():
--- a/ploverhall/storage/image_index.py
+++ b/ploverhall/storage/image_index.py
@@ -1,10 +1,10 @@
-"""Encoding of the stored index of which machine holds which container images.
+"""Encode and decode the stored index of which machine holds which container images.
 
-Agents do not report their images. A shard's owner learns them from the tasks it starts, and the
-index hands them on to the next owner: without it every start after a takeover fetches an image that
-a neighbouring machine holds. It is only a hint for placement, so it is written seldom, and a lost
-or late write costs one more fetch. `controller.image_writer` reads and writes it; there is no I/O
-here.
+Agents do not report their images. A shard's owner learns them from the tasks that it starts, and
+the index passes them on to the next owner: without it, every start after a failover fetches an
+image that a neighbouring machine holds. The index is only a hint for placement, so it is written
+seldom, and a lost or late write costs one more fetch. `controller.image_writer` reads and writes
+the index; this module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 import orjson
 
-WRITE_OVERHEAD_BYTES = 100  # what a write of one key takes besides key and value
+WRITE_OVERHEAD_BYTES = 100  # size of a write of one key, without key and value
 EMPTY_VALUE_BYTES = 8
 MACHINE_OVERHEAD_BYTES = 4
 IMAGE_REFERENCE_BYTES = 4
 ImagesByMachine = dict[str, dict[str, float]]  # machine -> image -> GB, least recently used first
 ImageRow = list[str | float]  # image, GB
-# A stored value: a table of images, and for each machine the positions in that table
+# A stored value: a table of images, and for each machine the positions of its images in the table
 PackedRecord = list[list[ImageRow] | dict[str, list[int]]]
 
 
 class _PackedValue:
-    """One stored value: a table of images, and for each machine the positions in that table."""
+    """Builder of one stored value (a PackedRecord) that keeps track of the value's size."""
 
     def __init__(self) -> None:
         self.table: list[ImageRow] = []
@@ -34,7 +34,7 @@
         self.size = EMPTY_VALUE_BYTES
 
     def bytes_for(self, machine: str, machine_images: dict[str, float]) -> int:
-        """Return by how many bytes the value would grow with this machine."""
+        """Return the number of bytes by which adding a machine would enlarge the value."""
         new_rows = sum(
             len(orjson.dumps([image, gigabytes])) + 1
             for image, gigabytes in machine_images.items()
@@ -44,7 +44,7 @@
         return len(orjson.dumps(machine)) + MACHINE_OVERHEAD_BYTES + references + new_rows
 
     def add(self, machine: str, machine_images: dict[str, float]) -> None:
-        """Add a machine."""
+        """Add a machine and its images to the value."""
         self.size += self.bytes_for(machine, machine_images)
         for image, gigabytes in machine_images.items():
             if image not in self.positions:
@@ -53,14 +53,14 @@
         self.machines[machine] = [self.positions[image] for image in machine_images]
 
     def record(self) -> PackedRecord:
-        """Return the stored form."""
+        """Return the stored form of the value."""
         return [self.table, self.machines]
 
 
 def pack(images: ImagesByMachine, max_bytes: int) -> list[PackedRecord]:
-    """Return the index as values of at most `max_bytes` bytes, each of which can be decoded alone.
+    """Return the index as values of at most `max_bytes` bytes that can be decoded independently.
 
-    A machine whose images do not fit into one value is left out.
+    A machine whose images do not fit into one value is omitted.
     """
     values: list[PackedRecord] = []
     current = _PackedValue()
@@ -81,7 +81,10 @@
 
 
 def unpack(values: list[Any]) -> ImagesByMachine:
-    """Decode values that `pack` returned; raises TypeError, ValueError or IndexError for others."""
+    """Decode values that `pack` returned.
+
+    Raises TypeError, ValueError or IndexError for malformed values.
+    """
     images: ImagesByMachine = {}
     for table, machines in values:
         for machine, positions in machines.items():
@@ -94,10 +97,10 @@
 def batches(
     values: Mapping[str, PackedRecord], max_operations: int, max_bytes: int
 ) -> list[dict[str, PackedRecord]]:
-    """Return keys and values in groups, each of which fits into one transaction.
+    """Divide keys and values into groups that each fit into one transaction.
 
-    There is always one group, which is empty when there are no values. A value that is larger than
-    `max_bytes` by itself gets a group of its own.
+    Returns at least one group, which is empty if there are no values. A value that alone exceeds
+    `max_bytes` gets a group of its own.
     """
     groups: list[dict[str, PackedRecord]] = [{}]
     group_bytes = 0
--- a/ploverhall/storage/schema.py
+++ b/ploverhall/storage/schema.py
@@ -1,9 +1,9 @@
-"""Keys and record forms in the key-value store.
+"""Define the keys and record forms of the key-value store.
 
-Everything under `WATCHED_PREFIX` is followed by watch and cached by every controller
-(`store_cache.StoreCache`). Allocations, progress, grants and images lie outside it: only the holder
-of a shard reads those of its teams and machines. Descriptions of jobs and machine types are decoded
-in `protocol.jobs` and `protocol.cloud`, maintenance orders in `maintenance.orders`.
+Every controller watches and caches all keys under `WATCHED_PREFIX` (`store_cache.StoreCache`).
+Allocations, progress, grants and images have other prefixes: only the holder of a shard reads those
+of its teams and machines. `protocol.jobs` and `protocol.cloud` decode descriptions of jobs and
+machine types, `maintenance.orders` decodes maintenance orders.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 AUTOSCALER_KEY = "p/renter"
 MACHINE_TYPE_COUNT_KEY = "p/types"
 MACHINE_TYPE_PREFIX = "p/type/"
-ARCHIVE_MARKER_KEY = "p/archived"  # present once there is anything under ARCHIVE_PREFIX
-ARCHIVE_PREFIX = "e/"  # jobs that ended long ago: not watched, read when a user asks for one
+ARCHIVE_MARKER_KEY = "p/archived"  # exists once there are keys under ARCHIVE_PREFIX
+ARCHIVE_PREFIX = "e/"  # jobs that ended long ago; not watched, read on request
 
-# Fields of stored records
+# Field names of stored records
 FIELD_OUTCOME = "s"
 FIELD_TASKS_DONE = "n"
 FIELD_HOLDER = "node"
@@ -33,11 +33,11 @@
 FIELD_MACHINE_TYPE_COUNT = "n"
 
 MAX_KEY_PART_LENGTH = 120
-KEPT_KEY_PART_LENGTH = 100  # of a longer part; its length and a checksum stand for the rest
+TRUNCATED_KEY_PART_LENGTH = 100  # longer parts are cut to it; length and checksum are appended
 
 
 def job_key(job_id: str) -> str:
-    """Return the key of a job's description, later of its end."""
+    """Return the key of a job's description, which the record of its end replaces later."""
     return JOB_PREFIX + job_id
 
 
@@ -62,7 +62,7 @@
 
 
 def grants_key(team: str) -> str:
-    """Return the key of the eviction grants that a team's source has given."""
+    """Return the key of the eviction grants that the source of a team's jobs has issued."""
     return f"u/{_escape_key_part(team)}"
 
 
@@ -72,7 +72,10 @@
 
 
 def _escape_key_part(name: str) -> str:
-    """Return a name as part of a key, injectively: keys hold no spaces, and 200 bytes at most."""
+    """Return a name escaped for use in a key, with a different result for every name.
+
+    Keys hold no spaces and at most 200 bytes.
+    """
     escaped = "".join(
         char if char.isalnum() and char.isascii() or char in "-_." else f"%{ord(char):x},"
         for char in name
@@ -80,29 +83,30 @@
     if len(escaped) <= MAX_KEY_PART_LENGTH:
         return escaped
     checksum = sum(position * ord(char) for position, char in enumerate(escaped, start=1))
-    return f"{escaped[:KEPT_KEY_PART_LENGTH]}~{len(escaped)}~{checksum:x}"
+    return f"{escaped[:TRUNCATED_KEY_PART_LENGTH]}~{len(escaped)}~{checksum:x}"
 
 
 class EndedJob(NamedTuple):
-    """How a job ended (`jobs.DONE` or `jobs.CANCELLED`), its completed tasks, its key's version."""
+    """The end of a job: its outcome (`jobs.DONE` or `jobs.CANCELLED`) and its completed tasks."""
 
     outcome: str
     tasks_done: int
-    version: int
+    version: int  # version of the job's key
 
 
 def end_record(outcome: str, tasks_done: int) -> dict[str, object]:
     """Return the stored form of a job's end.
 
-    It replaces the job's description under the same key: one write, and no moment without either.
+    It replaces the job's description under the same key: a single write, so that one of the two
+    always exists.
     """
     return {FIELD_OUTCOME: outcome, FIELD_TASKS_DONE: tasks_done}
 
 
 def ended_from_record(value: dict[str, Any], version: int) -> EndedJob:
-    """Decode what `end_record` encoded; the version is that of the key.
+    """Decode a record that `end_record` returned; `version` is the version of its key.
 
-    Raises TypeError or ValueError when the number of completed tasks is not a number.
+    Raises TypeError or ValueError if the number of completed tasks is not a number.
     """
     return EndedJob(
         jobs.DONE if value.get(FIELD_OUTCOME) == jobs.DONE else jobs.CANCELLED,
@@ -112,16 +116,16 @@
 
 
 class Holder(NamedTuple):
-    """Who holds a shard or the autoscaler role (None: nobody), and the epoch: the key's version."""
+    """The holder of a shard or of the autoscaler role, None if there is none, and its epoch."""
 
     controller: str | None
-    epoch: int
+    epoch: int  # version of the key
 
 
 def holder_from_record(value: dict[str, Any] | None, version: int) -> Holder:
-    """Decode the value of a shard's or the autoscaler's key; None stands for no such key.
+    """Decode the value of a shard's or the autoscaler's key; None means that the key is missing.
 
-    Raises KeyError when the record names no holder.
+    Raises KeyError if the record names no holder.
     """
     if not value:
         return Holder(None, 0)
@@ -129,12 +133,12 @@
 
 
 def autoscaler_record(controller: str) -> dict[str, object]:
-    """Return the value of the autoscaler's key when this controller holds the role."""
+    """Return the value of the autoscaler's key for a controller that holds the role."""
     return {FIELD_HOLDER: controller}
 
 
 def shard_record(controller: str, lease_id: int | None) -> dict[str, object]:
-    """Return the value of a shard's key when a controller claims it with its lease."""
+    """Return the value of a shard's key for a controller that claims it with its lease."""
     return {FIELD_HOLDER: controller, FIELD_LEASE: lease_id}
 
 
@@ -144,11 +148,11 @@
 
 
 class ControllerRecord(NamedTuple):
-    """What a controller's membership key says of it."""
+    """The contents of a controller's membership key."""
 
     zone: str
-    features: list[str]  # what its release can do that an older one can't
-    revision_read: int  # up to this revision it has read the store
+    features: list[str]  # features of its release that older releases lack
+    revision_read: int  # revision up to which it has read the store
 
 
 def controller_record(record: ControllerRecord) -> dict[str, object]:
@@ -161,9 +165,9 @@
 
 
 def controller_from_record(value: Any) -> ControllerRecord | None:
-    """Decode a membership key; None if there is none, or its value is of another form.
+    """Decode the value of a membership key; None if there is no key or its value is not an object.
 
-    Fields that are missing or malformed, as in other releases, are empty and 0.
+    Fields that are missing or malformed, as in other releases, become empty or 0.
     """
     if not isinstance(value, dict):
         return None
@@ -177,14 +181,14 @@
 
 
 def machine_type_count_record(count: int) -> dict[str, int]:
-    """Return the record that states how many machine types are stored."""
+    """Return the record of the number of stored machine types."""
     return {FIELD_MACHINE_TYPE_COUNT: count}
 
 
 def machine_type_count(value: dict[str, Any]) -> int:
-    """Decode how many machine types are stored under `MACHINE_TYPE_PREFIX` once all are written.
+    """Return the number of keys under `MACHINE_TYPE_PREFIX` once all machine types are written.
 
-    Raises KeyError when the record states no count.
+    Raises KeyError if the record states no count.
     """
     count: int = value[FIELD_MACHINE_TYPE_COUNT]
     return count
