--- a/ploverhall/controller/agent_commands.py
+++ b/ploverhall/controller/agent_commands.py
@@ -1,7 +1,8 @@
-"""Commands sent directly to agents, and which agents reach this controller by themselves.
+"""Send commands to agents, and track which agents reach this controller directly.
 
-`AgentCommands` owns the connections to agents. Shard owners' commands go out by `send`;
-`heartbeat_requests` notes direct heartbeats here; peers relay commands in by `serve_relayed`.
+`AgentCommands` owns the connections to agents. `send` sends the shard owners' commands;
+`heartbeat_requests` records direct heartbeats here; `serve_relayed` handles commands that peers
+relay.
 """
 
 from __future__ import annotations
@@ -23,45 +24,54 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.transport.client_pool import ClientPool
 
-COMMAND_TIMEOUT_S = 1.5  # how long an agent has to answer
-RELAY_EXTRA_S = 0.3  # what a relay through a peer may take besides
-# After a failover the agents need so long to come here: they wait 4 s for the former holder, and
-# 1 s before they go on
+COMMAND_TIMEOUT_S = 1.5  # within which an agent has to answer
+RELAY_EXTRA_S = 0.3  # additional time for a relay through a peer
+# After a failover the agents need up to this to arrive here: they wait 4 s for an answer of the
+# former holder, and 1 s before they try the next controller
 FIRST_HEARTBEAT_GRACE_S = 6.0
 PROBE_CHECK_INTERVAL_S = 0.25
-REACHABILITY_SAMPLE = 5  # agents that a peer is asked to try
+REACHABILITY_SAMPLE = 5  # agents that a peer is asked to call
 MAX_PORT = 65_535
-REPORTING_STATUSES = (200, 409)  # of a command, whose answers hold a heartbeat
+REPORTING_STATUSES = (200, 409)  # statuses of a command whose answers hold a heartbeat
 
 
 class AgentCommands:
-    """Sends commands to agents, and knows which of them reach this controller directly."""
+    """Sends commands to agents, and tracks which of them reach this controller directly."""
 
     def __init__(
         self,
         context: ControllerContext,
         relay: Relay,
         start_probe: Callable[[str, str], None],
-        room: Callable[[], int],
+        capacity: Callable[[], int],
     ) -> None:
-        """`start_probe`: starts `probe` as a task of its own; `room`: connections still allowed."""
+        """Create a sender without connections.
+
+        Args:
+            context: This controller's shared state.
+            relay: Sends requests through peers.
+            start_probe: Starts `probe` as a separate task.
+            capacity: Returns how many connections to agents may be kept open.
+        """
         self.context = context
         self.relay = relay
         self.start_probe = start_probe
-        self.clients = ClientPool(lambda host, port: context.client(host, port, keep=1), room)
+        self.clients = ClientPool(
+            lambda host, port: context.client(host, port, max_idle=1), capacity
+        )
         self.failback = HeartbeatFailback()
-        # Per shard: when an agent's heartbeat last came directly (steady clock, seconds)
+        # By shard: when an agent's heartbeat last arrived directly (steady clock, seconds)
         self.direct_heartbeat_at: dict[int, float] = {}
 
-    # -- which agents reach this controller ----------------------------------------------------
+    # -- direct heartbeats ---------------------------------------------------------------------
 
     def heartbeat_received(self, shard: int, machine: str, now: float) -> None:
-        """Note a heartbeat that came directly."""
+        """Record a heartbeat that arrived directly."""
         self.direct_heartbeat_at[shard] = now
         self.failback.heartbeat_direct(machine, now)
 
     def unreachable_shards(self, now: float) -> dict[int, int]:
-        """Shards held here whose agents all fail to reach this controller, and their epochs."""
+        """Return, by shard held here of which no agent reaches this controller, its epoch."""
         max_silence_s = 1.3 * self.context.settings.heartbeat_interval_s + 0.3
         return {
             held.shard: held.epoch
@@ -70,14 +80,17 @@
         }
 
     def _last_direct_contact(self, held: HeldShard) -> float:
-        """When a shard's agents last reported directly; for a new owner, when they should have."""
+        """Return when a shard's agents last sent a direct heartbeat (steady clock, seconds).
+
+        For a new owner that is the time by which the first heartbeat is expected.
+        """
         received_at = self.direct_heartbeat_at.get(held.shard, NEVER)
         started_at = held.owner.started
         grace_s = FIRST_HEARTBEAT_GRACE_S if received_at < started_at else 0.0
         return max(received_at, started_at + grace_s)
 
     def all_shards_unreachable(self, now: float) -> bool:
-        """Whether shards with machines are held here, and no agent reaches this controller."""
+        """Return whether this controller holds shards with machines but no agent reaches it."""
         with_machines = [
             held.shard for held in self.context.held_shards.values() if held.owner.machines
         ]
@@ -88,25 +101,29 @@
     async def _request(
         self, address: str, method: str, path: str, body: Any = None
     ) -> tuple[int, object]:
-        """Send one request to an agent over the own link; return the HTTP status and the JSON.
+        """Send one request to an agent directly; return the HTTP status and the decoded JSON.
 
-        `address` is what the agent says of itself and may be anything: an impossible one raises
-        `UnreachableError`, as an agent without a response does.
+        `address` comes from the agent and is untrusted. Raises `UnreachableError` if it is not a
+        valid address or the agent does not respond.
         """
         host, _, port = address.rpartition(":")
         if not host or not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-            raise UnreachableError("not an address")
+            raise UnreachableError(
+                f"agent address {address!r:.200} is not HOST:PORT with a port of 1 to {MAX_PORT}"
+            )
         try:
             return await self.clients.call(host, int(port), method, path, body, COMMAND_TIMEOUT_S)
-        except ValueError as error:  # the host is no name that can be resolved
-            raise UnreachableError(f"{address!r}: {error}") from error
+        except ValueError as error:  # the host name cannot be resolved
+            raise UnreachableError(
+                f"agent address {address!r:.200} cannot be resolved: {error}"
+            ) from error
 
     async def send(self, owner: ShardOwner, machine: Machine, body: dict[str, object]) -> None:
-        """Send one `/do`, and hand the answer, or that there was none, to the shard's owner.
+        """Send one `/do` command, and tell the shard's owner the answer or its absence.
 
-        An agent that does not reach this controller gets it through the peer it reports to. Either
-        way it may be executed later than its timeout; the owner's next fencing token makes the
-        agent drop it then.
+        If the agent does not reach this controller, the command goes through the peer that relays
+        its heartbeats. Either way the command may arrive after its timeout; the agent then drops it
+        once it has the owner's next fencing token.
         """
         heartbeat = None
         try:
@@ -119,12 +136,12 @@
             InvalidHeartbeatError,
             orjson.JSONDecodeError,
         ):
-            pass  # the owner sees that there was no answer
+            pass  # the owner is told that there was no answer
         owner.on_direct_answer(machine, heartbeat, self.context.clock())
         self.context.wake_scheduling()
 
     async def _send_command(self, machine: Machine, body: dict[str, object]) -> tuple[int, object]:
-        """Send one `/do` directly or through a peer; return the HTTP status and the JSON."""
+        """Send one `/do` command, directly or through a peer; return HTTP status and JSON."""
         now = self.context.clock()
         via = self.failback.relay_for(
             machine.name, now, 2 * self.context.settings.heartbeat_interval_s + 1.0
@@ -140,7 +157,10 @@
     async def _relay_command(
         self, via: str, method: str, target: str, body: bytes = b""
     ) -> tuple[int, bytes]:
-        """Relay one request to an agent; `target`: its address and the path. Raises as `send`."""
+        """Relay one request to an agent; `target` is its address, a space and the path.
+
+        Raises the errors of `Relay.send`.
+        """
         return await self.relay.send(
             via,
             relay_messages.AGENT_COMMAND,
@@ -152,26 +172,27 @@
         )
 
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
-        """Send a peer's command to an agent that reports here; return the HTTP status and the body.
+        """Send a peer's command to an agent directly; return the HTTP status and the body.
 
-        Raises `RelayRefusedError` if it was certainly not sent, `UnreachableError` otherwise.
+        Raises `RelayRefusedError` if the command is not JSON and was not sent, and
+        `UnreachableError` if the agent did not respond.
         """
         address, _, path = request.target.rpartition(" ")
         try:
             body = orjson.loads(request.body) if request.body else None
             status, answer = await self._request(address, request.method, path, body)
         except orjson.JSONDecodeError as error:
-            raise RelayRefusedError("not JSON") from error
+            raise RelayRefusedError(f"the command that peer {peer} relays is not JSON") from error
         return status, orjson.dumps(answer)
 
     # -- reachability --------------------------------------------------------------------------
 
     async def reachable_from(self, peer: str, owner: ShardOwner) -> bool:
-        """Whether a peer reaches the agents of a shard held here: it tries a few by its own links.
+        """Return whether a peer reaches the agents of a shard held here; it calls a few of them.
 
-        Without this a shard fails back to a controller that its agents cannot reach, and their
-        leases run out: a controller that holds no shard cannot tell by itself. A peer whose release
-        cannot be asked counts as reaching them.
+        Without this check a shard fails back to a controller that its agents cannot reach, and
+        their leases expire: a controller that holds no shard does not know whether agents reach it.
+        A peer whose release does not support the check counts as reaching them.
         """
         now = self.context.clock()
         routes = self.relay.routes
@@ -199,7 +220,7 @@
         return 2 * sum(reached) >= len(sample)
 
     async def probe_loop(self) -> None:
-        """Probe the links to agents that report through a peer; never returns."""
+        """Probe agents whose heartbeats a peer relays; never returns."""
         while True:
             await anyio.sleep(PROBE_CHECK_INTERVAL_S)
             await self.clients.trim()
@@ -211,14 +232,14 @@
                     self.start_probe(name, owner.machines[name].address)
 
     def _owner_of(self, name: str) -> ShardOwner | None:
-        """The owner, held here, of a machine's shard."""
+        """Return the owner of a machine's shard; None if that shard is not held here."""
         for held in self.context.held_shards.values():
             if name in held.owner.machines:
                 return held.owner
         return None
 
     async def probe(self, name: str, address: str) -> None:
-        """Ask one agent for its state over the own link, only to learn whether it answers."""
+        """Request one agent's state directly to test whether it responds."""
         try:
             status, _ = await self._request(address, "GET", "/show")
         except UnreachableError:
--- a/ploverhall/controller/context.py
+++ b/ploverhall/controller/context.py
@@ -58,7 +58,7 @@
         self.controller_index = self.shard_map.controller_indices[settings.name]
         limit_share = STORE_LIMIT_SHARE / len(settings.controllers)
         self.store = KeyValueStore(
-            self.client(*settings.store, keep=STORE_CONNECTIONS),
+            self.client(*settings.store, max_idle=STORE_CONNECTIONS),
             settings.store_rps * limit_share,
             settings.store_write_rps * limit_share,
             runtime.clock,
@@ -77,9 +77,9 @@
         self.stalled_at = NEVER
         self.stall_s = 0.0
 
-    def client(self, host: str, port: int, keep: int = 8) -> Client:
-        """Return an HTTP client of one address that keeps up to `keep` idle connections."""
-        return Client(host, port, keep, self.runtime.network, self.runtime.clock)
+    def client(self, host: str, port: int, max_idle: int = 8) -> Client:
+        """Return an HTTP client of one address that keeps up to `max_idle` idle connections."""
+        return Client(host, port, max_idle, self.runtime.network, self.runtime.clock)
 
     def wake_scheduling(self) -> None:
         """Make the scheduling loop step now: there is something to decide."""
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -27,11 +27,11 @@
 from ploverhall.controller.controller_lease import ControllerLease
 from ploverhall.controller.heartbeat_relay import HeartbeatRelay
 from ploverhall.controller.heartbeat_requests import HeartbeatRequests
-from ploverhall.controller.http_routes import HttpRoutes, is_report
+from ploverhall.controller.http_routes import HttpRoutes, is_heartbeat_request
 from ploverhall.controller.image_writer import ImageWriter
 from ploverhall.controller.job_requests import JobRequests
 from ploverhall.controller.maintenance_requests import MaintenanceRequests
-from ploverhall.controller.outbound import OutsideService
+from ploverhall.controller.outbound import ExternalService
 from ploverhall.controller.own_connectivity import OwnConnectivity
 from ploverhall.controller.peer_links import PeerLinks
 from ploverhall.controller.peer_liveness import PeerLiveness
@@ -99,22 +99,22 @@
     def _compose_outside_services(self) -> None:
         """Make the ways to the key-value store and to the cloud, direct or through a peer."""
         settings, context = self.settings, self.context
-        self.store_service = OutsideService(
+        self.store_service = ExternalService(
             context,
             self.relay,
             relay_messages.STORE,
-            context.client(*settings.store, keep=STORE_CONNECTIONS),
+            context.client(*settings.store, max_idle=STORE_CONNECTIONS),
             probe_target=f"/kv/{AUTOSCALER_KEY}",
             rate=settings.store_rps * STORE_LIMIT_SHARE / len(settings.controllers),
             refuses_with_503=True,
             repeatable=("/grants",),
         )
         context.store.caller = self.store_service
-        self.cloud_service = OutsideService(
+        self.cloud_service = ExternalService(
             context,
             self.relay,
             relay_messages.CLOUD,
-            context.client(*settings.cloud, keep=CLOUD_CONNECTIONS),
+            context.client(*settings.cloud, max_idle=CLOUD_CONNECTIONS),
             probe_target="/flavors",
             rate=settings.cloud_rps,
             refuses_with_503=False,
@@ -124,11 +124,11 @@
     def _compose_agent_links(self) -> None:
         self.limiter = ConnectionLimiter(
             SocketLimits.of_platform(self.settings.max_sockets),
-            is_report,
+            is_heartbeat_request,
             stale_s=self.settings.lease_s,
         )
         self.agent_commands = AgentCommands(
-            self.context, self.relay, self._probe_agent, self.limiter.room_for_outgoing
+            self.context, self.relay, self._probe_agent, self.limiter.outgoing_capacity
         )
         self.own_connectivity = OwnConnectivity(
             self.context,
--- a/ploverhall/controller/heartbeat_relay.py
+++ b/ploverhall/controller/heartbeat_relay.py
@@ -1,6 +1,6 @@
-"""Relays heartbeats of agents that can't reach the holder of their shard.
+"""Relay heartbeats of agents that can't reach the holder of their shard.
 
-`heartbeat_requests` decides which heartbeats are relayed, and answers those that are held here.
+`heartbeat_requests` decides which heartbeats are relayed, and answers those for shards held here.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from ploverhall.protocol.relay_messages import HEARTBEAT, RelayRequest
 from ploverhall.transport.http_server import Reply
 
-# An agent waits 4 s for an answer, and has to learn within them that there is none
+# An agent waits 4 s for an answer, and has to be told within that time that there is none
 RELAY_TIMEOUT_S = 2.4
 RELAYED_STATUSES = (200, 421)  # the only answers that a shard's holder gives to a heartbeat
 
 
 class HeartbeatRelay:
-    """Sends heartbeats through peers to the holder of their shard."""
+    """Relays heartbeats through peers to the holder of their shard."""
 
     def __init__(
         self, context: ControllerContext, relay_routes: RelayRoutes, relay_requests: Relay
@@ -43,9 +43,11 @@
         avoided_relays: frozenset[str] = frozenset(),
         hops: int = MAX_HOPS,
     ) -> Reply | None:
-        """Relay a heartbeat to its shard's holder; return that one's answer, None if there is none.
+        """Relay a heartbeat to its shard's holder and return the holder's answer.
 
-        `avoided_relays`: peers that it must not go through; `hops`: how many relays it may take.
+        Returns None if relaying is turned off, there is no route, or no valid answer came.
+        `controller` is the holder; `avoided_relays` are peers that the heartbeat must not pass
+        through, and `hops` is the most peers that it may pass through.
         """
         if not self.context.settings.options.carry:
             return None
@@ -75,9 +77,15 @@
     async def relay_further(
         self, peer: str, request: RelayRequest, heartbeat: Heartbeat, shard: int
     ) -> Reply:
-        """Relay a peer's heartbeat by one more hop; raises `RelayRefusedError` if it cannot be."""
+        """Relay a peer's heartbeat by one more hop.
+
+        Raises `RelayRefusedError` if no hop is left, the heartbeat is for this controller, or no
+        answer came.
+        """
         if request.hops < 2 or request.destination in ("", self.context.settings.name):
-            raise RelayRefusedError("not held here")
+            raise RelayRefusedError(
+                f"shard {shard} is not held here, and its heartbeat cannot be relayed further"
+            )
         reply = await self.relay(
             request.body,
             heartbeat,
@@ -87,13 +95,13 @@
             request.hops - 1,
         )
         if reply is None:
-            raise RelayRefusedError("no way from here either")
+            raise RelayRefusedError(f"no answer for shard {shard} through another peer")
         return reply
 
     def _answer_superseded(self, answer: dict[str, Any], shard: int) -> bool:
-        """Whether a relayed answer came from a holder that has been superseded meanwhile.
+        """Return whether a relayed answer came from a holder that has been superseded since.
 
-        The agent would drop such an answer, and stay here while its lease runs out.
+        The agent would drop such an answer, and keep reporting here until its lease expires.
         """
         token = agents.token_of_answer(answer)
         return fencing_tokens.epoch_of(token) < self.context.store_cache.holder(shard)[1]
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -1,7 +1,7 @@
-"""Heartbeats of agents: answered by the owner of their shard, redirected, or relayed to it.
+"""Answer agents' heartbeats by the owner of their shard, redirect them, or relay them to it.
 
-`HeartbeatRequests` owns the answer to `POST` heartbeats. `http_routes` calls `receive` for an
-agent's own request, and `relay` calls `serve_relayed` for one that came through a peer.
+`HeartbeatRequests` answers heartbeats sent by `POST`. `http_routes` calls `receive` for a
+direct request of an agent, and `relay` calls `serve_relayed` for one that a peer relays.
 """
 
 from __future__ import annotations
@@ -29,7 +29,9 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
-RECOVERY_LOG_INTERVAL_S = 10.0  # one log line when restart recovery begins, not one per heartbeat
+RECOVERY_LOG_INTERVAL_S = (
+    10.0  # shorter gaps belong to one recovery: one log line, not one per heartbeat
+)
 
 
 class HeartbeatRequests:
@@ -58,7 +60,7 @@
         self.recovered_answer_at = NEVER
 
     async def receive(self, request: Request) -> Reply:
-        """Answer an agent's own heartbeat: 200, 421 (ask elsewhere), or 400 if it is malformed."""
+        """Answer a direct heartbeat: 200, 421 to redirect the agent, or 400 if it is malformed."""
         try:
             heartbeat = agents.decode_heartbeat(request.body)
         except InvalidHeartbeatError as error:
@@ -75,20 +77,20 @@
     def _record_direct_heartbeat(
         self, shard: int, machine: Machine, reply: Reply, heartbeat: Heartbeat
     ) -> None:
-        """Note that the agent reaches this controller, and when its answer has been sent."""
+        """Record that the agent reaches this controller, and when its answer has been sent."""
         self.agent_commands.heartbeat_received(shard, heartbeat.machine, self.context.clock())
 
         def on_sent() -> None:
             machine.last_answer_at = self.context.clock()
 
-        reply.sent = on_sent
+        reply.on_sent = on_sent
 
     # -- shards held here ----------------------------------------------------------------------
 
     def _answer_held(
         self, held: HeldShard, heartbeat: Heartbeat, relayed: bool = False
     ) -> tuple[Reply, Machine | None]:
-        """Return the shard owner's answer, and the machine if the answer renews its lease."""
+        """Return the reply of the shard's owner, and the machine if the reply renews its lease."""
         now = self.context.clock()
         if self.cancellation_state.isolated(now):
             return Reply(421, {}), None
@@ -98,19 +100,19 @@
         if machine is None:
             return self._superseded_reply(held), None
         if machine.stale_heartbeat:
-            # An old copy of a heartbeat: nobody waits for its answer
+            # A duplicate or late copy of a heartbeat: the agent no longer waits for its answer
             return Reply(200, agents.heartbeat_answer(machine.token, [])), None
         held.owner.renewal_grant = self.cancellation_state.renewal_grant(now)
         commands = held.owner.commands_for(machine, now)
-        # The agent's lease counts from when it sent the heartbeat, which was before now,
-        # whichever way the answer takes
+        # The agent's lease counts from when it sent the heartbeat. That was before now, whether the
+        # answer goes directly or through a peer
         machine.last_answer_at = now
         if held.owner.needs_step or held.owner.changed_attempts:
             self.context.wake_scheduling()
         return Reply(200, agents.heartbeat_answer(machine.token, commands)), machine
 
     def _superseded_reply(self, held: HeldShard) -> Reply:
-        """The agent has a token of a later epoch: send it to the holder of that epoch."""
+        """Return a redirect to the store's holder, for an agent with a token of a later epoch."""
         log.info(
             "superseded",
             shard=held.shard,
@@ -120,14 +122,14 @@
         return self._redirect_reply(self.context.store_cache.holder(held.shard)[0])
 
     def _redirect_reply(self, controller: str | None) -> Reply:
-        """Send the agent to a controller; to none if that is unknown or this one."""
+        """Return a redirect to a controller, naming none if that is unknown or this one."""
         own_name = self.context.settings.name
         return Reply(421, agents.redirect(controller if controller != own_name else None))
 
     def _isolation_redirect(
         self, heartbeat: Heartbeat, held: HeldShard | None, now: float
     ) -> str | None:
-        """The controller an isolated one sends this agent to; None: answer it here.
+        """Return the controller to redirect this agent to while this one is isolated; None if none.
 
         See `coordination.isolation`.
         """
@@ -140,10 +142,10 @@
             heartbeat.machine, now - answered_at if heartbeat.listed_tasks else None, now
         )
 
-    # -- shards held elsewhere -----------------------------------------------------------------
+    # -- shards held by peers ------------------------------------------------------------------
 
     async def _answer_not_held(self, body: bytes, heartbeat: Heartbeat, shard: int) -> Reply:
-        """Redirect an agent of another controller's shard, or relay if it cannot reach that one."""
+        """Redirect an agent to its shard's holder, or relay the heartbeat if it can't reach it."""
         own_name = self.context.settings.name
         now = self.context.clock()
         controller = self.routing.holder(shard)
@@ -153,9 +155,12 @@
                 return reply
         holder, epoch = self.context.store_cache.holder(shard)
         token_epoch = fencing_tokens.epoch_of(heartbeat.token)
-        # A token of the holder's epoch: the agent has left it because its answers did not come
-        served = token_epoch == epoch
-        cannot_reach_holder = served or self._returned(heartbeat, shard, epoch, now)
+        # A token of the holder's epoch: the holder has served the agent, which left it because no
+        # answers came
+        served_by_holder = token_epoch == epoch
+        cannot_reach_holder = served_by_holder or self._failed_to_reach_holder(
+            heartbeat, shard, epoch, now
+        )
         if (
             controller is not None
             and controller != own_name
@@ -169,24 +174,29 @@
                 return relayed
             now = self.context.clock()
         if holder is not None and holder != own_name and token_epoch <= epoch:
-            self.shard_claims.orphaned_machines.record(shard, heartbeat.machine, served, now)
+            self.shard_claims.orphaned_machines.record(
+                shard, heartbeat.machine, served_by_holder, now
+            )
             self.shard_claims.wake.set()
             if self.peer_liveness.holder_without_heartbeats(holder, shard, now):
-                # Sent back to that holder it would hang; the shard is about to be acquired
+                # Redirected to that holder, the agent would wait for an answer in vain. The shard
+                # is about to be acquired
                 return Reply(421, {})
         return self._redirect_reply(controller)
 
-    def _returned(self, heartbeat: Heartbeat, shard: int, epoch: int, now: float) -> bool:
-        """Whether the agent was redirected to the holder of this epoch and could not reach it."""
+    def _failed_to_reach_holder(
+        self, heartbeat: Heartbeat, shard: int, epoch: int, now: float
+    ) -> bool:
+        """Return whether the agent was redirected to this epoch's holder and did not reach it."""
         older_token = 0 < fencing_tokens.epoch_of(heartbeat.token) < epoch
-        if older_token and self.routing.settled(shard, now):
+        if older_token and self.routing.has_stable_holder(shard, now):
             return True
         return self.shard_claims.orphaned_machines.returned(shard, heartbeat.machine, now)
 
     # -- restart recovery ----------------------------------------------------------------------
 
     def _recovery_reply(self, heartbeat: Heartbeat, shard: int, now: float) -> Reply | None:
-        """Answer an agent that this controller served before its restart; None: not one of those.
+        """Return the reply to an agent served here before a restart; None for any other agent.
 
         See `coordination.restart_recovery`.
         """
@@ -199,7 +209,7 @@
     def _recovered_answer(
         self, heartbeat: Heartbeat, shard: int, now: float
     ) -> dict[str, Any] | None:
-        """The body of a recovery answer, before the shard is held again; None if none is due."""
+        """Return a restart recovery answer, given before the shard is held again; None for none."""
         answer = self.cancellation_state.renewal_grants.answer_heartbeat(
             heartbeat,
             self.context.controller_index,
@@ -219,10 +229,10 @@
         return answer
 
     def _ended_jobs(self, heartbeat: Heartbeat) -> set[str]:
-        """Those of the listed tasks' jobs that are known to be over.
+        """Return the ids of jobs of the listed tasks that are known to have ended.
 
-        What a peer named as cancelled is over before the store has been read, too; that a job is
-        missing from the store cache means something only once the cache is ready.
+        A job that a peer reported as cancelled has ended even before the store has been read. A
+        job missing from the store cache has ended only if the cache is ready.
         """
         store_cache = self.context.store_cache
         job_ids = {attempt_id.job_id for attempt_id in heartbeat.tasks()}
@@ -233,13 +243,13 @@
             or (store_cache.ready and job_id not in store_cache.live_jobs)
         }
 
-    # -- relayed by peers ----------------------------------------------------------------------
+    # -- heartbeats relayed by peers -----------------------------------------------------------
 
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
-        """Answer a heartbeat that a peer relays: the HTTP status and the body for the agent.
+        """Answer a heartbeat that a peer relays; return the HTTP status and the body for the agent.
 
         Raises `RelayRefusedError` if the heartbeat is malformed, or if its shard is not held here
-        and cannot be relayed further.
+        and the heartbeat cannot be relayed further.
         """
         try:
             heartbeat = agents.decode_heartbeat(request.body)
@@ -254,6 +264,7 @@
         if machine is not None and self.agent_commands.failback.heartbeat_relayed(
             heartbeat.machine, peer, self.context.clock()
         ):
-            # Its heartbeat has been taken in; its commands it gets when it reports here directly
+            # The heartbeat has been applied. The agent gets its commands once it reports here
+            # directly
             return 421, orjson.dumps(agents.redirect(self.context.settings.name))
         return reply.status, orjson.dumps(reply.body)
--- a/ploverhall/controller/http_routes.py
+++ b/ploverhall/controller/http_routes.py
@@ -1,7 +1,7 @@
-"""Routes HTTP requests of users, agents, operators and the load balancer to their handlers.
+"""Route HTTP requests of users, agents, operators and the load balancer to their handlers.
 
-The HTTP server calls `HttpRoutes.handle` for every request, and `is_report` to tell agents'
-connections from others. `/healthz` is answered here.
+The HTTP server calls `HttpRoutes.handle` for every request, and `is_heartbeat_request` to tell
+agents' connections from others. `/healthz` is answered here.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
-REPORT_PATH = "/v1/report"
+HEARTBEAT_PATH = "/v1/report"
 JOBS_PATH = "/api/jobs"
 MAINTENANCE_PATH = "/upkeep"
 STATUS_FILTERS = ("job", "team", "machine")
-# A healthy controller had a response of the key-value store, directly or relayed, so lately
+# Oldest last response of the key-value store, direct or relayed, of a healthy controller
 STORE_ANSWER_MAX_AGE_S = 2.5
 
 
-def is_report(request: Request) -> bool:
-    """Whether a request is an agent's heartbeat: it keeps the connection for the next one."""
-    return request.path == REPORT_PATH
+def is_heartbeat_request(request: Request) -> bool:
+    """Return whether a request is a heartbeat; its agent keeps the connection for the next one."""
+    return request.path == HEARTBEAT_PATH
 
 
 class HttpRoutes:
@@ -63,9 +63,9 @@
             return Reply(503, {"error": "internal"}, 1.0)
 
     async def _route(self, request: Request) -> Reply:
-        """Call the handler of a path."""
+        """Call the handler of the request's path and method, and return its reply."""
         path = request.path
-        if path == REPORT_PATH:
+        if path == HEARTBEAT_PATH:
             if request.method != "POST":
                 return _method_not_allowed()
             return await self.heartbeat_requests.receive(request)
@@ -94,9 +94,10 @@
         return Reply(404, {"error": "no such path"})
 
     def healthy(self) -> bool:
-        """Whether the load balancer should send requests here.
+        """Return whether the load balancer should send requests here.
 
-        That is: ready, not isolated, and not the only one that the key-value store does not answer.
+        A healthy controller is ready and not isolated, and either the key-value store has answered
+        it lately, or the store answers no live peer either.
         """
         now = self.context.clock()
         if (
@@ -111,9 +112,10 @@
         )
 
     async def _status(self, selection: dict[str, str]) -> Reply:
-        """GET /status: all controllers' reports.
+        """Answer GET /status with the reports of all controllers.
 
-        With a job selected also what its user is told now, or why nothing.
+        If a job is selected, the answer also has what its user is told now, or why the state is
+        unavailable.
         """
         reports = await self.status_report.answer(selection)
         answer = (
@@ -132,4 +134,5 @@
 
 
 def _method_not_allowed() -> Reply:
+    """Return the reply to a request with a method that its path does not have."""
     return Reply(405, {"error": "method"})
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -1,7 +1,7 @@
-"""Users' requests about jobs: submit, poll, cancel.
+"""Serve users' requests about jobs: submit, poll and cancel.
 
-`http_routes` calls `JobRequests`, which validates, writes to the key-value store and replies. What
-a user may be told of a job is decided in `coordination.job_answers`, and nowhere else.
+`http_routes` calls `JobRequests`, which validates them, writes to the key-value store and replies.
+Only `coordination.job_answers` decides what a user may be told of a job.
 """
 
 from __future__ import annotations
@@ -32,25 +32,25 @@
 from ploverhall.storage.schema import ARCHIVE_PREFIX, JOB_PREFIX, end_record
 from ploverhall.transport.http_server import Reply
 
-# A write of unknown outcome is repeated only within this: its user waits for 5 s
+# A write of unknown outcome is repeated only within this time: its user waits for 5 s
 WRITE_RETRY_S = 1.5
-# How long the answer to a cancellation waits for the other controllers to acknowledge it
+# How long the reply to a cancellation waits for the other controllers' acknowledgements
 ACK_WAIT_S = 1.0
 ACK_POLL_INTERVAL_S = 0.03
 MAX_CANCEL_ATTEMPTS = 3  # compare-and-swap attempts of one cancellation
 RETRY_AFTER_S = 1.0
-# Lookups in the archive are put off while the store is busy, each for so long at most
+# Archive lookups are delayed while the store is busy, each for at most this time
 MAX_LOOKUP_DELAY_S = 20.0
 MAX_DELAYED_LOOKUPS = 1000
-# A submission that would wait for longer is refused at once, with the time to come back
+# A submission whose write would wait for longer is refused at once, with the time to retry after
 MAX_SUBMISSION_WAIT_S = 1.5
-MAX_UNGUARANTEED_WAIT_S = 0.5
-RECORD_OVERHEAD_BYTES = 64  # of the store's limit for a value, kept free
+MAX_UNGUARANTEED_WAIT_S = 0.5  # of a team without guaranteed CPUs or GPUs
+RECORD_OVERHEAD_BYTES = 64  # part of the store's limit for a value that is kept free
 LIMIT_TOLERANCE = 1e-6  # for sums of floating-point amounts
 
 
 def _reply(answer: JobAnswer) -> Reply:
-    """The HTTP reply for an answer about a job."""
+    """Return the HTTP reply for an answer about a job."""
     if isinstance(answer, JobStatus):
         return Reply(200, answer.body)
     if isinstance(answer, Unavailable):
@@ -59,22 +59,22 @@
 
 
 def _not_stored() -> Reply:
-    """The reply when the key-value store did not take a write, or may not have taken it."""
+    """Return the reply when the key-value store did not execute a write, or may not have."""
     return Reply(503, {"error": "not stored"}, RETRY_AFTER_S)
 
 
 def _rejected(status: int, reason: str, **known: str) -> Reply:
-    """The reply to an invalid submission.
+    """Log an invalid submission and return the reply to it.
 
-    `known`: fields for the log line. Only a well-formed id may be among them: a submission holds
-    whatever its sender likes.
+    `known` holds fields of the log line. Of the submission's own values only a well-formed id may
+    be among them, since a submission is untrusted.
     """
     log.info("submission rejected", status=status, **known, reason=reason)
     return Reply(status, {"error": reason})
 
 
 def _exceeds(limit: float, amount: float) -> bool:
-    """Whether an amount is above a team's limit; 0 stands for no limit."""
+    """Return whether an amount is above a team's limit; a limit of 0 means none."""
     return limit > 0 and amount > limit + LIMIT_TOLERANCE
 
 
@@ -92,21 +92,22 @@
         self.store_watch = store_watch
         self.answers = answers
         self.on_store_changed = on_store_changed
-        # Job ids whose archive lookup is put off, and since when (steady clock, seconds)
+        # By job id: since when its archive lookup is delayed (steady clock, seconds)
         self.delayed_lookups: dict[str, float] = {}
         self.pending_submissions = 0  # submissions being written
 
     # -- submitting ----------------------------------------------------------------------------
 
     def rejection_reason(self, job: Job) -> str | None:
-        """Why a job can never run; None if it can."""
+        """Return why a job can never run; None if it can."""
         team = self.context.teams.get(job.team)
         if team is None:
             return "unknown team"
         zones = self._feasible_zones(job)
         if not zones:
             return "no machine type fits a task"
-        # Of an array the other tasks run later, of a service half the replicas do
+        # Only a gang must fit as a whole: an array's other tasks run later, and half the replicas
+        # are enough for a service
         if job.kind == "gang":
             zone_count = 1 if job.single_zone else len(zones)
             if job.task_count > job.max_tasks_per_zone * zone_count:
@@ -119,7 +120,7 @@
         return None
 
     def _feasible_zones(self, job: Job) -> set[str]:
-        """The zones that sell a machine type on which a task of this job fits."""
+        """Return the zones that offer a machine type on which a task of this job fits."""
         types = self.context.machine_types or {}
         return {
             zone
@@ -131,7 +132,12 @@
         }
 
     async def submit(self, body: bytes) -> Reply:
-        """POST /api/jobs: 201 if accepted now, 200 if known, 400 or 422 if invalid, 429 or 503."""
+        """Answer POST /api/jobs.
+
+        The status is 201 if the job is accepted now, 200 if it is known, 400 if it is malformed,
+        422 if it can never run, 429 if its write would wait for too long, and 503 if this
+        controller is not ready, the job is not stored, or its state is not known.
+        """
         try:
             job = jobs.parse_submission(orjson.loads(body), self.context.wall_clock())
         except (orjson.JSONDecodeError, InvalidJobError) as error:
@@ -153,14 +159,17 @@
         return await self._store_submission(job, record)
 
     async def _reply_infeasible(self, job: Job, reason: str) -> Reply:
-        """Reject a job that can never run; once accepted it stays so, whatever the cloud sells."""
+        """Reject a job that can never run, unless it has been accepted before.
+
+        An accepted job stays accepted even if the cloud no longer offers a machine type for it.
+        """
         known = await self.answer_for(job.id)
         if isinstance(known, UnknownJob):
             return _rejected(422, reason, job=job.id)
         return _reply(known)
 
     def _excessive_wait_s(self, job: Job) -> float | None:
-        """How long the write of a submission would wait, if that is too long; None if it is not."""
+        """Return how many seconds a submission's write would wait; None if that is acceptable."""
         writes, team = self.context.store.writes, self.context.teams[job.team]
         unguaranteed = team.guaranteed_cpus <= 0 and team.guaranteed_gpus <= 0
         wait_s = writes.delay(1) + self.pending_submissions / writes.rate
@@ -168,7 +177,7 @@
         return wait_s if wait_s > max_wait_s else None
 
     async def _store_submission(self, job: Job, record: Any) -> Reply:
-        """Write a new job's record, unless another controller has written one."""
+        """Write a new job's record unless one exists, and return the reply."""
         key = JOB_PREFIX + job.id
         self.pending_submissions += 1
         try:
@@ -193,12 +202,13 @@
         return Reply(201, self.answers.accepted(job.id).body)
 
     async def _write(self, compare: dict[str, int], key: str, record: Any) -> tuple[int, list[str]]:
-        """Write one key on conditions: the revision, and the keys whose versions did not match.
+        """Write one key if the versions of the keys in `compare` match.
 
-        A write of unknown outcome is repeated once: if the first one landed after all, the
-        comparison fails now. A link that is cut takes the request that notices it with it, and
-        without the repetition its user would come again after a second at the soonest. Raises
-        `RequestRefusedError` and `OutcomeUnknownError`.
+        Returns the revision, and the keys whose versions did not match. A write of unknown outcome
+        is repeated once: if the first one was executed after all, the comparison of the second one
+        fails. The first request on a link that was cut is lost, and without the repetition its user
+        would retry after a second at the soonest. Raises `RequestRefusedError` if the store did not
+        execute the write, and `OutcomeUnknownError` if it may have executed it.
         """
         started_at = self.context.clock()
         try:
@@ -211,20 +221,20 @@
     # -- polling -------------------------------------------------------------------------------
 
     async def poll(self, job_id: str) -> Reply:
-        """GET /api/jobs/{id}: 200, 404 or 503."""
+        """Answer GET /api/jobs/{id}: 200, 404 for an unknown job, 503 for an unknown state."""
         if not jobs.JOB_ID_PATTERN.match(job_id):
-            # Nobody can have submitted it, and it must not get into a request to the store
+            # No job can have such an id, and it must not get into a request to the store
             return _reply(UnknownJob())
         return _reply(await self.answer_for(job_id))
 
     async def answer_for(self, job_id: str) -> JobAnswer:
-        """What a user may be told of a job, verified by a fresh read where that is needed."""
+        """Return what a user may be told of a job, verified by a fresh read if needed."""
         asked_at = self.context.clock()
         answer = self.answers.final(job_id) or self.answers.verified(
             job_id, asked_at, await self.store_watch.fresh_read()
         )
         if answer is CANCELLATION_NOT_ACKNOWLEDGED:
-            self.store_watch.request_read()  # this controller's own store cache may be behind
+            self.store_watch.request_read()  # this controller's own store cache may be outdated
         if not isinstance(answer, ArchiveLookupNeeded):
             return answer
         if self._lookup_delayed(job_id):
@@ -238,9 +248,9 @@
             return STATE_UNKNOWN
 
     def _lookup_delayed(self, job_id: str) -> bool:
-        """Whether an archive lookup is put off, so that it does not delay a lease or a permit.
+        """Return whether to delay an archive lookup, so that it does not delay a lease or a permit.
 
-        Not for ever: after `MAX_LOOKUP_DELAY_S` it is made whatever the load.
+        After `MAX_LOOKUP_DELAY_S` the lookup is made whatever the load.
         """
         requests = self.context.store.requests
         if requests.delay(requests.rate / 2) <= 0:
@@ -255,7 +265,11 @@
     # -- cancelling ----------------------------------------------------------------------------
 
     async def cancel(self, job_id: str) -> Reply:
-        """POST /api/jobs/{id}/withdraw: 200 once the job is over for certain, 404 or 503."""
+        """Answer POST /api/jobs/{id}/withdraw.
+
+        The status is 200 once the job has certainly ended, 404 for an unknown job, and 503 if the
+        cancellation is not stored or the job's state is not known.
+        """
         if not jobs.JOB_ID_PATTERN.match(job_id):
             return _reply(UnknownJob())
         for _ in range(MAX_CANCEL_ATTEMPTS):
@@ -274,9 +288,9 @@
         return _reply(STATE_UNKNOWN)
 
     async def _store_cancellation(self, job_id: str, version: int) -> bool:
-        """Write that a job is cancelled; False if its record has changed from this version.
+        """Write that a job is cancelled; return False if its record no longer has this version.
 
-        Raises `RequestRefusedError` and `OutcomeUnknownError`.
+        Raises `RequestRefusedError` and `OutcomeUnknownError` like `_write`.
         """
         key = JOB_PREFIX + job_id
         record = end_record(jobs.CANCELLED, 0)
@@ -289,7 +303,10 @@
         return True
 
     async def _final_answer(self, job_id: str) -> Reply:
-        """How a job ended, once the other controllers have acknowledged it or a second is over."""
+        """Return how a job ended, after waiting for the other controllers to acknowledge it.
+
+        The wait takes `ACK_WAIT_S` at most.
+        """
         with anyio.move_on_after(ACK_WAIT_S):
             while self.answers.final(job_id) is CANCELLATION_NOT_ACKNOWLEDGED:
                 self.store_watch.request_read()
--- a/ploverhall/controller/maintenance_requests.py
+++ b/ploverhall/controller/maintenance_requests.py
@@ -1,7 +1,7 @@
-"""Operators' maintenance orders over HTTP, at any controller: create, change, list, preview.
+"""Serve operators' maintenance orders over HTTP: create, change, list and preview them.
 
-`http_routes` calls `MaintenanceRequests.handle`. Orders are kept in the key-value store; the
-autoscaler and the shard owners carry them out.
+Any controller can serve them. `http_routes` calls `MaintenanceRequests.handle`. Orders are kept in
+the key-value store; the autoscaler and the shard owners execute them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 RETRY_AFTER_S = 1.0
 RETRY_AFTER_TOO_MANY_S = 30.0
-RECORD_OVERHEAD_BYTES = 64  # of the store's limit for a value, kept free
+RECORD_OVERHEAD_BYTES = 64  # part of the store's limit for a value that is kept free
 PREVIEW_ID = "u-0"
 
 
@@ -50,8 +50,9 @@
     async def handle(self, request: Request) -> Reply:
         """Answer a request below `/upkeep`.
 
-        GET lists the orders; POST creates one, `/upkeep/try` previews it, and `/upkeep/ID/VERB`
-        changes one (pause, resume, stop). 400 if it is malformed, 503 if the outcome is not known.
+        GET lists the orders. POST creates an order, POST to `/upkeep/try` previews one, and POST to
+        `/upkeep/ID/VERB` changes one (pause, resume, stop). A malformed order is answered with 400,
+        and a write that was refused or has an unknown outcome with 503.
         """
         path = [part for part in request.path.split("/") if part][1:]
         if request.method == "GET" and not path:
@@ -74,17 +75,17 @@
             )
 
     def _all_orders(self) -> list[MaintenanceOrder]:
-        """All orders in the store cache."""
+        """Return all orders in the store cache."""
         return orders.orders_in(self.context.store_cache.entries)
 
     def _find(self, order_id: str) -> MaintenanceOrder | None:
-        """The order with an id; None: there is none."""
+        """Return the order with an id; None if there is none."""
         return next((order for order in self._all_orders() if order.id == order_id), None)
 
     # -- creating ------------------------------------------------------------------------------
 
     async def _create(self, body: dict[str, Any]) -> Reply:
-        """Store a new order: 201, or 200 if the same one is stored already."""
+        """Store a new order; reply 201, or 200 if the same order is stored already."""
         fields = {key: value for key, value in body.items() if key != "state"}
         order = replace(
             orders.parse_order(body.get("id"), fields), created_at=self.context.wall_clock()
@@ -107,7 +108,7 @@
         return Reply(201, {"id": order.id, **order.record()})
 
     def _rejection(self, order: MaintenanceOrder) -> Reply | None:
-        """The reply if a new order cannot be taken; None if it can."""
+        """Return the reply if a new order cannot be accepted; None if it can."""
         if older := self._controllers_without_support():
             return Reply(
                 409,
@@ -126,7 +127,10 @@
         return None
 
     def _controllers_without_support(self) -> list[str]:
-        """Controllers of releases without orders: their shards would not keep to the budgets."""
+        """Return the controllers whose release has no support for orders.
+
+        Their shards would not keep to the disruption budgets.
+        """
         unsupported = []
         for name in self.context.shard_map.controllers:
             value, _ = self.context.store_cache.entries.get(controller_key(name), (None, 0))
@@ -139,7 +143,11 @@
     # -- changing ------------------------------------------------------------------------------
 
     async def _change(self, order_id: str, verb: str) -> Reply:
-        """Pause, resume or stop an order: 200, or 404, 409 or 503."""
+        """Pause, resume or stop an order.
+
+        The status is 200, 404 for an unknown verb or order, 409 if the order has ended in another
+        state, and 503 if the store is not current or the order has just been changed.
+        """
         if verb not in STATE_BY_VERB:
             return Reply(404, {"error": "pause, resume or stop"})
         if not await self.store_watch.is_current():
@@ -157,7 +165,7 @@
             created_at=self.context.wall_clock() if verb == "stop" else order.created_at,
         )
         # Written even if nothing changes: otherwise an earlier change of unknown outcome could
-        # still land after this answer
+        # still be executed after this answer
         key = ORDER_PREFIX + order_id
         revision, failed = await self.context.store.compare_and_swap(
             {key: order.version}, {key: changed.record()}, []
@@ -169,10 +177,10 @@
         self.on_store_changed()
         return Reply(200, {"id": order_id, **changed.record()})
 
-    # -- showing -------------------------------------------------------------------------------
+    # -- listing and previewing ----------------------------------------------------------------
 
     async def _controller_reports(self, selection: Selection) -> dict[str, Report]:
-        """The reports of all controllers that have one, by name."""
+        """Return, by controller name, the reports of all controllers that have one."""
         answer = await self.status_report.answer(selection)
         return {
             name: controller["view"]
@@ -181,7 +189,7 @@
         }
 
     async def _list(self) -> Reply:
-        """GET /upkeep: all orders with their progress, and why evictions wait."""
+        """Answer GET /upkeep with all orders, their progress, and why evictions wait."""
         reports = await self._controller_reports({})
         progress: dict[str, Any] = {}
         denial_counts: dict[str, int] = {}
@@ -196,7 +204,7 @@
         return Reply(200, {"orders": shown, "stops_that_wait": denial_counts})
 
     async def _preview(self, body: dict[str, Any]) -> Reply:
-        """What would be drained, and in at least how many rounds by the disruption budgets."""
+        """Return what an order would drain, and the least rounds by the disruption budgets."""
         fields = {key: value for key, value in body.items() if key not in ("id", "state")}
         order = orders.parse_order(PREVIEW_ID, fields)
         reports = await self._controller_reports({"would": orjson.dumps(order.record()).decode()})
@@ -219,7 +227,10 @@
     def _min_rounds(
         self, order: MaintenanceOrder, machine_count: int, teams: dict[str, dict[str, int]]
     ) -> int:
-        """Rounds that draining takes at least: by machines at once, and by each team's budget."""
+        """Return the least number of rounds that draining takes.
+
+        It follows from the order's limit of concurrent machines and from each team's budget.
+        """
         rounds = _ceil_div(machine_count, order.max_concurrent)
         for team, kinds in teams.items():
             max_unavailable = max(1, self.budgets.for_job(team, "", "").team_max_unavailable)
@@ -228,7 +239,7 @@
 
 
 def _decode_body(request: Request) -> dict[str, Any]:
-    """The JSON object in a request; raises `InvalidOrderError` if it holds none."""
+    """Return the JSON object in a request; raises `InvalidOrderError` if the body is not one."""
     try:
         body = orjson.loads(request.body)
     except orjson.JSONDecodeError as error:
@@ -239,11 +250,12 @@
 
 
 def _state_unknown() -> Reply:
+    """Return the reply when the state of the orders is not known here at the moment."""
     return Reply(503, {"error": "state unknown"}, RETRY_AFTER_S)
 
 
 def _reply_known(known: MaintenanceOrder, order: MaintenanceOrder) -> Reply:
-    """The reply to an order whose id is stored: 200 if it is the same order, else 409."""
+    """Return the reply to an order with a stored id: 200 for the same order, else 409."""
     stored = replace(known, created_at=0.0, state=order.state, version=0)
     if stored != replace(order, created_at=0.0):
         return Reply(409, {"error": "another order has this id"})
@@ -251,12 +263,13 @@
 
 
 def _log_created(order: MaintenanceOrder) -> None:
+    """Log a new order with its non-empty fields."""
     fields = {key: value for key, value in order.record().items() if value not in (None, "")}
     log.info("maintenance order created", order=order.id, **fields)
 
 
 def _add_task_counts(teams: dict[str, dict[str, int]], added: dict[str, dict[str, int]]) -> None:
-    """Add one controller's counts of tasks, by team and kind of job."""
+    """Add one controller's task counts to `teams`, by team and kind of job."""
     for team, kinds in added.items():
         counts = teams.setdefault(team, {})
         for kind, count in kinds.items():
@@ -264,4 +277,5 @@
 
 
 def _ceil_div(dividend: int, divisor: int) -> int:
+    """Return the quotient rounded up."""
     return -(-dividend // divisor)
--- a/ploverhall/controller/outbound.py
+++ b/ploverhall/controller/outbound.py
@@ -1,11 +1,11 @@
-"""Calls to an outside service (key-value store, cloud): directly, or relayed through a peer.
+"""Call an external service (key-value store, cloud) directly, or relayed through a peer.
 
-`OutsideService` has the interface of a plain client (`call`). While this controller's own link is
-healthy it is used; while it is not, requests go through a peer that reaches the service.
+`ExternalService` has the interface of a plain client (`call`). Requests use this controller's own
+link while it is healthy; otherwise they go through a peer that reaches the service.
 
-Two kinds of failure are kept apart. A request that the service refused was not executed, and may be
-sent again by another way at once. One that got no response may still be executed: only reads and
-repeatable requests are sent again, all others end in an unknown outcome.
+There are two kinds of failure. A request that the service refused was not executed, and may be sent
+again by another route at once. A request without a response may still be executed: only reads and
+repeatable requests are sent again, and all others end with an unknown outcome.
 """
 
 from __future__ import annotations
@@ -24,17 +24,18 @@
 from ploverhall.transport.http_client import Client
 
 CHECK_INTERVAL_S = 0.1
-# A check that comes so late means an event-loop stall here, and no silence of the service
+# A check that is late by more than this shows a stall of the event loop here; the service's silence
+# in that time does not count against the link
 STALL_S = 0.5
 PROBE_INTERVAL_S = 0.5
-MAX_RELAYED_HOLD_S = 1.0  # for which a watch is held at most when it is relayed
-# A request that was given up on the own link has at least so long by a relay
+MAX_RELAYED_HOLD_S = 1.0  # longest hold of a relayed watch
+# Least timeout through a relay, for a request that was cancelled on the own link
 MIN_RELAY_TIMEOUT_S = 0.8
-MIN_SERVED_TIMEOUT_S = 0.1  # for a peer's request that arrived late
+MIN_SERVED_TIMEOUT_S = 0.1  # least timeout of a peer's request that arrived late
 
 
-class OutsideService:
-    """One outside service, as this controller and the peers that relay through it reach it."""
+class ExternalService:
+    """Client of one external service, for this controller and the peers that relay through it."""
 
     def __init__(
         self,
@@ -48,11 +49,18 @@
         refuses_with_503: bool,
         repeatable: tuple[str, ...],
     ) -> None:
-        """`rate`: requests per second that each peer may send through this controller.
-
-        `probe_target`: a cheap read; `repeatable`: prefixes of targets that may be sent twice;
-        `refuses_with_503`: a 503 says that the service executed nothing, and any other 5xx that a
-        gateway in between has failed.
+        """Create a client of a service whose own link counts as healthy.
+
+        Args:
+            context: This controller's shared state.
+            relay: Sends requests through peers.
+            service: Name of the service in messages between controllers.
+            client: Client on this controller's own link.
+            probe_target: Target of a cheap read that tests the link.
+            rate: Requests per second that each peer may send through this controller.
+            refuses_with_503: Whether a 503 means that the service executed nothing, and any other
+                5xx that a gateway in between has failed.
+            repeatable: Prefixes of targets whose requests may be sent twice.
         """
         self.context = context
         self.relay = relay
@@ -62,25 +70,27 @@
         self.refuses_with_503 = refuses_with_503
         self.repeatable = repeatable
         self.health = LinkHealth()
-        # By number: when the response is due (steady clock, seconds), and what gives it up
+        # By number of the call: when its response is due (steady clock, seconds), and the scope
+        # that cancels it
         self.in_flight: dict[int, tuple[float, anyio.CancelScope]] = {}
-        self.last_number = 0
+        self.last_number = 0  # of a call
         self.peer_limiters = {
             peer.name: RateLimiter(rate, context.clock) for peer in context.settings.peers
         }
-        self.probed_at = NEVER
+        self.probed_at = NEVER  # steady clock, seconds
 
     # -- calling -------------------------------------------------------------------------------
 
     def current_relay(
         self, avoid: frozenset[str] = frozenset(), hops: int = MAX_HOPS
     ) -> str | None:
-        """The peer to call through; None: the own link is healthy, or no peer is better."""
+        """Return the peer to call through; None if the own link is healthy or no peer can relay."""
         if self.health.healthy or not self.context.settings.options.carry:
             return None
         return self._find_relay(avoid, hops)
 
     def _find_relay(self, avoid: frozenset[str] = frozenset(), hops: int = MAX_HOPS) -> str | None:
+        """Return a peer that reaches the service; None if there is none or relaying is off."""
         if not self.context.settings.options.carry:
             return None
         return self.relay.routes.route_to_service(
@@ -92,8 +102,9 @@
     ) -> tuple[int, object]:
         """Send one request; return the HTTP status and the decoded JSON.
 
-        `timeout` (seconds) counts besides `hold`, for which a watch may be held. Raises
-        `UnreachableError`: the request may or may not have been executed, now or later.
+        `timeout` (seconds) is added to `hold`, the time for which a watch may be held. Raises
+        `UnreachableError` if there was no usable response: the request may have been executed, or
+        may be executed later.
         """
         deadline = self.context.clock() + timeout + hold
         via = self.current_relay()
@@ -111,14 +122,14 @@
         return await self._call_through(via, method, target, body, timeout, hold, deadline)
 
     def _is_repeatable(self, method: str, target: str) -> bool:
-        """Whether a request that may have been executed may be sent again."""
+        """Return whether a request may be sent again although it may have been executed."""
         return method == "GET" or target.startswith(self.repeatable)
 
     def _relay_after_response(self, status: int, method: str, target: str) -> str | None:
-        """The peer through which a request that got this response is sent again; None: it is not.
+        """Return the peer to send a request through again after this response; None to accept it.
 
-        After a refusal (503) it was certainly not executed. Another 5xx, of a gateway say, leaves
-        that open.
+        A request refused with 503 was certainly not executed. After another 5xx, for example from a
+        gateway, the request may have been executed.
         """
         may_repeat = status == 503 or self._is_repeatable(method, target)
         return self._find_relay() if self._indicates_failure(status) and may_repeat else None
@@ -133,7 +144,7 @@
         hold_s: float,
         deadline: float,
     ) -> tuple[int, object]:
-        """Relay one request through a peer; a refusal is returned as the service's own would be."""
+        """Relay one request through a peer; a refusal is returned as a 503 of the service."""
         remaining_s = max(MIN_RELAY_TIMEOUT_S, deadline - self.context.clock())
         hold_s = min(hold_s, MAX_RELAYED_HOLD_S)
         data = orjson.dumps(body) if body is not None else b""
@@ -153,14 +164,17 @@
         try:
             return status, orjson.loads(raw) if raw else None
         except orjson.JSONDecodeError as error:
-            raise UnreachableError(f"{method} {target}: not JSON") from error
+            raise UnreachableError(
+                f"{method} {target!r:.200} through {via}: the response is not JSON"
+            ) from error
 
     async def _call_directly(
         self, method: str, target: str, body: object, timeout: float, hold: float
     ) -> tuple[int, object]:
-        """Call on the own link, and record how it went in `health`.
+        """Call the service on the own link, and record the outcome in `health`.
 
-        Raises `UnreachableError`, also when `loop` gives the call up because a relay is better.
+        Raises `UnreachableError` if there was no response, or if `loop` cancelled the call because
+        a peer can relay it.
         """
         started_at = self.context.clock()
         self.last_number += 1
@@ -171,7 +185,9 @@
                 status, response = await self.client.call(method, target, body, timeout, hold)
                 self._record_response(status, started_at, hold)
                 return status, response
-            raise UnreachableError(f"{method} {target}: given up")
+            raise UnreachableError(
+                f"{method} {target!r:.200}: cancelled on the own link, as it is unhealthy"
+            )
         except UnreachableError:
             self.health.record_failure(started_at + hold, self.context.clock())
             raise
@@ -179,7 +195,7 @@
             del self.in_flight[number]
 
     def _record_response(self, status: int, started_at: float, hold_s: float = 0.0) -> None:
-        """Record in `health` what a response on the own link says of it."""
+        """Record in `health` a response on the own link: its latency, or a failure."""
         now = self.context.clock()
         if self._indicates_failure(status):
             self.health.record_failure(started_at, now)
@@ -188,16 +204,16 @@
         self.health.record_answer(latency_s, now)
 
     def _indicates_failure(self, status: int) -> bool:
-        """Whether a status says that the link cannot be used.
+        """Return whether a status means that the link cannot be used.
 
-        Every 5xx does, of a service whose 503 is a refusal.
+        Every 5xx means that, for a service that refuses with 503. For other services none does.
         """
         return self.refuses_with_503 and status >= 500
 
-    # -- watching the own link -----------------------------------------------------------------
+    # -- monitoring the own link ---------------------------------------------------------------
 
     async def loop(self) -> None:
-        """Watch overdue calls, and probe an unhealthy link; never returns."""
+        """Record overdue calls, and probe the own link while it is unhealthy; never returns."""
         last_check_at = self.context.clock()
         was_healthy = True
         while True:
@@ -212,13 +228,14 @@
             self._record_overdue(now)
             if self.health.healthy:
                 continue
-            self._give_up_calls()
+            self._cancel_in_flight_calls()
             if now - self.probed_at > PROBE_INTERVAL_S:
                 self.probed_at = now
                 await self._probe()
                 last_check_at = self.context.clock()
 
     def _log_health(self) -> None:
+        """Log that the own link has become healthy or unhealthy."""
         log.info(
             "link healthy" if self.health.healthy else "link unhealthy",
             service=self.service,
@@ -227,21 +244,21 @@
         )
 
     def _record_overdue(self, now: float) -> None:
-        """Tell `health` of the call that has been without a response for longest."""
+        """Record in `health` the call whose response is overdue for longest, if there is one."""
         if not self.in_flight:
             return
         oldest_due_at = min(due_at for due_at, _ in self.in_flight.values())
         if oldest_due_at < now:
             self.health.record_overdue(oldest_due_at, now)
 
-    def _give_up_calls(self) -> None:
-        """Cancel the calls on the own link, if they can be relayed instead."""
+    def _cancel_in_flight_calls(self) -> None:
+        """Cancel the calls on the own link if a peer can relay them instead."""
         if self.current_relay() is not None:
             for _, scope in self.in_flight.values():
                 scope.cancel()
 
     async def _probe(self) -> None:
-        """Make one cheap read on the own link, only to learn whether it works."""
+        """Make one cheap read on the own link to test whether it works."""
         started_at = self.context.clock()
         try:
             status, _ = await self.client.call("GET", self.probe_target, None, PROBE_INTERVAL_S)
@@ -255,13 +272,15 @@
     async def serve_relayed(self, peer: str, request: RelayRequest) -> tuple[int, bytes]:
         """Execute a peer's request, or relay it further; return the HTTP status and the body.
 
-        It counts against the peer's own share of the rate, so that it never delays this
+        The request counts against the peer's own share of the rate, so that it never delays this
         controller's requests. Raises `RelayRefusedError` if it was certainly not executed, and
-        `UnreachableError` if that is not known.
+        `UnreachableError` if it may have been executed.
         """
         limiter = self.peer_limiters.get(peer)
         if limiter is None or limiter.delay(1) > 0:
-            raise RelayRefusedError("more than its share")
+            raise RelayRefusedError(
+                f"peer {peer} is unknown or over its rate of {self.service} requests"
+            )
         limiter.consume(1)
         remaining_s = request.deadline - self.context.wall_clock() - request.hold_s
         if not self.health.healthy:
@@ -269,7 +288,9 @@
         try:
             body = orjson.loads(request.body) if request.body else None
         except orjson.JSONDecodeError as error:
-            raise RelayRefusedError("not JSON") from error
+            raise RelayRefusedError(
+                f"the body of the request that peer {peer} relays is not JSON"
+            ) from error
         status, response = await self._call_directly(
             request.method,
             request.target,
@@ -278,16 +299,21 @@
             request.hold_s,
         )
         if status == 503 and self.refuses_with_503:
-            raise RelayRefusedError("refused here, too")
+            raise RelayRefusedError(f"{self.service} refused the request with 503")
         return status, orjson.dumps(response)
 
     async def _relay_further(
         self, peer: str, request: RelayRequest, remaining_s: float
     ) -> tuple[int, bytes]:
-        """Relay a peer's request by one more hop; raises `RelayRefusedError` if it cannot be."""
+        """Relay a peer's request by one more hop.
+
+        Raises `RelayRefusedError` if no hop is left or no other peer reaches the service.
+        """
         via = self.current_relay(frozenset((peer,)), request.hops - 1)
         if request.hops < 2 or via is None:
-            raise RelayRefusedError("not reached from here either")
+            raise RelayRefusedError(
+                f"{self.service} is unreachable from here, and no peer can relay"
+            )
         return await self.relay.send(
             via,
             self.service,
@@ -301,6 +327,6 @@
 
 
 def _with_hold(target: str, hold_s: float) -> str:
-    """The target of a watch, with a hold of `hold_s` seconds in place of its own."""
+    """Return the target of a watch with its hold replaced by `hold_s` seconds."""
     head, _, _ = target.partition("&holdMs=")
     return f"{head}&holdMs={int(hold_s * 1000)}"
--- a/ploverhall/controller/own_connectivity.py
+++ b/ploverhall/controller/own_connectivity.py
@@ -10,7 +10,7 @@
 from ploverhall.connectivity.pending_relays import PendingRelays
 from ploverhall.controller.agent_commands import AgentCommands
 from ploverhall.controller.context import ControllerContext
-from ploverhall.controller.outbound import OutsideService
+from ploverhall.controller.outbound import ExternalService
 from ploverhall.controller.status_fields import ConnectivityFields
 
 
@@ -20,7 +20,7 @@
     def __init__(
         self,
         context: ControllerContext,
-        services: tuple[OutsideService, ...],
+        services: tuple[ExternalService, ...],
         agent_commands: AgentCommands,
         pending_relays: PendingRelays,
     ) -> None:
--- a/ploverhall/controller/peer_links.py
+++ b/ploverhall/controller/peer_links.py
@@ -1,8 +1,8 @@
-"""The links to the other controllers: what is sent on each, and who handles what is received.
+"""Send and receive messages on the links to the other controllers.
 
-`PeerLinks` owns one outgoing link to each peer and the listener for theirs. The `Controller` starts
-them; every component that has something for a peer calls `notify`, and is asked for it by `collect`
-when the link is ready to send.
+`PeerLinks` owns one outgoing link to each peer, and the listener for the links from the peers. The
+`Controller` starts them. A component that has messages for a peer calls `notify`; when the link is
+ready to send, `collect` gathers the messages from all components.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from ploverhall.transport.peer_stream import PeerLink, PeerListener
 
 STATUS_INTERVAL_S = 0.5
-REJECTED_LOG_INTERVAL_S = 60.0  # at most one log line per peer and interval
+REJECTED_LOG_INTERVAL_S = 60.0  # at most one log line per peer in this time
 
 RELAY_KINDS = (relay_messages.CONNECTIVITY, relay_messages.REQUEST, relay_messages.RESPONSE)
 
@@ -53,7 +53,7 @@
         self.status_report = status_report
         self.cancellation_barrier = cancellation_barrier
         self.relay = relay
-        # Acts on the cancellations that a peer names
+        # Applies cancellations that a peer reports
         self.on_cancellations = on_cancellations
         settings = context.settings
         runtime = context.runtime
@@ -70,19 +70,19 @@
             for peer in settings.peers
         }
         self.listener = PeerListener(self.deliver, runtime.network, runtime.clock)
-        # Per peer, steady clock in seconds
+        # By peer: times of the steady clock (seconds)
         self.status_sent_at: dict[str, float] = {}
         self.rejection_logged_at: dict[str, float] = {}
-        # Per peer: the revision up to which it was told of all cancellations
+        # By peer: the revision up to which all cancellations have been sent to it
         self.gossiped_revision: dict[str, int] = {}
         self.gossip_sequence = 0
 
     def connected(self) -> list[str]:
-        """The names of the peers to which there is a connection."""
+        """Return the names of the peers to which there is a connection."""
         return [name for name, link in self.links.items() if link.connected]
 
     def notify(self, *names: str | None) -> None:
-        """Wake the links to these peers: there is something to send. Other names are ignored."""
+        """Wake the links to these peers to send messages. None and unknown names are ignored."""
         for name in names:
             if name is not None and name in self.links:
                 self.links[name].notify()
@@ -90,7 +90,7 @@
     # -- sending -------------------------------------------------------------------------------
 
     def collect(self, controller: str, generation: int) -> list[Message]:
-        """The messages that go to a peer now; `generation` counts the connections to it."""
+        """Return the messages to send to a peer on its connection number `generation`."""
         messages = self.routing.collect(controller, generation)
         now = self.context.clock()
         status_due = now - self.status_sent_at.get(controller, NEVER) > STATUS_INTERVAL_S
@@ -111,7 +111,7 @@
         )
 
     def _gossip_due(self, controller: str) -> bool:
-        """Whether there are cancellations that this peer has not been told of."""
+        """Return whether there are known cancellations that have not been sent to this peer."""
         known_revision = max(
             self.context.store_cache.revision, self.cancellation_barrier.informed_revision
         )
@@ -120,7 +120,7 @@
         )
 
     def _gossip_message(self, controller: str, now: float) -> Message:
-        """What this controller knows of cancellations, for one peer."""
+        """Return a message with the cancellations that this controller knows, for one peer."""
         gossip = self.cancellation_barrier.gossip_for(
             controller, self.context.store_cache.revision, now
         )
@@ -136,7 +136,7 @@
     # -- receiving -----------------------------------------------------------------------------
 
     def deliver(self, controller: str, batch: list[Message]) -> None:
-        """Hand a peer's messages to those they are for."""
+        """Pass a peer's messages to the components that handle them."""
         channels_changed = False
         for message in batch:
             kind = message[0]
@@ -154,14 +154,14 @@
             self.context.wake_scheduling()
 
     def _receive_status(self, controller: str, value: Any) -> None:
-        """Take in what a peer says of itself and of the shards it holds."""
+        """Record a peer's status; release shards that it holds at a later epoch; update routes."""
         status = PeerStatus(*value)
         self.peer_liveness.record(controller, status)
         self.shard_roles.release_superseded(status.epochs, controller)
         self.routing.update_routes()
 
     def _receive_gossip(self, controller: str, value: object) -> None:
-        """Take in what a peer knows of cancellations; a malformed message changes nothing."""
+        """Apply the cancellations that a peer knows; a malformed message is logged and ignored."""
         now = self.context.clock()
         try:
             gossip = decode_gossip(value)
@@ -172,7 +172,11 @@
             self.on_cancellations(named)
 
     def _log_rejection(self, controller: str, error: InvalidPeerMessageError, now: float) -> None:
-        """Log a malformed message, seldom: a peer of another release sends them all the time."""
+        """Log a malformed message.
+
+        Logged rarely for each peer, as a peer of another release sends malformed messages all the
+        time.
+        """
         if now - self.rejection_logged_at.get(controller, NEVER) > REJECTED_LOG_INTERVAL_S:
             self.rejection_logged_at[controller] = now
             log.error("peer message rejected", peer=controller, field=error)
--- a/ploverhall/controller/peer_liveness.py
+++ b/ploverhall/controller/peer_liveness.py
@@ -1,7 +1,7 @@
-"""Which peers are alive, and the status that each controller sends to the others.
+"""Track which peers are alive, and build the status that this controller sends to them.
 
 `PeerLiveness` owns the last status of every peer. `peer_links` records statuses here and sends
-`own_status`; leases, routing and the relay ask who is alive.
+`own_status`; leases, routing and the relay look up which peers are alive.
 """
 
 from __future__ import annotations
@@ -10,34 +10,34 @@
 from ploverhall.protocol.peer_messages import PeerStatus
 
 PEER_TIMEOUT_S = 2.5  # a peer without a status for longer is not alive
-# But what it last said of its shards is still newer than what the store cache holds
+# A peer's last claim of shards counts for longer: it is still newer than the store cache
 SHARD_CLAIM_MAX_AGE_S = 5.0
-STORE_ANSWER_MAX_AGE_S = 1.5  # of the key-value store's last response to a peer that reaches it
-# Share of a peer's unused writes that is borrowed: the rest is room for its next burst
+STORE_ANSWER_MAX_AGE_S = 1.5  # oldest last answer of the key-value store to a peer that reaches it
+# Share of the peers' unused write rate that is borrowed; the rest is left for their next burst
 BORROWED_SHARE = 0.7
 
 
 class PeerLiveness:
-    """The last status of each peer, and what follows from them."""
+    """The last status of each peer, and the queries based on it."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        # By controller: when it was received (steady clock, seconds), and the status
+        # By controller: when its last status was received (steady clock, seconds), and the status
         self.peer_status: dict[str, tuple[float, PeerStatus]] = {}
 
     def record(self, controller: str, status: PeerStatus) -> None:
-        """Take in a peer's status."""
+        """Record a status that a peer has just sent."""
         self.peer_status[controller] = (self.context.clock(), status)
 
     def is_alive(self, controller: str, now: float) -> bool:
-        """Whether a status of a peer has come within `PEER_TIMEOUT_S`."""
+        """Return whether a peer has sent a status within `PEER_TIMEOUT_S`."""
         return (
             controller in self.peer_status
             and now - self.peer_status[controller][0] < PEER_TIMEOUT_S
         )
 
     def peers_reach_store(self, now: float) -> bool:
-        """Whether the key-value store has just answered a live peer."""
+        """Return whether the key-value store has just answered a live peer."""
         return any(
             self.is_alive(name, now)
             and status.store_age_s + now - received_at < STORE_ANSWER_MAX_AGE_S
@@ -45,7 +45,7 @@
         )
 
     def holder_without_heartbeats(self, controller: str, shard: int, now: float) -> bool:
-        """Whether a shard's holder is alive and says that it gets no heartbeats of its agents."""
+        """Return whether a shard's holder is alive but reports that it receives no heartbeats."""
         return (
             self.is_alive(controller, now)
             and self.peer_status[controller][1].without_heartbeats_s.get(shard, 0.0)
@@ -53,7 +53,7 @@
         )
 
     def without_heartbeats_s(self, now: float) -> dict[int, float]:
-        """By shard held here: seconds since any of its agents sent a heartbeat."""
+        """Return, by shard held here, the seconds since the last heartbeat of any of its agents."""
         return {
             held.shard: now - held.owner.last_heartbeat_at
             for held in self.context.held_shards.values()
@@ -61,7 +61,7 @@
         }
 
     def own_status(self, now: float) -> PeerStatus:
-        """The status that this controller sends to its peers."""
+        """Return the status that this controller sends to its peers."""
         store = self.context.store
         held_shards = self.context.held_shards.values()
         return PeerStatus(
@@ -74,7 +74,7 @@
     def update_write_share(self, now: float) -> None:
         """Set the rate of this controller's writes to the key-value store (per second).
 
-        That is its own share of the limit, and a part of what live peers leave unused of theirs.
+        The rate is its own share of the limit, plus a part of what live peers leave unused.
         """
         settings = self.context.settings
         own_rate = settings.store_write_rps * STORE_LIMIT_SHARE / len(settings.controllers)
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -1,8 +1,8 @@
-"""Requests relayed through other controllers, and theirs served here.
+"""Relay requests through other controllers, and serve the requests that they relay here.
 
 `Relay` owns the pending relayed requests of both directions. `outbound`, `heartbeat_requests` and
-`agent_commands` send through it and register as handlers; `peer_links` moves its messages. Which
-peer can relay what is decided in `connectivity.relay_routes`.
+`agent_commands` send requests through it and register as handlers; `peer_links` transfers its
+messages. `connectivity.relay_routes` decides which peer can relay which kind of request.
 """
 
 from __future__ import annotations
@@ -27,26 +27,26 @@
 from ploverhall.runtime import NEVER
 
 CONNECTIVITY_INTERVAL_S = 0.5
-# A controller whose scheduling is later than this relays nothing: its own work comes first
+# A controller whose scheduling lags by more than this refuses to relay: its own work comes first
 MAX_LAG_S = 0.5
-# How often a waiting request looks whether the connection that its response would take is still up
+# How often a waiting request checks that the connection its response would use is still up
 CONNECTION_CHECK_S = 0.25
-MAX_HOPS = 2  # peers that a request may go through
-REQUEST_OVERHEAD_BYTES = 200  # of an encoded request besides its body and target
-RESPONSE_OVERHEAD_BYTES = 100
+MAX_HOPS = 2  # most peers that a request may pass through
+REQUEST_OVERHEAD_BYTES = 200  # estimated size of an encoded request without its body and target
+RESPONSE_OVERHEAD_BYTES = 100  # estimated size of an encoded response without its body
 Handler = Callable[[str, RelayRequest], Awaitable[tuple[int, bytes]]]
 
 
 @dataclass(slots=True)
 class ResponseWaiter:
-    """A sent request that waits for its response; `responses` holds one at most."""
+    """A sent request that waits for its response; `responses` holds at most one response."""
 
     arrived: anyio.Event = field(default_factory=anyio.Event)
     responses: list[RelayResponse] = field(default_factory=list)
 
 
 class Relay:
-    """Sends requests through peers, and serves what peers send."""
+    """Sends requests through peers, and serves the requests that peers send."""
 
     def __init__(
         self,
@@ -57,7 +57,16 @@
         is_connected: Callable[[str], bool],
         start_serving: Callable[[str, RelayRequest], None],
     ) -> None:
-        """`start_serving`: starts `serve` as a task of its own."""
+        """Create a relay without handlers.
+
+        Args:
+            context: This controller's shared state.
+            peer_liveness: Tells which peers are alive.
+            routes: Tells which peers can relay requests.
+            notify_peer: Wakes the link to a peer, as there is something to send.
+            is_connected: Returns whether there is a connection to a peer.
+            start_serving: Starts `serve` as a separate task.
+        """
         self.context = context
         self.peer_liveness = peer_liveness
         self.routes = routes
@@ -66,11 +75,12 @@
         self.start_serving = start_serving
         self.pending = PendingRelays(f"{context.random.getrandbits(64):x}")
         self.response_waiters: dict[int, ResponseWaiter] = {}
-        self.handlers: dict[str, Handler] = {}  # by the kind of request
-        # By how much this controller's own scheduling is late (seconds)
+        self.handlers: dict[str, Handler] = {}  # by kind of request
+        # Returns the lag of this controller's own scheduling (seconds)
         self.scheduling_lag: Callable[[], float] = float
-        # What this controller reaches, as its connectivity message says it
+        # Returns what this controller reaches, as fields of its connectivity message
         self.own_connectivity: Callable[[], dict[str, object]] = dict
+        # By peer: when a connectivity message was last sent (steady clock, seconds)
         self.connectivity_sent_at: dict[str, float] = {}
 
     # -- sending -------------------------------------------------------------------------------
@@ -90,9 +100,9 @@
     ) -> tuple[int, bytes]:
         """Send one request through the peer `via`; return the HTTP status and the body.
 
-        `timeout` (seconds) counts besides `hold_s`, for which a watch may be held. Raises
-        `RelayRefusedError` if the request was certainly not executed, `UnreachableError` if that is
-        not known.
+        `timeout` (seconds) is added to `hold_s`, the time for which a watch may be held. Raises
+        `RelayRefusedError` if the request was certainly not executed, and `UnreachableError` if it
+        may have been executed.
         """
         deadline = self.context.clock() + timeout + hold_s
         number = self._open_request(via, deadline)
@@ -119,13 +129,13 @@
         return self._result(via, kind, waiter.responses)
 
     def _open_request(self, via: str, deadline: float) -> int:
-        """Number a new request; raises `RelayRefusedError` if it cannot be sent."""
+        """Return a number for a new request; raises `RelayRefusedError` if it cannot be sent."""
         if not self.is_connected(via):
             self.routes.record_failure(via, self.context.clock())
-            raise RelayRefusedError(f"no connection to {via}")
+            raise RelayRefusedError(f"not connected to peer {via}")
         number = self.pending.open_request(via, deadline)
         if number is None:
-            raise RelayRefusedError("too many open questions")
+            raise RelayRefusedError(f"too many open relayed requests; the next was for peer {via}")
         return number
 
     def _enqueue_request(self, via: str, request: RelayRequest, deadline: float) -> None:
@@ -135,11 +145,11 @@
         )
         size_bytes = len(request.body) + len(request.target) + REQUEST_OVERHEAD_BYTES
         if not self.pending.enqueue(via, message, size_bytes, deadline):
-            raise RelayRefusedError("too much waits for it")
+            raise RelayRefusedError(f"the outbound queue to peer {via} is full")
         self.notify_peer(via)
 
     async def _wait_for_response(self, via: str, waiter: ResponseWaiter, deadline: float) -> None:
-        """Wait until the response is there, the deadline is over or the connection is lost."""
+        """Wait until the response arrives, the deadline passes or the connection is lost."""
         while (
             (remaining_s := deadline - self.context.clock()) > 0
             and not waiter.responses
@@ -149,16 +159,20 @@
                 await waiter.arrived.wait()
 
     def _result(self, via: str, kind: str, responses: list[RelayResponse]) -> tuple[int, bytes]:
-        """The status and body of the response; raises the error that it, or its absence, means."""
+        """Return the status and body of the response.
+
+        Raises `RelayRefusedError` if the peer refused the request, and `UnreachableError` if there
+        is no response or the peer does not know the outcome.
+        """
         if not responses:
             self.routes.record_failure(via, self.context.clock())
-            raise UnreachableError(f"{kind} through {via}: no answer")
+            raise UnreachableError(f"{kind} through {via}: no response before the deadline")
         response = responses[0]
         if response.status == 0:
             self.routes.record_failure(via, self.context.clock())
             if response.refused:
-                raise RelayRefusedError(f"{kind} through {via}: refused")
-            raise UnreachableError(f"{kind} through {via}: outcome not known")
+                raise RelayRefusedError(f"{kind} through {via}: the peer refused the request")
+            raise UnreachableError(f"{kind} through {via}: the peer does not know the outcome")
         self.routes.record_success(via)
         return response.status, response.body
 
@@ -172,7 +186,7 @@
         try:
             status, body = await self.handlers[request.kind](peer, request)
             if len(body) > relay_messages.MAX_BODY_BYTES:
-                # It has been executed: only its response cannot be relayed
+                # Not refused: the request has been executed, and only its response is not relayed
                 status = 0
                 refused = False
                 body = b""
@@ -196,7 +210,7 @@
     def _respond(
         self, peer: str, request: RelayRequest, status: int, refused: bool, body: bytes
     ) -> None:
-        """Queue a response; if there is no room it is dropped, and the request times out."""
+        """Queue a response; if the queue is full, drop it, and the peer's request times out."""
         remaining_s = request.deadline - self.context.wall_clock()
         response = RelayResponse(request.incarnation, request.number, status, refused, body)
         self.pending.enqueue(
@@ -210,7 +224,7 @@
     # -- messages on the links -----------------------------------------------------------------
 
     def collect(self, controller: str, now: float) -> list[Message]:
-        """The messages that go to a peer now."""
+        """Return the relay's messages to send to a peer now."""
         messages = self.pending.drain(controller, now)
         if now - self.connectivity_sent_at.get(controller, NEVER) > CONNECTIVITY_INTERVAL_S:
             self.connectivity_sent_at[controller] = now
@@ -218,13 +232,13 @@
         return messages
 
     def _connectivity_message(self, now: float) -> Message:
-        """What this controller reaches and relays."""
-        heard = [name for name in self.routes.peers if self.peer_liveness.is_alive(name, now)]
-        can = list(relay_messages.KINDS) if self.context.settings.options.carry else []
+        """Return a message that says what this controller reaches and relays."""
+        heard_peers = [name for name in self.routes.peers if self.peer_liveness.is_alive(name, now)]
+        relay_kinds = list(relay_messages.KINDS) if self.context.settings.options.carry else []
         value = {
             relay_routes.INCARNATION_FIELD: self.pending.incarnation,
-            relay_routes.RELAY_KINDS_FIELD: can,
-            relay_routes.HEARD_PEERS_FIELD: heard,
+            relay_routes.RELAY_KINDS_FIELD: relay_kinds,
+            relay_routes.HEARD_PEERS_FIELD: heard_peers,
             **self.own_connectivity(),
         }
         return state_channel.peer_message(
@@ -232,7 +246,7 @@
         )
 
     def deliver(self, controller: str, message: Message) -> None:
-        """Take in a peer's connectivity, request or response; a malformed one is dropped."""
+        """Handle a peer's connectivity message, request or response; drop a malformed one."""
         kind, value = message[0], message[5]
         if controller not in self.routes.peers:
             return
@@ -244,12 +258,12 @@
             elif kind == relay_messages.RESPONSE:
                 self._receive_response(controller, relay_messages.decode_response(value))
         except InvalidRelayMessageError:
-            pass  # whoever sent it waits no longer than its own deadline
+            pass  # the sender stops waiting at the request's own deadline
 
     def _receive_request(self, controller: str, request: RelayRequest) -> None:
-        """Start serving a peer's request, or refuse it."""
+        """Start serving a peer's request, refuse it, or drop it if its deadline has passed."""
         if deadline_passed(request.deadline, self.context.wall_clock()):
-            # Held up on its way: its sender has given it up, and executing it now would be too late
+            # Delayed on the way: the sender no longer waits, and executing it now would be too late
             self.pending.refused_count += 1
         elif (
             request.kind not in self.handlers
@@ -261,7 +275,7 @@
             self.start_serving(controller, request)
 
     def _receive_response(self, controller: str, response: RelayResponse) -> None:
-        """Hand a response to the request that waits for it, if there still is one."""
+        """Pass a response to the request that waits for it, if one still does."""
         waiter = self.response_waiters.get(response.number)
         completed = self.pending.complete(response.incarnation, response.number, controller)
         if completed and waiter is not None:
--- a/ploverhall/controller/routing.py
+++ b/ploverhall/controller/routing.py
@@ -1,7 +1,7 @@
-"""Routes state channels: which controller holds each endpoint, and which role a message is for.
+"""Route state channels: find each endpoint's holder, and dispatch messages to the roles held here.
 
 An endpoint is a shard's index or `state_channel.AUTOSCALER_ENDPOINT`. `scheduling_loop` and
-`peer_links` collect and accept messages here; `heartbeat_requests` asks who holds a shard.
+`peer_links` collect and accept messages here; `heartbeat_requests` looks up the holder of a shard.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.scheduling.shard_owner import ShardOwner
 
-# An agent redirected to a holder that it can't reach waits there for 4 s, and retries 1 s later
-SETTLED_AFTER_S = 4.5
+# An agent that is redirected to a holder it can't reach waits 4 s for an answer, and tries the next
+# controller 1 s later. After this time a shard's holder counts as stable.
+STABLE_HOLDER_S = 4.5
 UNKNOWN_EPOCH = -1
 
 
@@ -26,20 +27,20 @@
     """Holders of all endpoints, and the dispatch of messages to the roles held here."""
 
     def __init__(self, context: ControllerContext, peer_liveness: PeerLiveness) -> None:
-        """Make a routing without routes; `update_routes` fills it."""
+        """Create an empty routing table; `update_routes` fills it."""
         self.context = context
         self.peer_liveness = peer_liveness
-        # By endpoint, as of the last event that may have changed it
+        # Holder by endpoint, as of the last call of `update_routes`
         self.holders: dict[int, str | None] = {}
-        # Per shard: its epoch in the store, and since when that is known here
+        # By shard: its epoch in the store, and when that was first seen (steady clock, seconds)
         self.epochs: dict[int, tuple[int, float]] = {}
         self.version = 0  # increased with every change of `holders`
 
     def update_routes(self) -> None:
-        """Determine all holders anew.
+        """Recompute the holders of all endpoints.
 
-        Called on events that may change them. Called per message, connection and step it would be
-        executed more than a thousand times a second.
+        Called only on events that may change a holder. If it were called for every message,
+        connection and scheduling step, it would run more than a thousand times a second.
         """
         now = self.context.clock()
         shards = range(len(self.context.shard_map.controllers))
@@ -53,12 +54,12 @@
             self.holders = holders
             self.version += 1
 
-    def settled(self, shard: int, now: float) -> bool:
-        """Return whether a shard has had its holder so long that agents should have found it."""
-        return now - self.epochs.get(shard, (0, now))[1] > SETTLED_AFTER_S
+    def has_stable_holder(self, shard: int, now: float) -> bool:
+        """Return whether a shard's holder has been unchanged for longer than agents need."""
+        return now - self.epochs.get(shard, (0, now))[1] > STABLE_HOLDER_S
 
     def holder(self, endpoint: int) -> str | None:
-        """Return the controller that holds an endpoint, as far as known here; None for nobody."""
+        """Return the controller known to hold an endpoint; None if no holder is known."""
         if endpoint == state_channel.AUTOSCALER_ENDPOINT:
             return self.context.store_cache.autoscaler()[0]
         if endpoint in self.context.held_shards:
@@ -73,21 +74,21 @@
         return controller
 
     def collect(self, controller: str, generation: int) -> list[Message]:
-        """Return the messages due to a controller.
+        """Return the messages to send to a controller now.
 
-        `generation` numbers the connections to it: on a new one all channels are sent in full.
+        `generation` is the number of the connection; on a new one all channels are sent in full.
         """
         return self.context.outbound.collect(controller, generation, self.holders.get, self.version)
 
     def accept(self, message: Message) -> bool:
-        """Take in a received message; return false if it says nothing new."""
+        """Apply a received message; return False if it is a duplicate or outdated."""
         if not self.context.inbound.accept(message):
             return False
         self.dispatch(message)
         return True
 
     def dispatch(self, message: Message) -> None:
-        """Give a message's changes to the role that it is for, if that is held here."""
+        """Pass a message's changes to its destination role, if this controller holds that role."""
         kind, source, epoch, destination, full, changes = message[:6]
         if source >= 0 and epoch < self.context.store_cache.holder(source)[1]:
             return  # from a superseded holder
@@ -110,6 +111,7 @@
     def _dispatch_to_autoscaler(
         self, kind: str, source: int, full: bool, changes: dict[str, Any]
     ) -> None:
+        """Pass a source's or an owner's changes to the autoscaler, if it runs here."""
         autoscaler = self.context.autoscaler
         if autoscaler is None:
             return
@@ -119,23 +121,24 @@
             autoscaler.on_owner_update(source, full, changes, self.context.clock())
 
     def _apply_autoscaler_state(self, owner: ShardOwner, state: dict[str, Any]) -> None:
-        """Tell an owner which machines the autoscaler drains, cordons, and has deleted."""
+        """Pass an owner the machines that the autoscaler drains, cordons or has deleted."""
         owner.set_draining(state.get(peer_messages.DRAIN_KEY) or [])
-        # without the field the autoscaler is new and does not know yet what was cordoned
+        # The field is missing while a new autoscaler does not know yet which machines are cordoned
         if peer_messages.CORDON_KEY in state:
             owner.set_cordoned(state[peer_messages.CORDON_KEY])
         owner.on_machines_deleted(state.get(peer_messages.DELETED_KEY) or [])
 
     def task_counts(self, job: Job) -> tuple[int, int]:
-        """Return how many tasks of a live job are done and running, as far as known here.
+        """Return the known numbers of done and of running tasks of a live job.
 
-        From the job's source if it is held here, else from what that source sent.
+        They come from the job's source if it is held here, else from the counts that the source
+        sent. Both are 0 if nothing is known.
         """
         shard = self.context.shard_map.team_shard.get(job.team, -1)
         held = self.context.held_shards.get(shard)
         if held is not None and held.source is not None:
             return held.source.task_counts(job.id)
-        # only endpoints still held here: what was sent to a released shard is outdated
+        # Read only channels to shards still held here: those to a released shard are outdated
         for destination in self.context.held_shards:
             counts = self.context.inbound.channels.get(
                 (peer_messages.SOURCE_TASK_COUNTS, shard, destination)
@@ -146,23 +149,24 @@
         return 0, 0
 
     def replay(self, endpoint: int, kinds: tuple[str, ...]) -> None:
-        """Dispatch again, in full, all that an endpoint has received in channels of these kinds."""
+        """Dispatch the full state of an endpoint's received channels of these kinds again."""
         channels = list(self.context.inbound.channels.items())
         for (kind, source, destination), (epoch, state) in channels:
             if destination == endpoint and kind in kinds:
                 self.dispatch([kind, source, epoch, destination, True, dict(state)])
 
     def update_owners(self, held: HeldShard, source: JobSource, now: float) -> None:
-        """Queue what a source has to tell the shards' owners.
+        """Queue a source's updates for the owners of all shards.
 
-        A new source's channels are made and filled without an await between: an owner that got an
-        empty one first would take its permits as revoked, and run their tasks a second time.
+        A new source's channels are created and filled without an await in between. An owner that
+        received an empty channel first would treat the source's permits as revoked, and their tasks
+        would run a second time.
         """
         shard_count = len(self.context.shard_map.controllers)
         outbound = self.context.outbound
         updates = source.take_owner_updates(shard_count, now)
         for shard in range(shard_count):
-            # an empty channel is sent once, too: it shows the owner that this source is connected
+            # An empty channel is sent once, too: it shows the owner that this source is connected
             outbound.channel(peer_messages.SOURCE_TO_OWNER, held.shard, shard, held.epoch)
         for (shard, key), value in updates.items():
             outbound.channel(peer_messages.SOURCE_TO_OWNER, held.shard, shard, held.epoch).put(
--- a/ploverhall/transport/__init__.py
+++ b/ploverhall/transport/__init__.py
@@ -1,5 +1,5 @@
-"""Bytes on sockets: HTTP server and client, the links between controllers, and limits on sockets.
+"""Transport over sockets: HTTP server and client, links between controllers, and socket limits.
 
-Knows no message of the application. `network` is the interface below everything else here, so that
-tests can run a whole cluster without sockets.
+This package does not depend on the application's messages. Everything else here is built on the
+interface in `network`, so that tests can run a whole cluster without sockets.
 """
--- a/ploverhall/transport/client_pool.py
+++ b/ploverhall/transport/client_pool.py
@@ -1,7 +1,8 @@
-"""HTTP clients of many addresses, each with one kept connection, within a number of open sockets.
+"""Pool of HTTP clients for many addresses, with a limit on their open connections.
 
-Used by `controller.agent_commands`. Without a bound the kept connections of all agents that were
-ever sent a command, gone ones included, fill the process's sockets.
+Used by `controller.agent_commands`, with one kept connection to each address. Without a limit the
+kept connections to all agents that were ever sent a command, including agents that are gone, would
+use up the process's sockets.
 """
 
 from __future__ import annotations
@@ -14,30 +15,32 @@
 
 @dataclass(slots=True)
 class PooledClient:
-    """A client, and the number of calls that use it now."""
+    """A client and the number of its calls in progress."""
 
     client: Client
     calls: int = 0
 
 
 class ClientPool:
-    """Makes clients as they are needed, and closes the least recently used ones over the limit."""
+    """Creates clients on demand, and closes the least recently used ones over the limit."""
 
-    def __init__(self, make: Callable[[str, int], Client], room: Callable[[], int]) -> None:
-        """`make` returns a client of a host and port.
+    def __init__(self, make: Callable[[str, int], Client], capacity: Callable[[], int]) -> None:
+        """Create an empty pool.
 
-        `room` returns how many connections may be kept at the moment.
+        Args:
+            make: Returns a client of a host and port.
+            capacity: Returns how many connections may be kept at the moment.
         """
         self.make = make
-        self.room = room
+        self.capacity = capacity
         self.clients: dict[tuple[str, int], PooledClient] = {}  # least recently used first
 
     async def call(
         self, host: str, port: int, method: str, target: str, body: object, timeout: float
     ) -> tuple[int, object]:
-        """Send one request and return status and JSON. Raises UnreachableError like `Client.call`.
+        """Send one request; return the HTTP status and the decoded JSON.
 
-        `timeout` is in seconds.
+        `timeout` is in seconds. Raises `UnreachableError` like `Client.call`.
         """
         key = (host, port)
         pooled = self.clients.pop(key, None)
@@ -52,12 +55,13 @@
             pooled.calls -= 1
 
     async def trim(self) -> None:
-        """Close the least recently used connections over the limit, but none that is in use."""
-        excess = len(self.clients) - self.room()
+        """Close the least recently used connections over the limit, except those in use."""
+        excess = len(self.clients) - self.capacity()
         if excess <= 0:
             return
         unused = [key for key, pooled in self.clients.items() if pooled.calls == 0][:excess]
-        # All are removed before the first wait: else a call could take one that is being closed
+        # All are removed before the first await: otherwise a call could use a client that is
+        # being closed
         removed = [self.clients.pop(key) for key in unused]
         for pooled in removed:
             await pooled.client.aclose()
--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -1,15 +1,15 @@
-"""How one controller's sockets are shared between users, agents and its own calls.
+"""Limit the connections of users and agents, so that each and the controller itself have sockets.
 
 Agents keep their connections open between two heartbeats. Where there are more agents than sockets,
-the connections are shared in time: once agents hold `shared` connections, an agent that is answered
-on top of them is told to close (`Connection: close`) and connects again for its next heartbeat. The
-reconnects are thus spread over the heartbeat interval, as the heartbeats are. Idle connections of
-agents that have gone elsewhere are closed, the longest idle first. Near the limit of accepted
-connections users' connections are closed after their answers, too.
+agents take turns with them: once agents hold more than `shared` connections, the next agent that is
+answered is told to close its connection (`Connection: close`) and connects again for its next
+heartbeat. The reconnects are thus spread over the heartbeat interval, as the heartbeats are. Idle
+connections of agents that now report elsewhere are closed, the longest idle first. Near the limit
+of accepted connections, users' connections are closed after their answers, too.
 
 Used by `transport.http_server.Server` for the connections that it accepts, and by
-`transport.client_pool.ClientPool` for the connections to agents. Nothing is done before a limit is
-reached.
+`transport.client_pool.ClientPool` for the connections to agents. No connection is closed before a
+limit is reached.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 from ploverhall.transport.http_parser import Request
 
 # Shares of all sockets of the process
-ACCEPTED_SHARE = 0.8  # accepted connections; any more are answered 503
-CROWDED_SHARE = 0.75  # accepted connections; over that, all are closed after their answers
-AGENTS_SHARE = 0.7  # agents' connections; any more are answered 503, so that users find a socket
+ACCEPTED_SHARE = 0.8  # accepted connections; any more are answered with 503
+NO_KEEPALIVE_SHARE = 0.75  # accepted connections; above this, all are closed after their answers
+AGENTS_SHARE = 0.7  # agents' connections; any more are answered with 503 to leave users some
 SHARED_SHARE = 0.6  # agents' connections that are kept open between two heartbeats
-TOTAL_SHARE = 0.9  # accepted and kept outgoing ones; the rest is for store, cloud and peers
-LEAST_ACCEPTED = 8  # connections, also where the platform allows very few sockets
+TOTAL_SHARE = 0.9  # accepted plus kept outgoing connections; the rest is for store, cloud, peers
+MIN_ACCEPTED = 8  # accepted connections, even if the platform allows very few sockets
 
 
 @dataclass(slots=True, frozen=True)
 class SocketLimits:
-    """Numbers of open connections; the shares above say what holds beyond each of them."""
+    """Limits on open connections, from the shares above; each states what happens beyond it."""
 
     accepted: int
-    crowded: int
+    no_keepalive: int
     agents: int
     shared: int
     total: int
 
     @classmethod
     def of_platform(cls, max_sockets: int) -> SocketLimits:
-        """Return the limits where the platform allows a process `max_sockets` sockets."""
-        accepted = max(LEAST_ACCEPTED, int(max_sockets * ACCEPTED_SHARE))
+        """Return the limits on a platform that allows a process `max_sockets` sockets."""
+        accepted = max(MIN_ACCEPTED, int(max_sockets * ACCEPTED_SHARE))
         return cls(
             accepted=accepted,
-            crowded=min(accepted, max(LEAST_ACCEPTED, int(max_sockets * CROWDED_SHARE))),
+            no_keepalive=min(accepted, max(MIN_ACCEPTED, int(max_sockets * NO_KEEPALIVE_SHARE))),
             agents=min(accepted - 1, max(2, int(max_sockets * AGENTS_SHARE))),
             shared=min(accepted - 2, max(1, int(max_sockets * SHARED_SHARE))),
             total=max(accepted + 1, int(max_sockets * TOTAL_SHARE)),
@@ -57,39 +57,44 @@
 class Connection:
     """An accepted connection."""
 
-    due: float  # time at which it is closed unless something comes
+    deadline: float  # when it is closed unless something arrives (steady clock, seconds)
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancelled to close it
 
 
 class ConnectionLimiter:
-    """Counts the accepted connections, and decides which of them are closed."""
+    """Counts the accepted connections, and decides which of them to close."""
 
     def __init__(
         self, limits: SocketLimits, is_agent: Callable[[Request], bool], stale_s: float
     ) -> None:
-        """`is_agent` tells whose a connection is by its first request.
+        """Create a limiter without connections.
 
-        An agent that has sent nothing for `stale_s` seconds does not use its connection any more.
+        Args:
+            limits: How many connections may be open.
+            is_agent: Returns whether a connection's first request comes from an agent.
+            stale_s: Seconds of silence after which an agent no longer uses its connection.
         """
         self.limits = limits
         self.is_agent = is_agent
         self.stale_s = stale_s
-        self.accepted: dict[Connection, bool] = {}  # whether it has sent a request yet
+        self.accepted: dict[Connection, bool] = {}  # whether each has sent a request yet
         self.agents: dict[Connection, None] = {}
-        self.idle: dict[Connection, float] = {}  # agents' connections, the longest idle first
+        self.idle: dict[
+            Connection, float
+        ] = {}  # agents' connections, and since when; longest idle first
 
     def opened(self, connection: Connection) -> None:
         """Count a connection that has been accepted."""
         self.accepted[connection] = False
 
     def closed(self, connection: Connection) -> None:
-        """Forget a connection that has ended, whoever closed it."""
+        """Remove a connection that has ended, whichever side closed it."""
         self.accepted.pop(connection, None)
         self.agents.pop(connection, None)
         self.idle.pop(connection, None)
 
     def admit(self, connection: Connection, request: Request) -> bool:
-        """Return whether a request is handled: False from an agent that is over the limit."""
+        """Return whether to handle a request; False if it is from an agent over the limit."""
         self.idle.pop(connection, None)
         if not self.accepted.get(connection, True):
             self.accepted[connection] = True
@@ -98,11 +103,11 @@
         return connection not in self.agents or len(self.agents) <= self.limits.agents
 
     def must_close(self, connection: Connection, now: float) -> bool:
-        """Return whether a connection is closed after the answer that is about to be sent on it.
+        """Return whether to close a connection after the answer that is about to be sent on it.
 
-        An agent that sends heartbeats takes the place of one that does not any more.
+        First closes connections of agents that stopped sending heartbeats, in favour of this one.
         """
-        if len(self.accepted) > self.limits.crowded:
+        if len(self.accepted) > self.limits.no_keepalive:
             return True
         if connection not in self.agents:
             return False
@@ -115,9 +120,9 @@
             self.idle[connection] = now
 
     def evict(self, now: float) -> int:
-        """Close agents' connections that are not used any more while too many are open.
+        """Close stale connections of agents while too many are open; return how many were closed.
 
-        The longest idle ones go first. Returns how many were closed.
+        The longest idle connections are closed first.
         """
         evicted = 0
         excess = max(
@@ -132,6 +137,6 @@
             evicted += 1
         return evicted
 
-    def room_for_outgoing(self) -> int:
-        """Return how many connections to agents may be kept open beside the accepted ones."""
+    def outgoing_capacity(self) -> int:
+        """Return how many connections to agents may be kept open besides the accepted ones."""
         return max(1, self.limits.total - len(self.accepted))
--- a/ploverhall/transport/http_server.py
+++ b/ploverhall/transport/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server for many small requests on kept-alive connections.
+"""HTTP/1.1 server for many small requests on persistent connections.
 
 Owns the accepted connections of one listener. `controller.controller` starts one for users, agents,
 operators and the load balancer; `controller.http_routes` handles its requests.
@@ -20,8 +20,8 @@
 from ploverhall.transport.http_parser import Request, RequestReader
 from ploverhall.transport.network import CONNECTION_ERRORS, READ_BYTES, TCP_NETWORK, Network
 
-SWEEP_INTERVAL_S = 0.1  # how often connections are checked for passed deadlines
-BUSY_RETRY_S = 1.0  # told to clients that are over a limit
+SWEEP_INTERVAL_S = 0.1  # how often connections are checked for expired deadlines
+BUSY_RETRY_S = 1.0  # Retry-After in answers to clients over a limit
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 REASON_PHRASES = {
@@ -41,20 +41,20 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What a handler answers."""
+    """A handler's reply to a request."""
 
     status: int
     body: object = None  # JSON; None is sent as an empty object
     retry_after: float | None = None  # seconds, sent as Retry-After
-    close: bool = False  # close the connection after it
-    sent: Callable[[], None] | None = None  # called once it has been sent
+    close: bool = False  # close the connection after this reply
+    on_sent: Callable[[], None] | None = None  # called once the reply has been sent
 
 
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
 def encode(reply: Reply, head_only: bool = False) -> bytes:
-    """Return a reply's bytes; `head_only` for a HEAD request, whose answer has no body."""
+    """Return the bytes of a reply; without the body if `head_only`, as for a HEAD request."""
     body = orjson.dumps(reply.body) if reply.body is not None else b"{}"
     head = (
         f"HTTP/1.1 {reply.status} {REASON_PHRASES.get(reply.status, '')}\r\n"
@@ -69,58 +69,66 @@
 
 
 def _busy() -> Reply:
+    """Return the reply to a client that is over a limit; its connection is closed."""
     return Reply(503, {"error": "busy"}, BUSY_RETRY_S, True)
 
 
 class Server:
-    """Serves one listener."""
+    """HTTP server of one listener."""
 
     def __init__(
         self,
         handler: Handler,
-        cap: int,
+        max_connections: int,
         idle_s: float = 120.0,
         slow_s: float = 10.0,
         network: Network = TCP_NETWORK,
         clock: Callable[[], float] = time.monotonic,
         limiter: ConnectionLimiter | None = None,
     ) -> None:
-        """`handler` answers the requests, one at a time for each connection.
-
-        More than `cap` connections are answered 503 and closed. A connection is closed after
-        `idle_s` seconds between two requests, and after `slow_s` seconds in which a client did not
-        finish sending a request or receiving an answer. A `limiter` shares the connections in time
-        where agents hold too many of them.
+        """Create a server; `run` starts it.
+
+        Args:
+            handler: Answers the requests, one at a time for each connection.
+            max_connections: Any more connections are answered with 503 and closed.
+            idle_s: Seconds between two requests after which a connection is closed.
+            slow_s: Seconds after which a connection is closed if the client has not finished
+                sending a request or receiving an answer.
+            network: Accepts the connections.
+            clock: Steady clock, in seconds.
+            limiter: Makes agents take turns if they hold too many connections; None for no limit.
         """
         self.network = network
         self.clock = clock
         self.handler = handler
-        self.cap = cap
+        self.max_connections = max_connections
         self.idle_s = idle_s
         self.slow_s = slow_s
         self.limiter = limiter
-        # By time of acceptance. No set: its order would differ from run to run
+        # In order of acceptance. Not a set, as its order would differ from run to run
         self.connections: dict[Connection, None] = {}
 
     async def run(self, host: str, port: int) -> None:
-        """Listen and serve until cancelled. Raises OSError if the address can't be listened on."""
+        """Listen and serve until cancelled; raises `OSError` if it cannot listen on the address."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._sweep)
             await self.network.serve(host, port, self._serve)
 
     async def _sweep(self) -> None:
-        """Close connections that are past their time; cheaper than a time limit for every read."""
+        """Close connections past their deadline; cheaper than a time limit for every read."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_S)
             now = self.clock()
             for connection in self.connections:
-                if now > connection.due:
+                if now > connection.deadline:
                     connection.scope.cancel()
             if self.limiter is not None:
-                # Connections that fell idle since the last answer, while others still wait for theirs
+                # Also closes connections that became idle since the last answer, while other
+                # connections still wait for theirs
                 self.limiter.evict(now)
 
     async def _serve(self, stream: anyio.abc.ByteStream) -> None:
+        """Serve one accepted connection until it ends; reply 503 if there are too many."""
         connection = Connection(self.clock() + self.idle_s)
         self.connections[connection] = None
         if self.limiter is not None:
@@ -128,7 +136,7 @@
         try:
             with connection.scope:
                 async with stream:
-                    if len(self.connections) <= self.cap or self._evict():
+                    if len(self.connections) <= self.max_connections or self._evict():
                         await self._serve_requests(stream, connection)
                     else:
                         await self._send(stream, connection, _busy())
@@ -140,11 +148,11 @@
                 self.limiter.closed(connection)
 
     def _evict(self) -> bool:
-        """Close unused connections of agents; False where there is none."""
+        """Close stale connections of agents; return whether any was closed."""
         return self.limiter is not None and self.limiter.evict(self.clock()) > 0
 
     async def _answer(self, request: Request, connection: Connection) -> Reply:
-        """Return the answer to a request, with `close` as the limiter decides."""
+        """Return the reply to a request; the limiter may refuse the request or set `close`."""
         if self.limiter is None:
             return await self.handler(request)
         if not self.limiter.admit(connection, request):
@@ -169,23 +177,25 @@
                 await self._send(stream, connection, reply)
                 return
             if reader.message_begun and not in_message:
-                connection.due = self.clock() + self.slow_s  # for the rest of this request
-            if reader.expects and not reader.in_head:
-                reader.expects = False
+                connection.deadline = (
+                    self.clock() + self.slow_s
+                )  # to receive the rest of this request
+            if reader.expects_continue and not reader.in_head:
+                reader.expects_continue = False
                 await stream.send(CONTINUE)
 
     async def _serve_request(
         self, stream: anyio.abc.ByteStream, connection: Connection, request: Request
     ) -> Reply:
-        """Answer one request, and return the reply that was sent."""
-        connection.due = math.inf  # the handler sets its own time limits
+        """Answer one request, and return the reply that has been sent."""
+        connection.deadline = math.inf  # none: the handler has its own time limits
         reply = await self._answer(request, connection)
         reply.close = reply.close or request.close
         await self._send(stream, connection, reply, request.method == "HEAD")
-        if reply.sent is not None:
-            reply.sent()
+        if reply.on_sent is not None:
+            reply.on_sent()
         if not reply.close:
-            connection.due = self.clock() + self.idle_s
+            connection.deadline = self.clock() + self.idle_s
             if self.limiter is not None:
                 self.limiter.answered(connection, self.clock())
         return reply
@@ -197,12 +207,13 @@
         reply: Reply,
         head_only: bool = False,
     ) -> None:
-        connection.due = self.clock() + self.slow_s
+        """Send a reply; the connection is closed if that takes longer than `slow_s`."""
+        connection.deadline = self.clock() + self.slow_s
         await stream.send(encode(reply, head_only))
 
 
 def _feed(reader: RequestReader, data: bytes) -> InvalidHttpError | None:
-    """Parse bytes; an error is returned, to be answered after the requests that came before it."""
+    """Parse bytes; return an error, to be answered after the complete requests before it."""
     try:
         reader.feed(data)
     except InvalidHttpError as error:
--- a/ploverhall/transport/network.py
+++ b/ploverhall/transport/network.py
@@ -1,7 +1,8 @@
-"""The interface between a controller and the network, and its implementation with TCP.
+"""Interface between a controller and the network, and its implementation with TCP.
 
-HTTP and the links between controllers are written against `Network`. Tests run whole clusters over
-a simulated one in virtual time, where every directed link has a state (tests/simulation/simulated_network.py).
+HTTP and the links between controllers use `Network`. Tests run whole clusters in virtual time over
+a simulated network, in which every directed link has its own state
+(tests/simulation/simulated_network.py).
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 import anyio
 from anyio.abc import ByteStream
 
-BACKLOG = 4096  # connections that wait to be accepted: every agent comes at once after a pause
+BACKLOG = 4096  # connections waiting to be accepted: after a pause all agents connect at once
 READ_BYTES = 65_536  # most bytes read from a stream at once
-# What reading from and writing to a stream raise when the connection is lost
+# Errors that reading from and writing to a stream raise when the connection is lost
 CONNECTION_ERRORS = (
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -25,32 +26,32 @@
 
 
 class Network(Protocol):
-    """Connections to addresses, and listeners on them."""
+    """Interface that opens connections to addresses and listens on them."""
 
     async def connect(self, host: str, port: int) -> ByteStream:
-        """Return a new connection. Raises OSError when it is refused or reset.
+        """Return a new connection; raises `OSError` if it is refused or reset.
 
-        It may hang for ever: callers set a time limit.
+        Connecting may hang for ever, so callers set a time limit.
         """
         ...
 
     async def serve(self, host: str, port: int, handler: Handler, backlog: int = BACKLOG) -> None:
         """Accept connections until cancelled, and call `handler` with each, concurrently.
 
-        Raises OSError when the address cannot be listened on.
+        Raises `OSError` if it cannot listen on the address.
         """
         ...
 
 
 class TcpNetwork:
-    """TCP sockets of this host."""
+    """Network of TCP sockets on this host."""
 
     async def connect(self, host: str, port: int) -> ByteStream:
-        """See Network."""
+        """Open a TCP connection as described in `Network.connect`."""
         return await anyio.connect_tcp(host, port)
 
     async def serve(self, host: str, port: int, handler: Handler, backlog: int = BACKLOG) -> None:
-        """See Network."""
+        """Accept TCP connections as described in `Network.serve`."""
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=backlog
         )
--- a/scripts/benchmark_hot_paths/heartbeat_benchmarks.py
+++ b/scripts/benchmark_hot_paths/heartbeat_benchmarks.py
@@ -49,7 +49,7 @@
         return Reply(200, {"crest": 41, "calls": []})
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(Server(handler, cap=1000).run, "127.0.0.1", port)
+        tasks.start_soon(Server(handler, max_connections=1000).run, "127.0.0.1", port)
         await anyio.sleep(0.2)
         begun = time.process_time()
         if (pid := os.fork()) == 0:
--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -197,7 +197,7 @@
 
     async def _status(self, path: str) -> int | None:
         """The status of an answer over a new connection; None without one."""
-        client = Client(*self.settings.bind, keep=0)
+        client = Client(*self.settings.bind, max_idle=0)
         try:
             status, _ = await client.call("GET", path, None, 1.0)
         except UnreachableError:
--- a/tests/simulation/fake_agents.py
+++ b/tests/simulation/fake_agents.py
@@ -118,7 +118,7 @@
                 server = Server(handle, 10, network=network, clock=self.clock)
                 tasks.start_soon(server.run, self.host or agent.name, port)
                 clients = {
-                    name: Client(*address, keep=1, network=network, clock=self.clock)
+                    name: Client(*address, max_idle=1, network=network, clock=self.clock)
                     for name, address in self.controllers.items()
                 }
                 tasks.start_soon(self._run_tasks, agent)
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ploverhall.controller.autoscaling_loop import AutoscalingLoop
-from ploverhall.controller.http_routes import REPORT_PATH, is_report
+from ploverhall.controller.http_routes import HEARTBEAT_PATH, is_heartbeat_request
 from ploverhall.errors import UnreachableError
 from ploverhall.protocol import cloud
 from ploverhall.storage import image_index
@@ -65,10 +65,10 @@
     async def agent(self, name: str, reports: int = 1_000_000) -> None:
         """Reports every REPORT_S, give or take a quarter, on one kept connection."""
         rng = Random(name)
-        client = Client("c0", 80, keep=1, network=self.net.of(name), clock=self.loop.time)
+        client = Client("c0", 80, max_idle=1, network=self.net.of(name), clock=self.loop.time)
         await anyio.sleep(REPORT_S * rng.random())
         for _ in range(reports):
-            await self.ask(client, name, "POST", REPORT_PATH)
+            await self.ask(client, name, "POST", HEARTBEAT_PATH)
             await anyio.sleep(REPORT_S * (0.75 + 0.5 * rng.random()))
 
     async def ask(self, client: Client, name: str, method: str, path: str) -> None:
@@ -104,7 +104,7 @@
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualTimeLoop)
         async with anyio.create_task_group() as tasks:
-            limiter = ConnectionLimiter(LIMITS, is_report, LEASE_S) if limited else None
+            limiter = ConnectionLimiter(LIMITS, is_heartbeat_request, LEASE_S) if limited else None
             controller = Controller(tasks, loop, SimulatedNetwork(Random(1), loop.time), limiter)
             out.append(controller)
             await controller.start()
@@ -189,7 +189,7 @@
 def test_agents_that_wait_for_answers_leave_a_reserve_for_users() -> None:
     async def scene(controller: Controller) -> None:
         async def slow(request: Request) -> Reply:
-            await anyio.sleep(30.0 if is_report(request) else 0.0)
+            await anyio.sleep(30.0 if is_heartbeat_request(request) else 0.0)
             return Reply(200)
 
         controller.server.handler = slow
@@ -222,23 +222,23 @@
     for sockets in (10, 16, 50, 200, 500, 1686, 2377, 7600):
         limits = SocketLimits.of_platform(sockets)
         assert 0 < limits.shared < limits.agents < limits.accepted < limits.total < sockets
-        assert limits.agents < limits.crowded <= limits.accepted == max(8, int(0.8 * sockets))
+        assert limits.agents < limits.no_keepalive <= limits.accepted == max(8, int(0.8 * sockets))
     for sockets in (50, 200, 500, 1686, 2377, 7600):
         limits = SocketLimits.of_platform(sockets)
-        assert limits.crowded < limits.accepted
+        assert limits.no_keepalive < limits.accepted
         assert 0.1 * sockets <= sockets - limits.total < 0.1 * sockets + 1
 
 
 def test_kept_outgoing_connections_give_way_to_accepted_ones() -> None:
     async def scene(controller: Controller) -> None:
-        limiter = ConnectionLimiter(LIMITS, is_report, LEASE_S)
-        assert limiter.room_for_outgoing() == LIMITS.total
+        limiter = ConnectionLimiter(LIMITS, is_heartbeat_request, LEASE_S)
+        assert limiter.outgoing_capacity() == LIMITS.total
         for _ in range(LIMITS.accepted):
             limiter.opened(Connection(0.0))
-        assert limiter.room_for_outgoing() == LIMITS.total - LIMITS.accepted
+        assert limiter.outgoing_capacity() == LIMITS.total - LIMITS.accepted
         for _ in range(MAX_SOCKETS):
             limiter.opened(Connection(0.0))
-        assert limiter.room_for_outgoing() == 1
+        assert limiter.outgoing_capacity() == 1
 
     run(scene)
 
@@ -249,7 +249,11 @@
 
         def make(host: str, port: int) -> Client:
             return Client(
-                host, port, keep=1, network=controller.net.of("caller"), clock=controller.loop.time
+                host,
+                port,
+                max_idle=1,
+                network=controller.net.of("caller"),
+                clock=controller.loop.time,
             )
 
         for i in range(20):
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -21,7 +21,9 @@
     async def play() -> None:
         (port,) = free_ports(1)
         async with anyio.create_task_group() as tg:
-            tg.start_soon(Server(ok, cap=10, idle_s=0.5, slow_s=0.3).run, "127.0.0.1", port)
+            tg.start_soon(
+                Server(ok, max_connections=10, idle_s=0.5, slow_s=0.3).run, "127.0.0.1", port
+            )
             await anyio.sleep(0.1)
             half = await anyio.connect_tcp("127.0.0.1", port)
             slow = await anyio.connect_tcp("127.0.0.1", port)
@@ -47,7 +49,7 @@
     async def play() -> None:
         (port,) = free_ports(1)
         async with anyio.create_task_group() as tg:
-            tg.start_soon(Server(ok, cap=2).run, "127.0.0.1", port)
+            tg.start_soon(Server(ok, max_connections=2).run, "127.0.0.1", port)
             await anyio.sleep(0.1)
             held = [await anyio.connect_tcp("127.0.0.1", port) for _ in range(2)]
             await anyio.sleep(0.1)
@@ -74,7 +76,7 @@
     async def play() -> None:
         (port,) = free_ports(1)
         async with anyio.create_task_group() as tg:
-            tg.start_soon(Server(never, cap=2).run, "127.0.0.1", port)
+            tg.start_soon(Server(never, max_connections=2).run, "127.0.0.1", port)
             await anyio.sleep(0.1)
             with pytest.raises(UnreachableError):
                 await Client("127.0.0.1", port).call("GET", "/", timeout=0.3)
