--- a/ploverhall/controller/agent_commands.py
+++ b/ploverhall/controller/agent_commands.py
@@ -71,7 +71,7 @@
         self.failback.heartbeat_direct(machine, now)
 
     def unreachable_shards(self, now: float) -> dict[int, int]:
-        """Return, by shard held here of which no agent reaches this controller, its epoch."""
+        """Return the shards held here that no agent reaches directly, and their epochs."""
         max_silence_s = 1.3 * self.context.settings.heartbeat_interval_s + 0.3
         return {
             held.shard: held.epoch
@@ -115,7 +115,7 @@
             return await self.clients.call(host, int(port), method, path, body, COMMAND_TIMEOUT_S)
         except ValueError as error:  # the host name cannot be resolved
             raise UnreachableError(
-                f"agent address {address!r:.200} cannot be resolved: {error}"
+                f"agent address {address!r:.200} cannot be resolved: {error!r:.200}"
             ) from error
 
     async def send(self, owner: ShardOwner, machine: Machine, body: dict[str, object]) -> None:
@@ -188,7 +188,7 @@
     # -- reachability --------------------------------------------------------------------------
 
     async def reachable_from(self, peer: str, owner: ShardOwner) -> bool:
-        """Return whether a peer reaches the agents of a shard held here; it calls a few of them.
+        """Return whether a peer reaches a shard's agents directly; the peer calls a few of them.
 
         Without this check a shard fails back to a controller that its agents cannot reach, and
         their leases expire: a controller that holds no shard does not know whether agents reach it.
--- a/ploverhall/controller/heartbeat_requests.py
+++ b/ploverhall/controller/heartbeat_requests.py
@@ -29,9 +29,9 @@
 from ploverhall.transport.http_parser import Request
 from ploverhall.transport.http_server import Reply
 
-RECOVERY_LOG_INTERVAL_S = (
-    10.0  # shorter gaps belong to one recovery: one log line, not one per heartbeat
-)
+# Restart recovery is logged when it begins, not for every heartbeat: it begins with an answer after
+# a pause of at least this length
+RECOVERY_LOG_INTERVAL_S = 10.0
 
 
 class HeartbeatRequests:
@@ -80,10 +80,10 @@
         """Record that the agent reaches this controller, and when its answer has been sent."""
         self.agent_commands.heartbeat_received(shard, heartbeat.machine, self.context.clock())
 
-        def on_sent() -> None:
+        def record_sent() -> None:
             machine.last_answer_at = self.context.clock()
 
-        reply.on_sent = on_sent
+        reply.on_sent = record_sent
 
     # -- shards held here ----------------------------------------------------------------------
 
@@ -112,7 +112,7 @@
         return Reply(200, agents.heartbeat_answer(machine.token, commands)), machine
 
     def _superseded_reply(self, held: HeldShard) -> Reply:
-        """Return a redirect to the store's holder, for an agent with a token of a later epoch."""
+        """Redirect an agent whose token has a later epoch to the holder known from the store."""
         log.info(
             "superseded",
             shard=held.shard,
@@ -129,7 +129,7 @@
     def _isolation_redirect(
         self, heartbeat: Heartbeat, held: HeldShard | None, now: float
     ) -> str | None:
-        """Return the controller to redirect this agent to while this one is isolated; None if none.
+        """Return where an isolated controller redirects this agent; None to answer it here.
 
         See `coordination.isolation`.
         """
@@ -209,7 +209,7 @@
     def _recovered_answer(
         self, heartbeat: Heartbeat, shard: int, now: float
     ) -> dict[str, Any] | None:
-        """Return a restart recovery answer, given before the shard is held again; None for none."""
+        """Return the body of a recovery answer while the shard is not held; None if none is due."""
         answer = self.cancellation_state.renewal_grants.answer_heartbeat(
             heartbeat,
             self.context.controller_index,
--- a/ploverhall/controller/http_routes.py
+++ b/ploverhall/controller/http_routes.py
@@ -24,7 +24,7 @@
 JOBS_PATH = "/api/jobs"
 MAINTENANCE_PATH = "/upkeep"
 STATUS_FILTERS = ("job", "team", "machine")
-# Oldest last response of the key-value store, direct or relayed, of a healthy controller
+# A healthy controller's last response of the key-value store, direct or relayed, is no older
 STORE_ANSWER_MAX_AGE_S = 2.5
 
 
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -177,7 +177,7 @@
         return wait_s if wait_s > max_wait_s else None
 
     async def _store_submission(self, job: Job, record: Any) -> Reply:
-        """Write a new job's record unless one exists, and return the reply."""
+        """Write a new job's record unless another controller has written one; return the reply."""
         key = JOB_PREFIX + job.id
         self.pending_submissions += 1
         try:
--- a/ploverhall/controller/peer_liveness.py
+++ b/ploverhall/controller/peer_liveness.py
@@ -12,7 +12,8 @@
 PEER_TIMEOUT_S = 2.5  # a peer without a status for longer is not alive
 # A peer's last claim of shards counts for longer: it is still newer than the store cache
 SHARD_CLAIM_MAX_AGE_S = 5.0
-STORE_ANSWER_MAX_AGE_S = 1.5  # oldest last answer of the key-value store to a peer that reaches it
+# Of the key-value store's last answer to a peer: a peer with an older one may not reach the store
+STORE_ANSWER_MAX_AGE_S = 1.5
 # Share of the peers' unused write rate that is borrowed; the rest is left for their next burst
 BORROWED_SHARE = 0.7
 
--- a/ploverhall/controller/relay.py
+++ b/ploverhall/controller/relay.py
@@ -32,8 +32,8 @@
 # How often a waiting request checks that the connection its response would use is still up
 CONNECTION_CHECK_S = 0.25
 MAX_HOPS = 2  # most peers that a request may pass through
-REQUEST_OVERHEAD_BYTES = 200  # estimated size of an encoded request without its body and target
-RESPONSE_OVERHEAD_BYTES = 100  # estimated size of an encoded response without its body
+REQUEST_OVERHEAD_BYTES = 200  # encoded size of a request without its body and target
+RESPONSE_OVERHEAD_BYTES = 100  # encoded size of a response without its body
 Handler = Callable[[str, RelayRequest], Awaitable[tuple[int, bytes]]]
 
 
@@ -135,7 +135,7 @@
             raise RelayRefusedError(f"not connected to peer {via}")
         number = self.pending.open_request(via, deadline)
         if number is None:
-            raise RelayRefusedError(f"too many open relayed requests; the next was for peer {via}")
+            raise RelayRefusedError(f"too many open relayed requests to open one to peer {via}")
         return number
 
     def _enqueue_request(self, via: str, request: RelayRequest, deadline: float) -> None:
@@ -166,7 +166,9 @@
         """
         if not responses:
             self.routes.record_failure(via, self.context.clock())
-            raise UnreachableError(f"{kind} through {via}: no response before the deadline")
+            raise UnreachableError(
+                f"{kind} through {via}: no response by the deadline, or connection lost"
+            )
         response = responses[0]
         if response.status == 0:
             self.routes.record_failure(via, self.context.clock())
--- a/ploverhall/controller/routing.py
+++ b/ploverhall/controller/routing.py
@@ -55,7 +55,7 @@
             self.version += 1
 
     def has_stable_holder(self, shard: int, now: float) -> bool:
-        """Return whether a shard's holder has been unchanged for longer than agents need."""
+        """Return whether agents have had the time to find a shard's present holder."""
         return now - self.epochs.get(shard, (0, now))[1] > STABLE_HOLDER_S
 
     def holder(self, endpoint: int) -> str | None:
--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -24,7 +24,7 @@
 # Shares of all sockets of the process
 ACCEPTED_SHARE = 0.8  # accepted connections; any more are answered with 503
 NO_KEEPALIVE_SHARE = 0.75  # accepted connections; above this, all are closed after their answers
-AGENTS_SHARE = 0.7  # agents' connections; any more are answered with 503 to leave users some
+AGENTS_SHARE = 0.7  # agents' connections; more are answered with 503, so that users find a socket
 SHARED_SHARE = 0.6  # agents' connections that are kept open between two heartbeats
 TOTAL_SHARE = 0.9  # accepted plus kept outgoing connections; the rest is for store, cloud, peers
 MIN_ACCEPTED = 8  # accepted connections, even if the platform allows very few sockets
@@ -79,9 +79,8 @@
         self.stale_s = stale_s
         self.accepted: dict[Connection, bool] = {}  # whether each has sent a request yet
         self.agents: dict[Connection, None] = {}
-        self.idle: dict[
-            Connection, float
-        ] = {}  # agents' connections, and since when; longest idle first
+        # Agents' idle connections, and since when they are idle; the longest idle first
+        self.idle: dict[Connection, float] = {}
 
     def opened(self, connection: Connection) -> None:
         """Count a connection that has been accepted."""
--- a/ploverhall/transport/http_parser.py
+++ b/ploverhall/transport/http_parser.py
@@ -19,9 +19,8 @@
 
 MAX_BODY = 64 * 1024  # bytes of a request's body
 MAX_HEAD = 16 * 1024  # bytes of a message's head
-MAX_PIPELINED_REQUESTS = (
-    16  # requests read before earlier ones are answered; our own clients send none
-)
+# Requests read before earlier ones are answered; this project's own clients send none
+MAX_PIPELINED_REQUESTS = 16
 # The response to a watch has no smaller limit; this one bounds the memory that a faulty service
 # can use up
 MAX_RESPONSE_BODY = 256 * 1024 * 1024
@@ -121,9 +120,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.ready: deque[Request] = deque()
-        self.expects_continue = (
-            False  # the client waits for "100 Continue" before it sends the body
-        )
+        # The client waits for "100 Continue" before it sends the body
+        self.expects_continue = False
         self._url = b""
         self._has_host = False
         self._parser = httptools.HttpRequestParser(self)
@@ -227,8 +225,7 @@
     def on_message_complete(self) -> None:
         """Mark the response as complete unless it is informational."""
         self.message_begun = False
-        if (
-            self._parser.get_status_code() >= 200
-        ):  # below 200: informational, the final response follows
+        # Below 200 the response is informational, and the final one follows
+        if self._parser.get_status_code() >= 200:
             self.done = True
             self.keep_alive = self._parser.should_keep_alive()
--- a/ploverhall/transport/http_server.py
+++ b/ploverhall/transport/http_server.py
@@ -177,9 +177,7 @@
                 await self._send(stream, connection, reply)
                 return
             if reader.message_begun and not in_message:
-                connection.deadline = (
-                    self.clock() + self.slow_s
-                )  # to receive the rest of this request
+                connection.deadline = self.clock() + self.slow_s  # for the rest of this request
             if reader.expects_continue and not reader.in_head:
                 reader.expects_continue = False
                 await stream.send(CONTINUE)
