--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -1,7 +1,7 @@
-"""Writes what the job source of a held shard decides: allocations, progress, grants, job ends.
+"""Writes the decisions of held shards' job sources: allocations, progress, grants, job ends.
 
-`controller` runs one `AllocationWriter.run` per held shard. It loads the stored allocations of the
-shard's teams, makes the `JobSource`, and then commits its decisions, one transaction at a time.
+`controller` runs one `AllocationWriter.run` per held shard. It loads the stored records of the
+shard's teams, creates the `JobSource`, and then commits its decisions, one transaction at a time.
 """
 
 from __future__ import annotations
@@ -30,18 +30,19 @@
     shard_key,
 )
 
-# A write leaves one change for the next submission, unless it has waited for so long
+# A write leaves one change of the write allowance to the next submission, unless the write has
+# already waited for RESERVE_PATIENCE_S
 SUBMISSION_RESERVE = 1.0
 RESERVE_PATIENCE_S = 0.5
 FRESH_READ_RETRY_S = 0.2
-IDLE_WRITE_INTERVAL_S = 0.5  # the source is asked for writes at least this often
-# Pause after a refused write: drawn from this base up to twice as long
+IDLE_WRITE_INTERVAL_S = 0.5  # longest wait before the source is polled for writes again
+# Pause after a refused write: random, from this value up to twice as long
 REFUSED_WRITE_PAUSE_S = 0.15
 
 
 @dataclass
 class StoredTeam:
-    """What the store holds of one team: values with their versions."""
+    """The stored records of one team, as values with their versions."""
 
     allocations: dict[str, tuple[Any, int]]
     progress: dict[str, tuple[Any, int]]
@@ -49,7 +50,7 @@
 
 
 class AllocationWriter:
-    """Loads and commits the state of job sources."""
+    """Loads the state of job sources and commits their decisions."""
 
     def __init__(
         self,
@@ -61,11 +62,12 @@
         on_store_changed: Callable[[], None],
         on_superseded: Callable[[int], None],
     ) -> None:
-        """Compose the writer.
+        """Create a writer that serves every held shard.
 
-        `is_current`: reads the store afresh into the cache, false when it can't;
+        `is_current`: refreshes the store cache; returns false if that did not succeed in time;
         `on_store_changed`: called after the cache has changed;
-        `on_superseded`: called with a shard whose write shows that another controller holds it.
+        `on_superseded`: called with a shard whose failed write shows that its key has changed,
+        so that this controller no longer holds it.
         """
         self.context = context
         self.routing = routing
@@ -78,7 +80,8 @@
     async def run(self, held: HeldShard) -> None:
         """Load the shard's source and commit its writes until the shard is released.
 
-        The source permits nothing before it knows every allocation that may be running.
+        The source is published only after everything is loaded: it must not permit any task before
+        it knows every allocation that may be running.
         """
         with held.write_scope:
             source = self._new_source(held)
@@ -123,7 +126,7 @@
         )
 
     def _add_live_jobs(self, held: HeldShard, source: JobSource, now: float) -> None:
-        """Give the source the live jobs of its teams, with the seconds since their submission."""
+        """Add the live jobs of the shard's teams to the source, with their age since submission."""
         team_shard = self.context.shard_map.team_shard
         for job_id, (job, version) in self.context.store_cache.live_jobs.items():
             if team_shard.get(job.team) == held.shard:
@@ -131,7 +134,7 @@
                 source.on_job(job, job_id, version, now, age_s)
 
     def _publish_source(self, held: HeldShard, source: JobSource, now: float) -> None:
-        """Make the loaded source the shard's: from now on it decides and hears the owners."""
+        """Install the loaded source: from now on it takes decisions and receives owner updates."""
         held.source = source
         self.routing.update_owners(held, source, now)
         self._replay_owner_updates(held)
@@ -139,11 +142,11 @@
         self.context.wake_scheduling()
 
     def _replay_owner_updates(self, held: HeldShard) -> None:
-        """Repeat what owners sent: the source may not have known the allocations it was about."""
+        """Replay the owners' updates, since the source may have lacked the allocations they name."""
         self.routing.replay(held.shard, (peer_messages.OWNER_TO_SOURCE,))
 
     async def _write_loop(self, held: HeldShard, source: JobSource) -> None:
-        """Commit what the source has decided, one transaction at a time."""
+        """Commit the source's decisions, one transaction at a time, while the shard is held."""
         while not held.released:
             available = self.context.store.writes.available()
             write = source.next_write(int(available - SUBMISSION_RESERVE))
@@ -189,7 +192,10 @@
     async def _on_compare_failed(
         self, held: HeldShard, source: JobSource, write: PendingWrite, failed: list[str]
     ) -> bool:
-        """Reload what the write was based on; return false if the shard is another's now."""
+        """Reload the records that the write was based on.
+
+        Returns false, without reloading, if the shard's key has changed.
+        """
         log.info("compare-and-swap failed", shard=held.shard, keys=",".join(failed))
         if shard_key(held.shard) in failed:
             self.on_superseded(held.shard)
@@ -200,9 +206,9 @@
     async def _reload(
         self, held: HeldShard, source: JobSource, write: PendingWrite, teams: list[str]
     ) -> None:
-        """Load again what a write of failed comparison or unknown outcome was about.
+        """Reload the records of a write whose compare-and-swap failed or has an unknown outcome.
 
-        What the store holds counts; if the write is executed later, its comparisons fail.
+        The stored records are authoritative. If the write is executed later, its comparisons fail.
         """
         for team_name in teams:
             found = await self.reader.list_prefix(allocation_prefix(team_name))
--- a/ploverhall/controller/archiver.py
+++ b/ploverhall/controller/archiver.py
@@ -1,7 +1,8 @@
-"""Moves records of jobs that ended long ago into the archive, out of every controller's memory.
+"""Moves the records of jobs that ended long ago to the archive.
 
-The store cache holds every job record, so without an archive its memory would grow with each job.
-`controller` runs one `Archiver.loop` per process; each controller archives a fixed share of jobs.
+The store cache of every controller holds all job records but not the archive; without archiving,
+its memory would grow with each job. `controller` runs one `Archiver.loop` per process; each
+controller archives a fixed share of the jobs.
 """
 
 from __future__ import annotations
@@ -31,12 +32,15 @@
     def __init__(
         self, context: ControllerContext, *, may_archive: Callable[[EndedJob], bool]
     ) -> None:
-        """`may_archive`: whether no controller needs to be told any more how a job ended."""
+        """Create an archiver.
+
+        `may_archive`: returns whether no controller still needs to be informed of a job's end.
+        """
         self.context = context
         self.may_archive = may_archive
 
     async def loop(self) -> None:
-        """Archive one batch per interval while the write allowance is otherwise unused."""
+        """Archive one batch per interval if the write allowance is unused; never returns."""
         writes = self.context.store.writes
         while True:
             await anyio.sleep(ARCHIVE_INTERVAL_S)
@@ -48,17 +52,20 @@
                 await self._archive(batch)
 
     def _surplus(self) -> int:
-        """Return how many ended jobs there are too many; 0 while the cache is not loaded."""
+        """Return by how many the ended jobs exceed `keep_ended`; 0 while the cache isn't loaded.
+
+        The result is negative if there are fewer ended jobs than that.
+        """
         store_cache = self.context.store_cache
         if not store_cache.ready:
             return 0
         return len(store_cache.ended_jobs) - self.context.settings.options.keep_ended
 
     def _next_batch(self, surplus: int) -> dict[str, EndedJob]:
-        """Return the oldest jobs of this controller's share, as many as a transaction takes.
+        """Return the oldest ended jobs of this controller's share that fit into one transaction.
 
-        An archived job's end may be acknowledged by any controller that reads it there, and is
-        gossiped no more: hence only jobs that `may_archive` allows.
+        Only jobs that `may_archive` allows are returned: any controller that reads an archived
+        job's end may acknowledge it, and the end is no longer gossiped.
         """
         oldest = islice(self.context.store_cache.ended_jobs.items(), surplus)
         candidates = (
@@ -66,7 +73,7 @@
             for job_id, ended in oldest
             if self._is_own_share(job_id) and self.may_archive(ended)
         )
-        # a put and a delete per job, and the marker
+        # One put and one delete per job, and one put for the archive marker
         batch_size = max(1, self.context.settings.max_transaction_ops // 2 - 1)
         return dict(islice(candidates, batch_size))
 
@@ -77,8 +84,8 @@
     async def _archive(self, batch: dict[str, EndedJob]) -> None:
         """Move the records in one transaction; if it fails, a later round selects them again.
 
-        Only the watch removes them from the cache, together with the archive's marker: removed
-        sooner, a poll would be answered that there is no such job.
+        Only the watch removes the jobs from the cache, when it also brings the archive marker. If
+        they were removed here, a poll for one would be answered that the job doesn't exist.
         """
         puts: dict[str, object] = {
             ARCHIVE_PREFIX + job_id: end_record(ended.outcome, ended.tasks_done)
--- a/ploverhall/controller/autoscaler_role.py
+++ b/ploverhall/controller/autoscaler_role.py
@@ -1,7 +1,7 @@
-"""Holds the autoscaler's role, which exists once for the whole fleet, by the controller's lease.
+"""Claims and releases the autoscaler role, which one controller of the fleet holds.
 
-Claims the role in the key-value store where nobody holds it, and makes the autoscaler then.
-`autoscaling_loop` asks it before every step.
+The role is a key in the key-value store, attached to the controller's lease. A controller that
+claims it creates the autoscaler. `autoscaling_loop` checks the role before every step.
 """
 
 from __future__ import annotations
@@ -17,14 +17,16 @@
 from ploverhall.protocol import peer_messages
 from ploverhall.storage.schema import AUTOSCALER_KEY, autoscaler_record
 
-CLAIM_DELAY_S = 0.1  # a role without holder is claimed after this, and a step per controller
+# A role without a holder is claimed after CLAIM_DELAY_S, plus CLAIM_DELAY_STEP_S for each
+# controller that comes earlier in the claim order
+CLAIM_DELAY_S = 0.1
 CLAIM_DELAY_STEP_S = 0.5
-# Kinds of state channels that the autoscaler receives
+# Kinds of state channels on which the autoscaler receives
 AUTOSCALER_CHANNEL_KINDS = (peer_messages.SOURCE_TO_AUTOSCALER, peer_messages.OWNER_TO_AUTOSCALER)
 
 
 class AutoscalerRole:
-    """The autoscaler's role: whether this controller holds it, and when to claim it."""
+    """Tracks whether this controller holds the autoscaler role, and claims it when due."""
 
     def __init__(
         self,
@@ -32,21 +34,28 @@
         routing: Routing,
         current_lease: Callable[[], int | None],
     ) -> None:
-        """`current_lease`: id of this controller's lease, None while it has none."""
+        """Start without the role.
+
+        `current_lease`: returns the id of this controller's lease, or None if it has none.
+        """
         self.context = context
         self.routing = routing
         self.current_lease = current_lease
+        # When the role was first seen without a holder (context's clock, in seconds); 0: it has one
         self.unheld_since = 0.0
 
-    def keep(self) -> bool:
-        """Give the role up if the store shows a later holder; return whether it is held here."""
+    def keep_if_current(self) -> bool:
+        """Give up the role if the store shows a later claim; return whether it is still held."""
         _, version = self.context.store_cache.autoscaler()
         if self.context.autoscaler is not None and version > self.context.autoscaler.epoch:
             self.context.autoscaler = None
         return self.context.autoscaler is not None
 
     async def claim_if_due(self, now: float) -> bool:
-        """Claim the role, which is not held here, if it is due; return whether it was acquired."""
+        """Claim the role if a claim is due; return whether it was acquired.
+
+        Must be called only while this controller doesn't hold the role.
+        """
         self.context.outbound.drop(
             (peer_messages.AUTOSCALER_TO_OWNER,), state_channel.AUTOSCALER_ENDPOINT
         )
@@ -54,7 +63,7 @@
         return self._claim_due(holder, version, now) and await self._claim(version, now)
 
     def _claim_due(self, holder: str | None, version: int, now: float) -> bool:
-        """Return whether to claim the role now; the delay spreads the controllers' claims."""
+        """Return whether to claim the role now; the delay staggers the controllers' claims."""
         if holder is None:
             self.unheld_since = self.unheld_since or now
             controller_count = len(self.context.shard_map.controllers)
@@ -63,10 +72,13 @@
         if holder != self.context.settings.name:
             self.unheld_since = 0.0
             return False
-        return True  # claimed by an earlier process
+        return True  # the holder is an earlier process of this controller
 
     async def _claim(self, version: int, now: float) -> bool:
-        """Try to acquire the role whose key has this version; return whether it was acquired."""
+        """Try to claim the role by compare-and-swap of its key; return whether it was acquired.
+
+        `version` is the version that the key must still have.
+        """
         value = autoscaler_record(self.context.settings.name)
         try:
             epoch, failed = await self.context.store.compare_and_swap(
@@ -91,7 +103,7 @@
         return True
 
     def _new_autoscaler(self, epoch: int, now: float) -> Autoscaler:
-        """Return an autoscaler that knows the machine types and the live jobs."""
+        """Return a new autoscaler with the stored machine types and the live jobs."""
         settings = self.context.settings
         autoscaler = Autoscaler(
             epoch,
--- a/ploverhall/controller/autoscaling_loop.py
+++ b/ploverhall/controller/autoscaling_loop.py
@@ -1,7 +1,7 @@
-"""Runs the autoscaler where this controller holds that role, and calls the cloud for it.
+"""Runs the autoscaler while this controller holds its role, and makes its requests to the cloud.
 
-Owns all requests to the cloud: reading machine types and machines, renting and returning.
-`autoscaler_role` claims the role; `controller` runs `AutoscalingLoop.loop`.
+All requests to the cloud are made here: reading machine types and machines, renting and returning
+machines. `autoscaler_role` claims the role; `controller` runs `AutoscalingLoop.loop`.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 PLAN_INTERVAL_S = 1.0
 MACHINE_TYPES_INTERVAL_S = 60.0
 MACHINE_TYPES_RETRY_S = 2.0
-LIST_EVERY_S = 2.0  # between two reads of the machine list, or longer where it has many pages
-LIST_SHARE = 0.5  # of the cloud's request limit that reading the list may use
+LIST_EVERY_S = 2.0  # between two reads of the machine list; longer if the list has many pages
+LIST_SHARE = 0.5  # share of the cloud's request limit that reading the list may use
 LIST_PAGE_SIZE = 500
 MAX_RETURNS_PER_REQUEST = 100
 CLOUD_TIMEOUT_S = 3
-CLOUD_PAUSE_REQUESTS = 1.2  # pause after a change, in requests at the cloud's limit
+CLOUD_PAUSE_REQUESTS = 1.2  # pause after a change, in multiples of the interval at the rate limit
 
 
 class AutoscalingLoop:
-    """Executes the plans of the autoscaler while its role is held here."""
+    """Executes the autoscaler's plans while this controller holds its role."""
 
     def __init__(
         self,
@@ -52,32 +52,36 @@
         current_lease: Callable[[], int | None],
         cloud: Caller,
     ) -> None:
-        """`current_lease`: id of this controller's lease, None while it has none."""
+        """Start without the role.
+
+        `current_lease`: returns the id of this controller's lease, or None if it has none;
+        `cloud`: makes requests to the cloud.
+        """
         self.context = context
         self.cloud = cloud
         self.current_lease = current_lease
         self.role = AutoscalerRole(context, routing, current_lease)
-        # Rental requests to be made, each with the name under which it is repeated
+        # Rental requests to be made, each with the request id under which it is retried
         self.pending: list[tuple[str, RentalRequest]] = []
         self.list_every_s = LIST_EVERY_S
-        # When the machine list and the machine types were read last, and when was planned last
+        # Times of the last reads and the last plan, in seconds of the context's clock
         self.listed_at = 0.0
         self.types_read_at = 0.0
         self.planned_at = 0.0
 
     def on_event_loop_stall(self) -> None:
-        """Drop requests not yet made: demand is old, and another autoscaler may rent by now."""
+        """Drop pending rentals: the demand is stale, and another autoscaler may have taken over."""
         self.pending.clear()
 
     async def loop(self) -> None:
-        """Acquire the autoscaler's role if nobody holds it, and run it while it is held here."""
+        """Claim the autoscaler role when it is free, and run the autoscaler while it is held."""
         self.listed_at = self.types_read_at = self.planned_at = 0.0
         while True:
             await anyio.sleep(STEP_INTERVAL_S)
             now = self.context.clock()
             if not self.context.store_cache.ready or self.current_lease() is None:
                 continue
-            if not await self._hold_role(now):
+            if not await self._ensure_role_held(now):
                 continue
             autoscaler = self.context.autoscaler
             if autoscaler is None:
@@ -85,11 +89,11 @@
             try:
                 await self._step(autoscaler, now)
             except UnreachableError:
-                continue  # repeated under the same request id: the cloud gives the same answer
+                continue  # retried with the same request id, for which the cloud answers the same
 
-    async def _hold_role(self, now: float) -> bool:
-        """Keep the role or claim it; return whether it is held here."""
-        if self.role.keep():
+    async def _ensure_role_held(self, now: float) -> bool:
+        """Keep the role or claim it; return whether this controller holds it now."""
+        if self.role.keep_if_current():
             return True
         self.pending.clear()
         if not await self.role.claim_if_due(now):
@@ -98,7 +102,11 @@
         return True
 
     async def _step(self, autoscaler: Autoscaler, now: float) -> None:
-        """Do what is due; raises UnreachableError if the cloud does not answer."""
+        """Read machine types and machines, plan, and make rental requests, as far as they are due.
+
+        Raises:
+            UnreachableError: The cloud did not answer.
+        """
         if now - self.types_read_at > MACHINE_TYPES_INTERVAL_S or not autoscaler.machine_types:
             await self._read_machine_types(autoscaler, now)
         if now - self.listed_at > self.list_every_s:
@@ -118,13 +126,17 @@
             if await self._store_machine_types(autoscaler.machine_types):
                 self.types_read_at = now
             else:
-                # no job is accepted before all types are stored: soon written again
+                # No job is accepted before all types are stored, so the write is retried soon
                 self.types_read_at = now - MACHINE_TYPES_INTERVAL_S + MACHINE_TYPES_RETRY_S
         elif self.context.machine_types and not autoscaler.machine_types:
             autoscaler.machine_types = self.context.machine_types
 
     async def _plan(self, autoscaler: Autoscaler, now: float) -> None:
-        """Update maintenance orders, plan, queue the rentals, and return surplus machines."""
+        """Update maintenance orders, make a plan, queue its rentals, and return surplus machines.
+
+        Raises:
+            UnreachableError: The cloud did not answer.
+        """
         autoscaler.orders = [
             order
             for order in orders.orders_in(self.context.store_cache.entries)
@@ -139,7 +151,15 @@
             await self._delete_machines(autoscaler, names)
 
     async def _request_next_rental(self, autoscaler: Autoscaler) -> bool:
-        """Make the first pending request; return false if the cloud is over its limit or down."""
+        """Make the first pending rental request.
+
+        Returns false, and leaves the request pending, if the cloud limits requests or is
+        unavailable. A request that the cloud refuses for lack of capacity, or with any other
+        status, is dropped.
+
+        Raises:
+            UnreachableError: The cloud did not answer; the request stays pending.
+        """
         request_id, rental = self.pending[0]
         body = cloud.rental_request(request_id, *rental.pool, rental.count)
         status, answer = await self.cloud.call("POST", "/hosts", body, timeout=CLOUD_TIMEOUT_S)
@@ -149,7 +169,7 @@
             self._on_no_capacity(autoscaler, rental)
         elif status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             return False
-        # the list may have been cleared meanwhile
+        # `pending` may have been cleared during the request
         if self.pending and self.pending[0][0] == request_id:
             self.pending.pop(0)
         await self._pause_after_change()
@@ -176,7 +196,7 @@
         await anyio.sleep(CLOUD_PAUSE_REQUESTS / self.context.settings.cloud_rps)
 
     async def _finish_orders(self, autoscaler: Autoscaler, now: float) -> None:
-        """Mark one finished maintenance order as done, and delete one that is past retention."""
+        """Mark one completed maintenance order as done, and delete one past its retention."""
         wall_time = self.context.wall_clock()
         expired = [
             order
@@ -195,12 +215,12 @@
                 key = orders.ORDER_PREFIX + order.id
                 await self.context.store.compare_and_swap({key: order.version}, {}, [key])
         except (RequestRefusedError, OutcomeUnknownError):
-            pass  # the next plan looks again at what is stored
+            pass  # the next plan reads the stored orders again
 
     async def _store_machine_types(self, types: dict[str, MachineType]) -> bool:
-        """Store the machine types for a start while the cloud is down.
+        """Store the machine types, so that controllers can start while the cloud is down.
 
-        Returns whether they are known to be stored.
+        Returns whether the types are known to be stored.
         """
         stored = self.context.store_cache.machine_types()
         if stored is not None and _resources_by_type(stored) == _resources_by_type(types):
@@ -218,7 +238,13 @@
         return True
 
     async def _list_machines(self, autoscaler: Autoscaler, now: float) -> None:
-        """Give the autoscaler the cloud's whole machine list; nothing if a page is missing."""
+        """Read all pages of the cloud's machine list and pass the list to the autoscaler.
+
+        Passes on nothing if the cloud refuses a page.
+
+        Raises:
+            UnreachableError: The cloud did not answer.
+        """
         machines: list[cloud.CloudMachine] = []
         page_count = 0
         requests_per_s = self.context.settings.cloud_rps
@@ -237,13 +263,17 @@
                 break
             last_name = page[-1].name
             if page_count >= requests_per_s:
-                # the cloud refuses requests over its limit, and an incomplete list is of no use
+                # The cloud refuses requests over its limit, and an incomplete list can't be used
                 await anyio.sleep(1.0 / requests_per_s)
         self.list_every_s = max(LIST_EVERY_S, page_count / (LIST_SHARE * requests_per_s))
         autoscaler.on_cloud_list(machines, now, self.context.clock())
 
     async def _delete_machines(self, autoscaler: Autoscaler, names: list[str]) -> None:
-        """Return machines to the cloud; raises UnreachableError if it does not answer."""
+        """Return machines to the cloud.
+
+        Raises:
+            UnreachableError: The cloud did not answer.
+        """
         for name in names:
             if name in autoscaler.machines:
                 autoscaler.machines[name].returning = True
--- a/ploverhall/controller/controller_lease.py
+++ b/ploverhall/controller/controller_lease.py
@@ -1,6 +1,6 @@
-"""Keeps this controller's lease in the key-value store, and the key that says that it is up.
+"""Maintains this controller's lease in the key-value store, and its membership key.
 
-What a controller holds (shards, the autoscaler's role) is attached to its one lease: it is given up
+The controller's claims (shards, the autoscaler role) are attached to its one lease and are given up
 when the lease is lost. `controller` runs `lease_loop`; `shard_claims` and `autoscaling_loop` claim
 with `lease_id`.
 """
@@ -23,13 +23,13 @@
 from ploverhall.maintenance import orders
 from ploverhall.storage.schema import ControllerRecord, controller_key, controller_record
 
-CONTACT_READ_INTERVAL_S = 2.5  # the store cache is read afresh at least this often
+CONTACT_READ_INTERVAL_S = 2.5  # the store cache is refreshed at least this often
 LEASE_RENEWALS_PER_TTL = 4
 LEASE_RETRY_INTERVAL_S = 0.25
 
 
 class ControllerLease:
-    """This controller's lease, and its key in the key-value store."""
+    """This controller's lease and its membership key in the key-value store."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         all_peers_connected: Callable[[], bool],
         on_granted: Callable[[], None],
     ) -> None:
-        """Begin without a lease.
+        """Start without a lease.
 
-        `all_peers_connected`: whether there is a connection to every other controller;
-        `on_granted`: called after a new lease was granted.
+        `all_peers_connected`: returns whether this controller is connected to every other one;
+        `on_granted`: called after a new lease is granted.
         """
         self.context = context
         self.store_watch = store_watch
@@ -53,18 +53,18 @@
         self.on_granted = on_granted
         self.key = controller_key(context.settings.name)
         self.lease_id: int | None = None
-        # Times are of the context's clock, in seconds
-        self.key_written_at = 0.0  # when this controller's key was known to be in the store
-        self.renewed_at = 0.0  # when the newest request began that showed the lease to be alive
-        self.published_revision = 0  # up to which this controller's key says that it has read
+        # Times are seconds of the context's clock
+        self.key_written_at = 0.0  # when the last successful write of the key was answered
+        self.renewed_at = 0.0  # start of the newest request that showed the lease to be alive
+        self.published_revision = 0  # the revision that the key states as read
 
     @property
     def key_in_cache(self) -> bool:
-        """Whether the store cache has this controller's key."""
+        """Return whether the store cache contains this controller's key."""
         return self.key in self.context.store_cache.entries
 
     async def lease_loop(self) -> None:
-        """Keep a lease, and the key that shows other controllers that this one is up."""
+        """Maintain the lease and the key that shows other controllers that this one is up."""
         ttl = self.context.settings.options.shard_lease_s
         while True:
             try:
@@ -74,9 +74,11 @@
                 await anyio.sleep(LEASE_RETRY_INTERVAL_S)
 
     async def _maintain_lease(self, ttl: float) -> bool:
-        """Get a lease or renew it; return false if it was lost, and a new one is needed at once.
+        """Obtain a lease or renew it; return false if it was lost and must be replaced at once.
 
-        Raises RequestRefusedError or OutcomeUnknownError if the store does not answer.
+        Raises:
+            RequestRefusedError: The store did not execute a request.
+            OutcomeUnknownError: The outcome of a request is unknown.
         """
         started_at = self.context.clock()
         lease = self.lease_id
@@ -87,7 +89,7 @@
             self._on_lease_lost(lease)
             return False
         self.renewed_at = started_at
-        await self._keep_published(lease, started_at)
+        await self._republish_key_if_needed(lease, started_at)
         return True
 
     async def _obtain_lease(self, ttl: float, started_at: float) -> None:
@@ -100,40 +102,44 @@
             self.on_granted()
 
     def _on_lease_lost(self, lease: int) -> None:
-        """Give up every role that was held with the lease."""
+        """Give up every role that was attached to the lease."""
         log.error("lease lost", lease=lease)
         self.lease_id = None
         for shard in list(self.context.held_shards):
-            self.shard_roles.release(shard, "lease")
+            self.shard_roles.release(shard, "lease lost")
         self.context.autoscaler = None
 
-    async def _keep_published(self, lease: int, now: float) -> None:
-        """Write this controller's key again where it is missing, or where peers need to read it."""
+    async def _republish_key_if_needed(self, lease: int, now: float) -> None:
+        """Write this controller's key again if it is missing or peers need a newer revision."""
         if now - self.store_watch.read_at > CONTACT_READ_INTERVAL_S:
-            # a watch without events shows nothing of whether the store is in contact
+            # A watch without events doesn't show whether the store can be reached
             self.store_watch.request_read()
         if self._own_key_missing():
-            # Written by an earlier process, the key can have gone with that process's lease.
-            # Without it the others count this controller as ended, and so for how long it may still
-            # answer agents
+            # A key written by an earlier process is deleted with that process's lease. Without the
+            # key, peers treat this controller as ended, and only wait out the time for which it
+            # may still answer agents
             if await self._publish_key(lease):
                 self.key_written_at = self.context.clock()
         elif (
             self.context.cancelled_revision > self.published_revision
             and not self.all_peers_connected()
         ):
-            # peers without a connection read in the key what this controller knows
+            # Peers without a connection read from the key which revision this controller has read
             await self._publish_key(lease)
 
     def _own_key_missing(self) -> bool:
-        """Return whether a read begun after the key was written did not find it."""
+        """Return whether a read that began after the key was written didn't find the key."""
         return self.store_watch.read_at > self.key_written_at and not self.key_in_cache
 
     async def _publish_key(self, lease: int) -> bool:
-        """Write this controller's key (zone, features, revision read); return whether it was done.
+        """Write this controller's key (zone, features, revision read); return whether it succeeded.
 
-        The key is always attached to the lease: without one it would outlive the process, which
-        the others would then count as alive for ever.
+        The key is always attached to the lease. Otherwise it would outlive the process, and peers
+        would treat this controller as alive forever.
+
+        Raises:
+            RequestRefusedError: The store did not execute the request.
+            OutcomeUnknownError: The outcome of the request is unknown.
         """
         revision = max(
             self.context.store_cache.revision, self.cancellation_barrier.informed_revision
--- a/ploverhall/controller/shard_roles.py
+++ b/ploverhall/controller/shard_roles.py
@@ -1,7 +1,8 @@
-"""Starts and ends the roles of held shards, and tells them what has changed in the store.
+"""Starts and ends the roles of held shards, and passes store changes on to them.
 
-`shard_claims` acquires and releases shards through it; `controller` and `peer_links` pass on store
-changes, event-loop stalls, and what other controllers say that they hold.
+`shard_claims` acquires and releases shards through `ShardRoles`. `controller_lease` releases all of
+them when the lease is lost. `store_changes` reports store changes, `controller` event-loop stalls,
+and `peer_links` the epochs that other controllers hold.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 from ploverhall.storage.schema import MACHINE_TYPE_COUNT_KEY
 
-# Kinds of state channels (coordination.state_channel) that a role of a shard sends
+# Kinds of state channels (coordination.state_channel) on which a shard's owner and source send
 SHARD_CHANNEL_KINDS = (
     peer_messages.SOURCE_TO_OWNER,
     peer_messages.OWNER_TO_SOURCE,
@@ -24,23 +25,29 @@
     peer_messages.OWNER_TO_AUTOSCALER,
     peer_messages.SOURCE_TASK_COUNTS,
 )
-# and those that a shard's owner receives
+# Kinds of state channels on which a shard's owner receives
 OWNER_CHANNEL_KINDS = (peer_messages.SOURCE_TO_OWNER, peer_messages.AUTOSCALER_TO_OWNER)
 
 
 class ShardRoles:
-    """Owners and sources of the shards held here."""
+    """Manages the owners and sources of the shards that this controller holds."""
 
     def __init__(
         self, context: ControllerContext, routing: Routing, start_tasks: Callable[[HeldShard], None]
     ) -> None:
-        """`start_tasks`: starts what loads and writes the records of an acquired shard."""
+        """Start without any shard.
+
+        `start_tasks`: starts the tasks that load and write the records of an acquired shard.
+        """
         self.context = context
         self.routing = routing
         self.start_tasks = start_tasks
 
     def acquire(self, shard: int, epoch: int) -> None:
-        """Hold a shard: its agents are served at once, its teams when their records are loaded."""
+        """Start the roles of a newly claimed shard.
+
+        Its owner serves agents at once; its source serves teams once their records are loaded.
+        """
         held = HeldShard(shard, epoch, self._new_owner(shard, epoch))
         self.context.held_shards[shard] = held
         log.info("shard acquired", shard=shard, epoch=epoch)
@@ -70,7 +77,7 @@
         return owner
 
     def release(self, shard: int, reason: str) -> None:
-        """Stop holding a shard, if it is held; `reason` is logged."""
+        """End the roles of a shard and log `reason`; do nothing if the shard isn't held."""
         held = self.context.held_shards.pop(shard, None)
         if held is None:
             return
@@ -84,21 +91,27 @@
     def release_superseded(self, epochs: dict[int, int], peer: str) -> None:
         """Release the shards that a peer holds with a newer epoch.
 
-        The store, which would show the same, may not be reachable from here.
+        The store would show the same, but this controller may be unable to reach it.
         """
         for shard, epoch in epochs.items():
             held = self.context.held_shards.get(shard)
             if held is not None and epoch > held.epoch:
-                self.release(shard, f"{peer} holds it")
+                self.release(shard, f"held by {peer} with a newer epoch")
 
     def confirm_epochs(self, read_started_at: float) -> None:
-        """Note that a fresh read of the store, begun then, has shown who holds each shard."""
+        """Confirm the epochs of held shards that a fresh read of the store still shows.
+
+        `read_started_at` is the time at which that read began, in seconds of the context's clock.
+        """
         for held in self.context.held_shards.values():
             if self.context.store_cache.holder(held.shard)[1] == held.epoch:
                 held.owner.epoch_confirmed_at = max(held.owner.epoch_confirmed_at, read_started_at)
 
     def on_event_loop_stall(self, seconds: float, now: float) -> None:
-        """Note a stall: what was known before is old, and messages that came meanwhile unread."""
+        """Record an event-loop stall of `seconds` and notify the owners.
+
+        State from before the stall is stale, and messages that arrived during it are unread.
+        """
         log.warn(
             "event loop stalled",
             seconds=round(seconds, 1),
@@ -110,7 +123,7 @@
             held.owner.on_event_loop_stall(seconds, now)
 
     def on_store_changed(self, now: float) -> None:
-        """Pass on machine types, new jobs and ended jobs from the store cache."""
+        """Pass machine types, new jobs and ended jobs from the store cache to the roles."""
         store_cache = self.context.store_cache
         self._update_machine_types()
         changed_jobs = store_cache.changed_jobs
@@ -124,7 +137,7 @@
                 self._on_ended_job(job_id, now)
 
     def _update_machine_types(self) -> None:
-        """Pass on the machine types if the store has others, and all of them."""
+        """Pass the machine types to the roles if the store has a changed and complete set."""
         context = self.context
         if (
             context.machine_types is not None
@@ -141,7 +154,7 @@
                 held.source.unmet_demand.machine_types = machine_types
 
     def _on_live_job(self, job_id: str, job: Job, version: int, now: float) -> None:
-        """Tell the autoscaler and the source of the job's team of a new or changed job."""
+        """Report a new or changed job to the autoscaler and to the source of the job's team."""
         context = self.context
         if context.autoscaler is not None and job_id not in context.autoscaler.arrivals:
             context.autoscaler.on_job(job, now)
@@ -151,7 +164,7 @@
             held.write_wake.set()
 
     def _on_ended_job(self, job_id: str, now: float) -> None:
-        """Tell every owner, and a source that has the job, that it ended."""
+        """Report an ended job to every owner, and to each source that has the job."""
         for held in self.context.held_shards.values():
             held.owner.job_ended(job_id)
             source = held.source
