--- a/ploverhall/controller/cancellation_state.py
+++ b/ploverhall/controller/cancellation_state.py
@@ -1,9 +1,10 @@
-"""What this controller may say and do about cancellations, by its contact with store and peers.
+"""Applies the cancellation, isolation and restart rules to this controller's state.
 
-`store_changes` calls `update_peers` for what the store shows of them. `job_requests` and `archiver`
-ask what may be told or forgotten, `heartbeat_requests` and `scheduling_loop` whether agents may
-still be answered, and with which grant for a restart. The rules are in
-`coordination.cancellation_barrier`, `coordination.isolation` and `coordination.restart_recovery`.
+`store_changes` calls `update_peers` when the store cache has changed. `job_requests` asks whether
+the end of a job may be acknowledged, `archiver` whether it may be archived. `heartbeat_requests`
+and `scheduling_loop` ask whether agents may still be answered, and for the renewal grant. The rules
+are in `coordination.cancellation_barrier`, `coordination.isolation` and
+`coordination.restart_recovery`.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 from ploverhall.protocol.jobs import DONE
 from ploverhall.storage.schema import EndedJob, controller_from_record
 
-ISOLATION_MARGIN_S = 1.0  # the store may end a lease this much later than its time to live
+ISOLATION_MARGIN_S = 1.0  # the store may expire a lease this much after its time to live
 
 
 class CancellationState:
-    """Answers, by contact with store and peers, what depends on knowing every cancellation."""
+    """Decides, from the contact with store and peers, what requires knowing every cancellation."""
 
     def __init__(
         self,
@@ -49,15 +50,18 @@
         )
 
     def _preceding_controllers(self) -> list[str]:
-        """Return the other controllers in descending order of index, from this one's on."""
+        """Return the other controllers, beginning with the one before this and going backwards.
+
+        The order is cyclic: the last controller comes after the first.
+        """
         names = self.context.shard_map.controllers
         own_index = self.context.controller_index
         return [names[(own_index - offset) % len(names)] for offset in range(1, len(names))]
 
-    # Cancellations: what other controllers have read, and what may be acknowledged
+    # Cancellations: what peers have read, and what may be acknowledged or archived
 
     def update_peers(self, now: float) -> None:
-        """Tell the cancellation barrier which controllers' keys exist and what they say."""
+        """Pass the membership keys of all peers from the store cache to the cancellation barrier."""
         for name in self.cancellation_barrier.peers:
             value, removed_at_revision = self.context.store_cache.controller_entry(name)
             record = controller_from_record(value)
@@ -73,7 +77,8 @@
     def may_acknowledge(self, end: EndedJob) -> bool:
         """Return whether a user may be told how a job ended.
 
-        A cancellation only once every controller knows of it (`coordination.cancellation_barrier`).
+        A cancellation may be acknowledged only once every controller knows of it
+        (`coordination.cancellation_barrier`).
         """
         if end.outcome == DONE:
             return True
@@ -83,14 +88,15 @@
         )
 
     def may_archive(self, end: EndedJob) -> bool:
-        """Return whether no controller can still need to be told of a job's end."""
+        """Return whether no controller still needs to be informed of a job's end."""
         return end.outcome == DONE or self.cancellation_barrier.may_forget(
             end.version, self.context.clock()
         )
 
     def renewal_grant(self, now: float) -> int:
-        """Return what fencing tokens sent now say of who may renew agents' leases after a restart.
+        """Return the encoded renewal grant for fencing tokens sent now.
 
+        It states how long a restarted controller may renew agents' leases;
         `coordination.restart_recovery` describes the encoding.
         """
         self._record_store_contact()
@@ -100,22 +106,23 @@
             self.context.wall_clock(),
         )
 
-    # Isolation: how long this controller may go on without store and peers
+    # Isolation: how long this controller may continue without store and peers
 
     def isolated(self, now: float) -> bool:
-        """Return whether a cancellation may have been acknowledged that can't be known here.
+        """Return whether a cancellation may have been acknowledged without this controller knowing.
 
-        While it is so this controller answers no agent, so that their leases run out within the
-        time that a cancellation may take.
+        While this is true, the controller answers no agent, so that the agents' leases expire
+        within the time limit of a cancellation.
         """
         self._record_store_contact()
         return self.cancellation_barrier.isolated(now)
 
     def _record_store_contact(self) -> None:
-        """Record contact with the store: all was read, this controller's key in it, lease alive.
+        """Record contact with the store if the cache contains this controller's key.
 
-        Cancellations that others acknowledged while the key was missing are older than the key,
-        so they have been read, too.
+        The contact is dated to the older of the newest read and the newest lease renewal: at that
+        time everything had been read and the lease was alive. Cancellations that peers acknowledged
+        while the key was missing are older than the key, so they have been read, too.
         """
         if self.controller_lease.key_in_cache:
             self.cancellation_barrier.store_contacted(
@@ -123,7 +130,11 @@
             )
 
     def update_isolation(self, now: float) -> None:
-        """Check whether all peers are lost, and the store for longer than a lease lives."""
+        """Update the isolation state.
+
+        This controller is isolated if no peer is alive and its last contact with the store is
+        older than the time to live of a lease plus `ISOLATION_MARGIN_S`.
+        """
         settings = self.context.settings
         last_contact = max(
             self.controller_lease.renewed_at, self.store_watch.read_at, self.context.started_at
--- a/ploverhall/controller/context.py
+++ b/ploverhall/controller/context.py
@@ -1,7 +1,7 @@
 """State that several parts of one controller share: settings, runtime, store cache, held shards.
 
-Data without decisions. `controller` makes the one `ControllerContext` of the process and gives it
-to each part, together with the other parts that it uses.
+This module holds data and takes no decisions. `controller` creates the one `ControllerContext` of
+the process and passes it to each part, together with the other parts that it uses.
 """
 
 from __future__ import annotations
@@ -23,30 +23,35 @@
 from ploverhall.storage.store_cache import StoreCache
 from ploverhall.transport.http_client import Client
 
-STORE_LIMIT_SHARE = 0.92  # of the key-value store's limits that the controllers use together
-STORE_CONNECTIONS = 12  # idle connections to the store that are kept
+STORE_LIMIT_SHARE = 0.92  # share of the key-value store's limits that all controllers use together
+STORE_CONNECTIONS = 12  # idle connections to the store that are kept open
 NEVER = -1e9  # a time before the start of any process
 
 
 @dataclass
 class HeldShard:
-    """A shard held here: its owner, and the source of its teams once their records are loaded."""
+    """A shard that this controller holds.
+
+    `source` is the job source of the shard's teams; None until their records are loaded.
+    """
 
     shard: int
     epoch: int
     owner: ShardOwner
     source: JobSource | None = None
-    write_wake: anyio.Event = field(default_factory=anyio.Event)  # the source has something new
+    write_wake: anyio.Event = field(
+        default_factory=anyio.Event
+    )  # set when the source may have writes
     write_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     image_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     released: bool = False
 
 
 class ControllerContext:
-    """One process's state that more than one part reads."""
+    """The state of one controller process that several of its parts use."""
 
     def __init__(self, settings: Settings, runtime: Runtime) -> None:
-        """Make the state of a process that holds nothing yet."""
+        """Create the state of a process that holds no role yet."""
         self.settings = settings
         self.runtime = runtime
         self.clock = runtime.clock  # monotonic, in seconds
@@ -67,25 +72,25 @@
         self.outbound = OutboundChannels()
         self.inbound = InboundChannels()
         self.held_shards: dict[int, HeldShard] = {}
-        self.autoscaler: Autoscaler | None = None  # while the role is held here
+        self.autoscaler: Autoscaler | None = None  # set while the role is held
         self.machine_types: dict[str, MachineType] | None = None  # as stored; None: not read yet
-        # The newest revision at which a job was cancelled, as far as is known here
+        # The newest revision at which a job was cancelled, as far as this controller knows
         self.cancelled_revision = 0
         self.scheduling_wake = anyio.Event()
         self.started_at = self.clock()
-        # When the newest event-loop stall ended, and its length
+        # End of the newest event-loop stall (seconds of `clock`), and its length in seconds
         self.stalled_at = NEVER
         self.stall_s = 0.0
 
     def client(self, host: str, port: int, keep: int = 8) -> Client:
-        """Return an HTTP client of one address that keeps up to `keep` idle connections."""
+        """Return an HTTP client for one address that keeps up to `keep` idle connections open."""
         return Client(host, port, keep, self.runtime.network, self.runtime.clock)
 
     def wake_scheduling(self) -> None:
-        """Make the scheduling loop step now: there is something to decide."""
+        """Wake the scheduling loop, because there is something to decide."""
         self.scheduling_wake.set()
 
     def resources_of_job(self, job_id: str) -> tuple[float, float, float] | None:
-        """Return CPUs, GPUs and memory of one task of a live job; None if it isn't live."""
+        """Return CPUs, GPUs and memory of one task of a live job; None if the job isn't live."""
         known = self.store_cache.live_jobs.get(job_id)
         return known[0].resources if known else None
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -1,7 +1,8 @@
-"""Steps the shard owners and job sources held here, and sends what they tell other controllers.
+"""Steps this controller's shard owners and job sources, and queues their messages to others.
 
-`controller` runs `SchedulingLoop.loop`; it wakes for `ControllerContext.wake_scheduling` and at
-least every `IDLE_INTERVAL_S`. A step that comes far too late is reported as event-loop stall.
+`controller` runs `SchedulingLoop.loop`, which wakes on `ControllerContext.wake_scheduling` and at
+least every `IDLE_INTERVAL_S`. A step that is more than `STALL_THRESHOLD_S` late is reported as an
+event-loop stall.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 STEP_INTERVAL_S = 0.01  # pause between two steps
-IDLE_INTERVAL_S = 0.1  # a step comes at least this often
-STALL_THRESHOLD_S = 1.0  # a step that is this much too late shows an event-loop stall
-DRAIN_QUEUE_S = 0.1  # after a stall, queued messages are read for so long
-SLOW_UPDATE_INTERVAL_S = 0.5
+IDLE_INTERVAL_S = 0.1  # longest wait for a wake-up between two steps
+STALL_THRESHOLD_S = 1.0  # a step that is later than this indicates an event-loop stall
+DRAIN_QUEUE_S = 0.1  # time for reading queued messages after a stall
+PERIODIC_UPDATE_INTERVAL_S = 0.5
 SHORTAGE_LOG_INTERVAL_S = 10.0
-REPORTED_LAG_S = 0.25  # smaller delays are not reported
-MAX_LOCAL_ROUNDS = 4  # rounds per step in which roles held here answer one another
+REPORTED_LAG_S = 0.25  # delays up to this are not reported
+MAX_LOCAL_ROUNDS = 4  # rounds per step in which this controller's roles exchange messages
 
 
 class SchedulingLoop:
-    """Steps of all roles held here."""
+    """Steps all roles that this controller holds."""
 
     def __init__(
         self,
@@ -46,12 +47,12 @@
         renewal_grant: Callable[[float], int],
         send_direct_command: Callable[[ShardOwner, Machine, dict[str, object]], None],
     ) -> None:
-        """Compose the loop.
+        """Create the loop.
 
-        `notify_peers`: called with names of peers for which messages are queued;
-        `request_read`: asks for a fresh read of the store;
-        `on_stall`: called with the seconds of an event-loop stall and the time;
-        `renewal_grant`: what fencing tokens sent at a time grant
+        `notify_peers`: called with the names of peers for which messages are queued;
+        `request_read`: requests a fresh read of the store;
+        `on_stall`: called with the length of an event-loop stall in seconds, and the current time;
+        `renewal_grant`: returns the renewal grant for fencing tokens sent at the given time
         (`CancellationState.renewal_grant`);
         `send_direct_command`: sends a command to an agent without waiting for its heartbeat.
         """
@@ -63,20 +64,20 @@
         self.on_stall = on_stall
         self.renewal_grant = renewal_grant
         self.send_direct_command = send_direct_command
-        self.slow_update_at = 0.0
-        self.last_step_lag_s = 0.0  # by how much the newest step came late
-        self.max_lag_s = 0.0  # by how much a step came late at most, since the last shortage log
+        self.periodic_update_at = 0.0
+        self.last_step_lag_s = 0.0  # how late the newest step was
+        self.max_lag_s = 0.0  # the greatest lag of a step since the last shortage check
         self.next_shortage_log_at = 0.0
 
     async def loop(self) -> None:
-        """Step whenever there is something to decide, and at regular intervals."""
+        """Step all roles on each wake-up and at regular intervals; never returns."""
         last_step_at = self.context.clock()
         while True:
             await self._wait_for_work()
             last_step_at = now = await self._measure_lag(last_step_at)
-            if now - self.slow_update_at > SLOW_UPDATE_INTERVAL_S:
-                self.slow_update_at = now
-                self._slow_updates(now)
+            if now - self.periodic_update_at > PERIODIC_UPDATE_INTERVAL_S:
+                self.periodic_update_at = now
+                self._periodic_updates(now)
             if now > self.next_shortage_log_at:
                 self._log_shortages(now)
             self._step_all()
@@ -84,7 +85,10 @@
             await anyio.sleep(STEP_INTERVAL_S)
 
     async def _wait_for_work(self) -> None:
-        """Wait until woken, or for the idle interval; half of it while offers are held back."""
+        """Wait for a wake-up, at most for the idle interval.
+
+        The limit is half the interval while a source holds back offers.
+        """
         holding_back = any(
             held.source is not None and held.source.holding_back_offers
             for held in self.context.held_shards.values()
@@ -94,12 +98,15 @@
         self.context.scheduling_wake = anyio.Event()
 
     async def _measure_lag(self, last_step_at: float) -> float:
-        """Measure how late this step is, and handle a stall; return the time of the step."""
+        """Measure the lag of this step, handle a stall, and return the time of the step.
+
+        `last_step_at` is the time that the previous call returned, or the start of the loop.
+        """
         now = self.context.clock()
         lag_s = now - last_step_at - IDLE_INTERVAL_S - STEP_INTERVAL_S
         if lag_s > STALL_THRESHOLD_S:
             self.on_stall(lag_s, now)
-            # queued messages are read first: heartbeats among them would count as missing
+            # Read queued messages first: heartbeats among them would be counted as missing
             await anyio.sleep(DRAIN_QUEUE_S)
             now = self.context.clock()
         self.last_step_lag_s = lag_s
@@ -107,14 +114,18 @@
         return now
 
     def _log_shortages(self, now: float) -> None:
-        """Log once per interval what this controller is short of, but not before the first one."""
+        """Log this controller's shortages once per interval, but not at the first call."""
         if self.next_shortage_log_at and (shortages := self.capacity_shortages()):
             log.info("insufficient capacity", **shortages)
         self.next_shortage_log_at = now + SHORTAGE_LOG_INTERVAL_S
         self.max_lag_s = 0.0
 
     def _step_all(self) -> None:
-        """Step every held shard, and again while roles held here have messages for one another."""
+        """Step every held shard, and repeat while its roles have messages for each other.
+
+        There are at most `MAX_LOCAL_ROUNDS` rounds; the roles concerned are those of this
+        controller.
+        """
         for _ in range(MAX_LOCAL_ROUNDS):
             now = self.context.clock()
             for held in list(self.context.held_shards.values()):
@@ -126,18 +137,19 @@
                 break
 
     def _notify_peers_of_pending(self) -> None:
-        """Notify the holders of the endpoints for which messages are queued, each once."""
+        """Notify each peer that holds an endpoint for which messages are queued, once."""
         endpoints = [destination for _, _, destination in sorted(self.context.outbound.pending)]
         holders = dict.fromkeys(self.routing.holders.get(endpoint) for endpoint in endpoints)
         self.notify_peers(*holders)
 
     def _step(self, held: HeldShard, now: float) -> None:
+        """Step a held shard's owner, and its source if that is loaded."""
         self._step_owner(held, now)
         if held.source is not None:
             self._step_source(held, held.source, now)
 
     def _step_owner(self, held: HeldShard, now: float) -> None:
-        """Place candidates, send direct commands, and queue what sources have to hear."""
+        """Place candidates, send direct commands, and queue the owner's updates for sources."""
         owner = held.owner
         owner.advance_time(now)
         owner.needs_step = False
@@ -156,7 +168,7 @@
             channel.put(key, value)
 
     def _step_source(self, held: HeldShard, source: JobSource, now: float) -> None:
-        """Decide on candidates and evictions, wake the writer, and queue what owners must hear."""
+        """Decide on candidates and evictions, wake the writer, and queue updates for owners."""
         source.decide(now)
         source.grants.grant_evictions(now, self.context.wall_clock())
         if (
@@ -167,9 +179,10 @@
             held.write_wake.set()
         self.routing.update_owners(held, source, now)
 
-    def _slow_updates(self, now: float) -> None:
-        """Do what is due less often than a step."""
-        self.routing.update_routes()  # a peer's claims to shards are believed for a limited time
+    def _periodic_updates(self, now: float) -> None:
+        """Update routes, the write share and the autoscaler's channels."""
+        # A peer's statement that it holds a shard is trusted only for a limited time
+        self.routing.update_routes()
         self.peer_liveness.update_write_share(now)
         for held in self.context.held_shards.values():
             self._update_autoscaler(held, now)
@@ -179,7 +192,7 @@
             self._update_from_autoscaler(self.context.autoscaler)
 
     def _update_autoscaler(self, held: HeldShard, now: float) -> None:
-        """Queue what the autoscaler has to hear of a shard's machines."""
+        """Queue a shard's machine updates and unprovable machines for the autoscaler."""
         channel = self.context.outbound.channel(
             peer_messages.OWNER_TO_AUTOSCALER,
             held.shard,
@@ -192,7 +205,7 @@
         )
 
     def _update_from_source(self, held: HeldShard, source: JobSource, now: float) -> None:
-        """Queue a source's demand for the autoscaler, and its task counts for every shard."""
+        """Queue a source's unmet demand for the autoscaler, and its task counts for every shard."""
         outbound = self.context.outbound
         demand_channel = outbound.channel(
             peer_messages.SOURCE_TO_AUTOSCALER,
@@ -208,7 +221,7 @@
             ).update(task_counts)
 
     def _update_from_autoscaler(self, autoscaler: Autoscaler) -> None:
-        """Queue for every shard which of its machines are drained, maintained, or deleted."""
+        """Queue for every shard its machines to drain, under maintenance, and deleted."""
         for shard in range(len(self.context.shard_map.controllers)):
             channel = self.context.outbound.channel(
                 peer_messages.AUTOSCALER_TO_OWNER,
@@ -222,9 +235,10 @@
             channel.put(peer_messages.DELETED_KEY, autoscaler.deleted_for(shard))
 
     def capacity_shortages(self) -> dict[str, float]:
-        """Return what this controller is short of, and by how much; without what it has enough of.
+        """Return the amount of each shortage; resources without a shortage are left out.
 
-        Keys are those of the status report; times are in seconds, the others are counts.
+        The keys are those of the status report. Keys that end in `_s` are seconds, the others
+        counts.
         """
         now = self.context.clock()
         sources = [
@@ -245,7 +259,10 @@
         return {name: amount for name, amount in shortages.items() if amount}
 
     def _refused_pool_count(self, now: float) -> int:
-        """Return for how many machine pools the cloud has no capacity, as far as known here."""
+        """Return the number of machine pools for which the cloud has refused capacity.
+
+        It is 0 unless this controller holds the autoscaler role.
+        """
         if self.context.autoscaler is None:
             return 0
         refused_pools = self.context.autoscaler.refused_pools
@@ -253,7 +270,7 @@
 
 
 def _reported_lag(lag_s: float) -> float:
-    """Return a delay in rounded seconds; 0 where it is too small to be reported."""
+    """Return a delay in seconds, rounded to hundredths; 0 if it is too small to report."""
     return round(lag_s, 2) if lag_s > REPORTED_LAG_S else 0.0
 
 
--- a/ploverhall/controller/shard_claims.py
+++ b/ploverhall/controller/shard_claims.py
@@ -259,7 +259,7 @@
     async def _fail_back(self, held: HeldShard) -> None:
         """Release a shard and delete its key so that the preferred controller can claim it."""
         key = shard_key(held.shard)
-        self.shard_roles.release(held.shard, "failback")
+        self.shard_roles.release(held.shard, "failback to preferred controller")
         # If the delete fails, the next round claims the shard again
         with contextlib.suppress(RequestRefusedError, OutcomeUnknownError):
             await self.context.store.compare_and_swap({key: held.epoch}, {}, [key], urgent=True)
--- a/ploverhall/controller/store_changes.py
+++ b/ploverhall/controller/store_changes.py
@@ -1,7 +1,7 @@
-"""Passes on what is new in the store cache, and cancellations that a peer has named.
+"""Passes changes of the store cache, and cancellations from gossip, on to the other parts.
 
-Called by whatever has changed the cache: `store_watch` and the controller's own writers, and
-`peer_links` for the gossip of peers.
+Every part that changes the cache calls this module: `store_watch`, the controller's own writers,
+and `peer_links` when it receives gossip.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class StoreChanges:
-    """Tells the other parts of what has changed in the store cache."""
+    """Notifies the other parts of changes of the store cache."""
 
     def __init__(
         self,
@@ -33,7 +33,10 @@
         shard_claims: ShardClaims,
         notify_all_peers: Callable[[], None],
     ) -> None:
-        """`notify_all_peers`: called when there is something to send to every peer."""
+        """Connect the parts that are notified.
+
+        `notify_all_peers`: called when there is something to send to every peer.
+        """
         self.context = context
         self.routing = routing
         self.shard_roles = shard_roles
@@ -41,11 +44,11 @@
         self.cancellation_state = cancellation_state
         self.shard_claims = shard_claims
         self.notify_all_peers = notify_all_peers
-        # Jobs with unreadable records that have been logged
+        # Jobs whose unreadable records have been logged
         self.logged_unreadable_jobs: set[str] = set()
 
     def on_store_changed(self) -> None:
-        """Pass on what is new in the store cache."""
+        """Pass the changes of the store cache on to the other parts."""
         now = self.context.clock()
         self.cancellation_state.update_peers(now)
         self._record_cancellations()
@@ -55,12 +58,15 @@
         self.shard_claims.wake.set()
         self.context.wake_scheduling()
 
-    def on_cancellations(self, named: list[Cancellation]) -> None:
-        """A peer has named cancelled jobs: they end here, too, before the store has been read."""
+    def on_cancellations(self, cancellations: list[Cancellation]) -> None:
+        """End jobs that a peer's gossip names as cancelled, before the store has been read.
+
+        Cancellations that the cache already contains are ignored.
+        """
         store_cache = self.context.store_cache
         new = [
             cancellation
-            for cancellation in named
+            for cancellation in cancellations
             if cancellation.revision > store_cache.revision
             and cancellation.job_id not in store_cache.ended_jobs
         ]
@@ -73,9 +79,9 @@
             self.on_store_changed()
 
     def _record_cancellations(self) -> None:
-        """Give new cancellations to the barrier, and tell peers that they have been read here.
+        """Record new cancellations in the barrier, and notify peers that they have been read.
 
-        Answers to users wait until every controller has told that.
+        Answers to users wait until every controller has confirmed this.
         """
         ended_jobs = self.context.store_cache.ended_jobs
         newest_revision = 0
@@ -84,7 +90,7 @@
             if ended is None or ended.outcome != CANCELLED:
                 continue
             self.cancellation_barrier.record_cancellation(job_id, ended.version)
-            # logged here as well: the writer may not know that its write was committed
+            # Logged here too, because the writer may not know that its write was committed
             log.debug("cancelled", job=job_id)
             newest_revision = max(newest_revision, ended.version)
         if newest_revision > self.context.cancelled_revision:
@@ -92,7 +98,7 @@
             self.notify_all_peers()
 
     def _log_unreadable_jobs(self) -> None:
-        """Log each job whose record can't be read, once."""
+        """Log each job whose record can't be read, once per process."""
         unreadable_jobs = self.context.store_cache.unreadable_jobs
         for job_id in sorted(unreadable_jobs - self.logged_unreadable_jobs):
             self.logged_unreadable_jobs.add(job_id)
--- a/ploverhall/controller/store_watch.py
+++ b/ploverhall/controller/store_watch.py
@@ -1,7 +1,7 @@
-"""Keeps this controller's store cache up to date, and reads the store afresh on request.
+"""Keeps this controller's store cache up to date, and refreshes it on request.
 
-`controller` runs `watch_loop` and `fresh_read_loop`. Whoever must know that the cache is current
-(answers to users, a new source, maintenance) awaits `fresh_read` or `is_current`.
+`controller` runs `watch_loop` and `fresh_read_loop`. Code that needs a current cache (answers to
+users, the start of a source, maintenance requests) awaits `fresh_read` or `is_current`.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 from ploverhall.storage.schema import WATCHED_PREFIX
 
 FRESH_READ_TIMEOUT_S = 1.5  # how long a caller waits for a fresh read
-WATCH_HOLD_MS = 5_000  # how long the store holds a watch without events
+WATCH_HOLD_MS = 5_000  # how long the store holds a watch request open without events
 REFUSED_PAUSE_S = 0.2
-# Least pauses between two reads, so that changes that come together are read together
+# Minimum pauses between two reads, so that changes made at about the same time are read together
 WATCH_PAUSE_S = 0.03
 WATCH_RETRY_PAUSE_S = 0.05
 FRESH_READ_PAUSE_S = 0.04
-PAUSE_REQUESTS = 4.0  # pause when the request allowance is half used, in requests at its rate
+# Pause once half of the request allowance is used, in multiples of the interval at its rate
+PAUSE_REQUESTS = 4.0
 
 
 class StoreWatch:
-    """The store cache's readers: a continuous watch, and fresh reads shared by all who wait."""
+    """Updates the store cache by a continuous watch, and by fresh reads that callers share."""
 
     def __init__(
         self,
@@ -36,21 +37,22 @@
         on_changed: Callable[[], None],
         on_fresh_read: Callable[[float], None],
     ) -> None:
-        """Compose the readers.
+        """Create the watch; nothing is read until its loops run.
 
         `on_changed`: called after the cache has changed;
-        `on_fresh_read`: called with the time at which a fresh read began, once it is in the cache.
+        `on_fresh_read`: called with the start time of a fresh read, once the cache contains it.
         """
         self.context = context
         self.on_changed = on_changed
         self.on_fresh_read = on_fresh_read
-        # Callers that wait for a fresh read: set when it is over, with its result if it succeeded
+        # One entry per caller that waits for a fresh read: an event that is set when the read has
+        # ended, and a list that then holds the result if the read succeeded
         self.waiters: list[tuple[anyio.Event, list[FreshRead]]] = []
         self.fresh_read_wake = anyio.Event()
-        self.read_at = 0.0  # when the newest read began that is in the cache
+        self.read_at = 0.0  # start of the newest read that the cache contains
 
     async def watch_loop(self) -> None:
-        """Load everything under the watched prefix, then follow its changes."""
+        """Load everything under the watched prefix and follow its changes; never returns."""
         while True:
             try:
                 await self._watch_once()
@@ -60,14 +62,19 @@
                 await anyio.sleep(self._read_pause_s(WATCH_RETRY_PAUSE_S))
 
     async def _watch_once(self) -> None:
-        """Apply the next events; raises RequestRefusedError or OutcomeUnknownError."""
+        """Load the cache if necessary, then apply the next events.
+
+        Raises:
+            RequestRefusedError: The store did not execute a request.
+            OutcomeUnknownError: The outcome of a request is unknown.
+        """
         store_cache = self.context.store_cache
         if not store_cache.ready or store_cache.revision == 0:
             await self._load()
         started_at = self.context.clock()
         answer = await self.context.store.watch(WATCHED_PREFIX, store_cache.revision, WATCH_HOLD_MS)
         if answer is None:
-            store_cache.ready = False  # the store no longer has the events: all is loaded again
+            store_cache.ready = False  # the store no longer has the events: reload everything
             return
         self._apply_events(started_at, *answer)
         await anyio.sleep(self._read_pause_s(WATCH_PAUSE_S))
@@ -75,7 +82,8 @@
     def _read_pause_s(self, minimum_s: float) -> float:
         """Return the pause between two reads in seconds.
 
-        Longer when the request allowance runs short, so that leases and permits need not wait.
+        The pause is longer once half of the request allowance is used, so that lease renewals and
+        permits need not wait.
         """
         requests = self.context.store.requests
         if requests.available() > requests.rate / 2:
@@ -83,21 +91,30 @@
         return max(minimum_s, PAUSE_REQUESTS / requests.rate)
 
     def _apply_events(self, started_at: float, revision: int, events: list[WatchEvent]) -> None:
-        """Apply the events of a read that began then: the cache is as new as that."""
+        """Apply the events of a read that began at `started_at`, and date the cache to that time."""
         self.read_at = max(self.read_at, started_at)
         if self.context.store_cache.apply(revision, events):
             self.on_changed()
 
     async def _load(self) -> None:
-        """Replace the cache's content; raises RequestRefusedError or OutcomeUnknownError."""
+        """Replace the content of the cache by what the store holds.
+
+        Raises:
+            RequestRefusedError: The store did not execute a request, or compacted the events
+                since the list was read.
+            OutcomeUnknownError: The outcome of a request is unknown.
+        """
         store_cache = self.context.store_cache
         started_at = self.context.clock()
         found, revision = await self.context.store.list_prefix(WATCHED_PREFIX)
         answer = await self.context.store.watch(WATCHED_PREFIX, revision, 0)
         if answer is None:
-            raise RequestRefusedError("watch too old")
-        # Loaded and passed on without an await between: a cache with a revision above what was
-        # passed on would make the gossip claim cancellations that it does not name
+            raise RequestRefusedError(
+                f"the store no longer has the events of {WATCHED_PREFIX!r} since revision {revision}"
+            )
+        # There must be no await between loading the cache and calling `on_changed`: if the cache's
+        # revision were ahead of what has been passed on, the gossip would claim knowledge of
+        # cancellations that it doesn't name
         store_cache.load(found, revision)
         store_cache.apply(*answer)
         store_cache.ready = True
@@ -111,7 +128,10 @@
         self.on_changed()
 
     async def fresh_read(self) -> FreshRead | None:
-        """Wait for a read begun after this call to be in the cache; None if it isn't in time."""
+        """Wait until the cache contains a read that began after this call.
+
+        Returns None if that takes longer than `FRESH_READ_TIMEOUT_S` or the read fails.
+        """
         done = anyio.Event()
         result: list[FreshRead] = []
         self.waiters.append((done, result))
@@ -121,17 +141,17 @@
         return result[0] if result else None
 
     async def is_current(self) -> bool:
-        """Read afresh; return whether that succeeded in time."""
+        """Request a fresh read and wait for it; return whether it succeeded in time."""
         return await self.fresh_read() is not None
 
     def request_read(self) -> None:
-        """Ask for a fresh read soon, without waiting for it."""
+        """Request a fresh read without waiting for it."""
         if not self.waiters:
             self.waiters.append((anyio.Event(), []))
         self.fresh_read_wake.set()
 
     async def fresh_read_loop(self) -> None:
-        """Make one shared read for all callers that wait."""
+        """Make one shared read for all waiting callers at a time; never returns."""
         while True:
             if not self.waiters:
                 self.fresh_read_wake = anyio.Event()
@@ -146,7 +166,11 @@
             await anyio.sleep(self._read_pause_s(FRESH_READ_PAUSE_S))
 
     async def _read_afresh(self) -> FreshRead | None:
-        """Bring the cache up to date; None if it is not loaded or the store did not answer."""
+        """Bring the cache up to date by one read.
+
+        Returns None if the cache is not loaded, if the store did not execute or answer the request,
+        or if it no longer has the events since the cache's revision.
+        """
         started_at = self.context.clock()
         store_cache = self.context.store_cache
         if not store_cache.ready:
