--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -1,7 +1,7 @@
-"""Composes one controller process: makes its parts, connects them, and runs their loops.
+"""Composes one controller process: creates its parts, connects them, and runs their loops.
 
-`cli` makes a `Controller` and runs it. No other module imports this one: a part gets what it uses
-through its constructor.
+`cli` creates a `Controller` and runs it. No other module imports this one: each part receives its
+dependencies through its constructor.
 """
 
 from __future__ import annotations
@@ -58,15 +58,18 @@
 from ploverhall.transport.connection_limit import ConnectionLimiter, SocketLimits
 from ploverhall.transport.http_server import Server
 
-CLOUD_CONNECTIONS = 2  # idle connections to the cloud that are kept
+CLOUD_CONNECTIONS = 2  # idle connections to the cloud that are kept open
 LOOP_RESTART_DELAY_S = 0.5
 
 
 class Controller:
-    """One controller process: its parts, and the events that concern several of them."""
+    """One controller process: creates its parts and handles events that concern several of them."""
 
     def __init__(self, settings: Settings, runtime: Runtime | None = None) -> None:
-        """Compose the parts; `runtime` defaults to the real clock, randomness and network."""
+        """Create and connect the parts.
+
+        `runtime` defaults to the real clock, randomness and network.
+        """
         self.settings = settings
         self.context = ControllerContext(settings, runtime or Runtime())
         self.tasks: anyio.abc.TaskGroup
@@ -97,7 +100,7 @@
         )
 
     def _compose_outside_services(self) -> None:
-        """Make the ways to the key-value store and to the cloud, direct or through a peer."""
+        """Create the clients of the key-value store and the cloud, direct or relayed by a peer."""
         settings, context = self.settings, self.context
         self.store_service = OutsideService(
             context,
@@ -138,7 +141,7 @@
         )
 
     def _compose_coordination(self) -> None:
-        """Make the lease, the roles, and what decides who may be told of cancellations."""
+        """Create the lease, the roles, and the parts that decide on acknowledging cancellations."""
         settings, context = self.settings, self.context
         self.cancellation_barrier = CancellationBarrier(
             [peer.name for peer in settings.peers],
@@ -171,7 +174,7 @@
         )
 
     def _compose_shard_claims(self) -> None:
-        """Make what decides which shards are held here, and what passes on changes in the store."""
+        """Create the parts that claim shards and that pass on store changes."""
         context = self.context
         self.shard_claims = ShardClaims(
             context,
@@ -248,7 +251,7 @@
         )
 
     def _compose_request_handlers(self) -> None:
-        """Make what answers the requests of users, operators and agents."""
+        """Create the handlers of requests from users, operators and agents."""
         context = self.context
         answers = JobAnswers(
             context.store_cache, self.cancellation_state.may_acknowledge, self.routing.task_counts
@@ -280,7 +283,7 @@
         )
 
     def _connect_relay(self) -> None:
-        """Give the relay what it tells peers, and what executes relayed requests."""
+        """Connect the relay to the state that it reports and the handlers of relayed requests."""
         self.relay.own_connectivity = self.own_connectivity.gossip
         self.relay.scheduling_lag = lambda: self.scheduling_loop.last_step_lag_s
         self.relay.handlers = {
@@ -319,7 +322,7 @@
         )
 
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
-        """Return what runs for as long as the process does."""
+        """Return the loops that run for the lifetime of the process."""
         return [
             self.controller_lease.lease_loop,
             self.store_watch.watch_loop,
@@ -335,7 +338,10 @@
         ]
 
     async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Run a loop, and run it anew after any exception: a fault in one must not end the rest."""
+        """Run a loop and restart it after any exception, so that one fault doesn't end the others.
+
+        Waits `LOOP_RESTART_DELAY_S` after an exception before the restart.
+        """
         while True:
             try:
                 await loop()
@@ -351,7 +357,7 @@
     # Tasks that parts start
 
     def _start_shard_tasks(self, held: HeldShard) -> None:
-        """Load and write the allocations and the image index of a shard that was acquired."""
+        """Start the writers of an acquired shard's allocations and image index."""
         self.tasks.start_soon(self.allocation_writer.run, held)
         self.tasks.start_soon(self.image_writer.run, held)
 
@@ -374,11 +380,12 @@
     # Events that concern several parts
 
     def _on_superseded(self, shard: int) -> None:
-        """A write failed because another controller holds the shard."""
+        """Release a shard after a write failed because its key has changed."""
         self.shard_roles.release(shard, "compare-and-swap failed")
         self.shard_claims.wake.set()
 
     def _on_event_loop_stall(self, seconds: float, now: float) -> None:
+        """Notify the roles and the autoscaling loop of a stall, and request a fresh read."""
         self.shard_roles.on_event_loop_stall(seconds, now)
         self.autoscaling_loop.on_event_loop_stall()
         self.store_watch.request_read()
--- a/ploverhall/controller/image_writer.py
+++ b/ploverhall/controller/image_writer.py
@@ -1,7 +1,8 @@
-"""Keeps in the key-value store which container images the machines of a held shard have cached.
+"""Saves in the key-value store which container images each machine of a held shard has cached.
 
-The next owner of the shard reads it back and can place tasks where their images are. `controller`
-runs one task of it per held shard. The records are hints: losing or delaying them does no harm.
+The next owner of the shard restores this image index, so that it can place tasks on machines that
+have their images. `controller` runs one `ImageWriter.run` per held shard. The records are hints:
+losing or delaying them does no harm.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from ploverhall.storage.schema import image_prefix, shard_key
 
 IMAGE_WRITE_INTERVAL_S = 4.0
-MAX_DELETES_PER_WRITE = 2  # stale image records removed together with one batch
+MAX_DELETES_PER_WRITE = 2  # stale image records deleted with one batch
 
 
 class ImageWriter:
-    """Restores and saves the image index of held shards."""
+    """Restores and saves the image indexes of held shards."""
 
     def __init__(self, context: ControllerContext, reader: StoreReader) -> None:
         self.context = context
@@ -37,21 +38,22 @@
                     stored_keys = await self._save(held, stored_keys)
 
     async def _restore(self, held: HeldShard) -> set[str]:
-        """Load what the previous owner saved; return the keys that exist."""
+        """Load the image index that the previous owner saved; return the keys of its records."""
         found = await self.reader.list_prefix(image_prefix(held.shard))
         values = [value for value, _ in found.values()]
         held.owner.inventory.restore_images(image_index.unpack(values))
         return set(found)
 
     def _write_due(self, held: HeldShard) -> bool:
-        """Return whether images have changed and half of the write allowance is unused."""
+        """Return whether images have changed and at least half of the write allowance is unused."""
         writes = self.context.store.writes
         return held.owner.inventory.images_changed and writes.delay(writes.burst / 2) <= 0
 
     async def _save(self, held: HeldShard, stored_keys: set[str]) -> set[str]:
-        """Write the whole index in several transactions; return the keys that exist afterwards.
+        """Write the whole index; return the keys of the records that exist afterwards.
 
-        One transaction may not take all records. As they are hints they may be committed apart.
+        The records may not fit into one transaction. As they are hints, they may be committed in
+        several.
         """
         inventory = held.owner.inventory
         settings = self.context.settings
@@ -73,7 +75,7 @@
         return stored_keys
 
     def _records(self, held: HeldShard) -> dict[str, PackedRecord]:
-        """Return the shard's image index as records by key."""
+        """Return the shard's image index as store records, by key."""
         machines = held.owner.inventory.machines.values()
         values = image_index.pack(
             {machine.name: machine.images for machine in machines},
--- a/ploverhall/controller/job_rows.py
+++ b/ploverhall/controller/job_rows.py
@@ -1,7 +1,7 @@
-"""The rows of jobs and teams in one controller's status report.
+"""Builds the rows of jobs and teams in one controller's status report.
 
-`shard_status` calls it for every job source held here. What a job waits for (`wait_reason_of`) is
-text for operators.
+`shard_status` calls `add_source` for every job source of this controller, and then `add_job_rows`.
+The reason that a job waits for (`wait_reason_of`) is text for operators.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from ploverhall.scheduling.permitting import JobSource
 from ploverhall.status import MAX_ROWS, MAX_TASK_ROWS
 
-MAX_NAMED_MACHINES = 5  # in the reason that a job waits for
-JOB_OVER_ORDER = (True, 9.0)  # jobs that are over are shown last
+MAX_NAMED_MACHINES = 5  # machines named in a wait reason
+ENDED_JOB_ORDER = (True, 9.0)  # sort key of ended jobs: they are shown last
 
 
 @dataclass(slots=True)
-class ShownJob:
-    """A job that may become a row of the report."""
+class JobRowCandidate:
+    """A job that may become a row of the report; `order` is its sort key."""
 
     order: tuple[Any, ...]
     source: JobSource
@@ -35,12 +35,15 @@
 
 def add_source(
     report: ShardFields,
-    shown_jobs: list[ShownJob],
+    row_candidates: list[JobRowCandidate],
     source: JobSource,
     now: float,
     selection: Selection | None,
 ) -> None:
-    """Add one shard's teams and jobs."""
+    """Add one shard's teams, eviction denials and jobs to the report.
+
+    Jobs that qualify for a row are appended to `row_candidates`; `add_job_rows` adds the rows.
+    """
     _add_teams(report, source)
     for reason in source.grants.denial_reasons.values():
         report["asked"][reason] = report["asked"].get(reason, 0) + 1
@@ -52,29 +55,29 @@
             _add_to_queue(report["queue"], job_state, wait_reason)
         if selection or wait_reason or job_state.failing_everywhere:
             order = _job_order(source, job_state)
-            shown_jobs.append(ShownJob(order, source, job_state, wait_reason))
+            row_candidates.append(JobRowCandidate(order, source, job_state, wait_reason))
     _add_failed_attempts(report["died"], source, now, selection)
     _add_recently_ended(report["ended"], source, now, selection)
 
 
 def _add_to_queue(queue: dict[str, list[int]], job_state: JobState, wait_reason: str) -> None:
-    """Count a waiting job and its tasks by what it waits for."""
+    """Count a waiting job and its tasks under its wait reason, without the details after ":"."""
     row = queue.setdefault(wait_reason.partition(":")[0], [0, 0])
     row[0] += 1
     row[1] += job_state.waiting_count()
 
 
 def _job_order(source: JobSource, job_state: JobState) -> tuple[Any, ...]:
-    """By what jobs are sorted: those that fail everywhere first, then as they are scheduled."""
+    """Return a job's sort key: jobs that fail everywhere first, then in scheduling order."""
     if job_state.job is None:
-        return JOB_OVER_ORDER
+        return ENDED_JOB_ORDER
     return (not job_state.failing_everywhere, *source.store.queue_order(job_state))
 
 
 def _add_failed_attempts(
     rows: list[HistoryRow], source: JobSource, now: float, selection: Selection | None
 ) -> None:
-    """Add the attempts that failed lately: age in seconds, job, task, machine, reason."""
+    """Add the recent failed attempts: age in seconds, job, task, machine and reason."""
     for failed in source.store.failed_attempts:
         if (
             not selection
@@ -88,7 +91,7 @@
 def _add_recently_ended(
     rows: list[HistoryRow], source: JobSource, now: float, selection: Selection | None
 ) -> None:
-    """Add the jobs that ended lately: age in seconds, and the entry's other fields."""
+    """Add the recently ended jobs: age in seconds, and the other fields of the entry."""
     for entry in source.store.recently_ended:
         if (
             not selection
@@ -100,21 +103,21 @@
 
 def add_job_rows(
     report: ShardFields,
-    shown_jobs: list[ShownJob],
+    row_candidates: list[JobRowCandidate],
     now: float,
     selection: Selection | None,
 ) -> None:
-    """Add the rows of the most important jobs, and count those that are left out."""
-    shown_jobs.sort(key=lambda shown: (shown.order, shown.job_state.id))
-    report["left_out"] = max(0, len(shown_jobs) - MAX_ROWS)
+    """Add the rows of the first `MAX_ROWS` jobs by sort key, and count those left out."""
+    row_candidates.sort(key=lambda shown: (shown.order, shown.job_state.id))
+    report["left_out"] = max(0, len(row_candidates) - MAX_ROWS)
     report["jobs"] = [
         _job_row(shown.source, shown.job_state, shown.wait_reason, now, selection)
-        for shown in shown_jobs[:MAX_ROWS]
+        for shown in row_candidates[:MAX_ROWS]
     ]
 
 
 def _add_teams(report: ShardFields, source: JobSource) -> None:
-    """Add what the teams of a source use, are guaranteed and may use at most."""
+    """Add the usage, guarantee and limit of each team of a source."""
     for name, team in source.store.teams.items():
         used = source.store.used[name]
         report["teams"][name] = {
@@ -126,7 +129,7 @@
 
 
 def _is_selected(job_state: JobState, selection: Selection) -> bool:
-    """Whether a job matches all that was selected."""
+    """Return whether a job matches every field of the selection."""
     machine = selection.get("machine")
     return (
         selection.get("job", job_state.id) == job_state.id
@@ -145,7 +148,10 @@
     now: float,
     selection: Selection | None,
 ) -> JobRow:
-    """One job as the report shows it; its tasks only if something was selected. Seconds."""
+    """Return the row of one job; it has the job's tasks only if there is a selection.
+
+    Times are in seconds.
+    """
     states: dict[str, int] = {}
     for allocation in job_state.allocations.values():
         states[allocation.state] = states.get(allocation.state, 0) + 1
@@ -180,7 +186,7 @@
 
 
 def wait_reason_of(source: JobSource, job_state: JobState, now: float) -> str:
-    """What a job waits for; empty if it does not wait."""
+    """Return what a job waits for; an empty string if it doesn't wait."""
     if job_state.job is None:
         return "over: its last tasks are stopping"
     if job_state.failing_everywhere:
@@ -203,7 +209,10 @@
 
 
 def _incomplete_gang_reason(job_state: JobState) -> str:
-    """What a gang with all its places waits for: images, or a task that is lost; or nothing."""
+    """Return what a fully placed gang waits for; an empty string if it doesn't wait.
+
+    Such a gang waits for tasks that are not up yet: they fetch images, or are lost.
+    """
     allocations = job_state.allocations.values()
     if not any(allocation.state == "waiting" for allocation in allocations):
         return ""
--- a/ploverhall/controller/machine_rows.py
+++ b/ploverhall/controller/machine_rows.py
@@ -1,6 +1,7 @@
-"""The rows of machines in one controller's status report, and previews of maintenance orders.
+"""Builds the rows of machines in one controller's status report, and order previews.
 
-`shard_status` calls it for every shard held here.
+`shard_status` calls `add_machines` for every held shard, and `add_order_preview` if a maintenance
+order is to be previewed.
 """
 
 from __future__ import annotations
@@ -18,14 +19,22 @@
 from ploverhall.maintenance import orders
 from ploverhall.scheduling.machines import Machine
 
-UNREMARKABLE_STATES = ("up", "draining", "leaving")  # of machines, shown only if asked for
-PREVIEW_ID = "u-0"  # an order's id is not part of what it would drain
+STATES_SHOWN_ON_REQUEST = (
+    "up",
+    "draining",
+    "leaving",
+)  # machine states that are shown only on request
+PREVIEW_ID = "u-0"  # placeholder: the id of an order doesn't affect what it would drain
 
 
 def add_machines(
     report: ShardFields, held: HeldShard, now: float, selection: Selection | None
 ) -> None:
-    """Count one shard's machines by state; add rows of the selected ones, or of unhealthy ones."""
+    """Count one shard's machines by state, and add rows of some.
+
+    With a selection, only the selected machine gets a row; without one, every machine in a state
+    other than `STATES_SHOWN_ON_REQUEST` does.
+    """
     inventory = held.owner.inventory
     for machine in held.owner.machines.values():
         state = _machine_state(machine, now, inventory.unresponsive_after_s)
@@ -33,13 +42,13 @@
         if selection:
             shown = selection.get("machine") == machine.name
         else:
-            shown = state not in UNREMARKABLE_STATES
+            shown = state not in STATES_SHOWN_ON_REQUEST
         if shown:
             report["trouble_machines"].append(_machine_row(held, machine, state, now))
 
 
 def _machine_row(held: HeldShard, machine: Machine, state: str, now: float) -> MachineRow:
-    """One machine as the report shows it; times in seconds."""
+    """Return the row of one machine; times are in seconds."""
     unheard_s = round(now - machine.awaited_since, 1) if machine.not_receiving else 0.0
     free_capacity = held.owner.inventory.free_capacity(machine)
     return {
@@ -57,7 +66,7 @@
 
 
 def _machine_state(machine: Machine, now: float, unresponsive_after_s: float) -> str:
-    """The state of a machine, the worst that applies."""
+    """Return the state of a machine, the most serious one that applies."""
     if machine.not_receiving and not machine.lease_expired:
         return "unreachable"
     if machine.lease_expired or now - machine.last_heartbeat_at > unresponsive_after_s:
@@ -70,9 +79,9 @@
 
 
 def add_order_preview(preview: OrderPreview, held: HeldShard, text: str) -> None:
-    """Add what a maintenance order (JSON) would drain in a shard: machines, and tasks by team.
+    """Add the machines and tasks of a shard that a maintenance order would drain.
 
-    An order that is malformed, or of a later release, adds nothing.
+    `text` is the order as JSON. An order that is malformed, or of a later release, adds nothing.
     """
     try:
         order = orders.parse_order(PREVIEW_ID, orjson.loads(text))
@@ -85,7 +94,7 @@
 
 
 def _add_drained_tasks(preview: OrderPreview, held: HeldShard, machine: Machine) -> None:
-    """Count the tasks of one machine by team and kind of job."""
+    """Add the tasks of one machine to the preview's counts by team and kind of job."""
     for attempt_id, permit in machine.permits.items():
         traits = held.owner.inventory.job_traits.get(attempt_id.job_id)
         if traits is not None and not permit.gone and not permit.refused:
--- a/ploverhall/controller/own_connectivity.py
+++ b/ploverhall/controller/own_connectivity.py
@@ -1,7 +1,7 @@
-"""What this controller says of its own links: to its peers, and in the status report.
+"""Reports this controller's own connectivity to its peers and in the status report.
 
-`relay` sends `gossip` to the peers, which decide by it through whom they relay
-(`connectivity.relay_routes`); `shard_status` shows `status` to operators.
+`relay` sends `gossip` to the peers, which choose their relays by it (`connectivity.relay_routes`);
+`shard_status` shows `status` to operators.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class OwnConnectivity:
-    """The links of this controller to the services, the agents and, through peers, to both."""
+    """Reports this controller's connectivity to services and agents, directly or through peers."""
 
     def __init__(
         self,
@@ -30,7 +30,10 @@
         self.pending_relays = pending_relays
 
     def _service_relays(self) -> dict[str, str]:
-        """Return through which peer each service is reached; without those reached directly."""
+        """Return the peer through which each service is reached, by service.
+
+        Services that are reached directly are left out.
+        """
         return {
             service.service: relay_peer
             for service in self.services
@@ -38,7 +41,7 @@
         }
 
     def status(self) -> ConnectivityFields:
-        """Return this controller's links for the status report."""
+        """Return this controller's connectivity for the status report."""
         return {
             "through": self._service_relays(),
             "away": len(self.agent_commands.failback.relayed_agents),
@@ -47,7 +50,7 @@
         }
 
     def gossip(self) -> dict[str, object]:
-        """Return this controller's links as they are told to its peers."""
+        """Return this controller's connectivity in the form that its peers receive."""
         relays = self._service_relays()
         return {
             relay_routes.REACHABLE_SERVICES_FIELD: [
--- a/ploverhall/controller/shard_status.py
+++ b/ploverhall/controller/shard_status.py
@@ -1,9 +1,9 @@
-"""What one controller knows of the shards it holds, bounded in size.
+"""Reports the state of one controller and of the shards it holds, bounded in size.
 
 `ShardStatus.report` is this controller's part of the answer to `ploverhall status`: `status_report`
 collects the reports of all controllers, and `ploverhall.status` shows them. The keys of a report
-(`status_fields`) are part of the published JSON of `/status`, and are read by controllers of other
-releases.
+(`status_fields`) are part of the published JSON of `/status`, and controllers of other releases
+read them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from ploverhall.controller.context import ControllerContext
-from ploverhall.controller.job_rows import ShownJob, add_job_rows, add_source
+from ploverhall.controller.job_rows import JobRowCandidate, add_job_rows, add_source
 from ploverhall.controller.machine_rows import add_machines, add_order_preview
 from ploverhall.controller.peer_liveness import PeerLiveness
 from ploverhall.controller.status_fields import (
@@ -27,7 +27,7 @@
 
 
 class ShardStatus:
-    """Reports what this controller sees of the fleet."""
+    """Builds this controller's status report."""
 
     def __init__(
         self,
@@ -36,16 +36,22 @@
         capacity_shortages: Callable[[], dict[str, float]],
         connectivity: Callable[[], ConnectivityFields],
     ) -> None:
-        """`capacity_shortages`: what this controller lacks; `connectivity`: its broken links."""
+        """Create the reporter.
+
+        `capacity_shortages`: returns the amount of each shortage of this controller, by its key in
+        the report;
+        `connectivity`: returns this controller's connectivity to services and agents.
+        """
         self.context = context
         self.peer_liveness = peer_liveness
         self.capacity_shortages = capacity_shortages
         self.connectivity = connectivity
 
     def report(self, selection: Selection | None = None) -> StatusFields:
-        """What this controller sees, in at most `MAX_ROWS` rows of each kind.
+        """Return this controller's status report, with at most `MAX_ROWS` rows of each kind.
 
-        With a job, team or machine selected: all that is known of that.
+        With a job, team or machine selected, the rows are those that concern it, including jobs and
+        machines without a problem, and jobs are shown with their tasks.
         """
         now = self.context.clock()
         report: StatusFields = {
@@ -53,19 +59,19 @@
             **self._autoscaler_fields(now),
             **empty_shard_fields(),
         }
-        shown_jobs: list[ShownJob] = []
+        row_candidates: list[JobRowCandidate] = []
         for held in self.context.held_shards.values():
             if held.source is not None:
-                add_source(report, shown_jobs, held.source, now, selection)
+                add_source(report, row_candidates, held.source, now, selection)
             if selection and "would" in selection:
                 add_order_preview(report["would"], held, selection["would"])
             add_machines(report, held, now, selection)
-        add_job_rows(report, shown_jobs, now, selection)
+        add_job_rows(report, row_candidates, now, selection)
         _truncate_rows(report)
         return report
 
     def _controller_fields(self, now: float) -> ControllerFields:
-        """What the controller says of itself."""
+        """Return the fields that describe the controller itself."""
         context = self.context
         settings = context.settings
         return {
@@ -89,14 +95,17 @@
         }
 
     def _recent_stall(self, now: float) -> list[float] | None:
-        """How long ago the event loop last stalled, and for how long (seconds), if lately."""
+        """Return how long ago the last event-loop stall ended and its length, both in seconds.
+
+        Returns None if it ended `RECENT_STALL_S` ago or earlier.
+        """
         stalled_ago_s = now - self.context.stalled_at
         if stalled_ago_s >= RECENT_STALL_S:
             return None
         return [round(stalled_ago_s, 1), round(self.context.stall_s, 1)]
 
     def _autoscaler_fields(self, now: float) -> AutoscalerFields:
-        """What the autoscaler says, if it runs here."""
+        """Return the autoscaler's fields; empty ones if this controller doesn't hold its role."""
         autoscaler = self.context.autoscaler
         if autoscaler is None:
             return {"renter": False, "late": [], "orders": {}}
@@ -108,7 +117,10 @@
 
 
 def _truncate_rows(report: ShardFields) -> None:
-    """Keep `MAX_ROWS` rows of each other kind, the newest first, and count the rest."""
+    """Keep `MAX_ROWS` rows of machines, failed attempts and ended jobs, and count the rest.
+
+    Failed attempts and ended jobs are sorted with the newest first.
+    """
     report["died"].sort()
     report["ended"].sort()
     for rows in (report["trouble_machines"], report["died"], report["ended"]):
--- a/ploverhall/controller/status_fields.py
+++ b/ploverhall/controller/status_fields.py
@@ -1,7 +1,7 @@
-"""The fields of one controller's status report, as they are named in the JSON of `/status`.
+"""Types of one controller's status report; the fields have the names of the JSON of `/status`.
 
-`shard_status` makes a report of `job_rows` and `machine_rows`. Reports of other releases may lack
-fields, so those that were received are plain maps. Times are in seconds.
+`shard_status` builds a report with `job_rows` and `machine_rows`. Reports from controllers of other
+releases may lack fields, so received reports are typed as plain maps. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 Selection = dict[str, str]  # "job", "team", "machine" or "would" (a maintenance order as JSON)
 HistoryRow = list[float | str | int]  # age in seconds, job, and what happened
 
-# Not a class: "class" is a keyword
+# Written as a call, because the field "class" is a keyword
 JobRow = TypedDict(
     "JobRow",
     {
@@ -25,10 +25,10 @@
         "waiting": int,
         "done": int,
         "states": dict[str, int],  # number of allocations by state
-        "why": str,  # what it waits for
+        "why": str,  # what the job waits for
         "waits_s": float,
         "usual_s": float | None,
-        "broken": bool,  # it fails on every machine
+        "broken": bool,  # the job fails on every machine
         "failures": int,
         "last_failure": str,
         "ready": int,  # number of offers
@@ -38,7 +38,7 @@
 
 
 class TeamUsage(TypedDict):
-    """What a team uses, is guaranteed and may use at most."""
+    """A team's usage, guarantee and limit of CPUs and GPUs."""
 
     cpus: float
     gpus: float
@@ -47,7 +47,7 @@
 
 
 class MachineRow(TypedDict):
-    """One machine."""
+    """One machine in the report."""
 
     name: str
     type: str
@@ -55,72 +55,72 @@
     spot: bool
     tasks: int
     state: str
-    silent_s: float  # since its last heartbeat
+    silent_s: float  # time since its last heartbeat
     failed: list[str]  # jobs that failed on it
-    unheard_s: float  # since when it has not received answers
+    unheard_s: float  # for how long it has not received answers
     free: list[float]
 
 
 class OrderPreview(TypedDict, total=False):
-    """What a maintenance order would drain: machines, and tasks by team and kind of job."""
+    """The number of machines that a maintenance order would drain, and of tasks by team and kind."""
 
     machines: int
     teams: dict[str, dict[str, int]]
 
 
 class ConnectivityFields(TypedDict):
-    """One controller's links."""
+    """One controller's connectivity."""
 
-    through: dict[str, str]  # service that is reached through a peer, to that peer
-    away: int  # agents that reach it through a peer
-    carried: int  # requests relayed for peers
-    not_carried: int  # requests of peers that were refused
+    through: dict[str, str]  # by service reached through a peer: that peer
+    away: int  # number of agents that reach this controller through a peer
+    carried: int  # number of requests relayed for peers
+    not_carried: int  # number of peers' requests that were refused
 
 
 class ControllerFields(TypedDict):
-    """What a controller says of itself."""
+    """The fields that describe the controller itself."""
 
     node: str
     zone: str
     shards: dict[str, int]  # shard to epoch
     ready: bool
-    state_age_s: float  # since the key-value store's last answer
-    short: dict[str, float]  # what it lacks
+    state_age_s: float  # time since the key-value store's last answer
+    short: dict[str, float]  # amount of each shortage
     reach: ConnectivityFields
-    unheard: list[str]  # peers that are not heard
+    unheard: list[str]  # peers that are not alive as far as this controller knows
     stood_still: list[float] | None  # how long ago the event loop stalled, and for how long
-    quiet_s: dict[str, float]  # by shard: since the last heartbeat of any agent
+    quiet_s: dict[str, float]  # by shard: time since the last heartbeat of any agent
 
 
 class AutoscalerFields(TypedDict):
-    """What the autoscaler says, if it runs here."""
+    """The autoscaler's fields; empty ones if the controller doesn't hold its role."""
 
     renter: bool
-    late: list[tuple[str, int, float]]  # where machines boot late, how many, age of the oldest
+    late: list[tuple[str, int, float]]  # late boots: type and zone, count, oldest age
     orders: dict[str, OrderProgress]  # by order id
 
 
 class ShardFields(TypedDict):
-    """What is summed up over the shards that a controller holds."""
+    """The fields that are aggregated over the shards that a controller holds."""
 
     would: OrderPreview
-    asked: dict[str, int]  # why evictions wait
+    asked: dict[str, int]  # number of denied evictions by reason
     teams: dict[str, TeamUsage]
-    queue: dict[str, list[int]]  # waiting jobs and tasks by what they wait for
+    queue: dict[str, list[int]]  # numbers of waiting jobs and tasks by reason
     jobs: list[JobRow]
     machines: dict[str, int]  # number of machines by state
     trouble_machines: list[MachineRow]
     died: list[HistoryRow]  # age, job, task, machine, reason
     ended: list[HistoryRow]  # age, and the other fields of an `EndedJobEntry`
-    left_out: int  # rows over the limits
+    left_out: int  # number of rows over the limits
 
 
 class StatusFields(ControllerFields, AutoscalerFields, ShardFields):
-    """One controller's report."""
+    """One controller's status report."""
 
 
 def empty_shard_fields() -> ShardFields:
-    """The fields that are summed up over the shards held here."""
+    """Return the fields that are aggregated over shards, without any entry."""
     return {
         "would": {},
         "asked": {},
--- a/ploverhall/controller/status_report.py
+++ b/ploverhall/controller/status_report.py
@@ -1,9 +1,10 @@
-"""The status of the whole fleet, whichever controller is asked, and the conditions that are logged.
+"""Exchanges status reports between controllers, and logs the conditions of this controller.
 
-`StatusReport` sends this controller's report to its peers now and then, bounded in size, so that
-each can show the whole fleet at any time: a peer that cannot be asked is shown as last known, with
-the age of its report. The same report gives the conditions that are logged, once when raised and
-once when cleared. `http_routes` calls `answer`; `peer_links` calls `collect` and `deliver`.
+Each controller can report the status of the whole fleet at any time: `StatusReport` sends this
+controller's report, which is bounded in size, to its peers at most once per `REPORT_INTERVAL_S`. A
+peer that can't be queried is shown with its last report and the age of that. Conditions are derived
+from this controller's report and logged once when raised and once when cleared. `http_routes` calls
+`answer`; `peer_links` calls `collect` and `deliver`.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from ploverhall.runtime import NEVER
 
 REPORT_INTERVAL_S = 5.0
-PEER_ANSWER_TIMEOUT_S = 1.0  # how long an operator waits for the other controllers
+PEER_ANSWER_TIMEOUT_S = 1.0  # how long an operator's query waits for the peers
 
 
 Report = Mapping[str, Any]  # `StatusFields`, or what a peer of another release sent in its place
@@ -33,20 +34,20 @@
 class ControllerView(TypedDict):
     """A controller's entry in the JSON of `/status`."""
 
-    age_s: float | None  # of the report; None where there is none
+    age_s: float | None  # age of the report; None if there is no report
     view: Report | None
 
 
 class FleetStatus(TypedDict):
-    """All controllers' reports: the JSON of `/status`."""
+    """The reports of all controllers: the JSON of `/status`."""
 
-    asked: str  # the controller that answers
+    asked: str  # the controller that answers the request
     controllers: dict[str, ControllerView]
 
 
 @dataclass(slots=True)
-class OpenQuestion:
-    """A question to all connected peers, whose answers are awaited."""
+class PendingQuery:
+    """A status query to all connected peers whose answers are awaited."""
 
     selection: Selection
     answers: dict[str, Report] = field(default_factory=dict)  # by peer
@@ -54,7 +55,7 @@
 
 
 class StatusReport:
-    """Reports of all controllers, and the conditions that are raised here."""
+    """Collects the reports of all controllers, and tracks this controller's conditions."""
 
     def __init__(
         self,
@@ -65,22 +66,23 @@
     ) -> None:
         self.context = context
         self.shard_status = shard_status
-        # Names the peers that there is a connection to; wakes the link to one
+        # `connected_peers` returns the names of connected peers; `notify_peer` wakes a peer's link
         self.connected_peers = connected_peers
         self.notify_peer = notify_peer
-        # By peer: when its report was received (steady clock, seconds), and the report
+        # By peer: when its report was received (seconds of the monotonic clock), and the report
         self.peer_reports: dict[str, tuple[float, Report]] = {}
         self.sent_at: dict[str, float] = {}
         self.own_report: Report = {}
-        self.open_questions: dict[int, OpenQuestion] = {}  # by number
-        self.question_count = 0
-        self.outbound: dict[str, list[Message]] = {}  # questions and answers to send, by peer
-        self.active_conditions: dict[str, str] = {}  # texts by key
+        self.pending_queries: dict[int, PendingQuery] = {}  # by number
+        self.query_count = 0
+        self.outbound: dict[str, list[Message]] = {}  # queries and answers to send, by peer
+        self.active_conditions: dict[str, str] = {}  # texts of raised conditions, by key
 
     async def loop(self) -> None:
-        """Renew this controller's report and log conditions; never returns.
+        """Update this controller's report and log conditions once per interval; never returns.
 
-        Not at once: a controller that has just started has not heard of any peer yet.
+        It waits for one interval first: a controller that has just started has not yet received
+        anything from its peers.
         """
         while True:
             await anyio.sleep(REPORT_INTERVAL_S)
@@ -96,10 +98,13 @@
                 log.warn("condition cleared", condition=self.active_conditions[key])
             self.active_conditions = current
 
-    # -- between controllers -------------------------------------------------------------------
+    # -- messages of peers ---------------------------------------------------------------------
 
     def collect(self, controller: str, now: float) -> list[Message]:
-        """The messages that go to a peer now."""
+        """Return the messages to send to a peer now, and remove them from the queue.
+
+        They include this controller's report if it is due; `now` is in seconds of the clock.
+        """
         messages = self.outbound.pop(controller, [])
         if self.own_report and now - self.sent_at.get(controller, NEVER) > REPORT_INTERVAL_S:
             self.sent_at[controller] = now
@@ -107,27 +112,30 @@
         return messages
 
     def deliver(self, controller: str, message: Message) -> None:
-        """Take in a peer's report, question or answer."""
+        """Process a peer's report, query or answer; an answer that nobody awaits is ignored."""
         kind, value, number = message[0], message[5], message[6]
         if kind == STATUS_REPORT:
             self.peer_reports[controller] = (self.context.clock(), value)
         elif kind == STATUS_QUERY:
             self._send(controller, STATUS_ANSWER, self.shard_status.report(value), number)
-        elif number in self.open_questions:
-            self._receive_answer(controller, self.open_questions[number], value)
+        elif number in self.pending_queries:
+            self._receive_answer(controller, self.pending_queries[number], value)
+
+    def _receive_answer(self, controller: str, query: PendingQuery, report: Report) -> None:
+        """Record a peer's answer to a query.
 
-    def _receive_answer(self, controller: str, question: OpenQuestion, report: Report) -> None:
-        """Take in a peer's answer; one to a question about everything is its report, too."""
-        question.answers[controller] = report
-        if not question.selection:
+        An answer to a query without a selection also replaces the peer's report.
+        """
+        query.answers[controller] = report
+        if not query.selection:
             self.peer_reports[controller] = (self.context.clock(), report)
         else:
             self.peer_reports.setdefault(controller, (0.0, {}))
-        if len(question.answers) == len(self.context.settings.peers):
-            question.complete.set()
+        if len(query.answers) == len(self.context.settings.peers):
+            query.complete.set()
 
     def _send(self, controller: str, kind: str, value: Any, number: int) -> None:
-        """Queue a message for a peer, and wake the link to it."""
+        """Queue a message for a peer and wake the link to it."""
         self.outbound.setdefault(controller, []).append(self._message(kind, value, number))
         self.notify_peer(controller)
 
@@ -137,11 +145,14 @@
     # -- operators -----------------------------------------------------------------------------
 
     async def answer(self, selection: Selection) -> FleetStatus:
-        """All controllers' reports: asked for now, or as last received with their age in seconds.
+        """Return the reports of all controllers, as the JSON of `/status`.
+
+        Peers are queried now. For a peer that doesn't answer in time, its last received report is
+        returned with its age in seconds, or None if there is none.
 
-        `selection`: a job, team or machine, or empty for the whole fleet. The JSON of `/status`.
+        `selection`: a job, team or machine, or empty for the whole fleet.
         """
-        answers = await self._ask_peers(selection)
+        answers = await self._query_peers(selection)
         now = self.context.clock()
         own_report = self.shard_status.report(selection)
         views: dict[str, ControllerView] = {self.context.settings.name: _view(0.0, own_report)}
@@ -157,25 +168,25 @@
                 views[peer.name] = _view(None, None)
         return {"asked": self.context.settings.name, "controllers": views}
 
-    async def _ask_peers(self, selection: Selection) -> dict[str, Report]:
-        """The reports of the peers that answer within `PEER_ANSWER_TIMEOUT_S`."""
-        self.question_count += 1
-        number, question = self.question_count, OpenQuestion(selection)
-        self.open_questions[number] = question
+    async def _query_peers(self, selection: Selection) -> dict[str, Report]:
+        """Return the reports of the peers that answer within `PEER_ANSWER_TIMEOUT_S`, by name."""
+        self.query_count += 1
+        number, query = self.query_count, PendingQuery(selection)
+        self.pending_queries[number] = query
         connected = self.connected_peers()
         for name in connected:
             self._send(name, STATUS_QUERY, selection, number)
         try:
             if connected:
                 with anyio.move_on_after(PEER_ANSWER_TIMEOUT_S):
-                    await question.complete.wait()
+                    await query.complete.wait()
         finally:
-            del self.open_questions[number]
+            del self.pending_queries[number]
             self._drop_unsent(number)
-        return question.answers
+        return query.answers
 
     def _drop_unsent(self, number: int) -> None:
-        """Remove a question that nobody waits for from the queues."""
+        """Remove the unsent messages of a query that nobody awaits any longer."""
         for queue in self.outbound.values():
             queue[:] = [
                 message for message in queue if message[0] != STATUS_QUERY or message[6] != number
@@ -183,5 +194,5 @@
 
 
 def _view(age_s: float | None, report: Report | None) -> ControllerView:
-    """A controller's entry in the JSON of `/status`."""
+    """Return a controller's entry in the JSON of `/status`."""
     return {"age_s": age_s, "view": report}
--- a/ploverhall/controller/store_reader.py
+++ b/ploverhall/controller/store_reader.py
@@ -1,6 +1,6 @@
-"""Reads of the key-value store that have to succeed: they are repeated until there is an answer.
+"""Reads the key-value store, and retries each read until the store answers.
 
-`allocation_writer` and `image_writer` load a newly acquired shard's records through it.
+`allocation_writer` and `image_writer` use it to load the records of a newly acquired shard.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class StoreReader:
-    """Repeats a read until the store answers; the caller bounds it with a cancel scope."""
+    """Retries reads until the store answers; the caller limits them with a cancel scope."""
 
     def __init__(self, store: KeyValueStore) -> None:
         self.store = store
 
     async def list_prefix(self, prefix: str) -> dict[str, tuple[Any, int]]:
-        """Return value and version of every key that begins with `prefix`."""
+        """Return the value and version of every key that begins with `prefix`, by key."""
         while True:
             try:
                 return (await self.store.list_prefix(prefix))[0]
@@ -30,7 +30,7 @@
                 await anyio.sleep(READ_RETRY_INTERVAL_S)
 
     async def read_key(self, key: str) -> tuple[Any, int]:
-        """Return value and version of one key: `(None, 0)` where there is none."""
+        """Return the value and version of one key; `(None, 0)` if the key doesn't exist."""
         while True:
             try:
                 return await self.store.get(key)
