--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -142,7 +142,7 @@
         self.context.wake_scheduling()
 
     def _replay_owner_updates(self, held: HeldShard) -> None:
-        """Replay the owners' updates, since the source may have lacked the allocations they name."""
+        """Replay the owners' updates: the source may have lacked the allocations that they name."""
         self.routing.replay(held.shard, (peer_messages.OWNER_TO_SOURCE,))
 
     async def _write_loop(self, held: HeldShard, source: JobSource) -> None:
--- a/ploverhall/controller/cancellation_state.py
+++ b/ploverhall/controller/cancellation_state.py
@@ -61,7 +61,7 @@
     # Cancellations: what peers have read, and what may be acknowledged or archived
 
     def update_peers(self, now: float) -> None:
-        """Pass the membership keys of all peers from the store cache to the cancellation barrier."""
+        """Pass the cached membership keys of all peers to the cancellation barrier."""
         for name in self.cancellation_barrier.peers:
             value, removed_at_revision = self.context.store_cache.controller_entry(name)
             record = controller_from_record(value)
--- a/ploverhall/controller/status_fields.py
+++ b/ploverhall/controller/status_fields.py
@@ -62,7 +62,7 @@
 
 
 class OrderPreview(TypedDict, total=False):
-    """The number of machines that a maintenance order would drain, and of tasks by team and kind."""
+    """The numbers of machines, and tasks by team and kind of job, that an order would drain."""
 
     machines: int
     teams: dict[str, dict[str, int]]
--- a/ploverhall/controller/store_watch.py
+++ b/ploverhall/controller/store_watch.py
@@ -91,7 +91,7 @@
         return max(minimum_s, PAUSE_REQUESTS / requests.rate)
 
     def _apply_events(self, started_at: float, revision: int, events: list[WatchEvent]) -> None:
-        """Apply the events of a read that began at `started_at`, and date the cache to that time."""
+        """Apply the events of a read that began at `started_at`, the new date of the cache."""
         self.read_at = max(self.read_at, started_at)
         if self.context.store_cache.apply(revision, events):
             self.on_changed()
@@ -110,7 +110,7 @@
         answer = await self.context.store.watch(WATCHED_PREFIX, revision, 0)
         if answer is None:
             raise RequestRefusedError(
-                f"the store no longer has the events of {WATCHED_PREFIX!r} since revision {revision}"
+                f"the store has no events of {WATCHED_PREFIX!r} since revision {revision} any more"
             )
         # There must be no await between loading the cache and calling `on_changed`: if the cache's
         # revision were ahead of what has been passed on, the gossip would claim knowledge of
