--- a/scripts/mixed_versions/rolling_upgrade.py
+++ b/scripts/mixed_versions/rolling_upgrade.py
@@ -118,7 +118,7 @@
             check_until = max(self.cancelled.values()) + CANCEL_S + 1.0
             await anyio.sleep(max(0.0, check_until - self.now))
 
-    # -- order of restarts --------------------------------------------------------------------
+    # -- order of restarts ---------------------------------------------------------------------
 
     async def _upgrade(self) -> None:
         """Bring all controllers to the new version, and one back to the old version."""
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Golden files of what other processes read: interfaces, links, stored data, operators' input."""
+"""Golden files of data that other processes read: interfaces, links, stored and operators' data."""
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -1,7 +1,8 @@
-"""Direct calls of the package's encoders and decoders on fixed inputs, and of its command line.
+"""Call the package's encoders, decoders and command line directly, on fixed inputs.
 
-The one place of the golden tests that knows names inside the package: a rename there is followed
-here. Every result is made of plain values; records are shown without the names of their fields.
+This is the only module of the golden tests that uses names inside the package, so a rename in the
+package is applied here. Every result is made of plain values; records are shown without the names
+of their fields.
 """
 
 from __future__ import annotations
@@ -57,7 +58,7 @@
 
 
 def outcome(decode: Callable[..., Any], *args: Any) -> Any:
-    """What a decoder makes of a value, or why it refuses it."""
+    """Return what a decoder returns for a value, or the text of its refusal."""
     try:
         return decode(*args)
     except REFUSALS as e:
@@ -68,7 +69,7 @@
 
 
 def heartbeats() -> list[Any]:
-    """Reports as they are understood: the whole record, with its tasks."""
+    """Return decoded heartbeats, each as the whole record with its tasks."""
 
     def decode(body: bytes) -> Any:
         report = agents.decode_heartbeat(body)
@@ -100,7 +101,9 @@
             )
         )
     ]
-    least = {k: v for k, v in inputs.REPORT.items() if k not in ("driftwood", "warningS", "chicks")}
+    least = {
+        k: v for k, v in inputs.HEARTBEAT.items() if k not in ("driftwood", "warningS", "chicks")
+    }
     changed: list[dict[str, Any]] = [
         {"chicks": listed},
         {"warningS": 30},
@@ -108,12 +111,12 @@
         {"tide": 1 << 64},
         {"chicks": None},
     ]
-    bodies = [least, *({**inputs.REPORT, **change} for change in changed)]
+    bodies = [least, *({**inputs.HEARTBEAT, **change} for change in changed)]
     return [{"body": body, "read": outcome(decode, json.dumps(body).encode())} for body in bodies]
 
 
 def commands() -> list[Any]:
-    """Commands to machines."""
+    """Return commands to machines as they are encoded."""
     key = agents.AttemptId("j-000412", 3, 2)
     calls = [agents.run_command(key), agents.kill_command(key, 1.5), agents.reap_command(key)]
     return [
@@ -125,7 +128,7 @@
 
 
 def cloud_answers() -> list[Any]:
-    """What the cloud says, with what may be left out of it."""
+    """Decode answers of the cloud, with and without their optional fields."""
     least = {"name": "t", "cores": 1, "gpus": 0, "ramGb": 2}
     whole = {
         **least,
@@ -154,7 +157,7 @@
 
 
 def store_answers() -> dict[str, Any]:
-    """What each request to the state service looks like, and what is made of each answer."""
+    """Return each request to the state service, and the result that each answer gives."""
     answers: dict[str, tuple[int, Any]] = {
         "found": (200, {"path": "a", "v": [1], "feather": 4}),
         "none": (404, {"moult": 9}),
@@ -189,12 +192,12 @@
         "renew": lambda s: s.renew_lease(7),
     }
     return {
-        name: {a: _asked(call, answer) for a, answer in answers.items()}
+        name: {a: _call_store(call, answer) for a, answer in answers.items()}
         for name, call in calls.items()
     }
 
 
-def _asked(call: Callable[[KeyValueStore], Any], answer: tuple[int, Any]) -> Any:
+def _call_store(call: Callable[[KeyValueStore], Any], answer: tuple[int, Any]) -> Any:
     sent: list[Any] = []
 
     class Service:
@@ -221,7 +224,7 @@
 
 
 def plain(value: Any) -> Any:
-    """Tuples, records and bytes as JSON has them."""
+    """Convert tuples, sets, records and bytes to values that JSON can hold."""
     if hasattr(value, "__dataclass_fields__"):
         return plain(list(astuple(value)))
     if isinstance(value, dict):
@@ -237,7 +240,10 @@
 
 
 def cancellation_gossip() -> list[Any]:
-    """What is read of cancellation messages, the older form included, and how it is sent again."""
+    """Decode cancellation messages and encode the result again.
+
+    The older form and invalid fields are included.
+    """
     whole = {
         "seen": 9,
         "life": "x",
@@ -267,7 +273,7 @@
 
 
 def relay_cases() -> list[Any]:
-    """Relayed requests and answers, byte for byte and read back."""
+    """Decode relayed requests and answers, and encode them again byte for byte."""
     ask = {
         "life": "x",
         "number": 3,
@@ -280,11 +286,11 @@
         "hold": 0,
         "body": b"{}",
     }
-    told = {"life": "x", "number": 3, "status": 200, "refused": False, "body": b"[1]"}
+    response = {"life": "x", "number": 3, "status": 200, "refused": False, "body": b"[1]"}
     out: list[Any] = []
     for kind, read, good in (
         (relay_messages.REQUEST, relay_messages.decode_request, ask),
-        (relay_messages.RESPONSE, relay_messages.decode_response, told),
+        (relay_messages.RESPONSE, relay_messages.decode_response, response),
     ):
         wrong = [{k: v for k, v in good.items() if k != key} for key in good]
         for value in (good, {**good, "new": 1}, *wrong, []):
@@ -316,7 +322,10 @@
 
 
 def channel_values() -> dict[str, Any]:
-    """Keys and values of state channels; the older values lack their last places."""
+    """Return keys and values of state channels, as plain values and as bytes.
+
+    The values of older releases lack the last fields.
+    """
     key = agents.AttemptId("j-000412", 3, 2)
     values: list[Any] = [
         peer_messages.JobUpdate(None, [1.0], 1),
@@ -347,27 +356,27 @@
 
 
 def channel_messages() -> dict[str, Any]:
-    """A state channel's messages as they are sent, and which of them a receiver takes."""
-    box = OutboundChannels()
-    board = box.channel("s", 0, 1, 5)
+    """Return the messages that a state channel sends, and which of them a receiver accepts."""
+    outbound = OutboundChannels()
+    channel = outbound.channel("s", 0, 1, 5)
     sent = []
     for changes in ({"ja": [1]}, {"jb": [2], "ja": None}, {"jd": [4]}):
-        board.update(changes)
-        sent += box.collect("c1", 1, lambda role: "c1")
-    sent += box.collect("c1", 2, lambda role: "c1")  # a new connection: all of it
-    box.channel("s", 0, 1, 6).put("jc", [3])
-    sent += box.collect("c1", 2, lambda role: "c1")
-    inbox = InboundChannels()
+        channel.update(changes)
+        sent += outbound.collect("c1", 1, lambda role: "c1")
+    sent += outbound.collect("c1", 2, lambda role: "c1")  # a new connection: all of it
+    outbound.channel("s", 0, 1, 6).put("jc", [3])
+    sent += outbound.collect("c1", 2, lambda role: "c1")
+    inbound = InboundChannels()
     order = (1, 0, 0, 1, 3, 2, 4, 3)
     return {
         "sent": [cbor2.dumps(m).hex() for m in sent],
-        "taken": [inbox.accept(sent[i]) for i in order],
-        "state": plain(list(inbox.channels.values())),
+        "taken": [inbound.accept(sent[i]) for i in order],
+        "state": plain(list(inbound.channels.values())),
     }
 
 
 def link_reports() -> list[Any]:
-    """What is understood of a controller's report on its links."""
+    """Return what controllers' reports on their links are decoded to."""
     whole: dict[str, Any] = {
         "life": "x",
         "can": ["state", "do"],
@@ -377,30 +386,33 @@
         "cut": {1: 5},
     }
     out = []
-    for word in (
+    for report in (
         whole,
         {},
         *({k: v for k, v in whole.items() if k != key} for key in whole),
         dict.fromkeys(whole, 5),
     ):
-        ways = RelayRoutes(["c1", "c2"])
-        ways.update("c1", word, 1.0)
+        routes = RelayRoutes(["c1", "c2"])
+        routes.update("c1", report, 1.0)
         out.append(
             [
-                ways.can_relay_now("c1", "state", 1.5),
-                ways.supports_relay("c1", "do"),
-                ways.reports_unreachable_shard("c1", 1),
-                ways.all_services_reachable("c1", 1.5),
-                ways.route_to_service("state", "state", 1.5),
-                ways.route_to_peer("c2", "do", 1.5),
-                plain(ways.peers["c1"]),
+                routes.can_relay_now("c1", "state", 1.5),
+                routes.supports_relay("c1", "do"),
+                routes.reports_unreachable_shard("c1", 1),
+                routes.all_services_reachable("c1", 1.5),
+                routes.route_to_service("state", "state", 1.5),
+                routes.route_to_peer("c2", "do", 1.5),
+                plain(routes.peers["c1"]),
             ]
         )
     return out
 
 
 def shard_map() -> dict[str, Any]:
-    """Which shard a team and a machine belong to: all releases that run side by side agree."""
+    """Return the shards of teams and machines.
+
+    All releases that run side by side must agree on them.
+    """
     layout = ShardMap([("c0", "a"), ("c1", "b"), ("c2", "a")], ["t3", "t1", "t2", "t0"])
     return {
         "teams": layout.team_shard,
@@ -415,7 +427,7 @@
 
 
 def stored_forms() -> dict[str, Any]:
-    """Keys, tokens and records, written and read."""
+    """Encode and decode stored keys, fencing tokens and records."""
     team = "Team é/1 " + "x" * 120
     held = {"n-1": {"i": 0.5, "k": 2.0}, "n-2": {"k": 2.0}, "n-3": {}}
     packed = [image_index.pack(held, limit) for limit in (4096, 40)]
@@ -473,7 +485,7 @@
 
 
 def platform_settings() -> dict[str, Any]:
-    """The settings as parsed, and the error for each field that is missing or wrong."""
+    """Return the parsed settings, and the error for each missing or wrong field."""
     good = tomllib.loads(inputs.SETTINGS)
 
     def read(data: Any) -> Any:
@@ -482,15 +494,15 @@
 
     wrong: dict[str, Any] = {}
     wrong_values: tuple[Any, ...] = (None, "x", [], -1)
-    for way in _paths(good):
-        name = ".".join(map(str, way))
+    for path in _paths(good):
+        name = ".".join(map(str, path))
         for value in wrong_values:
-            result = outcome(read, _changed(good, way, value))
+            result = outcome(read, _changed(good, path, value))
             wrong[f"{name} {value!r}"] = result if isinstance(result, str) else "taken"
     return {"read": read(good), "wrong": wrong}
 
 
-def _paths(data: Any, way: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+def _paths(data: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
     found = (
         data.items()
         if isinstance(data, dict)
@@ -499,26 +511,29 @@
         else ()
     )
     for key, value in found:
-        yield (*way, key)
-        yield from _paths(value, (*way, key))
+        yield (*path, key)
+        yield from _paths(value, (*path, key))
 
 
-def _changed(data: Any, way: tuple[Any, ...], value: Any) -> Any:
-    """A copy with one field set, or without it (None)."""
+def _changed(data: Any, path: tuple[Any, ...], value: Any) -> Any:
+    """Return a copy with one field set, or removed if the value is None."""
     out = json.loads(json.dumps(data))
     at = out
-    for key in way[:-1]:
+    for key in path[:-1]:
         at = at[key]
     if value is None:
-        del at[way[-1]]
+        del at[path[-1]]
     else:
-        at[way[-1]] = value
+        at[path[-1]] = value
     return out
 
 
 def operator_options() -> dict[str, Any]:
-    """The schema, what is read of each option, and the budgets that follow from them."""
-    rules = DisruptionBudgets(inputs.OPTIONS["budget"])
+    """Return the schema, the values that are read for each option, and the resulting budgets.
+
+    The errors for wrong options are included.
+    """
+    budgets = DisruptionBudgets(inputs.OPTIONS["budget"])
     named = (("x", "x", "x"), ("t", "x", "x"), ("t", "c", "x"), ("t", "c", "j-000001"))
     with tempfile.TemporaryDirectory() as home:
         file = Path(home) / "options.json"
@@ -539,7 +554,7 @@
         "read": whole,
         "wrong": wrong,
         "budgets": plain(
-            [DisruptionBudgets().default, *(rules.for_job(*names) for names in named)]
+            [DisruptionBudgets().default, *(budgets.for_job(*names) for names in named)]
         ),
     }
 
@@ -603,7 +618,7 @@
     "being_emptied": [],
     "waits": "",
 }
-SAID: dict[str, Any] = {
+SERVER_ANSWER: dict[str, Any] = {
     **ORDER,
     "orders": [ORDER],
     "stops_that_wait": {},
@@ -619,7 +634,12 @@
 
 
 def command_line() -> dict[str, Any]:
-    """Help, the requests that each command sends, its exit code, and what it prints as JSON."""
+    """Run the command line.
+
+    Returns:
+        The help texts, and for each command the requests that it sends, its exit code, and what it
+        prints as JSON.
+    """
     with tempfile.TemporaryDirectory() as home:
         file = Path(home) / "settings.toml"
         file.write_text(inputs.SETTINGS)
@@ -634,29 +654,29 @@
 def _command(argv: tuple[str, ...]) -> dict[str, Any]:
     sent: list[Any] = []
 
-    def answered(request: Any, timeout: float = 0.0, **more: Any) -> Any:
-        asked = (
+    def fake_urlopen(request: Any, timeout: float = 0.0, **more: Any) -> Any:
+        sent_request = (
             request
             if isinstance(request, urllib.request.Request)
             else urllib.request.Request(request)
         )
         sent.append(
             [
-                asked.get_method(),
-                asked.full_url,
-                asked.data.decode() if isinstance(asked.data, bytes) else None,
+                sent_request.get_method(),
+                sent_request.full_url,
+                sent_request.data.decode() if isinstance(sent_request.data, bytes) else None,
             ]
         )
-        reply = io.BytesIO(json.dumps(SAID).encode())
+        reply = io.BytesIO(json.dumps(SERVER_ANSWER).encode())
         reply.status = 200  # type: ignore[attr-defined]
         return reply
 
-    printed, said = io.StringIO(), io.StringIO()
+    printed, stderr = io.StringIO(), io.StringIO()
     with (
-        mock.patch.object(urllib.request, "urlopen", answered),
+        mock.patch.object(urllib.request, "urlopen", fake_urlopen),
         mock.patch.dict("os.environ", {"COLUMNS": "100"}),
         contextlib.redirect_stdout(printed),
-        contextlib.redirect_stderr(said),
+        contextlib.redirect_stderr(stderr),
     ):
         try:
             code: Any = main(list(argv))
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -9,7 +9,7 @@
 from ploverhall.protocol import jobs
 from tests.simulation.sample_submission import SUBMISSION
 
-REPORT: dict[str, Any] = {
+HEARTBEAT: dict[str, Any] = {
     "perch": "n-x",
     "endpoint": "x:1",
     "breed": "t",
@@ -31,8 +31,8 @@
     "at_once": 1,
     "note": "x",
 }
-# One of these is wrong in each field
-WRONG: tuple[Any, ...] = (
+# For every field at least one of these is a wrong value
+WRONG_VALUES: tuple[Any, ...] = (
     [],
     {},
     -1,
@@ -51,13 +51,13 @@
 
 
 def _variants(path: str, good: dict[str, Any]) -> dict[str, bytes]:
-    """Each field missing, and each field with each of the wrong values."""
+    """Return requests with each field missing, and with each field set to each wrong value."""
     out = {}
     for key in good:
         out[f"{path} without {key}"] = _post(
             path, orjson.dumps({k: v for k, v in good.items() if k != key})
         )
-        for value in WRONG:
+        for value in WRONG_VALUES:
             out[f"{path} {key}={value!r}"] = _post(path, orjson.dumps({**good, key: value}))
     for name, body in (
         ("empty", b""),
@@ -70,8 +70,8 @@
 
 
 def bad_requests() -> dict[str, bytes]:
-    """Requests that are refused, or whose form is odd; each on a connection of its own."""
-    one = REPORT["chicks"][0]
+    """Return refused or unusual requests by name; each is sent on a connection of its own."""
+    one = HEARTBEAT["chicks"][0]
     listed = [
         {**one, "chick": "x"},
         {**one, "chick": "j-000412/x"},
@@ -80,13 +80,16 @@
         {"chick": "j-1/1"},
     ]
     jobs_path, report_path = "/api/jobs", "/v1/report"
-    # Nothing of it is accepted, whatever is put in
+    # The unknown team and the zero `at_once` are invalid by themselves, so that the variants are
+    # refused. Only the order without `at_once` is accepted, with the default of 4.
     out = {
         **_variants(jobs_path, {**SUBMISSION, "keeper": "nobody"}),
-        **_variants(report_path, REPORT),
+        **_variants(report_path, HEARTBEAT),
         **_variants("/upkeep", {**ORDER, "at_once": 0}),
         **{
-            f"{report_path} listed {t}": _post(report_path, orjson.dumps({**REPORT, "chicks": [t]}))
+            f"{report_path} listed {t}": _post(
+                report_path, orjson.dumps({**HEARTBEAT, "chicks": [t]})
+            )
             for t in listed
         },
         "team's limit": _post(
@@ -159,7 +162,7 @@
 # -- stored values ------------------------------------------------------------------------------
 
 
-def _record(job: str, kind: str, n: int, more: tuple[Any, ...] = ()) -> list[Any]:
+def _job_record(job: str, kind: str, n: int, more: tuple[Any, ...] = ()) -> list[Any]:
     return [
         job,
         "c",
@@ -187,19 +190,22 @@
 
 
 def job_of_record(record: list[Any]) -> jobs.Job:
-    """A stored job, for the simulated machines."""
+    """Return the job of a stored record, for the simulated machines."""
     return jobs.from_record(record)
 
 
 STORED: dict[str, Any] = {
-    "p/job/j-000001": _record("j-000001", "array", 9),  # the tasks 0, 2 and 8 are done
+    "p/job/j-000001": _job_record("j-000001", "array", 9),  # the tasks 0, 2 and 8 are done
     "d/team-0/j-000001/0": "BQE=",
-    "p/job/j-000002": _record("j-000002", "service", 2, ("of a later release", 1)),
-    "p/job/j-000003": ["j-000003", "c"],  # unreadable: never run, never forgotten
-    "p/job/j-000004": _record("j-000004", "gang", 2),
+    "p/job/j-000002": _job_record("j-000002", "service", 2, ("of a later release", 1)),
+    "p/job/j-000003": [
+        "j-000003",
+        "c",
+    ],  # unreadable: the job is never run and its record never deleted
+    "p/job/j-000004": _job_record("j-000004", "gang", 2),
     "p/job/j-000005": {"s": "done", "n": 7},
     "p/job/j-000006": {"s": "withdrawn", "n": 3},
-    "p/job/j-000007": {"s": "done"},  # without its number
+    "p/job/j-000007": {"s": "done"},  # without the field `n`
     "p/job/j-000008": {"s": "withdrawn", "n": None, "later": True},
     "p/job/j-000011": {"s": "done", "n": 1},
     "p/job/j-000012": {"s": "done", "n": 2},
@@ -207,12 +213,12 @@
     "p/archived": 1,
     "e/j-000009": {"s": "done", "n": 5},
     "e/j-000010": {"s": "withdrawn", "n": 0},
-    "p/node/c0": {"zone": "a"},  # of a release without feature words
+    "p/node/c0": {"zone": "a"},  # written by a release without feature names
     "p/shard/0": {"node": "c1", "lease": 9},
     "p/renter": {"node": "c2", "lease": 9},
     "p/types": {"n": 1},
     "p/type/t": ["t", 16.0, 4.0, 128.0, 60.0, 1.0, 10.0, 3.0, 1.0, ["a", "b"], "later"],
-    "p/upkeep/u-least": {"zone": "nowhere"},  # the other fields have defaults
+    "p/upkeep/u-least": {"zone": "nowhere"},  # the missing fields get defaults
     "p/upkeep/u-all": {
         "machines": ["n-1"],
         "zone": "b",
@@ -235,9 +241,9 @@
     "d/team-0/j-000777/0": "AQ==",
     "i/0/0": [[["i", 0.1], ["k", 2]], {"n-gone": [1, 0]}],
 }
-ASKED = tuple(f"j-{n:06d}" for n in (*range(1, 14), 777, 999))
-RUNNABLE = ("j-000001", "j-000002", "j-000004")
-KEPT = ("e/", "p/upkeep/", "p/archived", "p/types", "p/type/", "d/")
+QUERIED_JOBS = tuple(f"j-{n:06d}" for n in (*range(1, 14), 777, 999))
+RUNNABLE_JOBS = ("j-000001", "j-000002", "j-000004")
+KEPT_PREFIXES = ("e/", "p/upkeep/", "p/archived", "p/types", "p/type/", "d/")
 
 # -- settings -----------------------------------------------------------------------------------
 
--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -1,4 +1,4 @@
-"""Writes the golden files: `python -m tests.golden.make`; `--check` says which of them differ."""
+"""Write the golden files: `python -m tests.golden.make`; `--check` only lists those that differ."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from typing import Any
 
 from . import cases, inputs, scene
-from .traffic import Recording, stored
+from .traffic import Recording, written_kinds
 
-HOME = Path(__file__).parent
+GOLDEN_FOLDER = Path(__file__).parent
 
 
 @cache
-def _everyday() -> tuple[Any, Recording]:
-    return scene.everyday()
+def _ordinary_operation() -> tuple[Any, Recording]:
+    return scene.ordinary_operation()
 
 
 @cache
@@ -25,8 +25,8 @@
 
 
 def interfaces() -> dict[str, Any]:
-    """The published interfaces."""
-    published, _ = _everyday()[1].interfaces()
+    """Return the golden data of the published interfaces."""
+    published, _ = _ordinary_operation()[1].interfaces()
     return {
         "messages": published.golden(),
         "refused": _refusals()[0],
@@ -38,9 +38,9 @@
 
 
 def link() -> dict[str, Any]:
-    """The link between controllers."""
+    """Return the golden data of the link between controllers."""
     return {
-        "messages": _everyday()[1].link().golden(),
+        "messages": _ordinary_operation()[1].link().golden(),
         "greetings": _refusals()[1],
         "cancellation gossip": cases.cancellation_gossip(),
         "relayed": cases.relay_cases(),
@@ -52,19 +52,19 @@
 
 
 def store() -> dict[str, Any]:
-    """Keys and values in the state service."""
+    """Return the golden data of the keys and values in the state service."""
     return {
-        "written": stored(_everyday()[0].state.store.log).golden(),
+        "written": written_kinds(_ordinary_operation()[0].state.store.log).golden(),
         "forms": cases.stored_forms(),
         "read": {"given": inputs.STORED, **scene.from_stored()},
     }
 
 
 def operators() -> dict[str, Any]:
-    """Settings, options, status, health and the command line."""
-    _, asked = _everyday()[1].interfaces()
+    """Return the golden data of settings, options, status, health and the command line."""
+    _, operator_messages = _ordinary_operation()[1].interfaces()
     return {
-        "messages": asked.golden(),
+        "messages": operator_messages.golden(),
         "settings": cases.platform_settings(),
         "options": cases.operator_options(),
         "command line": cases.command_line(),
@@ -75,19 +75,19 @@
 
 
 def path(name: str) -> Path:
-    """Where a golden file stands."""
-    return HOME / f"{name}.json"
+    """Return the path of a golden file."""
+    return GOLDEN_FOLDER / f"{name}.json"
 
 
 def text(name: str) -> str:
-    """A golden file as this release writes it."""
+    """Return the content of a golden file as this release writes it."""
     return (
         json.dumps(cases.plain(FILES[name]()), indent=1, ensure_ascii=True, sort_keys=False) + "\n"
     )
 
 
 def main(argv: list[str]) -> int:
-    """Write or compare all files."""
+    """Write or compare all files; with `--check`, return 1 if any file differs."""
     differ = [
         name for name in FILES if not path(name).exists() or path(name).read_text() != text(name)
     ]
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -1,4 +1,4 @@
-"""The scenes of the golden files: three whole controllers in virtual time, from a fixed seed."""
+"""Scenes of the golden files: three whole controllers in virtual time, from a fixed seed."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 def run(
     scene: Callable[[SimulatedCluster], Awaitable[None]],
-    before: Callable[[SimulatedCluster], None] = lambda p: None,
+    before: Callable[[SimulatedCluster], None] = lambda cluster: None,
     **kwargs: Any,
 ) -> tuple[SimulatedCluster, Recording]:
-    """Play a scene from the first packet on, with everything recorded."""
+    """Run a scene and record the traffic from its first packet on."""
     made: list[SimulatedCluster] = []
     recording = Recording(CONTROLLERS)
     logging.getLogger("asyncio").setLevel(logging.ERROR)
@@ -45,64 +45,80 @@
             await scene(played)
             tg.cancel_scope.cancel()
 
-    with recording.on():
+    with recording.record():
         anyio.run(main, backend_options={"loop_factory": VirtualTimeLoop})
     return made[0], recording
 
 
 async def call(
-    p: SimulatedCluster, who: str, method: str, path: str, body: object = None, at: str = "c0"
+    cluster: SimulatedCluster,
+    sender: str,
+    method: str,
+    path: str,
+    body: object = None,
+    at: str = "c0",
 ) -> Any:
-    """One request of a user or operator; (status, body), or nothing."""
-    client = Client(at, 80, 1, p.net.of(who), p.loop.time)
+    """Send one request as a user or operator; return [status, body], or None if unreachable."""
+    client = Client(at, 80, 1, cluster.net.of(sender), cluster.loop.time)
     try:
         return list(await client.call(method, path, body, 6.0))
     except UnreachableError:
         return None
 
 
-async def raw(p: SimulatedCluster, port: int, data: bytes) -> str:
-    """Send raw bytes; what comes back: one whole HTTP message, or all within two seconds."""
-    stream = await p.net.connect("raw", "c0", port)
-    back = b""
+async def send_raw(cluster: SimulatedCluster, port: int, data: bytes) -> str:
+    """Send raw bytes and return the response.
+
+    The response is one whole HTTP message, or everything that arrives within two seconds.
+    """
+    stream = await cluster.net.connect("raw", "c0", port)
+    received = b""
     await stream.send(data)
     with anyio.move_on_after(2.0) as scope:
         try:
             while True:
-                back += await stream.receive()
-                if any(http_messages(back)):
-                    scope.deadline = p.now + 0.05  # whether the connection is closed after it
+                received += await stream.receive()
+                if any(http_messages(received)):
+                    scope.deadline = (
+                        cluster.now + 0.05
+                    )  # shows whether the connection is closed after the message
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            back += b"(closed)"
+            received += b"(closed)"
     await stream.aclose()
-    return back.decode("latin-1")
+    return received.decode("latin-1")
 
 
-# -- ordinary work and its troubles -------------------------------------------------------------
+# -- ordinary work and faults -------------------------------------------------------------------
 
 
-async def _work(p: SimulatedCluster) -> None:
-    """Jobs of each kind, a resubmission, a cancellation, machines rented and given back."""
+async def _submit_work(cluster: SimulatedCluster) -> None:
+    """Submit jobs of each kind, resubmit and cancel some; machines are rented and returned."""
     plain = {"breeds": ["t"], "marsh": "a", "duskS": 500.0, "nestS": 2.0, "tuckS": 1.0}
-    await p.submit(p.spec(1, gait="array", chicks=12, flightS=6.0), "c0")
-    await p.submit(p.spec(2, gait="daemon", chicks=6, rank="production", scatter=True), "c1")
-    await p.submit(p.spec(3, gait="group", chicks=4, rank="urgent", together=True, **plain), "c2")
-    await p.submit(p.spec(4, gait="array", chicks=2, rank="best_effort", driftwood=True), "c0")
+    await cluster.submit(cluster.spec(1, gait="array", chicks=12, flightS=6.0), "c0")
+    await cluster.submit(
+        cluster.spec(2, gait="daemon", chicks=6, rank="production", scatter=True), "c1"
+    )
+    await cluster.submit(
+        cluster.spec(3, gait="group", chicks=4, rank="urgent", together=True, **plain), "c2"
+    )
+    await cluster.submit(
+        cluster.spec(4, gait="array", chicks=2, rank="best_effort", driftwood=True), "c0"
+    )
     for n in range(5, 9):
-        await p.submit(p.spec(n, gait="array", chicks=9, gpus=4.0, flightS=8.0), "c1")
-    await p.submit(p.spec(9, gait="daemon", chicks=2), "c0")
+        await cluster.submit(cluster.spec(n, gait="array", chicks=9, gpus=4.0, flightS=8.0), "c1")
+    await cluster.submit(cluster.spec(9, gait="daemon", chicks=2), "c0")
     await anyio.sleep(4.0)
-    await p.resubmit("j-000001", "c1")
-    await p.withdraw("j-000009", "c2")
-    p.tasks.start_soon(
-        p.submit, p.spec(15, gait="array"), "c0"
-    )  # twice at once: the second write finds the first
-    await call(p, "user", "POST", "/api/jobs", p.spec(15, gait="array"), "c1")
-    await p.ask("j-000009", "c0")
+    await cluster.resubmit("j-000001", "c1")
+    await cluster.withdraw("j-000009", "c2")
+    cluster.tasks.start_soon(
+        cluster.submit, cluster.spec(15, gait="array"), "c0"
+    )  # submitted twice at once: the second write finds the first
+    await call(cluster, "user", "POST", "/api/jobs", cluster.spec(15, gait="array"), "c1")
+    await cluster.ask("j-000009", "c0")
 
 
-async def _order(p: SimulatedCluster) -> None:
-    """A zone is drained, paused, resumed; another order is stopped."""
+async def _run_maintenance_orders(cluster: SimulatedCluster) -> None:
+    """Drain a zone, pause and resume its order; stop another order."""
     order = {
         "id": "u-zone",
         "machines": None,
@@ -113,71 +129,77 @@
         "at_once": 2,
         "note": "new racks",
     }
-    await call(p, "operator", "POST", "/upkeep/try", order)
+    await call(cluster, "operator", "POST", "/upkeep/try", order)
     for at in CONTROLLERS[:2]:
-        await call(p, "operator", "POST", "/upkeep", order, at)
-    machine = min(p.fleet.workers)
+        await call(cluster, "operator", "POST", "/upkeep", order, at)
+    machine = min(cluster.fleet.workers)
     await call(
-        p, "operator", "POST", "/upkeep", {"id": "u-one", "machines": [machine], "spot": False}
+        cluster,
+        "operator",
+        "POST",
+        "/upkeep",
+        {"id": "u-one", "machines": [machine], "spot": False},
     )
     await anyio.sleep(3.0)
-    await call(p, "operator", "GET", "/upkeep")
-    await _looks(p)
+    await call(cluster, "operator", "GET", "/upkeep")
+    await _request_status_views(cluster)
     for verb in ("pause", "resume"):
-        await call(p, "operator", "POST", f"/upkeep/u-zone/{verb}", None, "c1")
-    await call(p, "operator", "POST", "/upkeep/u-one/stop")
+        await call(cluster, "operator", "POST", f"/upkeep/u-zone/{verb}", None, "c1")
+    await call(cluster, "operator", "POST", "/upkeep/u-one/stop")
     await anyio.sleep(6.0)
-    await call(p, "operator", "GET", "/upkeep", None, "c2")
-    await call(p, "operator", "POST", "/upkeep/u-zone/stop")
+    await call(cluster, "operator", "GET", "/upkeep", None, "c2")
+    await call(cluster, "operator", "POST", "/upkeep/u-zone/stop")
 
 
-async def _cuts(p: SimulatedCluster) -> None:
-    """Controllers cut from store, cloud or workers; a failover; an isolated controller."""
-    p.net.cut("c0", "state", SILENT, 5.0)
-    p.cut_workers("c2", DEAF, 7.0)
+async def _partition_controllers(cluster: SimulatedCluster) -> None:
+    """Cut controllers from store, cloud or workers, force a failover, isolate a controller."""
+    cluster.net.cut("c0", "state", SILENT, 5.0)
+    cluster.cut_workers("c2", DEAF, 7.0)
     for c in CONTROLLERS[:2]:
-        p.net.cut(c, "cloud", SILENT, 7.0)
+        cluster.net.cut(c, "cloud", SILENT, 7.0)
     for n in range(10, 14):
-        p.tasks.start_soon(p.submit, p.spec(n, gait="array", chicks=9, gpus=4.0, flightS=3.0))
-    p.tasks.start_soon(p.submit, p.spec(14, gait="daemon", chicks=3))
+        cluster.tasks.start_soon(
+            cluster.submit, cluster.spec(n, gait="array", chicks=9, gpus=4.0, flightS=3.0)
+        )
+    cluster.tasks.start_soon(cluster.submit, cluster.spec(14, gait="daemon", chicks=3))
     await anyio.sleep(4.0)
-    p.cut_workers("c1", SILENT, 6.0)
-    p.hang([max(p.fleet.workers)], 9.0)
-    await _looks(p, "c1")
+    cluster.cut_workers("c1", SILENT, 6.0)
+    cluster.hang([max(cluster.fleet.workers)], 9.0)
+    await _request_status_views(cluster, "c1")
     await anyio.sleep(7.0)
-    await _looks(p)
-    await p.crash("c1", 9.0)
-    p.tasks.start_soon(p.flow, 5.0, 0.5, 20)
+    await _request_status_views(cluster)
+    await cluster.crash("c1", 9.0)
+    cluster.tasks.start_soon(cluster.flow, 5.0, 0.5, 20)
     await anyio.sleep(6.0)
-    p.tasks.start_soon(p.withdraw, "j-000014")
-    await p.outage(3.0)
+    cluster.tasks.start_soon(cluster.withdraw, "j-000014")
+    await cluster.outage(3.0)
     await anyio.sleep(3.0)
     for there in ("state", "cloud", "c1", "c2"):
-        p.net.cut("c0", there, SILENT, 9.0)
-    p.cut_workers("c0", SILENT, 9.0)
+        cluster.net.cut("c0", there, SILENT, 9.0)
+    cluster.cut_workers("c0", SILENT, 9.0)
     await anyio.sleep(7.0)
-    await call(p, "user", "GET", "/healthz")
-    p.tasks.start_soon(p.submit, p.spec(50, gait="array"), "c0")
-    await call(p, "user", "GET", "/api/jobs/j-000001")
+    await call(cluster, "user", "GET", "/healthz")
+    cluster.tasks.start_soon(cluster.submit, cluster.spec(50, gait="array"), "c0")
+    await call(cluster, "user", "GET", "/api/jobs/j-000001")
     await anyio.sleep(7.0)
 
 
-async def _looks(p: SimulatedCluster, at: str = "c0") -> None:
-    """What a person is shown."""
-    for query in ("", "?job=j-000002", "?team=team-2", f"?machine={max(p.fleet.workers)}"):
-        await call(p, "operator", "GET", f"/status{query}", None, at)
-    await call(p, "user", "GET", "/healthz", at="c1")
+async def _request_status_views(cluster: SimulatedCluster, at: str = "c0") -> None:
+    """Request the status views for people, and the health of a controller."""
+    for query in ("", "?job=j-000002", "?team=team-2", f"?machine={max(cluster.fleet.workers)}"):
+        await call(cluster, "operator", "GET", f"/status{query}", None, at)
+    await call(cluster, "user", "GET", "/healthz", at="c1")
 
 
-def everyday() -> tuple[SimulatedCluster, Recording]:
-    """The whole scene of work and troubles."""
+def ordinary_operation() -> tuple[SimulatedCluster, Recording]:
+    """Run the whole scene of ordinary work, maintenance and faults."""
 
-    async def scene(p: SimulatedCluster) -> None:
-        await _work(p)
-        await _looks(p)
-        await _order(p)
-        await _cuts(p)
-        await _looks(p)
+    async def scene(cluster: SimulatedCluster) -> None:
+        await _submit_work(cluster)
+        await _request_status_views(cluster)
+        await _run_maintenance_orders(cluster)
+        await _partition_controllers(cluster)
+        await _request_status_views(cluster)
 
     options = settings.Options(keep_ended=4, idle_return_s=5.0, budget={"default": {"down": 1}})
     played, recording = run(scene, options=options, asks=False)
@@ -186,47 +208,57 @@
 
 
 def refusals() -> tuple[dict[str, Any], dict[str, Any]]:
-    """Answers to bad or odd HTTP requests and link greetings, from a controller without work."""
+    """Send bad or odd HTTP requests and link greetings to a controller without work.
+
+    Returns:
+        The answers to the requests, and the greetings with their answers, both by name.
+    """
     http: dict[str, Any] = {}
     link: dict[str, Any] = {}
 
-    async def scene(p: SimulatedCluster) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for name, data in inputs.bad_requests().items():
-            http[name] = await raw(p, 80, data)
+            http[name] = await send_raw(cluster, 80, data)
         for name, value in inputs.GREETINGS.items():
             frame = cbor2.dumps(value)
             data = struct.pack(">I", len(frame)) + frame + struct.pack(">I", 1) + cbor2.dumps([])
-            link[name] = {"sent": data.hex(), "answer": await raw(p, 81, data)}
+            link[name] = {"sent": data.hex(), "answer": await send_raw(cluster, 81, data)}
 
     run(scene, asks=False, machines=2)
     return http, link
 
 
-# -- what earlier releases and processes have left ---------------------------------------------
+# -- stored values of earlier releases and processes --------------------------------------------
 
 
 def from_stored() -> dict[str, Any]:
-    """What users and operators are told by controllers that start on given stored values."""
+    """Return what controllers that start on given stored values tell users and operators."""
     out: dict[str, Any] = {}
 
-    def before(p: SimulatedCluster) -> None:
+    def before(cluster: SimulatedCluster) -> None:
         for key, value in inputs.STORED.items():
-            p.state.store.txn({}, {key: copy.deepcopy(value)}, [])
-        for job in inputs.RUNNABLE:
-            p.fleet.specs[job] = inputs.job_of_record(inputs.STORED[f"p/job/{job}"])
+            cluster.state.store.txn({}, {key: copy.deepcopy(value)}, [])
+        for job in inputs.RUNNABLE_JOBS:
+            cluster.fleet.specs[job] = inputs.job_of_record(inputs.STORED[f"p/job/{job}"])
 
-    async def scene(p: SimulatedCluster) -> None:
-        out["first"] = await _told(p)
+    async def scene(cluster: SimulatedCluster) -> None:
+        out["first"] = await _query_jobs_and_orders(cluster)
         await anyio.sleep(25.0)
-        out["later"] = await _told(p)
-        kept = {k: v for k, (v, _) in p.state.store.kv.items() if k.startswith(inputs.KEPT)}
+        out["later"] = await _query_jobs_and_orders(cluster)
+        kept = {
+            k: v
+            for k, (v, _) in cluster.state.store.kv.items()
+            if k.startswith(inputs.KEPT_PREFIXES)
+        }
         out["stored later"] = {k: orjson.dumps(v).decode() for k, v in sorted(kept.items())}
 
     run(scene, before, options=settings.Options(keep_ended=6), asks=False, machines=4)
     return out
 
 
-async def _told(p: SimulatedCluster) -> dict[str, Any]:
-    told = {job: await call(p, "user", "GET", f"/api/jobs/{job}") for job in inputs.ASKED}
-    told["orders"] = await call(p, "operator", "GET", "/upkeep")
-    return told
+async def _query_jobs_and_orders(cluster: SimulatedCluster) -> dict[str, Any]:
+    answers = {
+        job: await call(cluster, "user", "GET", f"/api/jobs/{job}") for job in inputs.QUERIED_JOBS
+    }
+    answers["orders"] = await call(cluster, "operator", "GET", "/upkeep")
+    return answers
--- a/tests/golden/shapes.py
+++ b/tests/golden/shapes.py
@@ -1,4 +1,4 @@
-"""The shape of a JSON-like value: a line for each path, with the type or literal word there."""
+"""Describe the shape of a JSON-like value: a line for each path, with the type or literal word."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MAX_BYTES = 4000  # of one message kept whole; of a larger one the digest
+MAX_BYTES = 4000  # larger messages are kept as a digest
 _DIGITS = re.compile(r"[0-9]+")
 _WORD = re.compile(r"[a-z][a-z_]{0,30}\Z")
 
 
 def pattern(text: str) -> str:
-    """A name or path without its numbers: `j-000412/3` -> `j-#/#`."""
+    """Return a name or path with its numbers replaced: `j-000412/3` -> `j-#/#`."""
     return _DIGITS.sub("#", text)
 
 
-def exact(data: bytes) -> str:
-    """Bytes as JSON can hold them: text, hexadecimal digits, or the digest of what is too large."""
+def to_json_text(data: bytes) -> str:
+    """Return bytes as text for JSON: ASCII, hex digits, or a digest if they are too large."""
     if len(data) > MAX_BYTES:
         return f"sha256:{hashlib.sha256(data).hexdigest()}:{len(data)}"
     try:
@@ -27,10 +27,18 @@
         return f"hex:{data.hex()}"
 
 
-def lines(
+def add_shape_lines(
     value: Any, path: str, out: set[str], *, words: bool, opaque: frozenset[str] = frozenset()
 ) -> None:
-    """Add a value's lines. `words`: keep short lower-case strings; `opaque`: keys not entered."""
+    """Add the lines of a value's shape to `out`.
+
+    Args:
+        value: The value to describe.
+        path: The path of the value, with which its lines start.
+        out: The set that the lines are added to.
+        words: Whether short lower-case strings are kept literally.
+        opaque: Keys whose values are not described.
+    """
     if isinstance(value, dict):
         if not value:
             out.add(f"{path}: {{}}")
@@ -40,14 +48,18 @@
             if key in opaque:
                 out.add(f"{path}.{name}: (stored value)")
             else:
-                lines(inner, f"{path}.{name}{kind}", out, words=words, opaque=opaque)
+                add_shape_lines(inner, f"{path}.{name}{kind}", out, words=words, opaque=opaque)
     elif isinstance(value, (list, tuple)):
         if not value:
             out.add(f"{path}: []")
-        same = {type(v) for v in value} in ({str}, {dict}, {list})
+        uniform = {type(v) for v in value} in ({str}, {dict}, {list})
         for index, inner in enumerate(value):
-            lines(
-                inner, f"{path}[]" if same else f"{path}[{index}]", out, words=words, opaque=opaque
+            add_shape_lines(
+                inner,
+                f"{path}[]" if uniform else f"{path}[{index}]",
+                out,
+                words=words,
+                opaque=opaque,
             )
     elif isinstance(value, str) and words and _WORD.match(value):
         out.add(f"{path}: {value!r}")
@@ -56,22 +68,22 @@
 
 
 @dataclass
-class Kind:
-    """All messages of one kind: their merged shape, and the first of them byte for byte."""
+class MessageKind:
+    """All messages of one kind: their merged shape, and the bytes of the first one."""
 
     shape: set[str] = field(default_factory=set)
     first: str | None = None
     count: int = 0
 
     def golden(self) -> dict[str, Any]:
-        """The form kept in a golden file."""
+        """Return the form that is kept in a golden file."""
         return {
             "shape": sorted(self.shape),
             **({"first": self.first} if self.first is not None else {}),
         }
 
 
-class Kinds(dict[str, Kind]):
+class MessageKinds(dict[str, MessageKind]):
     """Kinds of messages by name."""
 
     def add(
@@ -83,13 +95,13 @@
         words: bool = True,
         opaque: frozenset[str] = frozenset(),
     ) -> None:
-        """Take in one message; without `data` only its shape is kept."""
-        kind = self.setdefault(name, Kind())
+        """Add one message; without `data` only its shape is kept."""
+        kind = self.setdefault(name, MessageKind())
         kind.count += 1
         if kind.first is None and data is not None:
-            kind.first = exact(data)
-        lines(value, "", kind.shape, words=words, opaque=opaque)
+            kind.first = to_json_text(data)
+        add_shape_lines(value, "", kind.shape, words=words, opaque=opaque)
 
     def golden(self) -> dict[str, Any]:
-        """The form kept in a golden file."""
+        """Return the form that is kept in a golden file."""
         return {name: kind.golden() for name, kind in sorted(self.items())}
--- a/tests/golden/traffic.py
+++ b/tests/golden/traffic.py
@@ -1,6 +1,7 @@
-"""Everything that crosses the simulated network, taken apart into HTTP exchanges and link frames.
+"""Record everything that crosses the simulated network, and split it into messages.
 
-Written against bytes only: none of the package's own readers is used, so a fault in one shows.
+The messages are HTTP exchanges and link frames. This module works on bytes only and uses none of
+the package's own parsers, so that a fault in one of them is visible.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 
 from tests.simulation.simulated_network import SimulatedNetwork, SimulatedStream
 
-from .shapes import Kinds, pattern
+from .shapes import MessageKinds, pattern
 
-# A stored record inside a message of the state service: see the golden file of the store
-STORED = frozenset(("v",))
-TEXTS = ("v", "q", "a")  # link messages that hold the views for people
+# Keys of stored records in messages of the state service; store.json describes the records
+STORED_VALUE_KEYS = frozenset(("v",))
+TEXT_MESSAGES = ("v", "q", "a")  # kinds of link messages that contain the status views for people
 
 
 @dataclass
 class HttpMessage:
-    """One request or answer as it stood on a connection."""
+    """One request or answer as it was sent on a connection."""
 
     start: str
     body: bytes
@@ -34,7 +35,7 @@
 
     @property
     def value(self) -> Any:
-        """The body as JSON, or as text."""
+        """Return the body as JSON, the text "not JSON" if it is none, or None if it is empty."""
         try:
             return orjson.loads(self.body) if self.body else None
         except orjson.JSONDecodeError:
@@ -42,7 +43,7 @@
 
 
 def http_messages(data: bytes) -> Iterator[HttpMessage]:
-    """The whole messages at the head of a connection's bytes."""
+    """Yield the complete messages at the start of a connection's bytes."""
     while (end := data.find(b"\r\n\r\n")) >= 0:
         head = data[:end].decode("latin-1").split("\r\n")
         length = next(
@@ -61,7 +62,7 @@
 
 
 def frames(data: bytes) -> Iterator[bytes]:
-    """The whole frames at the head of a link's bytes, without their lengths."""
+    """Yield the complete frames at the start of a link's bytes, without their length prefixes."""
     while len(data) >= 4:
         (size,) = struct.unpack(">I", data[:4])
         if len(data) < 4 + size:
@@ -78,8 +79,8 @@
     sent: dict[SimulatedStream, bytearray] = field(default_factory=dict)
 
     @contextlib.contextmanager
-    def on(self) -> Iterator[None]:
-        """Record until left."""
+    def record(self) -> Iterator[None]:
+        """Record all transmissions while the context is active."""
         transmit = SimulatedNetwork.transmit
 
         def recorded(net: SimulatedNetwork, stream: SimulatedStream, data: bytes | None) -> None:
@@ -94,49 +95,51 @@
             if stream.opened:
                 yield stream, bytes(data), bytes(self.sent.get(stream.other, b""))
 
-    def _side(self, stream: SimulatedStream) -> str:
+    def _connection_kind(self, stream: SimulatedStream) -> str:
         here, there = stream.here, stream.there
         if there not in self.controllers:
             return there if there in ("state", "cloud") else "agent"
         return {"user": "user", "operator": "operator", "raw": "raw"}.get(here, "agent report")
 
-    def interfaces(self) -> tuple[Kinds, Kinds]:
-        """Messages of the published interfaces, and those of operators."""
-        published, operator = Kinds(), Kinds()
+    def interfaces(self) -> tuple[MessageKinds, MessageKinds]:
+        """Return the messages of the published interfaces, and those of operators."""
+        published, operator = MessageKinds(), MessageKinds()
         for stream, out, back in self._connections():
-            side = self._side(stream)
+            connection_kind = self._connection_kind(stream)
             if (
                 stream.here in self.controllers and stream.there in self.controllers
-            ) or side == "raw":
+            ) or connection_kind == "raw":
                 continue
             answers = list(http_messages(back))
             for index, request in enumerate(http_messages(out)):
                 method, target, _ = request.start.split(" ")
-                kinds = operator if side == "operator" else published
-                name = f"{side}: {method} {pattern(target)}"
-                opaque = STORED if side == "state" else frozenset()
+                kinds = operator if connection_kind == "operator" else published
+                name = f"{connection_kind}: {method} {pattern(target)}"
+                opaque = STORED_VALUE_KEYS if connection_kind == "state" else frozenset()
                 kinds.add(f"{name} request", request.value, request.raw, opaque=opaque)
                 if index < len(answers):
                     status = answers[index].start.split(" ")[1]
                     kinds.add(
                         f"{name} answer {status}",
                         answers[index].value,
-                        None if side == "operator" else answers[index].raw,
+                        None if connection_kind == "operator" else answers[index].raw,
                         opaque=opaque,
-                        words=side != "operator",
+                        words=connection_kind != "operator",
                     )
         return published, operator
 
-    def link(self) -> Kinds:
-        """Messages on the links between controllers."""
-        kinds = Kinds()
+    def link(self) -> MessageKinds:
+        """Return the messages on the links between controllers."""
+        kinds = MessageKinds()
         for stream, out, back in self._connections():
             if stream.here not in self.controllers or stream.there not in self.controllers:
                 continue
             kinds.add("answers", None, back[:1] or None)
             for index, frame in enumerate(frames(out)):
                 value = cbor2.loads(frame)
-                assert cbor2.dumps(value) == frame, "a frame is the plain encoding of its value"
+                assert cbor2.dumps(value) == frame, (
+                    "a frame must be the plain encoding of its value"
+                )
                 if index == 0:
                     kinds.add("greeting", value, struct.pack(">I", len(frame)) + frame)
                     continue
@@ -145,17 +148,17 @@
         return kinds
 
     @staticmethod
-    def _message(kinds: Kinds, message: list[Any]) -> None:
-        texts = message[0] in TEXTS
+    def _message(kinds: MessageKinds, message: list[Any]) -> None:
+        texts = message[0] in TEXT_MESSAGES
         name = f"message {message[0]}"
-        if message[0] in ("x", "y"):  # what is asked, and whether the receiver answers with one
+        if message[0] in ("x", "y"):  # relay requests by what they ask for, and answers
             name += f" {message[5].get('what', 'answer')}"
         kinds.add(name, message, None if texts else cbor2.dumps(message), words=not texts)
 
 
-def stored(log: list[Any]) -> Kinds:
-    """Keys and values written to the state service, by the form of the key."""
-    kinds = Kinds()
+def written_kinds(log: list[Any]) -> MessageKinds:
+    """Return the keys and values written to the state service, grouped by the form of the key."""
+    kinds = MessageKinds()
     for event in log:
         name = pattern(event.key)
         if event.value is None:
