--- a/scripts/benchmark_hot_paths/__main__.py
+++ b/scripts/benchmark_hot_paths/__main__.py
@@ -65,8 +65,8 @@
     """Measure and print a table, or, as a child process, run one operation or the load."""
     args = option_parser().parse_args()
     if args.beside:
-        question, size, *ports = args.beside
-        anyio.run(serve_load, question, int(size), LoadPorts(*map(int, ports)))
+        request_kind, size, *ports = args.beside
+        anyio.run(serve_load, request_kind, int(size), LoadPorts(*map(int, ports)))
     elif args.child:
         operation, size = args.child
         print(OPERATIONS[operation](int(size)))
--- a/scripts/benchmark_hot_paths/user_benchmarks.py
+++ b/scripts/benchmark_hot_paths/user_benchmarks.py
@@ -21,7 +21,7 @@
 from ploverhall.controller.controller import Controller
 from ploverhall.runtime import Runtime
 from scripts.benchmark_hot_paths.revisions import MODULE
-from scripts.benchmark_hot_paths.user_load import POLL, QUESTIONS, RESUBMISSION, LoadPorts
+from scripts.benchmark_hot_paths.user_load import POLL, REQUESTS, RESUBMISSION, LoadPorts
 from scripts.git_revisions import ROOT
 
 
@@ -34,22 +34,22 @@
 
 def poll_cost(size: int) -> float:
     """Return the microseconds of a request for a waiting job."""
-    return question_cost(size, POLL)
+    return user_request_cost(size, POLL)
 
 
 def resubmission_cost(size: int) -> float:
     """Return the microseconds of a repeated submission of a waiting job."""
-    return question_cost(size, RESUBMISSION)
+    return user_request_cost(size, RESUBMISSION)
 
 
-def question_cost(size: int, question: str) -> float:
+def user_request_cost(size: int, request_kind: str) -> float:
     """Return the controller's processor time for one request and its answer, in microseconds.
 
     The idle cost of the controller is subtracted.
     """
     ports = _free_ports()
     controller = Controller(settings.parse(_controller_settings(ports)), Runtime())
-    args = [sys.executable, "-m", MODULE, "--beside", question, str(size), *map(str, ports)]
+    args = [sys.executable, "-m", MODULE, "--beside", request_kind, str(size), *map(str, ports)]
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
     with subprocess.Popen(args, cwd=ROOT, env=env, stdout=subprocess.PIPE) as load:
         try:
@@ -60,7 +60,7 @@
             load.kill()
     idle_rate = (asked.processor_s - idle.processor_s) / (asked.clock_s - idle.clock_s)
     idle_s = idle_rate * (over.clock_s - asked.clock_s)
-    return (over.processor_s - asked.processor_s - idle_s) / QUESTIONS * 1e6
+    return (over.processor_s - asked.processor_s - idle_s) / REQUESTS * 1e6
 
 
 async def _run_controller(controller: Controller, load: subprocess.Popen[bytes]) -> list[TimeMark]:
--- a/scripts/benchmark_hot_paths/user_load.py
+++ b/scripts/benchmark_hot_paths/user_load.py
@@ -21,9 +21,9 @@
 POLL = "poll"
 RESUBMISSION = "resubmission"
 # Requests in a round; concurrent requests share a read of the key-value store
-QUESTIONS = 6000
-CONCURRENT_QUESTIONS = 40
-MAX_REPEATED_SHARE = 0.01
+REQUESTS = 6000
+CONCURRENT_REQUESTS = 40
+MAX_FAILED_SHARE = 0.01
 STORE_PAGE = 1000  # the largest page that the key-value store returns
 NO_ANSWER = 0
 HOST = "127.0.0.1"
@@ -50,18 +50,18 @@
 class UserLoad:
     """Serves the fakes, and sends requests for one waiting job as a user."""
 
-    def __init__(self, question: str, ended_jobs: int, ports: LoadPorts) -> None:
+    def __init__(self, request_kind: str, ended_jobs: int, ports: LoadPorts) -> None:
         from tests.simulation.fake_key_value_store import FakeKeyValueStore
 
-        self.question = question
+        self.request_kind = request_kind
         self.ports = ports
         self.key_value_store = FakeKeyValueStore()
         self.key_value_store.store.kv = {
             f"{JOB_PREFIX}j-{number:06d}": (end_record("withdrawn", 0), 1)
             for number in range(1, ended_jobs + 1)
         }
-        self.user = Client(HOST, ports.controller, CONCURRENT_QUESTIONS)
-        self.repeated: list[int] = []  # statuses other than 200
+        self.user = Client(HOST, ports.controller, CONCURRENT_REQUESTS)
+        self.failed_statuses: list[int] = []  # statuses other than 200
 
     async def run(self) -> None:
         """Serve the fakes and send the requests; run until the process is killed.
@@ -79,9 +79,9 @@
             await anyio.sleep(2.0)
             print("asked", flush=True)
             async with anyio.create_task_group() as users:
-                for _ in range(CONCURRENT_QUESTIONS):
-                    users.start_soon(self._ask_in_turn)
-            assert len(self.repeated) < QUESTIONS * MAX_REPEATED_SHARE, self.repeated[:3]
+                for _ in range(CONCURRENT_REQUESTS):
+                    users.start_soon(self._send_requests_in_turn)
+            assert len(self.failed_statuses) < REQUESTS * MAX_FAILED_SHARE, self.failed_statuses[:3]
             print("over", flush=True)
             await anyio.sleep_forever()
 
@@ -113,18 +113,18 @@
         has_next = len(found) > STORE_PAGE
         return Reply(200, {"items": items, "hasNext": has_next, "moult": store.rev})
 
-    async def _ask_in_turn(self) -> None:
+    async def _send_requests_in_turn(self) -> None:
         """Send requests one after the other, as one of the user's connections."""
-        for _ in range(QUESTIONS // CONCURRENT_QUESTIONS):
-            status = await self._ask()
+        for _ in range(REQUESTS // CONCURRENT_REQUESTS):
+            status = await self._send_measured_request()
             if status != 200:
                 # On a busy machine a read may take longer than the request waits for it
-                self.repeated.append(status)
+                self.failed_statuses.append(status)
                 await anyio.sleep(0.1)
 
-    async def _ask(self) -> int:
+    async def _send_measured_request(self) -> int:
         """Send the measured request and return its status."""
-        if self.question == POLL:
+        if self.request_kind == POLL:
             return await self._request("GET", f"/api/jobs/{JOB_ID}", None)
         return await self._request("POST", "/api/jobs", JOB)
 
@@ -136,6 +136,6 @@
             return NO_ANSWER
 
 
-async def serve_load(question: str, ended_jobs: int, ports: LoadPorts) -> None:
+async def serve_load(request_kind: str, ended_jobs: int, ports: LoadPorts) -> None:
     """Serve a measured controller and send it requests until the process is killed."""
-    await UserLoad(question, ended_jobs, ports).run()
+    await UserLoad(request_kind, ended_jobs, ports).run()
--- a/scripts/custom_days/fixed_days.py
+++ b/scripts/custom_days/fixed_days.py
@@ -83,7 +83,7 @@
             [after(0.0, outage), after(6.0, _crash(3)), after(9.0, _crash(3))],
             SHORT_RESTART_DELAY_S,
         ),
-        FixedDay("storm", _many_kinds(last_zone, site["jobs"][0]["name"])),
+        FixedDay("storm", _mixed_faults(last_zone, site["jobs"][0]["name"])),
     ]
 
 
@@ -100,7 +100,7 @@
     ]
 
 
-def _many_kinds(zone: str, burst_class: str) -> FaultSchedule:
+def _mixed_faults(zone: str, burst_class: str) -> FaultSchedule:
     """Return eight kinds of faults, one after the other."""
     burst = fault("job_burst", **{"class": burst_class}, factor=3.0, for_s=60.0)
     return [
--- a/scripts/mixed_versions/rolling_upgrade.py
+++ b/scripts/mixed_versions/rolling_upgrade.py
@@ -77,9 +77,9 @@
             tasks.start_soon(Server(self.key_value_store.handle, 100).run, *any_settings.store)
             tasks.start_soon(Server(self.fleet.handle, 100).run, *any_settings.cloud)
             try:
-                with anyio.move_on_after(WHOLE_RUN_S) as whole:
+                with anyio.move_on_after(WHOLE_RUN_S) as time_limit:
                     await self._run_cluster(tasks)
-                if whole.cancelled_caught:
+                if time_limit.cancelled_caught:
                     self.violations.append(f"the run has not finished within {WHOLE_RUN_S:g} s")
                 self._check_processes()
             finally:
--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -143,47 +143,47 @@
         self.kill_process()
         await anyio.sleep(delay_s)
         answered_at = {name: agent.answered_sent for name, agent in self.fleet.workers.items()}
-        begun = ProcessStart(self.fleet.now, f"j-{self.job_count + 1:06d}", answered_at)
+        process_start = ProcessStart(self.fleet.now, f"j-{self.job_count + 1:06d}", answered_at)
         self.start_process()
         marks = RestartMarks()
         with anyio.fail_after(ALL_MARKS_WITHIN_S):
             while not marks.complete:
-                await self._update_marks(marks, begun)
+                await self._update_marks(marks, process_start)
                 await anyio.sleep(MARKS_POLL_S)
         return marks
 
-    async def _update_marks(self, marks: RestartMarks, begun: ProcessStart) -> None:
+    async def _update_marks(self, marks: RestartMarks, process_start: ProcessStart) -> None:
         """Record the milestones that the new process has reached since the last check."""
-        elapsed_s = self.fleet.now - begun.at
+        elapsed_s = self.fleet.now - process_start.at
         if marks.listening is None and await self.is_listening():
             marks.listening = elapsed_s
         if marks.healthy is None and marks.listening is not None and await self.is_healthy():
             marks.healthy = elapsed_s
-        answered = self._agents_answered_since(begun)
+        answered = self._agents_answered_since(process_start)
         if answered and marks.first_agent_answered is None:
             marks.first_agent_answered = elapsed_s
         if answered == len(self.fleet.workers) and marks.all_agents_answered is None:
             marks.all_agents_answered = elapsed_s
-        if marks.first_task_started is None and self._new_job_started_since(begun):
+        if marks.first_task_started is None and self._new_job_started_since(process_start):
             marks.first_task_started = elapsed_s
 
-    def _agents_answered_since(self, begun: ProcessStart) -> int:
+    def _agents_answered_since(self, process_start: ProcessStart) -> int:
         """Return how many agents have been answered by the new process.
 
         Only heartbeats that were sent after the start of the process count.
         """
         return sum(
-            agent.answered_sent > max(begun.answered_at.get(name, 0.0), begun.at)
+            agent.answered_sent > max(process_start.answered_at.get(name, 0.0), process_start.at)
             for name, agent in self.fleet.workers.items()
         )
 
-    def _new_job_started_since(self, begun: ProcessStart) -> bool:
+    def _new_job_started_since(self, process_start: ProcessStart) -> bool:
         """Return whether a task has started that only the new process can have permitted.
 
         The job of such a task was submitted after the start of the process.
         """
         return any(
-            at > begun.at and attempt_id[0] >= begun.next_job
+            at > process_start.at and attempt_id[0] >= process_start.next_job
             for at, attempt_id, _ in self.fleet.starts_of[-RECENT_STARTS:]
         )
 
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -358,10 +358,10 @@
 def channel_messages() -> dict[str, Any]:
     """Return the messages that a state channel sends, and which of them a receiver accepts."""
     outbound = OutboundChannels()
-    channel = outbound.channel("s", 0, 1, 5)
+    sent_channel = outbound.channel("s", 0, 1, 5)
     sent = []
     for changes in ({"ja": [1]}, {"jb": [2], "ja": None}, {"jd": [4]}):
-        channel.update(changes)
+        sent_channel.update(changes)
         sent += outbound.collect("c1", 1, lambda role: "c1")
     sent += outbound.collect("c1", 2, lambda role: "c1")  # a new connection: all of it
     outbound.channel("s", 0, 1, 6).put("jc", [3])
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -198,10 +198,7 @@
     "p/job/j-000001": _job_record("j-000001", "array", 9),  # the tasks 0, 2 and 8 are done
     "d/team-0/j-000001/0": "BQE=",
     "p/job/j-000002": _job_record("j-000002", "service", 2, ("of a later release", 1)),
-    "p/job/j-000003": [
-        "j-000003",
-        "c",
-    ],  # unreadable: the job is never run and its record never deleted
+    "p/job/j-000003": ["j-000003", "c"],  # unreadable: never run, never deleted
     "p/job/j-000004": _job_record("j-000004", "gang", 2),
     "p/job/j-000005": {"s": "done", "n": 7},
     "p/job/j-000006": {"s": "withdrawn", "n": 3},
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -79,9 +79,7 @@
             while True:
                 received += await stream.receive()
                 if any(http_messages(received)):
-                    scope.deadline = (
-                        cluster.now + 0.05
-                    )  # shows whether the connection is closed after the message
+                    scope.deadline = cluster.now + 0.05  # shows whether the connection closes
         except (anyio.EndOfStream, anyio.BrokenResourceError):
             received += b"(closed)"
     await stream.aclose()
