--- a/scripts/benchmark_hot_paths/user_load.py
+++ b/scripts/benchmark_hot_paths/user_load.py
@@ -1,6 +1,7 @@
-"""Store, cloud and one user of a measured controller, in a process of their own.
+"""Run the store, the cloud and one user of a measured controller in a process of their own.
 
-It prints a line when a stretch begins or ends: idle, asked, over.
+The process prints a line at each change of phase: `idle`, `asked` when the requests begin, and
+`over` when they end.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 POLL = "poll"
 RESUBMISSION = "resubmission"
-# Questions of a round; a read of the key-value store is shared by those that wait for it
-QUESTIONS = 6000
-CONCURRENT_QUESTIONS = 40
-MAX_REPEATED_SHARE = 0.01
-STORE_PAGE = 1000  # as large pages as the key-value store gives
+# Requests in a round; concurrent requests share a read of the key-value store
+REQUESTS = 6000
+CONCURRENT_REQUESTS = 40
+MAX_FAILED_SHARE = 0.01
+STORE_PAGE = 1000  # the largest page that the key-value store returns
 NO_ANSWER = 0
 HOST = "127.0.0.1"
 JOB_ID = "j-999999"
@@ -38,7 +39,7 @@
 
 
 class LoadPorts(NamedTuple):
-    """Ports of the controller and of what it talks to."""
+    """Ports of the controller and of the services that it connects to."""
 
     controller: int
     peers: int
@@ -47,23 +48,27 @@
 
 
 class UserLoad:
-    """The fakes, and a user who asks for one job that waits."""
+    """Serves the fakes, and sends requests for one waiting job as a user."""
 
-    def __init__(self, question: str, ended_jobs: int, ports: LoadPorts) -> None:
+    def __init__(self, request_kind: str, ended_jobs: int, ports: LoadPorts) -> None:
         from tests.simulation.fake_key_value_store import FakeKeyValueStore
 
-        self.question = question
+        self.request_kind = request_kind
         self.ports = ports
         self.key_value_store = FakeKeyValueStore()
         self.key_value_store.store.kv = {
             f"{JOB_PREFIX}j-{number:06d}": (end_record("withdrawn", 0), 1)
             for number in range(1, ended_jobs + 1)
         }
-        self.user = Client(HOST, ports.controller, CONCURRENT_QUESTIONS)
-        self.repeated: list[int] = []  # statuses other than 200
+        self.user = Client(HOST, ports.controller, CONCURRENT_REQUESTS)
+        self.failed_statuses: list[int] = []  # statuses other than 200
 
     async def run(self) -> None:
-        """Serve and ask; ends when the process is killed."""
+        """Serve the fakes and send the requests; run until the process is killed.
+
+        Raises:
+            TimeoutError: If the controller does not accept the job within 60 s.
+        """
         async with anyio.create_task_group() as tasks:
             self._start_fakes(tasks)
             with anyio.fail_after(60.0):
@@ -74,9 +79,9 @@
             await anyio.sleep(2.0)
             print("asked", flush=True)
             async with anyio.create_task_group() as users:
-                for _ in range(CONCURRENT_QUESTIONS):
-                    users.start_soon(self._ask_in_turn)
-            assert len(self.repeated) < QUESTIONS * MAX_REPEATED_SHARE, self.repeated[:3]
+                for _ in range(CONCURRENT_REQUESTS):
+                    users.start_soon(self._send_requests_in_turn)
+            assert len(self.failed_statuses) < REQUESTS * MAX_FAILED_SHARE, self.failed_statuses[:3]
             print("over", flush=True)
             await anyio.sleep_forever()
 
@@ -91,7 +96,7 @@
         tasks.start_soon(Server(fleet.handle, 100).run, HOST, self.ports.cloud)
 
     async def _handle_store(self, request: Request) -> Reply:
-        """A request to the store; lists are read in pages."""
+        """Answer a request to the store; lists are returned in pages."""
         if request.path != "/kv":
             return await self.key_value_store.handle(request)
         store = self.key_value_store.store
@@ -108,29 +113,29 @@
         has_next = len(found) > STORE_PAGE
         return Reply(200, {"items": items, "hasNext": has_next, "moult": store.rev})
 
-    async def _ask_in_turn(self) -> None:
-        """One of the user's connections: a question after the other."""
-        for _ in range(QUESTIONS // CONCURRENT_QUESTIONS):
-            status = await self._ask()
+    async def _send_requests_in_turn(self) -> None:
+        """Send requests one after the other, as one of the user's connections."""
+        for _ in range(REQUESTS // CONCURRENT_REQUESTS):
+            status = await self._send_measured_request()
             if status != 200:
-                # On a busy machine a read may take longer than a question waits for it
-                self.repeated.append(status)
+                # On a busy machine a read may take longer than the request waits for it
+                self.failed_statuses.append(status)
                 await anyio.sleep(0.1)
 
-    async def _ask(self) -> int:
-        """The measured question; its status."""
-        if self.question == POLL:
+    async def _send_measured_request(self) -> int:
+        """Send the measured request and return its status."""
+        if self.request_kind == POLL:
             return await self._request("GET", f"/api/jobs/{JOB_ID}", None)
         return await self._request("POST", "/api/jobs", JOB)
 
     async def _request(self, method: str, path: str, body: Any) -> int:
-        """The status of a request to the controller."""
+        """Send a request to the controller; return its status, `NO_ANSWER` without an answer."""
         try:
             return (await self.user.call(method, path, body, 5.0))[0]
         except UnreachableError:
             return NO_ANSWER
 
 
-async def serve_load(question: str, ended_jobs: int, ports: LoadPorts) -> None:
-    """Serve and ask a measured controller until the process is killed."""
-    await UserLoad(question, ended_jobs, ports).run()
+async def serve_load(request_kind: str, ended_jobs: int, ports: LoadPorts) -> None:
+    """Serve a measured controller and send it requests until the process is killed."""
+    await UserLoad(request_kind, ended_jobs, ports).run()
