--- a/ploverhall/autoscaling/__init__.py
+++ b/ploverhall/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many machines of which type are wanted. No I/O."""
+"""The autoscaler: plans which machines to rent, drain and return. No I/O."""
--- a/ploverhall/autoscaling/autoscaler.py
+++ b/ploverhall/autoscaling/autoscaler.py
@@ -1,8 +1,9 @@
-"""The autoscaler: one role for the whole fleet, held by a lease.
+"""The autoscaler, a role that one controller at a time holds for the whole fleet by a lease.
 
-It rents machines for waiting and expected tasks, and returns machines that are not needed. The
-autoscaling loop passes in the sources' demand, the shard owners' machines and the cloud's list, and
-carries out what `plan` returns. No I/O.
+The autoscaler rents machines for waiting and expected tasks, and returns machines that are not
+needed. The autoscaling loop passes in the waiting tasks from the sources, the machines from the
+shard owners and the cloud's list of machines, and carries out the plan that `Autoscaler.plan`
+returns. No I/O.
 """
 
 from __future__ import annotations
@@ -13,12 +14,14 @@
 
 
 class Autoscaler(ScaleIn, MaintenancePlanning):
-    """Decides what to rent, what to drain and what to return."""
+    """Decides which machines to rent, to drain and to return."""
 
     def plan(self, now: float, wall_time: float) -> ScalingPlan:
-        """Return what to rent and what to return now, and mark the machines to be drained.
+        """Return the machines to rent and to return now, and mark machines to be drained.
 
-        Nothing is rented before the cloud's list and its machine types are known.
+        Nothing is rented before a complete list of the cloud's machines and the cloud's machine
+        types are known. `now` is in seconds by the controller's monotonic clock, `wall_time` in
+        seconds since the epoch.
         """
         plan = ScalingPlan()
         self.wall_time = wall_time
--- a/ploverhall/autoscaling/bin_packing.py
+++ b/ploverhall/autoscaling/bin_packing.py
@@ -1,7 +1,7 @@
 """Bin packing of waiting tasks into the free capacity of machines.
 
-The autoscaler packs what waits into the machines that it has or that boot, to learn how many more
-are needed.
+The autoscaler packs the waiting tasks into the running and booting machines to find out how many
+more machines are needed.
 """
 
 from __future__ import annotations
@@ -9,30 +9,32 @@
 from ploverhall.scheduling.machines import MachinePool
 from ploverhall.scheduling.resources import ResourceVector, add_scaled, fits
 
-MIN_FREE_AMOUNT = 1e-3  # what is less is not kept as free capacity
+MIN_FREE_AMOUNT = 1e-3  # free capacity with no larger amount than this is dropped
 
 
 class FreeSlots:
-    """Free capacity of machines by pool; machines of equal capacity are counted together.
+    """Free capacity of machines by pool.
 
-    So the work of packing grows with the number of distinct capacities, not of machines.
+    Machines of equal free capacity are counted together, so that the cost of packing grows with
+    the number of distinct capacities and not with the number of machines.
     """
 
     def __init__(self) -> None:
-        # Pool -> free capacity -> machines with just that much
+        # Pool -> free capacity -> number of machines with exactly that capacity
         self.slots: dict[MachinePool, dict[ResourceVector, int]] = {}
 
     def add(self, pool: MachinePool, free: ResourceVector, count: int = 1) -> None:
-        """Add `count` machines with this free capacity; a negative count removes them."""
+        """Add `count` machines with the free capacity `free`; a negative count removes machines."""
         capacities = self.slots.setdefault(pool, {})
         capacities[free] = capacities.get(free, 0) + count
         if not capacities[free]:
             del capacities[free]
 
     def pack(self, resources: ResourceVector, count: int, pool: MachinePool) -> int:
-        """Place up to `count` tasks of these resources each, on the fullest machines first.
+        """Place up to `count` tasks that need `resources` each, on the fullest machines first.
 
-        Returns how many were placed.
+        Returns:
+            The number of tasks that were placed.
         """
         capacities = self.slots.get(pool)
         left = count
@@ -45,7 +47,7 @@
             while tasks_per_machine < left and fits(resources, remaining):
                 remaining = add_scaled(remaining, resources, -1)
                 tasks_per_machine += 1
-            # As many machines of this capacity at once as take all that they can
+            # Handle in one step all machines of this capacity that the remaining tasks can fill
             machine_count = min(capacities[free], left // tasks_per_machine) or 1
             self.add(pool, free, -machine_count)
             if any(amount > MIN_FREE_AMOUNT for amount in remaining):
--- a/ploverhall/autoscaling/demand_forecast.py
+++ b/ploverhall/autoscaling/demand_forecast.py
@@ -1,6 +1,6 @@
-"""The demand for machines: tasks that wait, how urgent they are, and tasks that are likely to come.
+"""Tracks the demand for machines: waiting tasks, their urgency, and a forecast of new tasks.
 
-Waiting tasks come from the sources, accepted jobs from the controller. No I/O.
+The sources send the waiting tasks; the controller reports the accepted jobs. No I/O.
 """
 
 from __future__ import annotations
@@ -14,22 +14,26 @@
 from ploverhall.protocol.peer_messages import DemandUpdate
 from ploverhall.scheduling.resources import fits
 
-MAX_ARRIVALS = 500  # accepted jobs that are remembered
+MAX_ARRIVALS = 500  # most recently accepted jobs that are kept for the forecast
 ARRIVAL_SLOT_S = 15.0  # arrivals are counted in slots of this length
-FORECAST_S = 300.0  # arrivals of this time count
-MIN_FORECAST_SPAN_S = 60.0
-MAX_TASKS_PER_ARRIVAL = 50  # more tasks of one job are no rate of arrival
-ARRIVAL_MARGIN_S = 20.0  # beyond the boot of a machine
-ESTIMATE_MARGIN = 1.3  # of a job's run time, against its deadline
+FORECAST_S = 300.0  # the forecast uses the arrivals of this period
+MIN_FORECAST_SPAN_S = 60.0  # shortest period that the arrival rate is averaged over
+MAX_TASKS_PER_ARRIVAL = 50  # further tasks of one job say nothing about the arrival rate
+ARRIVAL_MARGIN_S = 20.0  # added to a machine's boot time
+ESTIMATE_MARGIN = 1.3  # factor on a task's estimated run time when compared with the deadline
 DEADLINE_MARGIN_S = 60.0
-MAX_SPOT_WAIT_S = 120.0  # a job without deadline waits no longer for a spot machine
+MAX_SPOT_WAIT_S = 120.0  # longest wait for a spot machine of a job without a deadline
 
 
 class DemandForecast(BootTracking):
-    """Waiting and expected tasks."""
+    """Keeps the waiting tasks and forecasts the tasks that will arrive."""
 
     def on_source_update(self, source_shard: int, full: bool, changes: dict[str, Any]) -> None:
-        """Take in a source's waiting tasks by job; `full` says that `changes` holds all of them."""
+        """Apply a source's update of its waiting tasks by job.
+
+        A value of None removes a job. With `full`, `changes` holds all of the source's jobs, and
+        any other job of that source is removed.
+        """
         if full:
             for key in [
                 key for key in self.demand if key[0] == source_shard and key[1] not in changes
@@ -48,26 +52,26 @@
             )
 
     def on_job(self, job: Job, now: float) -> None:
-        """Count an accepted job for the forecast."""
+        """Record an accepted job for the forecast."""
         self.arrivals[job.id] = (now, job)
         while len(self.arrivals) > MAX_ARRIVALS:
             del self.arrivals[next(iter(self.arrivals))]
 
     def _demand_by_priority(self) -> list[Demand]:
-        """Return the waiting tasks, the most important job first."""
+        """Return the waiting tasks of all jobs in queue order, the most important job first."""
         return sorted(self.demand.values(), key=lambda demand: demand.queue_order)
 
     def _starts_before_boot(self, job: Job) -> bool:
-        """Whether a job's objective is to start sooner than any machine boots."""
+        """Return whether a job's objective is to start sooner than any machine type boots."""
         start_s = self.objectives.of(job).start_s
         return start_s is not None and start_s < min(
             (machine_type.boot_s for machine_type in self.machine_types.values()), default=0.0
         )
 
-    def _urgent(self, job: Job) -> bool:
-        """Whether spot work would miss its deadline or objective by waiting for a spot machine."""
+    def _cannot_wait_for_spot(self, job: Job) -> bool:
+        """Return whether waiting for a spot machine would break a job's deadline or objective."""
         if job.deadline_s is None:
-            # Of an array with an objective, no more is requested than must run now
+            # The demand of an array job with an objective holds only the tasks that must run now
             return (
                 self._starts_before_boot(job)
                 or self.objectives.of(job).finish_s is not None
@@ -79,9 +83,11 @@
         )
 
     def _forecast(self, now: float) -> list[tuple[Job, int]]:
-        """Return tasks to keep free capacity for, as (the class's largest job, task count).
+        """Return the expected tasks to keep capacity free for, as (job, task count) by class.
 
-        Of each class that can't wait for a spot machine: what usually arrives while one boots.
+        The job is the one with the largest tasks of its class. The count is the number of tasks
+        that usually arrive while a machine boots. Classes whose jobs can wait for a spot machine
+        are left out.
         """
         since = max(self.started, now - FORECAST_S)
         span_s = max(MIN_FORECAST_SPAN_S, now - since)
@@ -98,8 +104,9 @@
             slots[slot] = slots.get(slot, 0) + min(job.task_count, MAX_TASKS_PER_ARRIVAL)
         forecast = []
         for job_class, job in largest.items():
-            # The busiest slot is left out: all jobs submitted at the start are a burst, not a rate,
-            # and would rent machines for the whole of it once more
+            # The busiest slot is left out: jobs that are all submitted at the start are a burst and
+            # not an arrival rate, and would make the autoscaler rent machines for the whole burst
+            # a second time
             task_counts = tasks_per_slot[job_class].values()
             count = sum(task_counts) - max(task_counts)
             mean = count / span_s * (self._fastest_boot_s(job, now) + ARRIVAL_MARGIN_S)
@@ -107,7 +114,10 @@
         return sorted(forecast, key=lambda expected: -max(expected[0].resources))
 
     def _fastest_boot_s(self, job: Job, now: float) -> float:
-        """Return the shortest boot time of a machine that fits the job's tasks; 0: none does."""
+        """Return the shortest boot time in seconds of a machine that fits one of the job's tasks.
+
+        0 means that no machine type fits.
+        """
         return min(
             (
                 self._boot_time_s((machine_type.name, zone), now)
--- a/ploverhall/autoscaling/fleet_state.py
+++ b/ploverhall/autoscaling/fleet_state.py
@@ -1,8 +1,8 @@
-"""The rented machines, as the shard owners, the cloud's list and its answers describe them.
+"""Keeps the rented machines as known from the shard owners, the cloud's list and its responses.
 
-`FleetState` holds all state of the autoscaler and takes in what is known of machines. The classes
-that decide build on it: `BootTracking`, `DemandForecast`, `ScaleOut`, `ScaleIn` and
-`MaintenancePlanning`, all of them joined in `Autoscaler`. No I/O.
+`FleetState` holds all state of the autoscaler and applies the updates about machines. The classes
+that make the decisions derive from it: `BootTracking`, `DemandForecast`, `ScaleOut`, `ScaleIn` and
+`MaintenancePlanning`; `Autoscaler` combines them. No I/O.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from ploverhall.scheduling.machines import MachinePool
 from ploverhall.scheduling.objectives import Objectives
 
-MAX_DELETED_REPORTED = 300  # latest deleted machines of which shard owners are told unasked
-# Deleted machines that are remembered: a list that lags may still name a whole fleet
+MAX_DELETED_REPORTED = 300  # latest deleted machines that every shard owner is told about
+# Deleted machines that are kept: a lagging list may still contain a whole deleted fleet
 MAX_DELETED_KEPT = 10_000
-MAX_BOOT_HISTORY = 64  # boots remembered by type and zone
-# Pause after the cloud has refused machines
+MAX_BOOT_HISTORY = 64  # boots kept for each type and zone
+# Backoff after the cloud has refused machines of a pool
 INITIAL_REFUSAL_PAUSE_S = 5.0
 REFUSAL_PAUSE_FACTOR = 1.6
 MAX_REFUSAL_PAUSE_S = 60.0
@@ -31,7 +31,7 @@
 CLOUD_RUNNING = "running"
 CLOUD_FAILED = "failed"
 # Values of `MachineUpdate.draining`
-DRAINING_FOR_GOOD = 1
+DRAINING_UNTIL_DELETED = 1
 DRAINING_BY_ORDER = 2
 
 
@@ -42,12 +42,12 @@
     name: str
     pool: MachinePool
     rented_at: float
-    cloud_state: str = ""  # as the cloud lists it
-    age_s: float = 0.0  # as the cloud lists it
-    # The shard owner's latest, while the machine's agent sends heartbeats
+    cloud_state: str = ""  # from the cloud's list, empty before the machine was listed
+    age_s: float = 0.0  # from the cloud's list
+    # Latest update from the shard owner; None while the machine's agent sends no heartbeats
     update: MachineUpdate | None = None
-    updated_at: float = 0.0  # when `update` last changed; 0: no agent has been heard yet
-    shard: int = -1
+    updated_at: float = 0.0  # when `update` last changed; 0: its agent has not sent a heartbeat yet
+    shard: int = -1  # -1: no shard owner has reported the machine yet
     idle_since: float | None = None
     returning: bool = False
     draining: bool = False
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Demand:
-    """A job's waiting tasks."""
+    """The waiting tasks of one job."""
 
     job: Job
     count: int
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class ScalingPlan:
-    """What to rent, and the names of the machines to return."""
+    """The machines to rent, and the names of the machines to return to the cloud."""
 
     scale_out: list[RentalRequest] = field(default_factory=list)
     scale_in: list[str] = field(default_factory=list)
@@ -83,8 +83,9 @@
 class FleetState:
     """All state of the autoscaler.
 
-    `idle_s` is how long a machine may be idle, `headroom` how many standard deviations of demand to
-    keep capacity for, `list_lag_s` the lag of the cloud's list, `lease_s` the shard leases' length.
+    `idle_s` is the time a machine may be idle before it is drained, `headroom` the number of
+    standard deviations of expected demand to keep capacity free for, `list_lag_s` the lag of the
+    cloud's list, and `lease_s` the duration of a shard lease. All times are in seconds.
     """
 
     def __init__(
@@ -114,40 +115,44 @@
         self.machines: dict[str, RentedMachine] = {}
         self.machines_per_pool: dict[MachinePool, int] = {}
         self.missing_since: dict[str, float] = {}
-        # By shard: the machines of which its owner can't prove the fate
+        # By shard: the machines that have permits but whose state only the cloud can tell
         self.unprovable_by_shard: dict[int, tuple[str, ...]] = {}
         self.deleted: dict[str, float] = {}  # name -> when, oldest first
-        self.list_count = 0  # complete lists of the cloud that were taken in
+        self.list_count = 0  # complete lists of the cloud's machines that were applied
         self.request_count = 0
-        # Refused until, and the length of that pause
+        # Pool -> (time until which it is not requested, duration of that backoff in seconds)
         self.refused_pools: dict[MachinePool, tuple[float, float]] = {}
 
-        # Demand: waiting tasks by shard and job, and the jobs of the last minutes by id
+        # Demand: waiting tasks by (source shard, job id), and recently accepted jobs by job id as
+        # (accepted at, job)
         self.demand: dict[tuple[int, str], Demand] = {}
         self.arrivals: dict[str, tuple[float, Job]] = {}
 
-        # Boots by type and zone: (rented at, up at), oldest first
+        # Boots by (type, zone), as (rented at, up at), oldest first
         self.boot_history: dict[tuple[str, str], deque[tuple[float, float]]] = {}
-        # Booting machines that are not overdue
+        # By (type, zone): number of booting machines that are not overdue
         self.booting_on_time: dict[tuple[str, str], int] = {}
-        # Machines that should be up, where none that was rented later is up either
+        # By (type, zone): number of machines that should be up by now, and that few or no machines
+        # rented later have overtaken
         self.overdue: dict[tuple[str, str], int] = {}
 
         # Maintenance
         self.order_wait_reasons: dict[str, str] = {}
-        self.orders_evaluated = False  # at least once, with the cloud's list at hand
+        self.orders_evaluated = False  # at least once, with the cloud's list known
 
     def next_request_id(self) -> str:
-        """Return an id for a request to the cloud that no other request has."""
+        """Return a new unique id for a request to the cloud."""
         self.request_count += 1
         return f"r-{self.epoch}-{self.request_count}"
 
     # -- inputs ------------------------------------------------------------------------------
 
     def on_owner_update(self, shard: int, full: bool, changes: dict[str, Any], now: float) -> None:
-        """Take in a shard owner's machines by name, and the list of unprovable ones.
+        """Apply a shard owner's update of its machines by name and of its unprovable machines.
 
-        `full` says that `changes` holds all of the shard's machines.
+        A value of None means that the machine's agent no longer sends heartbeats. With `full`,
+        `changes` holds all machines of the shard that send heartbeats. Unprovable machines are
+        those that have permits but whose state only the cloud can tell.
         """
         unprovable = changes.get(UNPROVABLE_MACHINES_KEY) or ()
         if full or UNPROVABLE_MACHINES_KEY in changes:
@@ -190,7 +195,7 @@
             machine.idle_since = now
 
     def _on_agent_lost(self, machine: RentedMachine, now: float) -> None:
-        """A machine's agent sends no heartbeats any more."""
+        """Record that a machine's agent no longer sends heartbeats."""
         if machine.update is not None:
             machine.update = None
             machine.updated_at = now
@@ -202,7 +207,10 @@
         return machine
 
     def on_rented(self, names: list[str], pool: MachinePool, requested: int, now: float) -> None:
-        """Take in the machines that the cloud has rented out for a request."""
+        """Record the machines that the cloud has rented out in response to one request.
+
+        Fewer machines than requested count as a refusal.
+        """
         for name in names:
             if name not in self.machines:
                 self._add_machine(RentedMachine(name, pool, now))
@@ -212,15 +220,17 @@
             self.refused_pools.pop(pool, None)
 
     def on_refused(self, pool: MachinePool, now: float) -> None:
-        """The cloud has no such machines: request none for a while, longer each time."""
+        """Back off from a pool that the cloud has no machines of, for longer each time."""
         _, last_pause_s = self.refused_pools.get(pool, (0.0, INITIAL_REFUSAL_PAUSE_S))
         pause_s = min(MAX_REFUSAL_PAUSE_S, last_pause_s * REFUSAL_PAUSE_FACTOR)
         self.refused_pools[pool] = (now + pause_s, pause_s)
 
     def on_cloud_list(self, items: list[CloudMachine], requested_at: float, now: float) -> None:
-        """Take in a complete list of the cloud's machines.
+        """Apply a complete list of the cloud's machines.
 
-        It may describe the fleet as it was up to twice the list's lag before the request.
+        The list may describe the fleet as it was up to twice the list's lag before the request. A
+        machine missing from the list counts as deleted only if it was last known to exist longer
+        before the request than that.
         """
         self.list_count += 1
         listed_names = set()
@@ -232,7 +242,7 @@
         for name, machine in list(self.machines.items()):
             if name in listed_names or machine.update is not None:
                 continue
-            # It existed at this time; a list that is surely later doesn't have it
+            # The machine existed at this time and is missing from a list that is certainly later
             last_known_at = max(machine.rented_at, machine.updated_at)
             if requested_at - last_known_at > max_list_age_s:
                 self.on_deleted([name], now)
@@ -249,13 +259,13 @@
         machine.age_s = listed.age_s
 
     def on_deleted(self, names: list[str], now: float) -> None:
-        """Forget machines that are proven gone."""
+        """Remove machines that are proven to be gone, and remember their names."""
         for name in names:
             machine = self.machines.pop(name, None)
             if machine is not None:
                 self.machines_per_pool[machine.pool] -= 1
             self.missing_since.pop(name, None)
-            self.deleted.pop(name, None)  # so that the latest is last
+            self.deleted.pop(name, None)  # re-inserted below, so that the latest comes last
             self.deleted[name] = now
         while len(self.deleted) > MAX_DELETED_KEPT:
             del self.deleted[next(iter(self.deleted))]
@@ -263,10 +273,11 @@
     # -- queries -----------------------------------------------------------------------------
 
     def deleted_for(self, shard: int) -> list[str]:
-        """Return machines that a shard's owner should know to be gone, sorted by name.
+        """Return the deleted machines to report to a shard's owner, sorted by name.
 
-        These are the latest, and all that it can't prove anything about: else, once more machines
-        than are sent have gone, an old one would count against its team's limit for ever.
+        These are the latest deleted machines and all deleted ones among the shard's unprovable
+        machines. Without the latter, a machine deleted before the latest `MAX_DELETED_REPORTED`
+        would never be reported, and would count against its team's limit forever.
         """
         latest = list(self.deleted)[-MAX_DELETED_REPORTED:]
         unprovable = self.unprovable_by_shard.get(shard, ())
@@ -281,7 +292,7 @@
         )
 
     def _price(self, pool: MachinePool) -> float:
-        """Return the price of a machine; 0 for a type that the cloud no longer offers."""
+        """Return the price of a machine of a pool; 0 for a type that the cloud no longer offers."""
         machine_type = self.machine_types.get(pool[0])
         return (
             0.0
@@ -292,5 +303,5 @@
         )
 
     def _backing_off(self, pool: MachinePool, now: float) -> bool:
-        """Whether the cloud has refused such machines lately."""
+        """Return whether the backoff after the cloud's last refusal of this pool still lasts."""
         return self.refused_pools.get(pool, (0.0, 0.0))[0] > now
--- a/ploverhall/autoscaling/machine_maintenance.py
+++ b/ploverhall/autoscaling/machine_maintenance.py
@@ -1,7 +1,7 @@
-"""Maintenance orders: which machines are drained next, and their progress.
+"""Plans which machines are drained next for maintenance orders, and reports their progress.
 
-A machine is drained only once its work fits on other machines; where it does not, these are rented
-first. No I/O.
+A machine is drained only once its tasks fit on other machines; if they do not fit, replacement
+machines are rented first. No I/O.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from ploverhall.scheduling.machines import MachinePool
 from ploverhall.scheduling.resources import EPSILON
 
-MAX_MACHINES_SHOWN = 20  # by name, in an order's progress
+MAX_MACHINES_SHOWN = 20  # names of machines in an order's progress
 
 
 class OrderProgress(TypedDict):
-    """What operators are shown of a maintenance order's progress."""
+    """The progress of a maintenance order, as shown to operators."""
 
-    left: int  # machines still there
-    being_emptied: list[str]  # machines that are drained now, by name
-    waits: str  # why no more machines are drained
+    left: int  # number of matching machines that still exist
+    being_emptied: list[str]  # names of the machines being drained now
+    waits: str  # why no more machines are drained; empty: draining is not held up
 
 
 class MaintenancePlanning(ScaleOut):
-    """Plans the draining of machines by order."""
+    """Plans the draining of machines for maintenance orders."""
 
     def _advance_maintenance(self, plan: ScalingPlan) -> None:
-        """Pick the machines that are drained next."""
+        """Choose the machines to drain next for all running orders."""
         running = {order.id: order for order in self.orders if order.state == RUNNING}
         for machine in self.machines.values():
             if (
@@ -53,9 +53,9 @@
     def _advance_order(
         self, order: MaintenanceOrder, draining: list[RentedMachine], plan: ScalingPlan
     ) -> None:
-        """Drain machines of one order until its limit, or until their work has no free capacity.
+        """Drain machines of one order up to its limit, or until their tasks do not fit elsewhere.
 
-        The machines are added to `draining`, and what has to be rented for them to the plan.
+        Adds the machines to `draining`, and the replacements that have to be rented to `plan`.
         """
         draining_count = sum(1 for machine in draining if machine.order_id == order.id)
         for machine in self._undrained_machines(order):
@@ -66,7 +66,7 @@
                 break
             missing, unrented = self._missing_machines(machine, [*draining, machine])
             if missing > 0:
-                # Work that is stopped before there is capacity for it waits for a machine's boot
+                # Tasks stopped before there is capacity for them would wait for a machine to boot
                 pool = self._replacement_pool(machine.pool)
                 if pool is not None and unrented > 0:
                     plan.scale_out.append(RentalRequest(pool, min(unrented, order.max_concurrent)))
@@ -80,7 +80,7 @@
             draining_count += 1
 
     def _undrained_machines(self, order: MaintenanceOrder) -> list[RentedMachine]:
-        """Return the machines that an order has still to drain, in the order of draining."""
+        """Return the machines that an order still has to drain, in the order of draining."""
         machines = [
             machine
             for machine in self.machines.values()
@@ -94,7 +94,11 @@
         return machines
 
     def _eviction_order(self, machine: RentedMachine) -> tuple[bool, bool, float, str]:
-        """Machines that an earlier autoscaler has begun to drain first, then the emptiest."""
+        """Return the sort key for draining.
+
+        Machines that an earlier autoscaler has begun to drain come first, then idle ones, then
+        those with the smallest used share.
+        """
         update = machine.update
         return (
             update is not None and update.draining != DRAINING_BY_ORDER,
@@ -104,7 +108,7 @@
         )
 
     def _used_share(self, machine: RentedMachine) -> float:
-        """Return the used share of a machine, by the resource that is used most."""
+        """Return the used share (0 to 1) of the machine's most used resource; 0 if unknown."""
         machine_type = self.machine_types.get(machine.pool[0])
         if machine_type is None or machine.update is None:
             return 0.0
@@ -118,19 +122,23 @@
         )
 
     def _missing_machines(
-        self, machine: RentedMachine, evacuating: list[RentedMachine]
+        self, machine: RentedMachine, machines_to_drain: list[RentedMachine]
     ) -> tuple[int, int]:
-        """Return how many machines are missing for the work on those being drained.
+        """Return how many machines are missing to take the tasks of the machines to drain.
+
+        Only machines of the type of `machine` are counted. The work and the free capacity are
+        added up in units of whole machines.
 
-        The second number leaves out machines that boot already. Compared are whole machines' worth
-        of free capacity, of this machine's type.
+        Returns:
+            The number of machines missing among the running ones, and the number that is still
+            missing when the booting ones are counted as well.
         """
         needed = sum(
             self._used_share(drained)
-            for drained in evacuating
+            for drained in machines_to_drain
             if drained.pool[0] == machine.pool[0]
         )
-        names = {drained.name for drained in evacuating}
+        names = {drained.name for drained in machines_to_drain}
         running = 0.0
         booting = 0.0
         for other in self.machines.values():
@@ -139,7 +147,7 @@
                 or other.name in names
                 or other.draining
                 or other.returning
-                or self._under_order(other)
+                or self._matches_running_order(other)
             ):
                 continue
             if other.update is not None and not (
@@ -151,15 +159,18 @@
         missing = max(0, math.ceil(needed - running - EPSILON))
         return missing, max(0, math.ceil(needed - running - booting - EPSILON))
 
-    def _under_order(self, machine: RentedMachine) -> bool:
-        """Whether a running order is to drain this machine, now or later."""
+    def _matches_running_order(self, machine: RentedMachine) -> bool:
+        """Return whether a running order drains this machine now or later."""
         return any(
             order.state == RUNNING and order.matches(machine.name, machine.pool, machine.shard)
             for order in self.orders
         )
 
     def _replacement_pool(self, pool: MachinePool) -> MachinePool | None:
-        """Return the pool to rent a replacement from, the same if possible; None: nowhere."""
+        """Return the pool to rent a replacement from, preferably `pool` itself.
+
+        None means that no pool of this machine type can be rented from.
+        """
         machine_type = self.machine_types.get(pool[0])
         if machine_type is None:
             return None
@@ -180,7 +191,7 @@
         )
 
     def machines_under_maintenance(self, shard: int) -> list[str]:
-        """Return the machines of a shard that an order drains now, sorted by name."""
+        """Return the machines of a shard that are being drained for an order, sorted by name."""
         return sorted(
             machine.name
             for machine in self.machines.values()
@@ -188,7 +199,7 @@
         )
 
     def order_progress(self) -> dict[str, OrderProgress]:
-        """Return by order id what operators are shown of its progress."""
+        """Return the progress of all orders by order id, as shown to operators."""
         progress: dict[str, OrderProgress] = {}
         for order in self.orders:
             matching = [
@@ -208,10 +219,10 @@
     def finished_orders(self, now: float) -> list[MaintenanceOrder]:
         """Return the running orders that name machines of which none is left.
 
-        One that names a zone or type holds until it is stopped.
+        An order for a zone or type is never finished here; it holds until an operator stops it.
         """
         if not self.list_count or now - self.started < 2.0 * self.list_lag_s + 5.0:
-            return []  # not all machines may have been seen yet
+            return []  # some machines may not have been listed yet
         return [
             order
             for order in self.orders
--- a/ploverhall/autoscaling/scale_in.py
+++ b/ploverhall/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale in: which machines to drain because they are not needed, and which to return to the cloud.
+"""Scale-in: plans which unneeded machines to drain and which machines to return to the cloud.
 
 No I/O.
 """
@@ -11,7 +11,7 @@
     CLOUD_FAILED,
     CLOUD_RUNNING,
     DRAINING_BY_ORDER,
-    DRAINING_FOR_GOOD,
+    DRAINING_UNTIL_DELETED,
     RentedMachine,
     ScalingPlan,
 )
@@ -19,19 +19,19 @@
 from ploverhall.protocol.jobs import Job
 from ploverhall.scheduling.machines import MachinePool
 
-# A running machine without heartbeats is returned after this time and two leases
+# A running machine without heartbeats is returned after this time plus two shard leases
 UNRESPONSIVE_S = 60.0
-# The same where most of its zone is unresponsive
+# The time after which it is returned if most machines of its zone are unresponsive, too
 ZONE_UNRESPONSIVE_S = 300.0
-MIN_ZONE_SAMPLE = 4  # fewer running machines say nothing about their zone
-MIN_RENTAL_S = 60.0  # a machine is not drained as unneeded before
+MIN_ZONE_SAMPLE = 4  # with fewer running machines, nothing is concluded about their zone
+MIN_RENTAL_S = 60.0  # a machine is not drained as unneeded sooner after it was rented
 
 
 class ScaleIn(ScaleOut):
-    """Plans what to drain and return."""
+    """Plans which machines to drain and to return."""
 
     def _plan_scale_in(self, now: float, plan: ScalingPlan) -> None:
-        """Plan the returns, and mark the machines to be drained."""
+        """Add the machines to return to the plan, and mark the machines to be drained."""
         unresponsive_zones = self._unresponsive_zones()
         for machine in self.machines.values():
             if self._should_return(machine, unresponsive_zones, now):
@@ -43,8 +43,9 @@
     def _unresponsive_zones(self) -> set[str]:
         """Return the zones where most running machines send no heartbeats.
 
-        There the network has failed and not the machines: without this, a partition would return a
-        whole zone with all that runs in it. Machines that fail are listed as such soon.
+        In such a zone the network has failed, not the machines. Without this check, a partition
+        would make the autoscaler return a whole zone with all tasks that run in it. Machines that
+        have really failed are soon marked as failed in the cloud's list.
         """
         running: dict[str, int] = {}
         responsive: dict[str, int] = {}
@@ -63,17 +64,20 @@
     def _should_return(
         self, machine: RentedMachine, unresponsive_zones: set[str], now: float
     ) -> bool:
-        """Whether a machine failed, never came up, is unresponsive, or is drained and idle."""
+        """Return whether a machine is to be returned to the cloud.
+
+        It is returned if it has failed, never came up, is unresponsive, or is drained and idle.
+        """
         update = machine.update
         if machine.returning or machine.cloud_state == CLOUD_FAILED:
             return True
         if update is not None:
             return bool(update.idle) and (
-                update.draining == DRAINING_FOR_GOOD
+                update.draining == DRAINING_UNTIL_DELETED
                 or (update.draining == DRAINING_BY_ORDER and machine.order_id is not None)
             )
         if machine.cloud_state == CLOUD_BOOTING:
-            # It is charged until it is deleted
+            # A booting machine is charged for until it is deleted
             machine_type = self.machine_types.get(machine.pool[0])
             nominal_s = machine_type.boot_s if machine_type else DEFAULT_BOOT_S
             return machine.age_s > self._boot_timeout_s(machine, nominal_s, now)
@@ -84,7 +88,7 @@
     def _is_unresponsive(
         self, machine: RentedMachine, unresponsive_zones: set[str], now: float
     ) -> bool:
-        """Whether a running machine has sent no heartbeats for too long."""
+        """Return whether a running machine has sent no heartbeats for too long."""
         silent_s = now - max(machine.rented_at, machine.updated_at)
         observed_s = now - self.started
         if silent_s <= UNRESPONSIVE_S + 2 * self.lease_s or observed_s <= UNRESPONSIVE_S:
@@ -95,11 +99,15 @@
         )
 
     def _drain_unneeded(self, now: float) -> None:
-        """Mark machines that are idle, or that only run work which spot machines could take.
+        """Mark unneeded machines for draining.
 
-        Spot machines are drained at once, others only as far as no demand would miss them.
+        Unneeded machines are idle, or are on-demand machines that run only tasks which spot
+        machines could run. Spot machines are drained at once, others only as far as neither
+        waiting nor expected tasks need them.
         """
-        has_urgent_demand = any(self._urgent(demand.job) for demand in self.demand.values())
+        has_urgent_demand = any(
+            self._cannot_wait_for_spot(demand.job) for demand in self.demand.values()
+        )
         unneeded = [
             machine
             for machine in self.machines.values()
@@ -121,6 +129,7 @@
                 machine.draining = True
 
     def _is_unneeded(self, machine: RentedMachine, has_urgent_demand: bool, now: float) -> bool:
+        """Return whether a machine is idle too long or runs only tasks for spot machines."""
         update = machine.update
         if (
             update is None
@@ -134,7 +143,10 @@
         return not machine.pool[2] and not update.on_demand_work and not has_urgent_demand
 
     def _drain_order(self, machine: RentedMachine) -> tuple[bool, float, float, str]:
-        """Sort idle machines first, then the costliest, then the newest, with the fewest images."""
+        """Return the sort key for draining: idle, then costliest, then newest machines first.
+
+        The newest machines have the fewest images cached.
+        """
         return (
             machine.idle_since is None,
             -self._price(machine.pool),
@@ -143,10 +155,10 @@
         )
 
     def _surplus_machines(self, now: float, candidates: set[str]) -> dict[MachinePool, int]:
-        """Return by pool how many of these machines neither waiting nor expected work needs."""
+        """Return by pool how many of the candidates neither waiting nor expected tasks need."""
         _, free = self._free_slots(now, candidates)
         surplus: dict[MachinePool, int] = {}
-        # Sorted, since the order of the pools decides which is asked first
+        # Sorted by name, since the order of the pools decides which is used first
         for name in sorted(candidates):
             pool = self.machines[name].pool
             surplus[pool] = surplus.get(pool, 0) + 1
--- a/ploverhall/autoscaling/scale_out.py
+++ b/ploverhall/autoscaling/scale_out.py
@@ -1,6 +1,7 @@
-"""Scale out: which machines to rent for the tasks that find no free capacity.
+"""Scale-out: plans which machines to rent for the tasks that find no free capacity.
 
-The demand is packed into the free capacity of running and booting machines first. No I/O.
+Waiting and expected tasks are first packed into the free capacity of running and booting machines.
+No I/O.
 """
 
 from __future__ import annotations
@@ -14,14 +15,17 @@
 from ploverhall.scheduling.resources import ResourceVector, fits
 
 MAX_MACHINES_PER_REQUEST = 50
-MAX_TASKS_PLANNED_PER_JOB = 2000  # the rest of a larger job is planned later
+MAX_TASKS_PLANNED_PER_JOB = 2000  # in one plan; the remaining tasks of a larger job come later
 
 
 class ScaleOut(DemandForecast):
-    """Plans what to rent."""
+    """Plans which machines to rent."""
 
     def _plan_scale_out(self, now: float, plan: ScalingPlan) -> None:
-        """Plan what to rent for waiting and expected tasks that find no free capacity."""
+        """Add to the plan the machines to rent for tasks that find no free capacity.
+
+        Both waiting and expected tasks are planned for.
+        """
         free, free_for_services = self._free_slots(now, set())
         new_machines: dict[MachinePool, int] = {}
         work: list[tuple[Job, int, dict[str, int] | None]] = [
@@ -34,7 +38,7 @@
         ]
         work += [(job, count, None) for job, count in self._forecast(now)]
         for job, task_count, zone_limits in work:
-            # What should start at once may preempt less important work, as services may
+            # Like services, jobs that should start at once may preempt less important tasks
             used, other = (
                 (free, free_for_services)
                 if job.spot and not self._starts_before_boot(job)
@@ -52,11 +56,13 @@
     def _free_slots(self, now: float, excluded: set[str]) -> tuple[FreeSlots, FreeSlots]:
         """Return the free capacity of running and booting machines, without the excluded ones.
 
-        The second also counts as free what preemptible work uses.
+        Returns:
+            The free capacity, and the free capacity for services, which includes the capacity that
+            preemptible tasks use.
         """
         free = FreeSlots()
         free_for_services = FreeSlots()
-        counted_on = self._booting_to_count_on(now)
+        expected_boots = self._expected_boots(now)
         for machine in self.machines.values():
             machine_type = self.machine_types.get(machine.pool[0])
             if (
@@ -73,7 +79,7 @@
                     free.add(machine.pool, (cpus, gpus, memory))
                     cpus, gpus, memory = update.free_for_services
                     free_for_services.add(machine.pool, (cpus, gpus, memory))
-            elif counted_on.get(machine.name):
+            elif expected_boots.get(machine.name):
                 free.add(machine.pool, machine_type.resources)
                 free_for_services.add(machine.pool, machine_type.resources)
         return free, free_for_services
@@ -86,9 +92,13 @@
         slots: FreeSlots,
         spot: bool = True,
     ) -> tuple[int, dict[str, int] | None]:
-        """Place up to `count` tasks; return how many are left, and what zones may still take.
+        """Place up to `count` tasks of a job on machines with free capacity.
 
-        Spot machines are filled first, or not at all unless `spot`.
+        Spot machines are filled first; without `spot` they are not used at all.
+
+        Returns:
+            The number of tasks that were not placed, and the updated `zone_limits`: how many more
+            tasks each zone may take (None: no limit).
         """
         pools = sorted(
             (pool for pool in slots.slots if self._is_allowed(job, pool) and (spot or not pool[2])),
@@ -114,9 +124,10 @@
         new_machines: dict[MachinePool, int],
         now: float,
     ) -> dict[MachinePool, int]:
-        """Place waiting tasks on existing machines, then on new ones; return the new ones by pool.
+        """Place a job's tasks on existing machines, and the remaining ones on new machines.
 
-        These are added to `new_machines` as well.
+        Returns:
+            The number of new machines by pool. They are added to `new_machines` as well.
         """
         count, zone_limits = self._pack_into(
             job, min(count, MAX_TASKS_PLANNED_PER_JOB), zone_limits, slots
@@ -140,7 +151,7 @@
         return rented
 
     def _is_allowed(self, job: Job, pool: MachinePool) -> bool:
-        """Whether a job's tasks may run on machines of this pool."""
+        """Return whether a job's tasks may run on machines of this pool."""
         return (
             (job.machine_types is None or pool[0] in job.machine_types)
             and (job.zone is None or job.zone == pool[1])
@@ -154,12 +165,15 @@
         new_machines: dict[MachinePool, int],
         now: float,
     ) -> MachinePool | None:
-        """Return the pool to rent a machine from for a job; None where none can be rented.
+        """Return the pool to rent a machine from for a job; None if none can be rented from.
 
-        The cheapest for a task of the job; of these one that boots in time and is used least.
+        The pool that is cheapest for one task of the job is chosen; among equally cheap ones, a
+        pool that boots on time comes first, then the pool with the fewest machines.
         """
         options = []
-        spot_choices = (True, False) if job.spot and self._urgent(job) else (job.spot,)
+        spot_choices = (
+            (True, False) if job.spot and self._cannot_wait_for_spot(job) else (job.spot,)
+        )
         for machine_type in self.machine_types.values():
             if (
                 job.machine_types is not None and machine_type.name not in job.machine_types
@@ -188,7 +202,10 @@
     def _too_many_overdue(
         self, type_name: str, zone: str, new_machines: dict[MachinePool, int]
     ) -> bool:
-        """Whether enough machines boot there to replace the overdue ones, should any come up."""
+        """Return whether enough machines of a type and zone boot to replace the overdue ones.
+
+        If any machines come up there, no more of them are needed.
+        """
         overdue = self.overdue.get((type_name, zone), 0)
         if not overdue:
             return False
@@ -198,12 +215,12 @@
         return booting > 2 * overdue + 10
 
     def _blocked_by_order(self, pool: MachinePool) -> bool:
-        """Whether a maintenance order forbids to rent machines of this pool."""
+        """Return whether a maintenance order forbids renting machines of this pool."""
         return any(order.blocks_rental(pool) for order in self.orders)
 
 
 def machine_share(resources: ResourceVector, machine_type: MachineType) -> float:
-    """Return the largest share of a machine's resources that a task needs."""
+    """Return the largest share of any of a machine's resources that a task needs."""
     return max(
         (
             needed / capacity
@@ -217,7 +234,10 @@
 def reduced_zone_limits(
     job: Job, zone_limits: dict[str, int], used_zone: str, placed: int
 ) -> dict[str, int]:
-    """Return what zones may still take of a job once tasks are placed in one of them."""
+    """Return how many more tasks of a job each zone may take after `placed` went to `used_zone`.
+
+    A job that must run in a single zone may use no other zone from then on.
+    """
     return {
         zone: limit - placed if zone == used_zone else 0 if job.single_zone else limit
         for zone, limit in zone_limits.items()
--- a/ploverhall/controller/allocation_writer.py
+++ b/ploverhall/controller/allocation_writer.py
@@ -156,7 +156,7 @@
                     write.puts,
                     write.deletes,
                     reserve=SUBMISSION_RESERVE,
-                    patience=RESERVE_PATIENCE_S,
+                    max_wait_s=RESERVE_PATIENCE_S,
                 )
             except RequestRefusedError:
                 jitter = self.context.random.random()
--- a/ploverhall/protocol/__init__.py
+++ b/ploverhall/protocol/__init__.py
@@ -1,6 +1,6 @@
-"""Messages to typed values and back: one module for each interface.
+"""Decodes messages into typed values and encodes them again, with one module for each interface.
 
-`jobs` (users), `agents`, `cloud`, `key_value_store` with its `rate_limiter`, and between
-controllers `peer_messages` and `relay_messages`. The published names of fields stand here and
-nowhere else; the rest of the package uses the typed values.
+The modules are `jobs` (users), `agents`, `cloud`, `key_value_store` with its `rate_limiter`, and
+`peer_messages` and `relay_messages` for messages between controllers. The published field names are
+defined only in this package; all other packages use the typed values.
 """
--- a/ploverhall/protocol/agents.py
+++ b/ploverhall/protocol/agents.py
@@ -1,8 +1,8 @@
-"""The interface of the agents: heartbeats in, commands out.
+"""Decodes the heartbeats of agents and builds the commands that are sent to them.
 
-Owns the names of that interface. `controller.heartbeat_requests` decodes the heartbeats,
-`scheduling.shard_owner` and `coordination.restart_recovery` build the commands, and
-`controller.agent_commands` sends those that cannot wait for a heartbeat.
+Defines the published names of the agents' interface. `controller.heartbeat_requests` decodes the
+heartbeats, `scheduling.shard_owner` and `coordination.restart_recovery` build the commands, and
+`controller.agent_commands` sends the commands that cannot wait for a heartbeat.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from ploverhall.errors import InvalidHeartbeatError
 
-# Task states: published name to the name used in this package
+# Task states: published name -> name used in this package
 TASK_STATES = {
     "pulling": "fetching",
     "waiting": "waiting",
@@ -25,11 +25,12 @@
 }
 RUNNING = "running"
 EXITED = "exited"
-TASK_NAMES = 65_536  # parsed task names that are cached: 16 tasks on each of 4,000 machines
+# Cached results of split_task: enough for 16 tasks on each of 4,000 machines
+TASK_NAME_CACHE_SIZE = 65_536
 MAX_TASK_INDEX_DIGITS = 9
 COUNT_LIMIT = 1 << 64  # counters on the wire are unsigned 64-bit integers
 
-# Published field names that stand in more than one message
+# Published field names that occur in more than one message
 TASK_NAME_FIELD = "chick"
 ATTEMPT_FIELD = "hatch"
 INCARNATION_FIELD = "tide"
@@ -62,7 +63,7 @@
 RUN_COMMAND = "run"
 KILL_COMMAND = "kill"
 REAP_COMMAND = "reap"
-REDIRECT_FIELD = "homing"  # the controller to send heartbeats to
+REDIRECT_FIELD = "homing"  # name of the controller to send heartbeats to
 
 AgentCommand = dict[str, str | int | float]  # one command as JSON
 
@@ -70,8 +71,9 @@
 class AttemptId(NamedTuple):
     """Identifies one attempt to run one task of a job.
 
-    As a tuple it sorts by job, task and attempt, and goes into stored records and peer messages as
-    an array. `orjson` refuses named tuples: what is sent as JSON is made a plain list first.
+    As a tuple it sorts by job, task and attempt, and is written into stored records and peer
+    messages as an array. `orjson` refuses named tuples, so an AttemptId must be converted to a
+    plain list before it is sent as JSON.
     """
 
     job_id: str
@@ -81,15 +83,15 @@
 
 @dataclass(slots=True)
 class TaskStatus:
-    """One task as its agent describes it."""
+    """The state of one task as reported by its agent."""
 
-    state: str  # a value of TASK_STATES
-    reason: str  # why it exited, empty while it has not
+    state: str  # one of the values of TASK_STATES
+    reason: str  # why the task exited; empty while it has not exited
     checkpoint_saved: bool
 
 
 class ListedTask(msgspec.Struct, gc=False, rename=LISTED_TASK_WIRE_NAMES):
-    """One task as it stands in a heartbeat, not yet translated."""
+    """One task in a heartbeat, with its state still under the published name."""
 
     task_name: str
     attempt: Annotated[int, msgspec.Meta(ge=0)]
@@ -103,7 +105,7 @@
 
 
 class _HeartbeatBody(msgspec.Struct, gc=False, rename=HEARTBEAT_WIRE_NAMES):
-    """A heartbeat's body; unknown fields are ignored."""
+    """The body of a heartbeat; unknown fields are ignored."""
 
     machine: Name
     address: Name
@@ -119,10 +121,10 @@
 
 @dataclass(slots=True)
 class Heartbeat:
-    """One agent's heartbeat: sent by itself, or the body of its answer to a direct request.
+    """A heartbeat that an agent sent on its own or as the body of its answer to a direct request.
 
-    Most heartbeats list the same tasks as the one before: callers compare `listed_tasks` with the
-    last one, and call `tasks` only where they differ.
+    Most heartbeats list the same tasks as the previous one, so callers compare `listed_tasks` with
+    the previous value and call `tasks` only if the two differ.
     """
 
     machine: str
@@ -137,7 +139,10 @@
     listed_tasks: list[ListedTask]
 
     def tasks(self) -> dict[AttemptId, TaskStatus]:
-        """Return the listed tasks by attempt. A state of a later release counts as running."""
+        """Return the listed tasks by attempt.
+
+        A state that only a later release knows counts as running.
+        """
         tasks: dict[AttemptId, TaskStatus] = {}
         for listed in self.listed_tasks:
             job, index = split_task(listed.task_name)
@@ -149,11 +154,12 @@
         return tasks
 
 
-@lru_cache(maxsize=TASK_NAMES)
+@lru_cache(maxsize=TASK_NAME_CACHE_SIZE)
 def split_task(name: str) -> tuple[str, int]:
-    """Split a task's name into job and index: `j-000412/3` gives ("j-000412", 3).
+    """Split a task's name into job id and task index: `j-000412/3` gives ("j-000412", 3).
 
-    Raises InvalidHeartbeatError for any other form.
+    Raises:
+        InvalidHeartbeatError: The name has another form.
     """
     job, _, index = name.rpartition("/")
     is_number = index.isascii() and index.isdigit() and len(index) <= MAX_TASK_INDEX_DIGITS
@@ -188,7 +194,11 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """Decode a heartbeat from JSON. Raises InvalidHeartbeatError, which names the problem."""
+    """Decode a heartbeat from JSON.
+
+    Raises:
+        InvalidHeartbeatError: The body is not a heartbeat; the error names the problem.
+    """
     try:
         return _validated(_decoder.decode(body))
     except msgspec.MsgspecError as error:
@@ -198,7 +208,11 @@
 
 
 def heartbeat_from_json(value: Any) -> Heartbeat:
-    """Check a heartbeat that is parsed JSON already. Raises InvalidHeartbeatError."""
+    """Convert parsed JSON to a heartbeat.
+
+    Raises:
+        InvalidHeartbeatError: The value is not a heartbeat; the error names the problem.
+    """
     try:
         return _validated(msgspec.convert(value, _HeartbeatBody))
     except msgspec.MsgspecError as error:
@@ -219,31 +233,37 @@
 
 
 def kill_command(attempt_id: AttemptId, grace: float) -> AgentCommand:
-    """Return the command that stops a task, with `grace` seconds to save its checkpoint."""
+    """Return the command that stops a task, which gets `grace` seconds to save a checkpoint."""
     return {**_task_command(KILL_COMMAND, attempt_id), GRACE_FIELD: grace}
 
 
 def reap_command(attempt_id: AttemptId) -> AgentCommand:
-    """Return the command to stop listing a task that has exited."""
+    """Return the command that makes the agent stop listing a task that has exited."""
     return _task_command(REAP_COMMAND, attempt_id)
 
 
 def heartbeat_answer(token: int, commands: list[AgentCommand]) -> dict[str, object]:
-    """Return the answer to a heartbeat; agents obey the highest fencing token they have seen."""
+    """Return the answer to a heartbeat.
+
+    Agents drop commands whose fencing token is lower than the highest one they have seen.
+    """
     return {TOKEN_FIELD: token, COMMANDS_FIELD: commands}
 
 
 def token_of_answer(answer: dict[str, Any]) -> int:
-    """Return the fencing token in an answer to a heartbeat; 0 where there is none."""
+    """Return the fencing token in an answer to a heartbeat; 0 if the answer has none."""
     token: int = answer.get(TOKEN_FIELD, 0)
     return token
 
 
 def direct_request(token: int, incarnation: int, commands: list[AgentCommand]) -> dict[str, object]:
-    """Return the body of a direct request (POST /do), meant for one incarnation of the agent."""
+    """Return the body of a direct request (POST /do) to one incarnation of an agent."""
     return {TOKEN_FIELD: token, INCARNATION_FIELD: incarnation, COMMANDS_FIELD: commands}
 
 
 def redirect(controller: str | None) -> dict[str, str]:
-    """Return the body of a 421: which controller to send heartbeats to, empty if none is known."""
+    """Return the body of a 421 response, which names the controller to send heartbeats to.
+
+    The body is empty if `controller` is None, which means that no such controller is known.
+    """
     return {REDIRECT_FIELD: controller} if controller else {}
--- a/ploverhall/protocol/cloud.py
+++ b/ploverhall/protocol/cloud.py
@@ -1,7 +1,7 @@
-"""The cloud's interface: machine types, the list of rented machines, and rentals.
+"""Decodes machine types and lists of machines from the cloud, and builds rental requests.
 
-Owns the names of that interface. Called by `controller.autoscaling_loop`; the record of a machine
-type is kept in the key-value store.
+Defines the published names of the cloud's interface. Called by `controller.autoscaling_loop`. The
+records of machine types are stored in the key-value store.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 REQUEST_ID_FIELD = "plea"  # makes a rental idempotent
 COUNT_FIELD = "count"
 ERROR_FIELD = "error"
-NO_CAPACITY = "no capacity"  # the error where a pool has no machines left
+NO_CAPACITY = "no capacity"  # value of ERROR_FIELD if a pool has no machines left
 
 MACHINE_TYPE_WIRE_NAMES = {
     "name": "name",
@@ -47,26 +47,29 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineType:
-    """A machine type of the cloud: what one machine has, and what it costs."""
+    """A machine type of the cloud, with the resources and the price of one machine."""
 
     name: str
     cpus: float
     gpus: float
     memory_gb: float
     image_cache_gb: float
-    fetch_gb_s: float  # at which images are fetched
+    fetch_gb_s: float  # rate at which images are fetched, GB per second
     price: float
     spot_price: float
-    boot_s: float  # from the rental to the first heartbeat
+    boot_s: float  # nominal time from the rental to the first heartbeat
     zones: tuple[str, ...]
 
     @property
     def resources(self) -> tuple[float, float, float]:
-        """Return the CPUs, GPUs and memory in GB that tasks can take."""
+        """Return the CPUs, GPUs and memory in GB that tasks can use."""
         return (self.cpus, self.gpus, self.memory_gb)
 
     def record(self) -> list[Any]:
-        """Return the form kept in the key-value store, for starts while the cloud is down."""
+        """Return the form that is stored in the key-value store.
+
+        A controller that starts while the cloud is down reads it from there.
+        """
         return [
             self.name,
             self.cpus,
@@ -82,7 +85,10 @@
 
 
 def type_from_record(record: list[Any]) -> MachineType:
-    """Return the type of a record made by `MachineType.record`; later fields are ignored."""
+    """Return the machine type of a record made by `MachineType.record`.
+
+    Fields that later releases append are ignored.
+    """
     name, cpus, gpus, memory, cache, fetch, price, spot_price, boot, zones = record[:10]
     return MachineType(
         name, cpus, gpus, memory, cache, fetch, price, spot_price, boot, tuple(zones)
@@ -90,9 +96,9 @@
 
 
 def decode_machine_types(body: Any) -> dict[str, MachineType]:
-    """Return the machine types by name from the answer to GET /flavors.
+    """Return the machine types by name from the response to GET /flavors.
 
-    Raises KeyError, TypeError or ValueError for another form.
+    Raises KeyError, TypeError or ValueError if the response has another form.
     """
     machine_types = [_decode_machine_type(fields) for fields in body[MACHINE_TYPES_FIELD]]
     return {machine_type.name: machine_type for machine_type in machine_types}
@@ -119,18 +125,18 @@
     """A machine as the cloud lists it."""
 
     name: str
-    address: str  # empty while it has none
+    address: str  # empty while the machine has none
     type: str
     zone: str
     spot: bool
     state: str
-    age_s: float  # since it was rented
+    age_s: float  # time since it was rented
 
 
 def decode_machine_page(body: Any) -> tuple[list[CloudMachine], bool]:
     """Return the machines on one page of GET /hosts, and whether there are more pages.
 
-    Raises KeyError, TypeError or ValueError for another form.
+    Raises KeyError, TypeError or ValueError if the page has another form.
     """
     machines = [_decode_machine(fields) for fields in body[MACHINES_FIELD]]
     return machines, bool(body.get(MORE_PAGES_FIELD))
@@ -152,7 +158,7 @@
 def rental_request(
     request_id: str, machine_type: str, zone: str, spot: bool, count: int
 ) -> dict[str, object]:
-    """Return the body of POST /hosts; repeated with the same id it rents nothing more."""
+    """Return the body of POST /hosts, which is idempotent for the same `request_id`."""
     return {
         REQUEST_ID_FIELD: request_id,
         MACHINE_TYPE_FIELD: machine_type,
@@ -163,18 +169,18 @@
 
 
 def decode_rented_names(body: Any) -> list[str]:
-    """Return the names of the machines rented, from the answer to POST /hosts.
+    """Return the names of the rented machines from the response to POST /hosts.
 
-    Raises KeyError or TypeError for another form.
+    Raises KeyError or TypeError if the response has another form.
     """
     return list(body[MACHINES_FIELD])
 
 
 def says_no_capacity(body: Any) -> bool:
-    """Return whether the answer to POST /hosts says that the pool has no machines left."""
+    """Return whether a response to POST /hosts says that the pool has no machines left."""
     return isinstance(body, dict) and body.get(ERROR_FIELD) == NO_CAPACITY
 
 
 def return_request(names: list[str]) -> dict[str, list[str]]:
-    """Return the body of POST /hosts/return."""
+    """Return the body of POST /hosts/return, which returns the named machines to the cloud."""
     return {MACHINES_FIELD: names}
--- a/ploverhall/protocol/jobs.py
+++ b/ploverhall/protocol/jobs.py
@@ -1,7 +1,7 @@
-"""The users' interface: job submissions, checked field by field, and answers about jobs.
+"""Validates job submissions of users field by field, and builds the answers about jobs.
 
-Owns the names of that interface. `controller.job_requests` decodes submissions; the record of a job
-is what the key-value store keeps and what controllers send one another.
+Defines the published names of the users' interface. `controller.job_requests` decodes submissions.
+The record of a job is its form in the key-value store and in messages between controllers.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ploverhall.errors import InvalidJobError
 
 JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,18}\Z")
-# Kinds and priorities: published name to the value used in this package
+# Kinds and priorities: published name -> value used in this package
 KINDS = {"array": "array", "group": "gang", "daemon": "service"}
 PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "best_effort": 3}
 QUEUED = "queued"
@@ -22,7 +22,7 @@
 CANCELLED = "withdrawn"
 MAX_TASKS = 100_000
 MAX_NAME_LENGTH = 500
-AMOUNT_LIMIT = 1e12  # amounts are below this
+AMOUNT_LIMIT = 1e12  # amounts must be below this limit
 
 # Published names of a submission's fields
 ID_FIELD = "id"
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """A job as its user described it."""
+    """A job as described by its user."""
 
     id: str
     job_class: str
@@ -62,7 +62,7 @@
     kind: str
     priority: int
     task_count: int
-    cpus: float  # of each task, as are gpus and memory_gb
+    cpus: float  # of each task, like gpus and memory_gb
     gpus: float
     memory_gb: float
     image: str
@@ -72,20 +72,20 @@
     single_zone: bool
     spread_zones: bool
     spot: bool  # may run on spot machines
-    estimate_s: float  # how long a task runs
-    checkpoint_s: float  # between two checkpoints
-    save_s: float  # that saving a checkpoint takes
-    deadline_s: float | None  # after the submission
-    submitted_at: float  # wall clock when accepted
+    estimate_s: float  # estimated run time of a task
+    checkpoint_s: float  # time between two checkpoints
+    save_s: float  # time that saving a checkpoint takes
+    deadline_s: float | None  # time after the submission; None: no deadline
+    submitted_at: float  # wall clock time at which the job was accepted
 
     @property
     def resources(self) -> tuple[float, float, float]:
-        """Return the CPUs, GPUs and memory in GB that each task takes."""
+        """Return the CPUs, GPUs and memory in GB that each task uses."""
         return (self.cpus, self.gpus, self.memory_gb)
 
     @property
     def max_tasks_per_zone(self) -> int:
-        """Return how many tasks may be in one zone."""
+        """Return the maximum number of tasks in one zone."""
         return (self.task_count + 1) // 2 if self.spread_zones else self.task_count
 
     def record(self) -> list[Any]:
@@ -116,7 +116,10 @@
 
 
 def from_record(record: list[Any]) -> Job:
-    """Return the job of a record made by `Job.record`; fields of later releases are ignored."""
+    """Return the job of a record made by `Job.record`.
+
+    Fields that later releases append are ignored.
+    """
     return Job(
         record[0],
         record[1],
@@ -211,8 +214,11 @@
     return zone
 
 
-class _Shape(NamedTuple):
-    """The fields that are checked first: a submission with several faults names one of these."""
+class _FirstCheckedFields(NamedTuple):
+    """The fields of a submission that are checked before all others.
+
+    If several fields of a submission are invalid, the error names the first one of these.
+    """
 
     job_id: str
     kind: str
@@ -223,8 +229,8 @@
     deadline_s: float | None
 
 
-def _parse_shape(fields: dict[str, Any]) -> _Shape:
-    return _Shape(
+def _parse_first_checked_fields(fields: dict[str, Any]) -> _FirstCheckedFields:
+    return _FirstCheckedFields(
         job_id=_job_id(fields),
         kind=_kind(fields),
         priority=_priority(fields),
@@ -238,38 +244,39 @@
 
 
 def parse_submission(fields: Any, submitted_at: float) -> Job:
-    """Return the job of a submission, accepted at the wall clock time `submitted_at`.
+    """Return the job of a submission that was accepted at `submitted_at` (wall clock, seconds).
 
-    Raises InvalidJobError, which names the first field that is not in the published form.
+    Raises:
+        InvalidJobError: A field is not in the published form; the error names the first such field.
     """
     if not isinstance(fields, dict):
         raise InvalidJobError(problem="not an object")
-    shape = _parse_shape(fields)
+    first_checked = _parse_first_checked_fields(fields)
     return Job(
-        id=shape.job_id,
+        id=first_checked.job_id,
         job_class=_text(fields, JOB_CLASS_FIELD),
         team=_text(fields, TEAM_FIELD),
-        kind=shape.kind,
-        priority=shape.priority,
-        task_count=shape.task_count,
+        kind=first_checked.kind,
+        priority=first_checked.priority,
+        task_count=first_checked.task_count,
         cpus=_amount(fields, CPUS_FIELD),
         gpus=_amount(fields, GPUS_FIELD),
         memory_gb=_amount(fields, MEMORY_FIELD),
         image=_text(fields, IMAGE_FIELD),
         image_gb=_amount(fields, IMAGE_SIZE_FIELD),
-        machine_types=shape.machine_types,
-        zone=shape.zone,
+        machine_types=first_checked.machine_types,
+        zone=first_checked.zone,
         single_zone=_flag(fields, SINGLE_ZONE_FIELD),
         spread_zones=_flag(fields, SPREAD_ZONES_FIELD),
         spot=_flag(fields, SPOT_FIELD),
         estimate_s=_amount(fields, ESTIMATE_FIELD),
         checkpoint_s=_amount(fields, CHECKPOINT_FIELD),
         save_s=_amount(fields, SAVE_FIELD),
-        deadline_s=shape.deadline_s,
+        deadline_s=first_checked.deadline_s,
         submitted_at=round(submitted_at, 3),
     )
 
 
 def status_body(job_id: str, state: str, done: int = 0, running: int = 0) -> dict[str, object]:
-    """Return what users are answered about a job: its state, and numbers of tasks."""
+    """Return the answer to users about a job: its state and its numbers of tasks."""
     return {ID_FIELD: job_id, STATE_FIELD: state, DONE_FIELD: done, RUNNING_FIELD: running}
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -1,7 +1,8 @@
-"""Client of the consensus-backed key-value store, within this controller's share of its limits.
+"""Client of the consensus-backed key-value store, limited to this controller's share of its rates.
 
-Owns the published names of the store's interface. Reads, watches and leases for
-`controller.store_watch` and `controller.controller_lease`, writes for the controller's writers.
+Defines the published names of the store's interface. `controller.store_watch` and
+`controller.controller_lease` use it for reads, watches and leases, and the controller's writers use
+it for writes.
 """
 
 from __future__ import annotations
@@ -19,9 +20,10 @@
 from ploverhall.protocol.rate_limiter import RateLimiter
 from ploverhall.transport.http_client import Caller
 
-INVALID_RESPONSE_LOG_INTERVAL_S = 10.0  # least time between two log lines about invalid responses
+INVALID_RESPONSE_LOG_INTERVAL_S = 10.0  # minimum interval between log lines about invalid responses
 
-# Seconds until a request counts as lost; a renewal is repeated well within the lease's time
+# Timeouts of requests; the one of renewals is short, so that they are repeated well within the
+# duration of a lease
 REQUEST_TIMEOUT_S = 2.0
 LIST_TIMEOUT_S = 5.0
 RENEWAL_TIMEOUT_S = 1.0
@@ -44,14 +46,14 @@
 EVENTS_FIELD = "news"
 ERROR_FIELD = "error"
 
-# Stand in place of the keys whose comparison failed where the store names none
+# Returned in place of the keys whose comparison failed if the store names no keys
 UNNAMED_KEY = "?"
 NO_SUCH_LEASE = "no such lease"
 
 
 @dataclass(slots=True)
 class WatchEvent:
-    """One change of a key; a value of None means deleted."""
+    """One change of a key; a value of None means that the key was deleted."""
 
     key: str
     value: Any
@@ -59,11 +61,12 @@
 
 
 class KeyValueStore:
-    """Typed calls to the key-value store.
+    """Provides typed calls to the key-value store.
 
-    All calls raise RequestRefusedError when the request was certainly not executed, now or later,
-    and OutcomeUnknownError when that is unknown: no response, one of an unexpected status (a
-    gateway's 502 or 504 says nothing about what the store has done), or one of no published form.
+    All calls raise RequestRefusedError if the request was certainly not executed and never will
+    be. They raise OutcomeUnknownError if it is unknown whether the request has been or will be
+    executed: there was no response, or the response had an unexpected status (a gateway's 502 or
+    504 says nothing about what the store has done) or did not have the published form.
     """
 
     def __init__(
@@ -73,13 +76,16 @@
         write_rps: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`rps`, `write_rps`: this controller's share of requests and of changed keys a second."""
+        """Create a client with this controller's share of the store's rate limits.
+
+        `rps` is in requests per second, `write_rps` in changed keys per second.
+        """
         self.caller = caller
         self.clock = clock
         self.requests = RateLimiter(rps, clock)
         self.writes = RateLimiter(write_rps, clock)
-        self.last_answer_at = 0.0  # by the clock
-        # Invalid responses since the last log line about them, and when that was written
+        self.last_answer_at = 0.0  # by `clock`
+        # Invalid responses since the last log line about them, and the time of that log line
         self.invalid_responses = 0
         self.invalid_logged_at = -math.inf
 
@@ -98,17 +104,25 @@
         except UnreachableError as error:
             raise OutcomeUnknownError(str(error)) from error
         if status in (429, 503):
-            raise RequestRefusedError(f"{method} {target}: {status}")
+            raise RequestRefusedError(
+                f"{method} {target}: refused by the key-value store with status {status}"
+            )
         return status, response
 
     @contextlib.contextmanager
     def _expecting_valid_response(self, request: str, status: int, response: Any) -> Iterator[None]:
-        """Decode a response in this context: one of no published form has an unknown outcome."""
+        """Provide a context for decoding a response, and record the time of a valid response.
+
+        Raises:
+            OutcomeUnknownError: The decoding has failed, so the response has no published form.
+        """
         try:
             yield
         except (TypeError, KeyError, ValueError) as error:
             self._count_invalid_response(request, status, response)
-            raise OutcomeUnknownError(f"{request}: {status}, {error!r}") from error
+            raise OutcomeUnknownError(
+                f"{request}: invalid response with status {status}: {error!r}"
+            ) from error
         self.last_answer_at = self.clock()
 
     def _count_invalid_response(self, request: str, status: int, response: Any) -> None:
@@ -127,7 +141,10 @@
         self.invalid_logged_at = now
 
     async def get(self, key: str) -> tuple[Any, int]:
-        """Return a key's value and version, (None, 0) if it is absent. Only a 404 means absent."""
+        """Return the value and version of a key, or (None, 0) if the key does not exist.
+
+        Only a response with status 404 means that the key does not exist.
+        """
         status, response = await self._call("GET", f"/kv/{quote(key, safe='/')}")
         with self._expecting_valid_response(f"get {key}", status, response):
             if status == 404:
@@ -138,7 +155,7 @@
     async def list_prefix(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
         """Return values and versions of all keys with a prefix, and the first page's revision.
 
-        Later pages may be newer: watch from that revision on to see all changes.
+        Later pages may be newer than that revision. A watch from that revision on misses no change.
         """
         entries: dict[str, tuple[Any, int]] = {}
         last_key = ""
@@ -158,7 +175,7 @@
                 if not response.get(MORE_PAGES_FIELD):
                     return entries, first_revision
                 if not page:
-                    raise ValueError("more to come, and nothing listed")
+                    raise ValueError("the page has no items although more pages follow")
 
     async def compare_and_swap(
         self,
@@ -169,12 +186,13 @@
         leased: frozenset[str] = frozenset(),
         urgent: bool = False,
         reserve: float = 0.0,
-        patience: float = math.inf,
+        max_wait_s: float = math.inf,
     ) -> tuple[int, list[str]]:
         """Write all of `puts` and `deletes` if every key of `compare` has the version given there.
 
-        Returns (new revision, []) when written, and (0, keys that have another version) when not.
-        Keys of `leased` are deleted by the store once `lease` has expired. `urgent`, `reserve` and
+        Returns (new revision, []) if written, else (0, keys that have another version); the keys
+        are [UNNAMED_KEY] if the store names none, and [NO_SUCH_LEASE] if `lease` does not exist.
+        The store deletes the keys of `leased` once `lease` has expired. `urgent`, `reserve` and
         `patience` (seconds): see RateLimiter.acquire.
         """
         operations = _put_operations(puts, lease, leased)
@@ -185,7 +203,7 @@
             ],
             OPERATIONS_FIELD: operations,
         }
-        await self.writes.acquire(len(operations), urgent, reserve, patience)
+        await self.writes.acquire(len(operations), urgent, reserve, max_wait_s)
         status, response = await self._call("POST", "/multi", body, urgent=urgent)
         request = f"multi {', '.join([*puts, *deletes])}"
         with self._expecting_valid_response(request, status, response):
@@ -202,8 +220,8 @@
     ) -> tuple[int, list[WatchEvent]] | None:
         """Return the newest revision and the changes after revision `since`.
 
-        The store answers at the first change, after `hold_ms` milliseconds at the latest. None:
-        `since` is too old, and the keys must be listed again.
+        The store answers at the first change, and after `hold_ms` milliseconds at the latest. None
+        means that `since` is too old and the keys must be listed again.
         """
         target = f"/watch?starts={quote(prefix, safe='/')}&from={since}&holdMs={hold_ms}"
         status, response = await self._call("GET", target, urgent=urgent, hold=hold_ms / 1000)
@@ -215,7 +233,7 @@
             return revision, [_decode_event(event) for event in response[EVENTS_FIELD]]
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Return a new lease, which expires unless it is renewed every `ttl_s` seconds."""
+        """Return the id of a new lease, which expires `ttl_s` seconds after its last renewal."""
         body = {LEASE_TIME_FIELD: int(ttl_s * 1000)}
         status, response = await self._call("POST", "/grants", body, urgent=True)
         with self._expecting_valid_response("grants", status, response):
@@ -223,7 +241,10 @@
             return _checked_count(response[LEASE_FIELD])
 
     async def renew_lease(self, lease: int) -> bool:
-        """Return whether the lease still held and is renewed. Only a 404 means that it expired."""
+        """Renew a lease, and return whether it still existed.
+
+        Only a response with status 404 means that the lease has expired.
+        """
         status, response = await self._call(
             "POST", f"/grants/{lease}/extend", {}, timeout=RENEWAL_TIMEOUT_S, urgent=True
         )
@@ -235,7 +256,7 @@
 
 
 def _list_target(prefix: str, last_key: str) -> str:
-    """Return the target of the page after `last_key`, of the first page if that is empty."""
+    """Return the request target of the page after `last_key`; empty: of the first page."""
     target = f"/kv?starts={quote(prefix, safe='/')}&limit={PAGE_SIZE}"
     return f"{target}&from={quote(last_key, safe='/')}" if last_key else target
 
@@ -266,18 +287,18 @@
 
 def _require_status(status: int, expected: int) -> None:
     if status != expected:
-        raise ValueError(f"status {status}")
+        raise ValueError(f"expected status {expected}, got {status}")
 
 
 def _checked_count(value: Any) -> int:
-    """Return a version, revision or lease. Raises TypeError for anything else."""
+    """Return a version, revision or lease id; raise TypeError if the value cannot be one."""
     if type(value) is not int or value < 0:
-        raise TypeError(f"not a count: {value!r}"[:60])
+        raise TypeError(f"expected an integer >= 0: {value!r}"[:60])
     return value
 
 
 def _checked_key(value: Any) -> str:
-    """Return a key. Raises TypeError for anything else."""
+    """Return a key; raise TypeError if the value is not a string."""
     if not isinstance(value, str):
-        raise TypeError(f"not a key: {value!r}"[:60])
+        raise TypeError(f"expected a key (string): {value!r}"[:60])
     return value
--- a/ploverhall/protocol/peer_messages.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -1,12 +1,13 @@
-"""What controllers tell one another: the kinds of messages, and the values on state channels.
+"""Defines the messages between controllers: their kinds, and the values on state channels.
 
-Every value is a NamedTuple: on the wire an array, here a name for every position. What arrives is
-read with `Type(*value)`, so a value that never left the process reads the same. One key stands for
-one job, candidate, permit, offer or attempt: a change sends what changed, not all that a job has.
+Every value is a NamedTuple, which is an array on the wire and names each position in the code. A
+received value is read with `Type(*value)`, which also accepts a value that never left the process.
+Each job, candidate, permit, offer and attempt has a key of its own, so that a change sends only the
+changed value and not everything about a job.
 
-Roles: a source owns a shard's jobs, an owner owns a shard's machines, and one controller runs the
-autoscaler. `coordination.state_channel` carries the values, `controller.routing` and
-`controller.peer_links` hand them to the roles.
+There are three roles: a source owns the jobs of a shard, an owner owns the machines of a shard, and
+one controller runs the autoscaler. `coordination.state_channel` carries the values;
+`controller.routing` and `controller.peer_links` pass them to the roles.
 """
 
 from __future__ import annotations
@@ -18,36 +19,38 @@
 from ploverhall.protocol import jobs
 from ploverhall.protocol.agents import AttemptId
 
-# Kinds of state channels: the first element of a message. See also relay_messages
+# Kinds of state channels: the first element of a message. relay_messages has further kinds
 SOURCE_TO_OWNER = "s"  # JobUpdate, CandidateUpdate and PermitUpdate by key
 OWNER_TO_SOURCE = "o"  # OfferUpdate and AttemptUpdate by key
 OWNER_TO_AUTOSCALER = "m"  # MachineUpdate by machine
 SOURCE_TO_AUTOSCALER = "d"  # DemandUpdate by job
-AUTOSCALER_TO_OWNER = "r"  # lists of machines by the keys below
-SOURCE_TASK_COUNTS = "c"  # (done, running) by job, for every controller that answers users
+AUTOSCALER_TO_OWNER = "r"  # lists of machines by DRAIN_KEY, CORDON_KEY and DELETED_KEY
+SOURCE_TASK_COUNTS = "c"  # (done, running) by job, sent to every controller that answers users
 
-# Kinds of messages between controllers that belong to no role
+# Kinds of messages that do not belong to a role
 PEER_STATUS = "n"  # a PeerStatus
 CANCELLATION_GOSSIP = "k"  # a CancellationGossip
 STATUS_REPORT = "v"  # the sender's part of the status report, sent regularly
-STATUS_QUERY = "q"  # a question for the receiver's status, with the selection
-STATUS_ANSWER = "a"  # the answer to a STATUS_QUERY of the same number
+STATUS_QUERY = "q"  # asks for the receiver's part of the status report, with a selection
+STATUS_ANSWER = "a"  # answers the STATUS_QUERY of the same number
 STATUS_KINDS = (STATUS_REPORT, STATUS_QUERY, STATUS_ANSWER)
 
-# Keys of channels with one value of a kind
-UNPROVABLE_MACHINES_KEY = "?"  # OWNER_TO_AUTOSCALER, beside the machines
+# Keys that exist once on a channel
+# OWNER_TO_AUTOSCALER, beside the keys of the machines: the machines that have permits but whose
+# state only the cloud can tell
+UNPROVABLE_MACHINES_KEY = "?"
 DRAIN_KEY = "drain"  # AUTOSCALER_TO_OWNER: machines to drain
 CORDON_KEY = "empty"  # AUTOSCALER_TO_OWNER: machines under maintenance orders
 DELETED_KEY = "gone"  # AUTOSCALER_TO_OWNER: machines that were deleted
 
-# First letter of a key on a state channel: which type its value has
+# First letter of a key on a state channel, which determines the type of its value
 JOB = "j"  # JobUpdate
 CANDIDATE = "w"  # CandidateUpdate
 PERMIT = "p"  # PermitUpdate
 OFFER = "o"  # OfferUpdate
 ATTEMPT = "t"  # AttemptUpdate
 
-NOTICE_EVICTION_REQUESTED = 3  # of AttemptUpdate.notice
+NOTICE_EVICTION_REQUESTED = 3  # value of AttemptUpdate.notice
 
 MAX_CANCELLATIONS = 1000  # in one gossip message
 MAX_INCARNATION_LENGTH = 64
@@ -64,31 +67,36 @@
 
 
 class JobUpdate(NamedTuple):
-    """Source to owner: a job. Without a record it is over, and only its tasks remain."""
+    """Source to owner: a job.
+
+    A record of None means that the job is over and only attempts of its tasks remain.
+    """
 
     record: list[Any] | None
     resources: list[float]
-    within_guarantee: int  # 1: within its team's guaranteed quota
-    # 1: it fails on every machine, so no machine is suspected for it, and it may preempt nothing
+    within_guarantee: int  # 1: the job is within its team's guaranteed quota
+    # 1: the job fails on every machine, so no machine is suspected for its failures, and the job
+    # may not preempt other tasks
     failing_everywhere: int = 0
 
 
 class CandidateUpdate(NamedTuple):
-    """Source to owner: how many of a job's tasks wait."""
+    """Source to owner: the number of a job's waiting tasks, and where they may run."""
 
     waiting_tasks: int
     queue_order: list[float]  # sort key in every queue
-    zone_limits: dict[str, int] | None  # how many more each zone may take
-    avoided_machines: list[str]  # machines it failed on
+    zone_limits: dict[str, int] | None  # how many more tasks each zone may take; None: no limit
+    avoided_machines: list[str]  # machines that the job has failed on
 
 
 class PermitUpdate(NamedTuple):
-    """Source to owner: a permitted attempt that has been stored, and whether it is to stop."""
+    """Source to owner: a permit that has been stored, and whether its attempt is to stop."""
 
     machine: str
-    epoch: int  # of the owner that made the reservation
+    epoch: int  # epoch of the owner that made the reservation
     reservation_id: int
-    stop_grace_s: float | None  # to save a checkpoint; None: it is not to stop
+    # Time to save a checkpoint before the attempt is stopped; None: the attempt is not to stop
+    stop_grace_s: float | None
 
 
 class OfferUpdate(NamedTuple):
@@ -98,7 +106,7 @@
     machine: str
     zone: str
     cost: float
-    victim_count: int  # tasks to be preempted for it
+    victim_count: int  # number of tasks to be preempted for the candidate
 
 
 class AttemptUpdate(NamedTuple):
@@ -107,14 +115,14 @@
     state: str
     reason: str
     checkpoint_saved: int
-    # 1: its machine terminates, 2: it is preempted, 3: eviction requested (maintenance), which the
-    # source grants within the team's disruption budget
+    # 1: its machine will be terminated, 2: the attempt is preempted, 3: eviction is requested for
+    # maintenance, which the source grants within the team's disruption budget
     notice: int
-    machine_suspect: int = 0  # 1: other jobs have failed on this machine lately, too
+    machine_suspect: int = 0  # 1: other jobs have recently failed on this machine, too
 
 
 class MachineUpdate(NamedTuple):
-    """Owner to autoscaler: one machine."""
+    """Owner to autoscaler: the state of one machine."""
 
     type: str
     zone: str
@@ -122,16 +130,17 @@
     free: list[float]
     idle: int
     draining: int  # 1: until it is deleted, 2: while a maintenance order holds
-    # 1: a termination notice has come, it is partitioned, or it has accepted no fencing token yet
+    # 1: the machine has received a termination notice, is partitioned, or has not accepted a
+    # fencing token yet
     notice: int
-    faulty: int  # 1: it is to be replaced
-    on_demand_work: int  # 1: runs tasks that may not be on a spot machine
-    # Free capacity as services see it: that of preemptible tasks included
+    faulty: int  # 1: the machine is to be replaced
+    on_demand_work: int  # 1: the machine runs tasks that may not run on a spot machine
+    # Free capacity for services, including the capacity that preemptible tasks use
     free_for_services: list[float]
 
 
 class DemandUpdate(NamedTuple):
-    """Source to autoscaler: a job's waiting tasks."""
+    """Source to autoscaler: the waiting tasks of one job."""
 
     record: list[Any]
     waiting_tasks: int
@@ -140,46 +149,50 @@
 
 
 class PeerStatus(NamedTuple):
-    """Controller to controller: its link to the key-value store, and the shards that it holds."""
+    """Controller to controller: the sender's link to the key-value store, and its shards."""
 
-    store_age_s: float  # since the key-value store's last answer
-    epochs: dict[int, int]  # by shard held
-    without_heartbeats_s: dict[int, float]  # by shard held: since the last heartbeat of any agent
-    write_rate: float = 0.0  # recent writes to the key-value store, changes a second
+    store_age_s: float  # time since the last answer of the key-value store
+    epochs: dict[int, int]  # epoch by held shard
+    without_heartbeats_s: dict[int, float]  # by held shard: time since any agent's last heartbeat
+    write_rate: float = 0.0  # recent writes to the key-value store, in changed keys per second
 
 
 class Cancellation(NamedTuple):
-    """A job that its user has cancelled, and the store's revision of that write."""
+    """A job that its user has cancelled, and the store's revision of the cancellation."""
 
     revision: int
     job_id: str
 
 
 class CancellationEcho(NamedTuple):
-    """The newest gossip message that its sender has from the receiver."""
+    """Identifies the newest gossip message that the sender has received from the receiver."""
 
     incarnation: str
     sent_at: float  # by the receiver's monotonic clock
 
 
 class CancellationGossip(NamedTuple):
-    """Controller to controller: which cancellations it knows.
+    """Controller to controller: the cancellations that the sender knows.
 
-    Made and received by `coordination.cancellation_barrier`.
+    Created and received by `coordination.cancellation_barrier`.
     """
 
-    # The sender knows all cancellations up to this revision, and so does the receiver from then on
+    # The sender knows all cancellations up to this revision; once it has the message, the receiver
+    # knows them, too
     known_revision: int
-    incarnation: str  # of the sender's process; empty in a release that sends only the revision
+    incarnation: str  # of the sender's process; empty if its release sends only the revision
     sent_at: float  # by the sender's monotonic clock
     uptime_s: float  # of the sender's process
     has_read_store: bool  # whether the sender's process has read the store
-    echo: tuple[str, float] | None  # a CancellationEcho, None before the first message
-    cancellations: list[Cancellation]  # those that the receiver may not know, by revision
+    echo: tuple[str, float] | None  # a CancellationEcho; None: no message received yet
+    cancellations: list[Cancellation]  # those that the receiver may not know, sorted by revision
 
 
 def encode_gossip(gossip: CancellationGossip) -> dict[str, object]:
-    """Return the gossip as it is sent. Older releases read only the known revision."""
+    """Return the gossip message in its wire form.
+
+    Older releases read only the known revision.
+    """
     return {
         KNOWN_REVISION_FIELD: gossip.known_revision,
         INCARNATION_FIELD: gossip.incarnation,
@@ -192,9 +205,12 @@
 
 
 def decode_gossip(value: Any) -> CancellationGossip:
-    """Check a gossip message. Raises InvalidPeerMessageError, which names the field.
+    """Validate and convert a gossip message.
 
-    All fields but the known revision may be missing: older releases do not send them.
+    All fields but the known revision may be missing, because older releases do not send them.
+
+    Raises:
+        InvalidPeerMessageError: A field is not valid; the error names the field.
     """
     if not isinstance(value, dict):
         raise InvalidPeerMessageError(problem="not a table")
@@ -227,7 +243,7 @@
 
 
 def _times(fields: dict[str, Any]) -> tuple[float, float]:
-    """Return when the message was sent, and the sender's uptime."""
+    """Return the time at which the message was sent and the sender's uptime, both in seconds."""
     sent_at, uptime_s = fields.get(SENT_AT_FIELD, 0.0), fields.get(UPTIME_FIELD, 0.0)
     if not _is_finite_number(sent_at) or not _is_finite_number(uptime_s) or uptime_s < 0:
         raise InvalidPeerMessageError(SENT_AT_FIELD)
@@ -302,6 +318,10 @@
 
 
 def attempt_id_of_key(key: str) -> AttemptId:
-    """Return the attempt in a PermitUpdate's or AttemptUpdate's key, else raise ValueError."""
+    """Return the attempt that the key of a PermitUpdate or AttemptUpdate names.
+
+    Raises:
+        ValueError: The key has another form.
+    """
     job_id, task, attempt = key[1:].rsplit("/", 2)
     return AttemptId(job_id, int(task), int(attempt))
--- a/ploverhall/protocol/relay_messages.py
+++ b/ploverhall/protocol/relay_messages.py
@@ -1,9 +1,9 @@
-"""What controllers relay for one another: requests, responses, and which links each one has.
+"""Defines the messages for relaying: requests, responses, and the links that a controller has.
 
-These travel on the links between controllers, in the form of a state channel's messages. A release
-that does not know their kinds takes them for channels without a holder; it is never asked to relay,
-since it does not announce that it can. Bodies are JSON as bytes: their size is known, and they are
-not decoded on the way. Called by `controller.relay`.
+The messages use the links between controllers and have the form of a state channel's messages. A
+release that does not know their kinds treats them as channels without a holder. It is never asked
+to relay, since it does not announce that it can. Bodies are JSON as bytes, so that their size is
+known and no controller on the way decodes them. Called by `controller.relay`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 # Kinds of messages
 REQUEST = "x"
 RESPONSE = "y"
-CONNECTIVITY = "h"  # which services and peers the sender reaches; see connectivity.relay_routes
+CONNECTIVITY = "h"  # services and peers that the sender reaches; see connectivity.relay_routes
 
 # Kinds of relayed requests, as announced between controllers
 STORE = "state"
@@ -24,7 +24,7 @@
 AGENT_COMMAND = "do"
 KINDS = (STORE, CLOUD, HEARTBEAT, AGENT_COMMAND)
 
-# Bytes of one request or response: a watch answers with all changes since it was last asked
+# Limit for one request or response; the response to a watch holds all changes since the last one
 MAX_BODY_BYTES = 4 * 1024 * 1024
 MAX_HOLD_S = 60
 MAX_HOPS = 4
@@ -52,45 +52,49 @@
     "body",
 )
 RESPONSE_WIRE_NAMES = ("life", "number", "status", "refused", "body")
-# Types of the fields; a field that is not named here is a string
+# Types of the fields; a field that is not listed here is a string
 REQUEST_FIELD_TYPES = {"number": int, "until": float, "hops": int, HOLD_FIELD: float, "body": bytes}
 RESPONSE_FIELD_TYPES = {"number": int, "status": int, "refused": bool, "body": bytes}
 
 
 class RelayRequest(NamedTuple):
-    """A request to be relayed for the peer that sends it."""
+    """A request that the receiver is to relay for the sending peer."""
 
     incarnation: str  # of the sender's process
-    number: int  # counted by the sender
+    number: int  # sequence number, counted by the sender
     kind: str  # one of KINDS
-    deadline: float  # wall clock time after which nobody waits for the response
-    hops: int  # peers that it may still go through, the receiver included
-    destination: str  # name of the peer that it is meant for; empty: any that reaches the service
+    deadline: float  # wall clock time after which the sender no longer waits for the response
+    hops: int  # number of peers that may still relay the request, including the receiver
+    destination: str  # name of the peer that is to serve it; empty: any that reaches the service
     method: str
-    target: str  # path and query; for AGENT_COMMAND the agent's address and a space before them
-    hold_s: float  # seconds for which the service may hold the response back
+    target: str  # path and query; for AGENT_COMMAND preceded by the agent's address and a space
+    hold_s: float  # time for which the service may hold back the response
     body: bytes
 
 
 class RelayResponse(NamedTuple):
-    """The outcome of a relayed request: the service's response, or that there is none."""
+    """The outcome of a relayed request: the service's response, or the fact that there is none."""
 
-    incarnation: str  # of the request, as is `number`
+    incarnation: str  # copied from the request, like `number`
     number: int
     status: int  # HTTP status; 0: no response
-    refused: bool  # without a response: True if certainly not executed, False if that is unknown
+    refused: bool  # if status is 0: whether the request was certainly not executed
     body: bytes
 
 
 def encode(kind: str, controller_index: int, value: RelayRequest | RelayResponse) -> list[Any]:
-    """Return a message for a link, from the controller with that index."""
+    """Return the wire form of a request or response from the controller with the given index."""
     names = REQUEST_WIRE_NAMES if isinstance(value, RelayRequest) else RESPONSE_WIRE_NAMES
     fields = dict(zip(names, value, strict=True))
     return [kind, controller_index, 0, 0, True, fields, value.number]
 
 
 def decode_request(value: Any) -> RelayRequest:
-    """Check a request. Raises InvalidRelayMessageError, which names the field."""
+    """Validate and convert a request.
+
+    Raises:
+        InvalidRelayMessageError: A field is not valid; the error names the field.
+    """
     request = RelayRequest(*_read_fields(REQUEST_WIRE_NAMES, value, REQUEST_FIELD_TYPES))
     if request.kind not in KINDS:
         raise InvalidRelayMessageError(KIND_FIELD)
@@ -102,7 +106,10 @@
 
 
 def _is_allowed(request: RelayRequest) -> bool:
-    """Whether method and path are ones that controllers relay: a peer cannot ask for any other."""
+    """Return whether controllers relay requests with this method and path.
+
+    The check keeps a peer from sending any other request through this controller.
+    """
     path = request.target
     if request.kind == AGENT_COMMAND:
         path = request.target.rpartition(" ")[2]
@@ -110,12 +117,16 @@
 
 
 def decode_response(value: Any) -> RelayResponse:
-    """Check a response. Raises InvalidRelayMessageError, which names the field."""
+    """Validate and convert a response.
+
+    Raises:
+        InvalidRelayMessageError: A field is not valid; the error names the field.
+    """
     return RelayResponse(*_read_fields(RESPONSE_WIRE_NAMES, value, RESPONSE_FIELD_TYPES))
 
 
 def _read_fields(names: tuple[str, ...], value: Any, types: dict[str, type]) -> list[Any]:
-    """Return the values of the named fields in that order, each of its type."""
+    """Return the values of the named fields in the order of `names`, after checking their types."""
     if not isinstance(value, dict):
         raise InvalidRelayMessageError(problem="not a table")
     return [_read_field(name, value.get(name), types.get(name, str)) for name in names]
--- a/ploverhall/settings.py
+++ b/ploverhall/settings.py
@@ -117,12 +117,12 @@
             raise SettingsError(f"{self._name(key)}: must be a non-empty string")
         return value
 
-    def number(self, key: str, least: float = 0.0, over: bool = False) -> float:
+    def number(self, key: str, minimum: float = 0.0, exclusive: bool = False) -> float:
         """A finite number of at least `least`; `over`: greater than that."""
         value = self.data.get(key)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             raise SettingsError(f"{self._name(key)}: must be a number")
-        if not math.isfinite(value) or value < least or (over and value == least):
+        if not math.isfinite(value) or value < minimum or (exclusive and value == minimum):
             raise SettingsError(f"{self._name(key)}: out of range")
         return float(value)
 
@@ -168,20 +168,20 @@
         zones=zones,
         teams=teams,
         objectives=tuple(table.data for table in deployment.tables("objectives")),
-        heartbeat_interval_s=agents.number("report_s", over=True),
-        lease_s=agents.number("lease_s", over=True),
+        heartbeat_interval_s=agents.number("report_s", exclusive=True),
+        lease_s=agents.number("lease_s", exclusive=True),
         gang_wait_s=agents.number("gang_wait_s"),
         gang_peer_s=agents.number("gang_peer_s"),
-        cancel_s=agents.number("cancel_s", over=True),
+        cancel_s=agents.number("cancel_s", exclusive=True),
         clock_skew_s=_parse_clock_skew_s(deployment),
-        store_rps=store.number("rps", over=True),
-        store_write_rps=store.number("write_rps", over=True),
-        max_value_bytes=int(store.number("value_kb", over=True) * 1024),
+        store_rps=store.number("rps", exclusive=True),
+        store_write_rps=store.number("write_rps", exclusive=True),
+        max_value_bytes=int(store.number("value_kb", exclusive=True) * 1024),
         max_transaction_ops=int(store.number("txn_ops", 4)),
-        cloud_rps=cloud.number("rps", over=True),
+        cloud_rps=cloud.number("rps", exclusive=True),
         list_lag_s=cloud.number("list_lag_s"),
-        core_share=limits.number("core_share", over=True),
-        memory_mb=limits.number("mem_mb", over=True),
+        core_share=limits.number("core_share", exclusive=True),
+        memory_mb=limits.number("mem_mb", exclusive=True),
         max_sockets=int(limits.number("max_sockets", 16)),
         options=options or Options(),
     )
--- a/ploverhall/status.py
+++ b/ploverhall/status.py
@@ -15,8 +15,8 @@
 MAX_ROWS = 40  # rows of one kind in a report
 MAX_TASK_ROWS = 100  # tasks of a job that was selected
 # A gang or service waits too long: this many times its class's usual wait, and at least this long
-SLOW_MULTIPLE = 4.0
-MIN_SLOW_S = 60.0
+SLOW_WAIT_MULTIPLE = 4.0
+MIN_SLOW_WAIT_S = 60.0
 RECENT_STALL_S = 120.0  # for which a controller's event-loop stall is shown
 MAX_AGENT_SILENCE_S = 10.0  # of all agents of a shard
 # A key-value store that has not answered a controller for longer is a condition
@@ -131,7 +131,7 @@
 
 
 def _waits_too_long(row: dict[str, Any]) -> bool:
-    max_wait_s = max(MIN_SLOW_S, SLOW_MULTIPLE * (row["usual_s"] or 0.0))
+    max_wait_s = max(MIN_SLOW_WAIT_S, SLOW_WAIT_MULTIPLE * (row["usual_s"] or 0.0))
     return bool(row["waits_s"] > max_wait_s)
 
 
@@ -183,30 +183,30 @@
     """The lines for a person, from the JSON of `/status`: what is wrong comes first."""
     answers = data["controllers"]
     reports = {name: answer["view"] for name, answer in answers.items() if answer["view"]}
-    views = list(reports.values())
-    wrong = _wrong_lines(data, reports)
-    lines = [f"wrong now: {len(wrong) or 'nothing'}", *(f"  {text}" for text in wrong)]
+    report_list = list(reports.values())
+    problems = _problem_lines(data, reports)
+    lines = [f"wrong now: {len(problems) or 'nothing'}", *(f"  {text}" for text in problems)]
     lines += [_controller_line(name, report) for name, report in sorted(reports.items())]
     lines += _user_answer_lines(data)
-    lines.append(_machines_line(views))
-    lines += _queue_lines(views)
-    lines += _team_lines(views)
-    for row in _rows(views, "jobs"):
+    lines.append(_machines_line(report_list))
+    lines += _queue_lines(report_list)
+    lines += _team_lines(report_list)
+    for row in _rows(report_list, "jobs"):
         lines += _job_lines(row)
     if selection:
-        lines += [_machine_line(row) for row in _rows(views, "trouble_machines")]
-    lines += _died_lines(views)
-    lines += _ended_lines(views)
-    if left_out := sum(report["left_out"] for report in views):
+        lines += [_machine_line(row) for row in _rows(report_list, "trouble_machines")]
+    lines += _died_lines(report_list)
+    lines += _ended_lines(report_list)
+    if left_out := sum(report["left_out"] for report in report_list):
         lines.append(
             f"({left_out} more rows left out; --job, --team and --machine show all that they match)"
         )
     return lines
 
 
-def _rows(views: list[dict[str, Any]], key: str) -> Iterable[Any]:
+def _rows(report_list: list[dict[str, Any]], key: str) -> Iterable[Any]:
     """The rows of one kind in all reports."""
-    return (row for report in views for row in report[key])
+    return (row for report in report_list for row in report[key])
 
 
 def _format_age(seconds: float) -> str:
@@ -215,7 +215,7 @@
     return f"{seconds / 60:.0f} min ago"
 
 
-def _wrong_lines(data: dict[str, Any], reports: dict[str, dict[str, Any]]) -> list[str]:
+def _problem_lines(data: dict[str, Any], reports: dict[str, dict[str, Any]]) -> list[str]:
     """What is wrong: controllers without a current report, conditions, shards without a holder."""
     lines: list[str] = []
     for name, answer in sorted(data["controllers"].items()):
@@ -264,20 +264,20 @@
     return lines
 
 
-def _machines_line(views: list[dict[str, Any]]) -> str:
+def _machines_line(report_list: list[dict[str, Any]]) -> str:
     """How many machines there are, by state."""
     counts: dict[str, int] = {}
-    for report in views:
+    for report in report_list:
         for state, count in report["machines"].items():
             counts[state] = counts.get(state, 0) + count
     by_state = ", ".join(f"{count} {state}" for state, count in sorted(counts.items()))
     return f"machines: {by_state or 'none'}"
 
 
-def _queue_lines(views: list[dict[str, Any]]) -> list[str]:
+def _queue_lines(report_list: list[dict[str, Any]]) -> list[str]:
     """Waiting jobs and tasks by what they wait for, most tasks first."""
     queue: dict[str, list[int]] = {}
-    for report in views:
+    for report in report_list:
         for reason, (jobs, tasks) in report["queue"].items():
             row = queue.setdefault(reason, [0, 0])
             row[0] += jobs
@@ -289,9 +289,9 @@
     ]
 
 
-def _team_lines(views: list[dict[str, Any]]) -> list[str]:
+def _team_lines(report_list: list[dict[str, Any]]) -> list[str]:
     """What each team uses, is guaranteed and may use at most."""
-    teams = (item for report in views for item in report["teams"].items())
+    teams = (item for report in report_list for item in report["teams"].items())
     return [
         f"team {name}: {team['cpus']:g} cpus, {team['gpus']:g} gpus;"
         f" guaranteed {team['guarantee']}, at most {team['limit']}"
@@ -329,9 +329,9 @@
     )
 
 
-def _died_lines(views: list[dict[str, Any]]) -> list[str]:
+def _died_lines(report_list: list[dict[str, Any]]) -> list[str]:
     """The attempts that failed lately, newest first."""
-    rows = sorted(_rows(views, "died"))[:MAX_ROWS]
+    rows = sorted(_rows(report_list, "died"))[:MAX_ROWS]
     if not rows:
         return []
     return [
@@ -343,9 +343,9 @@
     ]
 
 
-def _ended_lines(views: list[dict[str, Any]]) -> list[str]:
+def _ended_lines(report_list: list[dict[str, Any]]) -> list[str]:
     """The jobs that ended lately, newest first."""
-    rows = sorted(_rows(views, "ended"))[:MAX_ROWS]
+    rows = sorted(_rows(report_list, "ended"))[:MAX_ROWS]
     lines = ["ended lately:"] if rows else []
     for age_s, job, team, outcome, done, tasks, failure_count, last_failure in rows:
         failed = _failed_suffix(failure_count, last_failure)
--- a/run.py
+++ b/run.py
@@ -5,9 +5,9 @@
 from importlib import import_module
 from pathlib import Path
 
-HERE = Path(__file__).resolve().parent
+ROOT = Path(__file__).resolve().parent
 
-sys.path.insert(0, str(HERE / "target" / "deps"))
+sys.path.insert(0, str(ROOT / "target" / "deps"))
 # Libraries, and what they bring of Python's own, lie compiled beside themselves; ploverhall is compiled by the build
 # (deploy/service.toml) to where everything it makes belongs. So the prefix is set between the two: set before, a start compiled
 # half of the standard library. Python itself checks that what lies there fits the source.
@@ -25,7 +25,7 @@
         ImportError
     ):  # uvloop is not for every platform; what is missed for good is named below
         import_module(library)
-sys.pycache_prefix = str(HERE / "target" / "pycache")
+sys.pycache_prefix = str(ROOT / "target" / "pycache")
 
 from ploverhall.cli import main  # noqa: E402
 
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -152,9 +152,7 @@
     r = renter()
     r.on_rented(["n-0", "n-1", "n-2"], KIND, 3, 0.0)
     r.on_owner_update(0, False, {n: view() for n in ("n-1", "n-2")}, 20.0)
-    assert r._booting_to_count_on(30.0) == {"n-0": True} and r._booting_to_count_on(46.0) == {
-        "n-0": False
-    }
+    assert r._expected_boots(30.0) == {"n-0": True} and r._expected_boots(46.0) == {"n-0": False}
     r.on_cloud_list([CloudMachine("n-0", "", "t", "a", False, "booting", 95.0)], 95.0, 95.0)
     assert r.plan(95.0, 95.0).scale_in == ["n-0"]
 
--- a/tests/test_controller_loops.py
+++ b/tests/test_controller_loops.py
@@ -183,8 +183,8 @@
         budget.tokens = 0.0
         order: list[str] = []
 
-        async def take(name: str, n: float, reserve: float = 0.0, patience: float = 60.0) -> None:
-            await budget.acquire(n, reserve=reserve, patience=patience)
+        async def take(name: str, n: float, reserve: float = 0.0, max_wait_s: float = 60.0) -> None:
+            await budget.acquire(n, reserve=reserve, max_wait_s=max_wait_s)
             order.append(name)
 
         async with anyio.create_task_group() as tg:
