--- a/ploverhall/__main__.py
+++ b/ploverhall/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `python -m ploverhall`: runs the command line."""
+"""Run the command line: the entry point of `python -m ploverhall`."""
 
 import sys
 
--- a/ploverhall/cli.py
+++ b/ploverhall/cli.py
@@ -12,13 +12,16 @@
 
 CONTROLLER_ADDRESS_HELP = "HOST:PORT of a running controller"
 MAINTENANCE = "maintenance"
-MAINTENANCE_ALIAS = "upkeep"  # the command's former name
+MAINTENANCE_ALIAS = "upkeep"  # former name of the command
 EXIT_USAGE = 2
 Subparsers: TypeAlias = "argparse._SubParsersAction[argparse.ArgumentParser]"
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command and return its exit code; `argv` defaults to the process's arguments."""
+    """Run one command and return its exit code.
+
+    `argv` defaults to the arguments of the process.
+    """
     args = _parser().parse_args(argv)
     if args.command in ("drain", MAINTENANCE, MAINTENANCE_ALIAS):
         from ploverhall.maintenance import command
@@ -48,7 +51,7 @@
 
 
 def _serve(config: Settings) -> None:
-    """Run a controller until the process is ended."""
+    """Run a controller until the process is terminated."""
     from importlib.util import find_spec
 
     import anyio
@@ -58,7 +61,7 @@
     async def serve() -> None:
         await Controller(config).run()
 
-    # uvloop, where it is installed, saves a third of a request's processor time
+    # uvloop is used if it is installed: it saves a third of a request's CPU time
     # (docs/measurements.md)
     anyio.run(serve, backend_options={"use_uvloop": find_spec("uvloop") is not None})
 
--- a/ploverhall/errors.py
+++ b/ploverhall/errors.py
@@ -1,6 +1,6 @@
-"""All errors that ploverhall raises, in one hierarchy.
+"""Defines the hierarchy of all errors that ploverhall raises.
 
-Every error keeps what it is about as attributes; `str(error)` says what went wrong. The texts of
+`str(error)` describes the problem; some errors have attributes with its details. The texts of
 `InvalidMessageError` and `InvalidHttpError` are part of the answers to users.
 """
 
@@ -8,67 +8,71 @@
 
 
 class PloverhallError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class SettingsError(PloverhallError):
-    """A settings or options file cannot be used; the message names the field."""
+    """A settings or options file is invalid or unreadable; the message names the field or file."""
 
 
 class InvalidMessageError(PloverhallError):
-    """A received message is not in its published form."""
+    """A received message does not have its published form."""
 
     def __init__(self, field: str = "", problem: str = "") -> None:
-        """`field`: name on the wire, empty for the message as a whole; `problem`: what is wrong."""
+        """Create an error about one field of a message or about the whole message.
+
+        `field` is the name on the wire, empty for the whole message; `problem` says what is wrong.
+        """
         super().__init__(": ".join(part for part in (field, problem) if part))
         self.field = field
         self.problem = problem
 
 
 class InvalidJobError(InvalidMessageError):
-    """A job submission is not in the published form."""
+    """A job submission does not have the published form."""
 
 
 class InvalidHeartbeatError(InvalidMessageError):
-    """An agent's heartbeat is not in the published form."""
+    """An agent's heartbeat does not have the published form."""
 
 
 class InvalidPeerMessageError(InvalidMessageError):
-    """A message from another controller is not in its form."""
+    """A message from another controller does not have the expected form."""
 
 
 class InvalidRelayMessageError(InvalidMessageError):
-    """A relayed request or response is not in its form."""
+    """A relayed request or response does not have the expected form."""
 
 
 class InvalidOrderError(InvalidMessageError):
-    """A maintenance order is not in its form."""
+    """A maintenance order does not have the expected form."""
 
 
 class InvalidHttpError(PloverhallError):
-    """Bytes are no HTTP message that is served here."""
+    """Received bytes are not an HTTP message that this package supports."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """`status`: the HTTP status to answer with."""
+        """Create an error that is answered with the HTTP status `status`."""
         super().__init__(reason)
         self.status = status
 
 
 class UnreachableError(PloverhallError):
-    """No whole response came: the request may or may not have been executed."""
+    """No complete response was received, so the request may or may not have been executed."""
 
 
 class RelayRefusedError(PloverhallError):
-    """A peer did not relay a request: it was certainly not executed."""
+    """A peer did not relay a request, so the request was certainly not executed."""
 
 
 class RequestRefusedError(PloverhallError):
-    """The key-value store did not execute a request (outage, or over its limits)."""
+    """The key-value store did not execute a request (outage, or rate limit exceeded)."""
 
 
 class OutcomeUnknownError(PloverhallError):
     """A request to the key-value store has an unknown outcome.
 
-    There was no answer, one with an unlisted status, or one in no published form. A write may have
-    been executed, or may be executed later; a read says nothing about what is stored.
+    There was no response, or the response had an unexpected status or not the published form. A
+    write may have been executed or may be executed later; a read says nothing about the stored
+    values.
     """
--- a/ploverhall/log.py
+++ b/ploverhall/log.py
@@ -1,7 +1,7 @@
-"""The log: one line per event on standard error, as `level event key=value ...`.
+"""Writes the log to standard error, one line per event, as `level event key=value ...`.
 
-`LOG_LEVEL` (`error`, `info` or `debug`) chooses what is written. docs/operations.md explains the
-events; scripts read them.
+The environment variable `LOG_LEVEL` (`error`, `info` or `debug`) selects the events that are
+written. docs/operations.md explains the events; scripts parse them.
 """
 
 from __future__ import annotations
@@ -21,26 +21,27 @@
 
 
 def _printable(value: Any) -> str:
-    """A value as text without line breaks: a class or machine may be called anything.
+    """Return a value as text, with line breaks and other unprintable characters escaped.
 
-    Without this a name with a line break in it forges a line of the log.
+    Job classes and machines may have any name. Without escaping, a name that contains a line break
+    could forge a line of the log.
     """
     text = str(value)
     return text if text.isprintable() else text.encode("unicode_escape").decode()
 
 
 def error(event: str, **fields: Any) -> None:
-    """Log an event that an operator should look at: written at every level."""
+    """Log an event that an operator should look at; written at every level."""
     _emit("error", event, fields)
 
 
 def warn(event: str, **fields: Any) -> None:
-    """Log a condition that was raised or cleared: written at every level."""
+    """Log a condition that was raised or cleared; written at every level."""
     _emit("warning", event, fields)
 
 
 def info(event: str, **fields: Any) -> None:
-    """Log a change; not written at level `error`."""
+    """Log a state change; not written at level `error`."""
     if _level >= 1:
         _emit("info", event, fields)
 
@@ -52,7 +53,7 @@
 
 
 def raised_at(error: BaseException) -> str:
-    """Where an exception was raised, as `file:line`; `?` if it has no traceback."""
+    """Return where an exception was raised, as `file:line`; `?` if it has no traceback."""
     traceback = error.__traceback__
     place = "?"
     while traceback is not None:
--- a/ploverhall/runtime.py
+++ b/ploverhall/runtime.py
@@ -1,7 +1,7 @@
-"""What a controller takes from its surroundings besides its settings: clocks, randomness, network.
+"""Defines a controller's dependencies on its environment: clocks, random numbers and the network.
 
-`run.py` and the command line use the defaults; the tests put a virtual clock, seeded randomness and
-a simulated network in their place.
+`run.py` and the command line use the defaults. The tests replace them with a virtual clock, a
+seeded random number generator and a simulated network.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from ploverhall.transport.network import TCP_NETWORK, Network
 
-NEVER = -1e9  # as a steady-clock time: long before the process started
+NEVER = -1e9  # monotonic clock time long before the process started
 
 
 @dataclass(slots=True, frozen=True)
 class Runtime:
-    """The surroundings of one controller; the defaults are the real ones."""
+    """The environment of one controller; the defaults are the real clocks and network."""
 
-    clock: Callable[[], float] = time.monotonic  # seconds, steady, from an arbitrary beginning
-    wall_clock: Callable[[], float] = time.time  # seconds since the epoch, may be set back
+    clock: Callable[[], float] = time.monotonic  # seconds from an arbitrary start, monotonic
+    wall_clock: Callable[[], float] = time.time  # seconds since the Unix epoch, may be set back
     random: Random = field(default_factory=Random)
     network: Network = TCP_NETWORK
--- a/ploverhall/settings.py
+++ b/ploverhall/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file (TOML) and the operators' own options (JSON with a schema).
+"""Reads the platform's settings file (TOML) and the operators' options (JSON with a schema).
 
-The command line calls `load`; tests call `parse`. Names of fields and options are published. All
-times are in seconds unless a field's name in the file says otherwise.
+The command line calls `load`; tests call `parse`. The names of fields and options are published.
+All times are in seconds unless a field's name in the file says otherwise.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from ploverhall.errors import SettingsError
 
-# How far controllers' times of day may be apart, if the platform does not say
+# Maximum difference between the wall clocks of controllers, if the platform does not set it
 DEFAULT_CLOCK_SKEW_S = 0.25
 MAX_PORT = 65_535
 
 
 @dataclass(slots=True, frozen=True)
 class PeerAddress:
-    """Another controller, and where it listens for its peers."""
+    """Another controller, with the address at which it listens for its peers."""
 
     name: str
     zone: str
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Team:
-    """A team's guaranteed share and its limit (0: none set)."""
+    """The guaranteed quota and the limit of a team; 0 means that none is set."""
 
     name: str
     guaranteed_cpus: float
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """Operators' own settings, as docs/operations.md explains them; all have defaults."""
+    """The operators' own options, explained in docs/operations.md; all have defaults."""
 
     hold_s: float = 5.0
     sample: int = 5
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that a controller is configured with."""
+    """The complete configuration of a controller."""
 
     name: str
     zone: str
@@ -91,14 +91,17 @@
 
     @property
     def controllers(self) -> list[tuple[str, str]]:
-        """All controllers as (name, zone), by name: the position is the controller's index."""
+        """Return all controllers as (name, zone), sorted by name.
+
+        The position in the list is the controller's index.
+        """
         return sorted([(self.name, self.zone)] + [(peer.name, peer.zone) for peer in self.peers])
 
 
 class _Table:
     """Reads the fields of a TOML table.
 
-    Every method raises `SettingsError`, which names the field, if the value cannot be used.
+    Every method raises `SettingsError`, which names the field, if the value is not valid.
     """
 
     def __init__(self, data: Any, where: str) -> None:
@@ -111,14 +114,17 @@
         return f"{self.where}.{key}" if self.where else key
 
     def text(self, key: str) -> str:
-        """A non-empty string."""
+        """Return the value of a field that must be a non-empty string."""
         value = self.data.get(key)
         if not isinstance(value, str) or not value:
             raise SettingsError(f"{self._name(key)}: must be a non-empty string")
         return value
 
     def number(self, key: str, minimum: float = 0.0, exclusive: bool = False) -> float:
-        """A finite number of at least `least`; `over`: greater than that."""
+        """Return the value of a field that must be a finite number of at least `minimum`.
+
+        With `exclusive`, the number must be greater than `minimum`.
+        """
         value = self.data.get(key)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             raise SettingsError(f"{self._name(key)}: must be a number")
@@ -127,18 +133,18 @@
         return float(value)
 
     def address(self, key: str) -> tuple[str, int]:
-        """HOST:PORT, as host and port."""
+        """Return host and port of a field that must be HOST:PORT."""
         host, _, port = self.text(key).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
             raise SettingsError(f"{self._name(key)}: must be HOST:PORT")
         return host, int(port)
 
     def table(self, key: str) -> _Table:
-        """A table within this one."""
+        """Return the table in a field of this table."""
         return _Table(self.data.get(key), self._name(key))
 
     def tables(self, key: str) -> list[_Table]:
-        """A list of tables; empty if there is none."""
+        """Return the list of tables in a field; an empty list if the field is missing."""
         value = self.data.get(key, [])
         if not isinstance(value, list):
             raise SettingsError(f"{self._name(key)}: must be a list of tables")
@@ -146,9 +152,12 @@
 
 
 def parse(data: Any, options: Options | None = None) -> Settings:
-    """Check the platform's settings, already read from TOML; unknown fields are ignored.
+    """Validate and convert the platform's settings, given as parsed TOML.
+
+    Unknown fields are ignored.
 
-    Raises `SettingsError`, which names the field.
+    Raises:
+        SettingsError: A field is not valid; the error names the field.
     """
     top = _Table(data, "")
     deployment, external = top.table("deployment"), top.table("external")
@@ -204,7 +213,7 @@
 
 
 def _parse_teams(deployment: _Table) -> tuple[Team, ...]:
-    """All teams, ordered by name."""
+    """Return all teams, sorted by name."""
     teams = [
         Team(
             table.text("name"),
@@ -216,7 +225,9 @@
         for table in deployment.tables("teams")
     ]
     if len({team.name for team in teams}) != len(teams):
-        raise SettingsError("deployment.teams: a name appears twice")
+        raise SettingsError(
+            f"deployment.teams: every name must be unique: {[team.name for team in teams]!r}"
+        )
     return tuple(sorted(teams, key=lambda team: team.name))
 
 
@@ -229,11 +240,17 @@
 def _check_unique_names(settings: Settings) -> None:
     names = [name for name, _ in settings.controllers]
     if len(set(names)) != len(names):
-        raise SettingsError("siblings: a host_name appears twice")
+        raise SettingsError(
+            f"siblings: every host_name must be unique and differ from this controller's: {names!r}"
+        )
 
 
 def load(path: str | Path, options: str | Path | None = None) -> Settings:
-    """Read and check both files; raises `SettingsError` if one cannot be read or used."""
+    """Read and validate the settings file and, if given, the options file.
+
+    Raises:
+        SettingsError: A file cannot be read or is not valid; the error names the file or field.
+    """
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
@@ -243,8 +260,12 @@
 
 
 def load_options(path: str | Path) -> Options:
-    """Read the operators' options; raises `SettingsError` if they do not match the schema."""
-    import fastjsonschema  # only here: most starts have no options file
+    """Read the operators' options.
+
+    Raises:
+        SettingsError: The file cannot be read or does not match the schema.
+    """
+    import fastjsonschema  # imported here, because most starts have no options file
     import orjson
 
     schema = orjson.loads((Path(__file__).parent / "options.schema.json").read_bytes())
--- a/ploverhall/status.py
+++ b/ploverhall/status.py
@@ -1,9 +1,10 @@
-"""The status of the whole fleet for an operator: problems first, then what waits, failed and ended.
+"""Formats the status of the whole fleet for operators.
 
-A controller's *report* is what it knows of the shards it holds, bounded in size
+A controller's *report* describes the shards that it holds and is bounded in size
 (`controller.shard_status`); `controller.status_report` collects the reports of all controllers.
-Here: what a report says is wrong (`conditions`, which are also logged), and the text that the
-command `ploverhall status` prints.
+This module derives the current problems from a report (`conditions`, which are also logged), and
+formats the text that the command `ploverhall status` prints: problems come first, then queued,
+failed and ended work.
 """
 
 from __future__ import annotations
@@ -13,21 +14,26 @@
 from typing import Any
 
 MAX_ROWS = 40  # rows of one kind in a report
-MAX_TASK_ROWS = 100  # tasks of a job that was selected
-# A gang or service waits too long: this many times its class's usual wait, and at least this long
+MAX_TASK_ROWS = 100  # tasks shown of a selected job
+# A gang or service that has waited longer than this multiple of its class's usual wait, and longer
+# than the minimum, waits too long
 SLOW_WAIT_MULTIPLE = 4.0
 MIN_SLOW_WAIT_S = 60.0
-RECENT_STALL_S = 120.0  # for which a controller's event-loop stall is shown
-MAX_AGENT_SILENCE_S = 10.0  # of all agents of a shard
-# A key-value store that has not answered a controller for longer is a condition
+RECENT_STALL_S = 120.0  # how long a stall of a controller's event loop is shown
+MAX_AGENT_SILENCE_S = 10.0  # time without a heartbeat from any agent of a shard
+# It is a condition if the key-value store has not answered a controller for longer than this
 STORE_ANSWER_MAX_AGE_S = 2.5
-SERVICE_NAMES = {"state": "key-value store"}  # as shown; other services go by their own names
-MAX_NAMED_JOBS = 4  # that failed on a machine
-AGE_IN_MINUTES_FROM_S = 120
+# Names to show for services; services that are not listed are shown under their published names
+SERVICE_NAMES = {"state": "key-value store"}
+MAX_NAMED_JOBS = 4  # names shown of jobs that failed on a quarantined machine
+AGE_IN_MINUTES_FROM_S = 120  # ages from this one on are shown in minutes
 
 
 def select(report: Mapping[str, Any], selection: dict[str, str]) -> Mapping[str, Any]:
-    """The part of an older, whole report that matches a selected job, team or machine."""
+    """Return the part of an older, complete report that matches a selection.
+
+    `selection` may hold a job, a team and a machine; the report is unchanged if it is empty.
+    """
     if not selection or not report:
         return report
     job, team, machine = selection.get("job"), selection.get("team"), selection.get("machine")
@@ -43,7 +49,7 @@
 def _job_row_matches(
     row: dict[str, Any], job: str | None, team: str | None, machine: str | None
 ) -> bool:
-    """Whether a job's row matches all that is selected."""
+    """Return whether a job's row matches the selected job, team and machine."""
     return (
         (not job or row["id"] == job)
         and (not team or row["team"] == team)
@@ -55,9 +61,10 @@
 
 
 def conditions(report: Mapping[str, Any]) -> dict[str, str]:
-    """What is wrong in one controller's report: texts by a key that stays while a condition lasts.
+    """Return the problems in one controller's report, as texts by key.
 
-    Conditions whose key begins with `~` are short-lived: they are shown, but not logged.
+    The key of a condition stays the same while the condition lasts. Conditions whose key begins
+    with `~` are short-lived; they are shown, but not logged.
     """
     found: dict[str, str] = {}
     _add_controller_conditions(found, report)
@@ -73,7 +80,7 @@
 
 
 def _add_controller_conditions(found: dict[str, str], report: Mapping[str, Any]) -> None:
-    """Add what is wrong with a controller itself and its links."""
+    """Add the problems of a controller itself and of its links."""
     controller = report["node"]
     state_age_s = report["state_age_s"]
     if state_age_s > STORE_ANSWER_MAX_AGE_S:
@@ -85,7 +92,8 @@
     if report["stood_still"]:
         ago_s, stall_s = report["stood_still"]
         found["~stood"] = (
-            f"controller {controller}: its event loop stalled for {stall_s:.0f} s, {ago_s:.0f} s ago"
+            f"controller {controller}: its event loop stalled for {stall_s:.0f} s,"
+            f" {ago_s:.0f} s ago"
         )
     for shard, silence_s in report["quiet_s"].items():
         if silence_s > MAX_AGENT_SILENCE_S:
@@ -98,7 +106,7 @@
 
 
 def _add_link_conditions(found: dict[str, str], report: Mapping[str, Any]) -> None:
-    """Add what a controller does not reach, or only through a peer."""
+    """Add the services and peers that a controller cannot reach, or only through a peer."""
     controller = report["node"]
     connectivity = report.get("reach") or {}  # older releases do not report it
     for service, via in sorted(connectivity.get("through", {}).items()):
@@ -116,7 +124,10 @@
 
 
 def _add_job_condition(found: dict[str, str], row: dict[str, Any]) -> None:
-    """Add that a job fails on all machines, or waits far longer than its class usually does."""
+    """Add a condition for a job that fails on all machines, or waits far longer than usual.
+
+    The usual wait is the one of the job's class.
+    """
     if row["broken"]:
         found[f"broken {row['id']}"] = (
             f"job {row['id']} ({row['team']}) fails on all machines, {row['failures']} times,"
@@ -136,12 +147,15 @@
 
 
 def _add_machine_condition(found: dict[str, str], row: dict[str, Any]) -> None:
-    """Add why nothing is started on a machine."""
+    """Add the reason why no task is started on a machine."""
     problem = f"quarantined, {', '.join(row['failed'][:MAX_NAMED_JOBS])} failed there"
     if row["state"] == "silent":
         problem = f"no heartbeat for {row['silent_s']:.0f} s"
     elif row["state"] == "unreachable":
-        problem = f"sends heartbeats, but receives nothing, for {row['unheard_s']:.0f} s: nothing starts there"
+        problem = (
+            f"sends heartbeats, but receives nothing, for {row['unheard_s']:.0f} s:"
+            " nothing starts there"
+        )
     found[f"~machine {row['name']}"] = (
         f"machine {row['name']} ({row['type']}, {row['zone']}): {problem}"
     )
@@ -159,7 +173,8 @@
 ) -> int:
     """Ask a running controller (HOST:PORT) for the fleet's status and print it.
 
-    Returns the exit code: 1 if the controller did not answer.
+    Returns:
+        The exit code: 0, or 1 if the controller did not answer.
     """
     import json
     import urllib.error
@@ -180,7 +195,7 @@
 
 
 def format_text(data: dict[str, Any], selection: dict[str, str]) -> list[str]:
-    """The lines for a person, from the JSON of `/status`: what is wrong comes first."""
+    """Return the lines to print for the JSON of `/status`, problems first."""
     answers = data["controllers"]
     reports = {name: answer["view"] for name, answer in answers.items() if answer["view"]}
     report_list = list(reports.values())
@@ -205,7 +220,7 @@
 
 
 def _rows(report_list: list[dict[str, Any]], key: str) -> Iterable[Any]:
-    """The rows of one kind in all reports."""
+    """Return the rows of one kind in all reports."""
     return (row for report in report_list for row in report[key])
 
 
@@ -216,7 +231,11 @@
 
 
 def _problem_lines(data: dict[str, Any], reports: dict[str, dict[str, Any]]) -> list[str]:
-    """What is wrong: controllers without a current report, conditions, shards without a holder."""
+    """Return a line for each current problem.
+
+    Problems are controllers without a current report, conditions, and shards that no reachable
+    controller holds.
+    """
     lines: list[str] = []
     for name, answer in sorted(data["controllers"].items()):
         if answer["view"] is None:
@@ -239,7 +258,7 @@
 
 
 def _controller_line(name: str, report: dict[str, Any]) -> str:
-    """One controller: its shards, whether it scales the fleet, and what it lacks."""
+    """Return the line of one controller: its shards, its roles, and what it is short of."""
     shards = ", ".join(sorted(report["shards"])) or "nothing"
     line = f"controller {name} ({report['zone']}): holds {shards}"
     if report["renter"]:
@@ -252,7 +271,7 @@
 
 
 def _user_answer_lines(data: dict[str, Any]) -> list[str]:
-    """What the user of a selected job is told now, or why nothing."""
+    """Return lines with the current answer to users about a selected job, or why there is none."""
     lines = []
     if told := data.get("told"):
         lines.append(
@@ -265,7 +284,7 @@
 
 
 def _machines_line(report_list: list[dict[str, Any]]) -> str:
-    """How many machines there are, by state."""
+    """Return the line with the number of machines by state."""
     counts: dict[str, int] = {}
     for report in report_list:
         for state, count in report["machines"].items():
@@ -275,7 +294,7 @@
 
 
 def _queue_lines(report_list: list[dict[str, Any]]) -> list[str]:
-    """Waiting jobs and tasks by what they wait for, most tasks first."""
+    """Return the lines with queued jobs and tasks by wait reason, most tasks first."""
     queue: dict[str, list[int]] = {}
     for report in report_list:
         for reason, (jobs, tasks) in report["queue"].items():
@@ -290,7 +309,7 @@
 
 
 def _team_lines(report_list: list[dict[str, Any]]) -> list[str]:
-    """What each team uses, is guaranteed and may use at most."""
+    """Return the lines with the usage, the guaranteed quota and the limit of each team."""
     teams = (item for report in report_list for item in report["teams"].items())
     return [
         f"team {name}: {team['cpus']:g} cpus, {team['gpus']:g} gpus;"
@@ -300,7 +319,7 @@
 
 
 def _job_lines(row: dict[str, Any]) -> list[str]:
-    """One job, and the tasks that are shown of it."""
+    """Return the line of one job and the lines of its shown tasks."""
     states = "".join(f", {count} {state}" for state, count in sorted(row["states"].items()))
     waits = f" for {row['waits_s']:.0f} s" if row["waiting"] else ""
     counts = f"{row['waiting']} of {row['tasks']} waiting{waits}, {row['done']} done{states}"
@@ -316,12 +335,12 @@
 
 
 def _failed_suffix(failure_count: int, last_failure: str) -> str:
-    """How often a job has failed; empty if it has not."""
+    """Return text that says how often a job has failed; empty if it has not failed."""
     return f"; failed {failure_count} times, last {last_failure}" if failure_count else ""
 
 
 def _machine_line(row: dict[str, Any]) -> str:
-    """One machine that was selected."""
+    """Return the line of one selected machine."""
     kind = f"{row['type']}, {row['zone']}{', spot' if row['spot'] else ''}"
     return (
         f"machine {row['name']} ({kind}): {row['state']}, {row['tasks']} tasks,"
@@ -330,7 +349,7 @@
 
 
 def _died_lines(report_list: list[dict[str, Any]]) -> list[str]:
-    """The attempts that failed lately, newest first."""
+    """Return the lines with the attempts that failed recently, newest first."""
     rows = sorted(_rows(report_list, "died"))[:MAX_ROWS]
     if not rows:
         return []
@@ -344,7 +363,7 @@
 
 
 def _ended_lines(report_list: list[dict[str, Any]]) -> list[str]:
-    """The jobs that ended lately, newest first."""
+    """Return the lines with the jobs that ended recently, newest first."""
     rows = sorted(_rows(report_list, "ended"))[:MAX_ROWS]
     lines = ["ended lately:"] if rows else []
     for age_s, job, team, outcome, done, tasks, failure_count, last_failure in rows:
--- a/run.py
+++ b/run.py
@@ -1,4 +1,7 @@
-"""What the platform starts: `run.py --config FILE` is `ploverhall serve --config FILE`."""
+"""The entry point that the platform starts.
+
+`run.py --config FILE` does the same as `ploverhall serve --config FILE`.
+"""
 
 import sys
 from contextlib import suppress
@@ -8,9 +11,11 @@
 ROOT = Path(__file__).resolve().parent
 
 sys.path.insert(0, str(ROOT / "target" / "deps"))
-# Libraries, and what they bring of Python's own, lie compiled beside themselves; ploverhall is compiled by the build
-# (deploy/service.toml) to where everything it makes belongs. So the prefix is set between the two: set before, a start compiled
-# half of the standard library. Python itself checks that what lies there fits the source.
+# The libraries, and the standard library modules that they import, have their bytecode beside the
+# source. The build (deploy/service.toml) compiles ploverhall to target/pycache, where its other
+# output belongs. So the prefix is set after the libraries are imported and before ploverhall is:
+# when it was set earlier, every start compiled half of the standard library. Python itself checks
+# that the bytecode matches the source.
 for library in (
     "anyio._backends._asyncio",
     "uvloop",
@@ -21,9 +26,9 @@
     "argparse",
     "tomllib",
 ):
-    with suppress(
-        ImportError
-    ):  # uvloop is not for every platform; what is missed for good is named below
+    # uvloop does not exist for every platform; the import of ploverhall below reports any other
+    # library that is missing
+    with suppress(ImportError):
         import_module(library)
 sys.pycache_prefix = str(ROOT / "target" / "pycache")
 
