--- a/ploverhall/autoscaling/bin_packing.py
+++ b/ploverhall/autoscaling/bin_packing.py
@@ -9,7 +9,7 @@
 from ploverhall.scheduling.machines import MachinePool
 from ploverhall.scheduling.resources import ResourceVector, add_scaled, fits
 
-MIN_FREE_AMOUNT = 1e-3  # free capacity with no larger amount than this is dropped
+MIN_FREE_AMOUNT = 1e-3  # free capacity is dropped if no amount of it is larger than this
 
 
 class FreeSlots:
--- a/ploverhall/autoscaling/fleet_state.py
+++ b/ploverhall/autoscaling/fleet_state.py
@@ -132,8 +132,8 @@
         self.boot_history: dict[tuple[str, str], deque[tuple[float, float]]] = {}
         # By (type, zone): number of booting machines that are not overdue
         self.booting_on_time: dict[tuple[str, str], int] = {}
-        # By (type, zone): number of machines that should be up by now, and that few or no machines
-        # rented later have overtaken
+        # By (type, zone): number of machines that should be up by now, not counting those that are
+        # late although enough machines rented later are up
         self.overdue: dict[tuple[str, str], int] = {}
 
         # Maintenance
--- a/ploverhall/autoscaling/scale_in.py
+++ b/ploverhall/autoscaling/scale_in.py
@@ -24,7 +24,7 @@
 # The time after which it is returned if most machines of its zone are unresponsive, too
 ZONE_UNRESPONSIVE_S = 300.0
 MIN_ZONE_SAMPLE = 4  # with fewer running machines, nothing is concluded about their zone
-MIN_RENTAL_S = 60.0  # a machine is not drained as unneeded sooner after it was rented
+MIN_RENTAL_S = 60.0  # a machine is not drained as unneeded within this time of its rental
 
 
 class ScaleIn(ScaleOut):
--- a/ploverhall/protocol/agents.py
+++ b/ploverhall/protocol/agents.py
@@ -172,6 +172,7 @@
 
 
 def _validated(body: _HeartbeatBody) -> Heartbeat:
+    """Check task names and counts, which the decoder does not, and return the heartbeat."""
     listed_tasks = body.tasks or []
     for listed in listed_tasks:
         split_task(listed.task_name)
--- a/ploverhall/protocol/key_value_store.py
+++ b/ploverhall/protocol/key_value_store.py
@@ -98,6 +98,14 @@
         urgent: bool = False,
         hold: float = 0.0,
     ) -> tuple[int, Any]:
+        """Send a request within the rate limit, and return the response's status and JSON body.
+
+        The store may hold back the response for `hold` seconds in addition to `timeout`.
+
+        Raises:
+            RequestRefusedError: The store answered with status 429 or 503.
+            OutcomeUnknownError: No complete response was received.
+        """
         await self.requests.acquire(1, urgent)
         try:
             status, response = await self.caller.call(method, target, body, timeout, hold)
@@ -193,7 +201,7 @@
         Returns (new revision, []) if written, else (0, keys that have another version); the keys
         are [UNNAMED_KEY] if the store names none, and [NO_SUCH_LEASE] if `lease` does not exist.
         The store deletes the keys of `leased` once `lease` has expired. `urgent`, `reserve` and
-        `patience` (seconds): see RateLimiter.acquire.
+        `max_wait_s`: see RateLimiter.acquire.
         """
         operations = _put_operations(puts, lease, leased)
         operations += [{DELETE_FIELD: key} for key in deletes]
@@ -210,7 +218,7 @@
             if status == 409:
                 failed = [_checked_key(key) for key in response[FAILED_KEYS_FIELD]]
                 return 0, failed or [UNNAMED_KEY]
-            if status == 400 and _names_lease(response):
+            if status == 400 and _is_lease_error(response):
                 return 0, [NO_SUCH_LEASE]
             _require_status(status, 200)
             return _checked_count(response[REVISION_FIELD]), []
@@ -281,11 +289,13 @@
     return WatchEvent(key, value, _checked_count(event[VERSION_FIELD]))
 
 
-def _names_lease(response: Any) -> bool:
+def _is_lease_error(response: Any) -> bool:
+    """Return whether the error text of a response is about the lease of the request."""
     return isinstance(response, dict) and "lease" in str(response.get(ERROR_FIELD))
 
 
 def _require_status(status: int, expected: int) -> None:
+    """Raise ValueError if a response does not have the expected status."""
     if status != expected:
         raise ValueError(f"expected status {expected}, got {status}")
 
--- a/ploverhall/settings.py
+++ b/ploverhall/settings.py
@@ -238,6 +238,7 @@
 
 
 def _check_unique_names(settings: Settings) -> None:
+    """Raise `SettingsError` if two controllers have the same name."""
     names = [name for name, _ in settings.controllers]
     if len(set(names)) != len(names):
         raise SettingsError(
