--- a/scripts/benchmark_hot_paths/user_load.py
+++ b/scripts/benchmark_hot_paths/user_load.py
@@ -86,7 +86,7 @@
 
         fleet = FakeAgents({}, 0)
         fleet.tasks = tasks
-        fleet.most = 0
+        fleet.max_machines = 0
         tasks.start_soon(Server(self._handle_store, 100).run, HOST, self.ports.store)
         tasks.start_soon(Server(fleet.handle, 100).run, HOST, self.ports.cloud)
 
--- a/scripts/mixed_versions/rolling_upgrade.py
+++ b/scripts/mixed_versions/rolling_upgrade.py
@@ -98,7 +98,7 @@
             self.controllers.start(name, OLD)
         for name in NAMES:
             await self._wait_until_healthy(name)
-        self.fleet.pleas["at the start"] = [
+        self.fleet.rentals["at the start"] = [
             self.fleet.boot({"marsh": ZONES[index % 2], "driftwood": False})
             for index in range(MACHINES)
         ]
--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -112,7 +112,7 @@
             try:
                 while not await self.is_healthy():
                     await anyio.sleep(FIRST_START_POLL_S)
-                self.fleet.pleas["here"] = [
+                self.fleet.rentals["here"] = [
                     self.fleet.boot({"marsh": "a", "driftwood": False})
                     for _ in range(self.machine_count)
                 ]
@@ -173,7 +173,7 @@
         """Whether a task of a job runs that only the new process can have permitted."""
         return any(
             at > begun.at and attempt_id[0] >= begun.next_job
-            for at, attempt_id, _ in self.fleet.starts_of[-RECENT_STARTS:]
+            for at, attempt_id, _ in self.fleet.start_records[-RECENT_STARTS:]
         )
 
     def start_process(self) -> None:
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -16,7 +16,7 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.transport.http_client import Client
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.simulated_network import DEAF, SILENT
+from tests.simulation.simulated_network import NO_DELIVERY, SILENT
 from tests.simulation.virtual_time import VirtualTimeLoop
 
 from . import inputs
@@ -134,7 +134,7 @@
 async def _cuts(p: SimulatedCluster) -> None:
     """Controllers cut from store, cloud or workers; a failover; an isolated controller."""
     p.net.cut("c0", "state", SILENT, 5.0)
-    p.cut_workers("c2", DEAF, 7.0)
+    p.cut_workers("c2", NO_DELIVERY, 7.0)
     for c in CONTROLLERS[:2]:
         p.net.cut(c, "cloud", SILENT, 7.0)
     for n in range(10, 14):
@@ -147,7 +147,7 @@
     await anyio.sleep(7.0)
     await _looks(p)
     await p.crash("c1", 9.0)
-    p.tasks.start_soon(p.flow, 5.0, 0.5, 20)
+    p.tasks.start_soon(p.submit_random_jobs, 5.0, 0.5, 20)
     await anyio.sleep(6.0)
     p.tasks.start_soon(p.withdraw, "j-000014")
     await p.outage(3.0)
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -143,7 +143,7 @@
     """Replicas on every part, and jobs that come and go for so long; returns when the scene's own events may begin."""
     for i in range(3):
         p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
-    p.tasks.start_soon(p.flow, s, every)
+    p.tasks.start_soon(p.submit_random_jobs, s, every)
     await anyio.sleep(10.0)
 
 
@@ -197,7 +197,7 @@
 async def scaling(p: SimulatedCluster, rng: Random) -> None:
     """Demand beyond the fleet rents machines, with a lagging cloud; what is idle is given back."""
     fleet = p.fleet
-    fleet.boots, fleet.list_lag_s, fleet.lost_answers, fleet.late_requests = (
+    fleet.boot_range_s, fleet.list_lag_s, fleet.lost_answers, fleet.late_requests = (
         (0.2, 4.0),
         p.list_lag_s,
         0.1,
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -30,7 +30,7 @@
     """
     for i in range(services):
         cluster.tasks.start_soon(cluster.submit, cluster.spec(900 + i, gait="daemon", chicks=4))
-    cluster.tasks.start_soon(cluster.flow, duration_s, 0.6)
+    cluster.tasks.start_soon(cluster.submit_random_jobs, duration_s, 0.6)
     await anyio.sleep(12.0)
     return cluster.now
 
--- a/tests/simulation/active_fault.py
+++ b/tests/simulation/active_fault.py
@@ -1,4 +1,7 @@
-"""The kinds of faults that a schedule may have, by the names that the command line and the seeds know."""
+"""The kinds of faults in a schedule.
+
+Their names are those of the command line, and the draws of each seed depend on them.
+"""
 
 from __future__ import annotations
 
@@ -6,8 +9,8 @@
 from .controller_faults import ControllerFaults
 from .store_faults import StoreFaults
 
-CANCELS = "cancels"  # users cancel: beside every fault
-# The order matters to what is drawn
+CANCELS = "cancels"  # users cancel jobs; drawn in addition to every other fault
+# The order determines what each seed draws
 KINDS = (
     "refuse",
     "outage",
@@ -43,15 +46,15 @@
     """A fault of any kind."""
 
     async def begin(self, kind: str) -> None:
-        """Begin a fault of a kind; returns when it is over."""
+        """Begin a fault of the given kind; returns when it is over."""
         faults = {
             CANCELS: self.cancels,
-            "refuse": self.refuse_one,
+            "refuse": self.refuse_controller,
             "outage": self.outage,
             "slow": self.slow_store,
             "late_writes": self.late_writes,
             "late_reports": self.late_heartbeats,
-            "deaf": self.not_receiving,
+            "deaf": self.block_deliveries,
             "held_up": self.held_connections,
             "crash": self.crash,
             "roll": self.roll,
@@ -64,12 +67,12 @@
             "for_next": self.heartbeats_for_next_leader,
             "lost_answers": self.lost_answers,
             "cloud": self.disturbed_cloud,
-            "mute": self.not_connecting,
+            "mute": self.block_connections,
             "hang": self.hang,
             "cancel_and_hang": self.cancel_and_hang,
             "cancel_at_end": self.cancel_at_end,
-            "close_looks": self.close_looks,
-            "odd_requests": self.odd_requests,
+            "close_looks": self.poll_changed_jobs,
+            "odd_requests": self.invalid_requests,
             "held_command": self.held_commands,
             "new_machines": self.new_machines,
         }
--- a/tests/simulation/agent_faults.py
+++ b/tests/simulation/agent_faults.py
@@ -1,4 +1,4 @@
-"""Faults of machines, of what they send and of what is sent to them."""
+"""Faults of machines, of the messages that they send, and of the messages sent to them."""
 
 from __future__ import annotations
 
@@ -10,54 +10,59 @@
 
 
 class AgentFaults(FaultContext):
-    """Heartbeats are late, commands are held up, machines hang or are partitioned one way."""
+    """Faults of late heartbeats and commands, hung machines, and one-way partitions."""
 
     async def late_heartbeats(self) -> None:
-        """Some heartbeats come a second time, up to two leases later."""
+        """Deliver a share of the heartbeats a second time, up to 2.2 leases later."""
         share = self.rng.choice([0.1, 0.4])
-        self.cluster.copy_reports(self.rng, share, 2.0, 2.2 * DEPLOYED_LEASE_S)
-        await self._until_replaced(self.seconds(8.0, 25.0))
+        self.cluster.duplicate_heartbeats(self.rng, share, 2.0, 2.2 * DEPLOYED_LEASE_S)
+        await self._remove_hook_after(self.seconds(8.0, 25.0))
 
     async def heartbeats_for_next_leader(self) -> None:
-        """Old heartbeats are kept for the next leader, and reach every controller as it begins and when it has acted."""
-        self.cluster.keep_for_next(self.rng.choice([0.3, 1.0]), self.rng.choice([1, 3]))
-        await self._until_replaced(self.seconds(15.0, 40.0))
+        """Replay old heartbeats to every controller when a shard changes its holder.
 
-    async def _until_replaced(self, s: float) -> None:
-        """What is done with heartbeats that leave ends after s seconds, unless another fault does something else with them by then."""
-        mine = self.cluster.fleet.sent
+        They arrive when the new holder begins, and again after it has acted.
+        """
+        self.cluster.replay_heartbeats_on_claim(
+            self.rng.choice([0.3, 1.0]), self.rng.choice([1, 3])
+        )
+        await self._remove_hook_after(self.seconds(15.0, 40.0))
+
+    async def _remove_hook_after(self, s: float) -> None:
+        """Remove the heartbeat hook after s seconds, unless another fault has replaced it."""
+        installed_hook = self.cluster.fleet.heartbeat_hook
         await anyio.sleep(s)
-        if self.cluster.fleet.sent is mine:
-            self.cluster.fleet.sent = None
+        if self.cluster.fleet.heartbeat_hook is installed_hook:
+            self.cluster.fleet.heartbeat_hook = None
 
-    async def not_receiving(self) -> None:
-        """Some machines receive neither answers nor commands."""
+    async def block_deliveries(self) -> None:
+        """Block the delivery of answers and commands to some machines."""
         machines = self.some_machines()
-        self.cluster.deafen(
+        self.cluster.block_deliveries(
             machines,
             self.seconds(0.4 * DEPLOYED_LEASE_S, DEPLOYED_LEASE_S, 2.0 * DEPLOYED_LEASE_S),
         )
 
-    async def not_connecting(self) -> None:
-        """Some machines, or a zone's, can open no connection to any controller."""
+    async def block_connections(self) -> None:
+        """Stop some machines, or all of zone b, from opening connections to any controller."""
         zone = [agent.name for agent in self.cluster.workers.values() if agent.zone == "b"]
         machines = zone if self.rng.random() < 0.3 else self.some_machines()
-        self.cluster.mute(
+        self.cluster.block_connections(
             machines,
             self.seconds(0.7 * DEPLOYED_LEASE_S, 1.5 * DEPLOYED_LEASE_S, 3.0 * DEPLOYED_LEASE_S),
         )
 
     def _hang_s(self) -> float:
-        """A time within a machine's lease or beyond it."""
+        """Return a duration that is shorter or longer than a machine's lease."""
         return self.seconds(0.5 * DEPLOYED_LEASE_S, 0.9 * DEPLOYED_LEASE_S, 2.0 * DEPLOYED_LEASE_S)
 
     async def hang(self) -> None:
-        """Some machines hang, within their lease or beyond it."""
+        """Let some machines hang, for less or more than their lease."""
         machines = self.some_machines()
         self.cluster.hang(machines, self._hang_s())
 
     async def cancel_and_hang(self) -> None:
-        """Many jobs are cancelled within a fifth of a second, and some of their machines hang at once."""
+        """Cancel all jobs of up to four machines, which hang within the next 0.2 s."""
         cluster = self.cluster
         running = {
             agent.name: {attempt[0] for attempt in agent.on_machine()} - cluster.withdrawing
@@ -72,7 +77,10 @@
         cluster.hang(still_there, self._hang_s())
 
     async def held_connections(self) -> None:
-        """Commands and answers to some machines are held up, and then delivered."""
+        """Hold messages between controllers and some machines, and deliver them later.
+
+        Each link is held in both directions or only towards the machine.
+        """
         s = self.seconds(3.0, 8.0, 0.9 * DEPLOYED_LEASE_S, 2.0 * DEPLOYED_LEASE_S)
         for machine in self.some_machines():
             for name in self.cluster.names:
@@ -80,8 +88,8 @@
                 self.cluster.net.cut(name, machine, HOLD, s, both=both)
 
     async def held_commands(self) -> None:
-        """Only commands, or only their answers, are held up."""
+        """Hold only the commands to some machines, or only the answers to those commands."""
         until = self.cluster.now + self.seconds(3.0, 8.0, 20.0)
         hold_answers = self.rng.random() < 0.5
         held = dict.fromkeys(self.some_machines(), (until, hold_answers))
-        self.cluster.fleet.held_do.update(held)
+        self.cluster.fleet.command_holds.update(held)
--- a/tests/simulation/controller_faults.py
+++ b/tests/simulation/controller_faults.py
@@ -7,17 +7,17 @@
 from ploverhall.storage.schema import CONTROLLER_PREFIX
 
 from .parameters import DEPLOYED_CANCEL_S, DEPLOYED_LEASE_S
-from .simulated_network import DEAF, HOLD, REFUSE, RESET, SILENT
+from .simulated_network import HOLD, NO_DELIVERY, REFUSE, RESET, SILENT
 from .user_actions import UserActions
 
-KEY_GONE_WITHIN_S = 8.0
+KEY_EXPIRY_TIMEOUT_S = 8.0
 
 
 class ControllerFaults(UserActions):
-    """Controllers crash, stall, or are partitioned."""
+    """Faults in which controllers crash, stall or are partitioned."""
 
     async def crash(self) -> None:
-        """One, two or all end, and are back within 0.1 to 6 s; now and then again at once."""
+        """Crash one, two or all controllers for 0.1 to 6 s; in 30% of cases twice in a row."""
         names = self.some_controllers(self.rng.choice([1, 1, 2, 3]))
         again = self.rng.random() < 0.3
         for _ in range(2 if again else 1):
@@ -27,14 +27,14 @@
             await anyio.sleep(self.seconds(1.0, 7.0))
 
     async def roll(self) -> None:
-        """All are restarted one after another."""
+        """Restart all controllers one after another."""
         every = self.rng.choice([0.5, 2.0, 10.0])
         for name in self.cluster.names:
             await self.crash_and_wait(name, self.rng.choice([0.1, 1.0, 6.0]))
             await anyio.sleep(every)
 
     async def stall(self) -> None:
-        """A controller's event loop stalls: nothing leaves it, and what comes lies there."""
+        """Stall a controller's event loop: it sends nothing, and messages to it wait."""
         name, s = self.leader(), self.seconds(3.0, 12.0, 22.0)
         cluster = self.cluster
         for other in ("state", "cloud", "user", *cluster.names, *cluster.workers):
@@ -42,9 +42,9 @@
                 cluster.net.cut(name, other, HOLD, s)
 
     async def isolate(self) -> None:
-        """Cut one from the store and from the other controllers.
+        """Partition a controller from the store and the other controllers.
 
-        Its machines and users reach it.
+        Its machines and users still reach it.
         """
         name, s = self.leader(), self.seconds(6.0, 14.0, 40.0, 80.0)
         mode = self.rng.choice([HOLD, RESET, SILENT])
@@ -53,9 +53,9 @@
                 self.cluster.net.cut(name, other, mode, s)
 
     async def partition_zone(self) -> None:
-        """A zone is cut off with its machines and its controller, for longer than a lease.
+        """Partition a zone with its machines and its controller, for longer than a lease.
 
-        Now and then that one ends meanwhile.
+        In 40% of cases that controller also crashes during the partition.
         """
         s = self.seconds(1.5 * DEPLOYED_LEASE_S, 4.0 * DEPLOYED_LEASE_S, 8.0 * DEPLOYED_LEASE_S)
         self.cluster.cut_zone("b", self.rng.choice([HOLD, RESET, SILENT]), s)
@@ -65,23 +65,24 @@
             await self.crash_and_wait(name, self.rng.choice([0.3, 3.0]))
 
     async def no_machines(self) -> None:
-        """A controller is cut from all machines, in both directions or one."""
+        """Partition a controller from all machines, in one or both directions."""
         self.cluster.cut_workers(
             self.leader(),
-            self.rng.choice([HOLD, RESET, SILENT, DEAF]),
+            self.rng.choice([HOLD, RESET, SILENT, NO_DELIVERY]),
             self.seconds(8.0, 25.0),
             self.rng.random() < 0.7,
         )
 
     async def refuse_peers(self) -> None:
-        """Links between two controllers are refused."""
+        """Refuse new connections between two controllers."""
         a, b = self.some_controllers(2)
         self.cluster.net.cut(a, b, REFUSE, self.seconds(8.0, 25.0))
 
     async def refused_then_outage(self) -> None:
-        """One is refused, or cut off, until its key is gone or nearly so.
+        """Let the store refuse one controller until its key has expired or nearly so.
 
-        Then the store is down for all.
+        In 70% of cases the controller is also partitioned from its peers. Then the store is down
+        for all controllers.
         """
         cluster, rng = self.cluster, self.rng
         name, outage_s = self.leader(), DEPLOYED_CANCEL_S + rng.choice([12.0, 30.0])
@@ -106,13 +107,13 @@
                 self.cluster.net.cut(name, other, mode, s)
 
     async def _wait_for_expiry(self, name: str) -> None:
-        """Wait some seconds, or until the moment at which its key has gone, before anybody claims its shard."""
+        """Wait some seconds, or until the controller's key expires, before its shard is claimed."""
         cluster = self.cluster
         began_at = cluster.now
         wait_s = self.rng.choice([1.5, 3.0, 6.0, 12.0])
         until_gone = self.rng.random() < 0.5
         while cluster.now - began_at < wait_s or (
-            until_gone and cluster.now - began_at < KEY_GONE_WITHIN_S
+            until_gone and cluster.now - began_at < KEY_EXPIRY_TIMEOUT_S
         ):
             if until_gone and f"{CONTROLLER_PREFIX}{name}" not in cluster.state.store.kv:
                 break
--- a/tests/simulation/decision_model.py
+++ b/tests/simulation/decision_model.py
@@ -1,8 +1,8 @@
-"""A slow, plain model in virtual time: store, agents and network as the protocol describes them.
+"""A simple model in virtual time of the store, agents and network that the protocol describes.
 
 It runs the real decision code (ShardOwner, JobSource, state channels, StoreCache) under seeded
-losses, delays, crashes, partitions and late messages, and notices every broken rule itself, from
-the machines' side only.
+losses, delays, crashes, partitions and late messages. It checks the rules at every step, only
+against what runs on the machines.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 FIRST_FAULT_AT_S = 3.0
 RETRY_S = 1.0
 ORPHANED_SHARD_S = (
-    3.0  # another than the preferred controller claims a shard that has no holder for so long
+    3.0  # any controller, not only the preferred one, claims a shard without a holder after this
 )
-LEASE_LOSS_SHARE = 0.003  # per step
+LEASE_LOSS_SHARE = 0.003  # probability per step that a shard's holder is superseded
 
 
 class DecisionModel(EventQueue):
-    """Controllers, store, agents, users and faults; the judge of the rules."""
+    """Controllers, store, agents, users and faults, with a check of the rules at every step."""
 
     def __init__(
         self,
@@ -53,14 +53,18 @@
         copies: float = 0.0,
     ) -> None:
         super().__init__()
-        self.cut_off = cut_off  # the barrier's, for controllers that are cut off
-        self.copies = copies  # the share of heartbeats that come again, up to three leases later
-        self.chaos, self.kinds = chaos, kinds  # no faults if 0; the kinds of faults
-        self.down_until = 0.0  # the store refuses everybody
-        # By how much some tasks run longer than others of their job
-        self.longer: dict[tuple[str, int], float] = {}
+        self.cut_off = (
+            cut_off  # the cancellation barrier's setting, for controllers that are cut off
+        )
+        self.copies = copies  # share of heartbeats delivered again, up to three leases later
+        self.chaos, self.kinds = chaos, kinds  # `chaos` 0: no faults; `kinds` of faults to draw
+        self.down_until = 0.0  # until then the store refuses all requests
+        # Additional running time of some tasks, in seconds
+        self.extra_s: dict[tuple[str, int], float] = {}
         self.rng = Random(seed)
-        self.gossip_rng = Random(seed + 1_000_000)  # gossip changes nothing else that is drawn
+        self.gossip_rng = Random(
+            seed + 1_000_000
+        )  # its own, so that gossip does not change other draws
         self.store = ModelStore()
         self.value_bytes, self.txn_ops = value_bytes, txn_ops
         self.teams = {
@@ -71,14 +75,16 @@
         self.layout = ShardMap(names, list(self.teams))
         self.specs: dict[str, Job] = {}
         self.results: set[tuple[str, int]] = set()
-        self.cancelled: dict[str, float] = {}  # when users were told so
-        self.cuts: dict[tuple[str, str], float] = {}  # until when two are partitioned, by names
+        self.cancelled: dict[str, float] = {}  # when users were told of each cancellation
+        self.cuts: dict[
+            tuple[str, str], float
+        ] = {}  # end of each partition, by the names of both ends
         self.messages = ModelMessages(self)
         self.faults = FaultInjector(self)
         self.nodes: list[ModelController] = []
         for i, zone in enumerate(CONTROLLER_ZONES):
             self.nodes.append(ModelController(self, i, zone))
-        self.orphaned_since: dict[int, float] = {}  # shards without a holder
+        self.orphaned_since: dict[int, float] = {}  # when each shard lost its holder
         self.workers = {
             name: ModelAgent(self, name, MACHINE_ZONES[i % 2], i % 4 == 3)
             for i, name in enumerate(f"n-{i}" for i in range(machines))
@@ -92,13 +98,13 @@
     # -- network and faults --------------------------------------------------------------------
 
     def delay(self, rng: Random | None = None) -> float:
-        """A message's delay in seconds: mostly short, up to half a second."""
+        """Draw a message's delay in seconds: mostly short, up to about 0.5 s at `chaos` 1."""
         return 0.002 + ((rng or self.rng).random() ** 6) * 0.5 * self.chaos
 
     def deferred(self, controller: ModelController, call: Any, *args: Any) -> bool:
-        """Whether a call is put off because the controller's event loop stalls.
+        """Postpone a call if the controller's event loop is stalled, and return whether it is.
 
-        The order in which such calls are made later is drawn.
+        Postponed calls are made in random order, within 0.06 s after the stall.
         """
         if not controller.stalled:
             return False
@@ -107,18 +113,21 @@
         return True
 
     def cut(self, a: Any, b: Any) -> bool:
-        """Whether two are partitioned from each other."""
+        """Return whether two controllers, or a controller and a machine, are partitioned."""
         controllers = isinstance(a, ModelController) and isinstance(b, ModelController)
         if controllers and (a.partitioned or b.partitioned):
             return True
         return self.cuts.get(_link(a.name, b.name), 0.0) > self.now
 
     def partition(self, a: str, b: str, s: float) -> None:
-        """Partition two from each other for s seconds from now."""
+        """Partition two hosts, given by name, from each other for s seconds from now."""
         self.cuts[_link(a, b)] = self.now + s
 
     def partition_zone(self, controller: ModelController, s: float) -> None:
-        """Cut off a controller with its zone: only its zone's machines reach it, and they reach nobody else."""
+        """Partition a controller and its zone's machines from everything else for s seconds.
+
+        Does nothing while another controller is partitioned so.
+        """
         if any(other.partitioned for other in self.nodes):
             return
         controller.partitioned_until = self.now + s
@@ -128,7 +137,7 @@
                     self.partition(other.name, agent.name, s)
 
     def crash(self, controller: ModelController, down_s: float) -> None:
-        """End a controller's process; it starts again with empty memory."""
+        """Stop a controller's process; it starts again with empty memory after `down_s`."""
         controller.starts += 1
         controller.held.clear()
         controller.up_at = self.now + down_s
@@ -142,7 +151,7 @@
     # -- steps ---------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """One step of every agent and controller; then the rules are judged."""
+        """Run one step of every agent and controller, and check the rules."""
         self.schedule(TICK_S, self.tick)
         for agent in self.workers.values():
             if self.now >= agent.hung_until:
@@ -151,14 +160,14 @@
         for controller in self.nodes:
             if controller.up and not controller.stalled:
                 self._step(controller)
-            if not self._is_out(controller):
-                controller.out_since = None
-            elif controller.out_since is None:
-                controller.out_since = self.now
+            if not self._cannot_renew_lease(controller):
+                controller.lease_not_renewed_since = None
+            elif controller.lease_not_renewed_since is None:
+                controller.lease_not_renewed_since = self.now
         task_rules.check_machines(self)
 
     def _step(self, controller: ModelController) -> None:
-        if controller.reaches_store and self._watch_brings_news(controller):
+        if controller.reaches_store and self._watch_delivers(controller):
             if controller.replica.ready:
                 controller.read_store_changes()
             else:
@@ -168,12 +177,12 @@
             self._claim_shards(controller)
         controller.step()
 
-    def _watch_brings_news(self, controller: ModelController) -> bool:
+    def _watch_delivers(self, controller: ModelController) -> bool:
         drawn = self.rng.random() < 0.7
         return (drawn and self.now >= controller.watch_hangs_until) or self.chaos <= 0
 
     def _claim_shards(self, controller: ModelController) -> None:
-        """Claim the shards that are this controller's own, or whose holder does not renew its lease."""
+        """Claim this controller's own shards, and those whose holder does not renew its lease."""
         for shard in range(len(self.nodes)):
             value, version = self.store.kv.get(f"{SHARD_PREFIX}{shard}", (None, 0))
             holder = value["node"] if value else None
@@ -181,16 +190,16 @@
                 shard not in controller.held or controller.held[shard].epoch != version
             ):
                 self._claim(controller, shard, version)
-            elif holder is None or self._is_out(self.nodes[int(holder[1])]):
+            elif holder is None or self._cannot_renew_lease(self.nodes[int(holder[1])]):
                 since = self.orphaned_since.setdefault(shard, self.now)
                 if shard == controller.index or self.now - since > ORPHANED_SHARD_S:
                     self._claim(controller, shard, version)
             elif shard == controller.index and self.rng.random() < LEASE_LOSS_SHARE:
-                # as if its holder's lease had expired: it is superseded unawares
+                # as if the holder's lease had expired: it is superseded without noticing
                 self._claim(controller, shard, version)
 
     @staticmethod
-    def _is_out(controller: ModelController) -> bool:
+    def _cannot_renew_lease(controller: ModelController) -> bool:
         return not controller.up or controller.stalled or not controller.reaches_store
 
     def _claim(self, controller: ModelController, shard: int, version: int) -> None:
@@ -203,7 +212,7 @@
     # -- users ---------------------------------------------------------------------------------
 
     def submit(self, job: Job) -> None:
-        """Submit a job; in an outage again and again."""
+        """Submit a job; during an outage, retry every `RETRY_S`."""
         if self.now < self.down_until:
             self.schedule(RETRY_S, self.submit, job)
             return
@@ -211,7 +220,7 @@
         self.store.txn({JOB_PREFIX + job.id: 0}, {JOB_PREFIX + job.id: job.record()}, [])
 
     def live(self) -> list[str]:
-        """Keys of jobs that are not over."""
+        """Return the keys of jobs that have not ended."""
         return [
             key
             for key, (value, _) in self.store.kv.items()
@@ -219,7 +228,7 @@
         ]
 
     def withdraw(self, job_id: str) -> None:
-        """Ask any controller that can be reached to cancel a job, again and again until told that it is."""
+        """Ask a reachable controller to cancel a job; retry until one acknowledges it."""
         key = JOB_PREFIX + job_id
         value, version = self.store.kv.get(key, (None, 0))
         if isinstance(value, list) and self.now < self.down_until:
@@ -241,7 +250,10 @@
             self.schedule(RETRY_S, self.withdraw, job_id)
 
     def _acknowledges(self, controller: ModelController, version: int) -> bool:
-        """Whether a controller says that a job is cancelled: what it has read it says from memory, in an outage, too."""
+        """Return whether a controller acknowledges a cancellation.
+
+        It answers from its cache of the store, also during an outage.
+        """
         return (
             controller.replica.ready
             and controller.replica.revision >= version
@@ -251,13 +263,17 @@
     # -- rules ---------------------------------------------------------------------------------
 
     def check_done(self, job_id: str) -> None:
-        """Every task of a job that is recorded as done must be done; raises RuleBrokenError."""
+        """Check that every task of a job recorded as done is done.
+
+        Raises:
+            RuleBrokenError: a task is not done.
+        """
         task_count = self.specs[job_id].task_count
         if any((job_id, i) not in self.results for i in range(task_count)):
             raise RuleBrokenError(f"not_done: {job_id} at {self.now}")
 
     def started(self, agent: ModelAgent, attempt: AttemptId) -> None:
-        """A task is on its machine from now on."""
+        """Count the start of a task, and check that it may run there."""
         self.starts += 1
         task_rules.check_start(self, agent, attempt)
 
@@ -267,7 +283,7 @@
 
 
 def draw_job(rng: Random, job_id: str, at: float) -> Job:
-    """A job of any kind."""
+    """Draw a job of random kind and size, submitted at time `at`."""
     kind = rng.choice(["array", "array", "gang", "service"])
     task_count = rng.choice([1, 2, 5, 9]) if kind == "array" else rng.choice([1, 2, 3])
     single_zone = kind == "gang" and rng.random() < 0.5
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""Three whole controllers in virtual time with the services around them: key-value store, cloud and machines."""
+"""Three complete controllers in virtual time, with a fake key-value store, cloud and machines."""
 
 from __future__ import annotations
 
@@ -29,15 +29,18 @@
 FIRST_AGENT_PORT = 9000
 HEARTBEAT_S = 1.0
 MACHINE_ZONES = ("a", "b")
-WALL_CLOCK_OFFSET_S = 1.7e9  # between virtual time and what controllers take for the time of day
-UNANSWERED_S = 20.0  # a request that is held for so long gets no answer: its sender has given up
+WALL_CLOCK_OFFSET_S = 1.7e9  # added to virtual time to give the controllers a wall-clock time
+UNANSWERED_S = 20.0  # a request held this long counts as unanswered: its sender has timed out
 
 
 class SimulatedDeployment:
-    """Controllers as in `serve`, with HTTP, peer links and loops, over a simulated network, and fakes of what they call."""
+    """Controllers as `serve` runs them, with fakes of the services that they call.
 
-    zones = ("a", "b", "a")  # of the controllers
-    list_lag_s = 0.5  # of the cloud, as the settings say
+    HTTP, the peer links and the loops run unchanged over a simulated network.
+    """
+
+    zones = ("a", "b", "a")  # of the controllers, in order
+    list_lag_s = 0.5  # of the cloud, as given in the settings
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
         self.net = SimulatedNetwork(self.rng, self.loop.time)
         self.names = [f"c{i}" for i in range(len(self.zones))]
         self.state = FakeKeyValueStore(self.loop.time)
-        self.refused: set[str] = set()  # controllers that the key-value store refuses
+        self.refused: set[str] = set()  # controllers whose requests the store refuses
         self.fleet = FakeAgents(
             {name: (name, HTTP_PORT) for name in self.names},
             FIRST_AGENT_PORT,
@@ -70,31 +73,31 @@
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.down: set[str] = set()
         self.teams = {f"team-{i}": settings.Team(f"team-{i}", 0, 0, 4, 16) for i in range(teams)}
-        self.broken: list[str] = []  # rules that were broken
-        # The share of transactions that get no answer and are carried out 2 to 12 s later
+        self.broken: list[str] = []  # descriptions of the rules that were broken
+        # Share of transactions that get no answer and are executed 2 to 12 s later
         self.late_writes = 0.0
-        self.late = Random(seed + 9)
-        # The share of transactions that are carried out at once, and only their answer is lost
+        self.late_rng = Random(seed + 9)
+        # Share of transactions that are executed at once and whose answer is lost
         self.lost_answers = 0.0
-        self.lost = Random(seed + 11)
+        self.lost_rng = Random(seed + 11)
 
     @property
     def now(self) -> float:
-        """The virtual time."""
+        """Return the virtual time in seconds."""
         return self.loop.time()
 
     @property
     def workers(self) -> dict[str, ModelAgent]:
-        """The agents, by their machines' names."""
+        """Return the agents by machine name."""
         return self.fleet.workers
 
     @property
     def specs(self) -> dict[str, jobs.Job]:
-        """Every submitted job, by its id."""
+        """Return every submitted job by its id."""
         return self.fleet.specs
 
     def settings(self, me: str) -> settings.Settings:
-        """A controller's settings."""
+        """Return the settings of the controller `me`."""
         listen = {name: f"{name}:{PEER_PORT}" for name in self.names}
         store_port = 1 + self.names.index(me)
         return settings.parse(
@@ -153,13 +156,13 @@
         for name in self.names:
             self.boot(name)
         await anyio.sleep(0.1)
-        self.fleet.pleas["at the start"] = [
+        self.fleet.rentals["at the start"] = [
             self.fleet.boot({"marsh": MACHINE_ZONES[i % 2], "driftwood": False})
             for i in range(self.machines)
         ]
 
     async def all_machines_known(self) -> None:
-        """Wait until the holders of the shards know every machine."""
+        """Wait until the shards' holders know every machine."""
         while self._known_machines() < self.machines:
             await anyio.sleep(0.1)
 
@@ -171,7 +174,7 @@
         )
 
     def boot(self, name: str) -> None:
-        """Start a controller."""
+        """Start a controller process."""
         self.tasks.start_soon(self._run_controller, name)
 
     async def _run_controller(self, name: str) -> None:
@@ -186,9 +189,12 @@
             await controller.run()
 
     async def crash(self, name: str, s: float) -> None:
-        """End a controller, and start it again after s seconds."""
+        """Stop a controller, and start it again after s seconds.
+
+        Does nothing if the controller is already down.
+        """
         if name in self.down:
-            return  # there is one process of a name at a time
+            return  # only one process per controller name at a time
         self.down.add(name)
         self.scopes[name].cancel()
         await anyio.sleep(s)
@@ -198,15 +204,15 @@
     # -- the key-value store -------------------------------------------------------------------
 
     def _store_handler(self, name: str) -> Callable[[Request], Awaitable[Reply]]:
-        """What answers one controller's requests to the store."""
+        """Return the handler of one controller's requests to the store."""
 
         async def handle(request: Request) -> Reply:
             if name in self.refused:
                 return Reply(503, {"error": "trouble"})
-            if self._is_write(request) and self.late.random() < self.late_writes:
+            if self._is_write(request) and self.late_rng.random() < self.late_writes:
                 self.tasks.start_soon(self._write_late, request)
                 await anyio.sleep(UNANSWERED_S)
-            if self._is_write(request) and self.lost.random() < self.lost_answers:
+            if self._is_write(request) and self.lost_rng.random() < self.lost_answers:
                 await self.state.handle(request)
                 await anyio.sleep(UNANSWERED_S)
             return await self.state.handle(request)
@@ -217,22 +223,22 @@
         return request.path == "/multi" and not self.state.down
 
     async def _write_late(self, request: Request) -> None:
-        await anyio.sleep(2.0 + 10.0 * self.late.random())
+        await anyio.sleep(2.0 + 10.0 * self.late_rng.random())
         await self.state.handle(request)
 
     async def outage(self, s: float) -> None:
-        """The store refuses everybody for s seconds.
+        """Let the store refuse all requests for s seconds.
 
-        After that every lease has its full time again.
+        Afterwards every lease is renewed for its full time to live.
         """
         self.state.down_until = max(self.state.down_until, self.now + s)
         while self.now < self.state.down_until:
             self.state.down = True
             await anyio.sleep(self.state.down_until - self.now)
-        self.state.up_again()
+        self.state.end_outage()
 
     def claims(self) -> int:
-        """How often a shard was claimed since everything was up."""
+        """Return how often shards were claimed, without the first claim of each."""
         claimed = sum(
             1
             for event in self.state.store.log
@@ -241,7 +247,7 @@
         return claimed - len(self.names)
 
     def workers_of(self, name: str) -> list[str]:
-        """The machines of the shard that prefers a controller."""
+        """Return the machines of the shard whose preferred controller is `name`."""
         layout = next(iter(self.nodes.values())).context.shard_map
         return [
             agent.name
--- a/tests/simulation/event_queue.py
+++ b/tests/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""A queue of events in virtual time."""
+"""An event queue in virtual time."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class EventQueue:
-    """Calls functions at their times.
+    """Calls functions at their scheduled times.
 
-    Those that are due together are called in the order in which they were scheduled.
+    Functions that are due at the same time are called in the order in which they were scheduled.
     """
 
     def __init__(self) -> None:
@@ -19,12 +19,12 @@
         self._queue: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []
 
     def schedule(self, after: float, call: Callable[..., Any], *args: Any) -> None:
-        """Call a function in so many seconds."""
+        """Schedule a call of a function in `after` seconds."""
         self._scheduled += 1
         heapq.heappush(self._queue, (self.now + after, self._scheduled, call, args))
 
     def run(self, until: float) -> None:
-        """Make all calls that are due by then."""
+        """Advance to the time `until`, making all calls that are due by then."""
         while self._queue and self._queue[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._queue)
             call(*args)
--- a/tests/simulation/fake_agents.py
+++ b/tests/simulation/fake_agents.py
@@ -1,7 +1,7 @@
-"""Agents on a fake cloud's machines, which report to the controllers over whatever network they are given.
+"""Agents on a fake cloud's machines, which send heartbeats to the controllers over a given network.
 
-On loopback sockets in real time (tests/test_loopback.py), and in virtual time over a simulated
-network (deployment).
+They run on loopback sockets in real time (tests/test_loopback.py), and in virtual time over a
+simulated network (`deployment`).
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class FakeAgents(FakeCloud):
-    """The cloud, with agents that run on its machines as the protocol has it."""
+    """The fake cloud, with agents on its machines that follow the protocol."""
 
     def __init__(
         self,
@@ -56,32 +56,33 @@
         self.nodes = list(controllers)
         self.specs: dict[str, Job] = {}
         self.results: set[tuple[str, int]] = set()
-        # By how much some tasks run longer than others of their job
-        self.longer: dict[tuple[str, int], float] = {}
-        self.broken: list[str] = []  # rules that were broken
+        # Additional running time of some tasks, in seconds
+        self.extra_s: dict[tuple[str, int], float] = {}
+        self.broken: list[str] = []  # descriptions of the rules that were broken
         self.killed_by_lease = 0
-        # Starts: how many, when, on which machine, which attempt, of which task
+        # The starts of tasks: their count, times, machines, attempts and tasks
         self.starts = 0
         self.started_at: list[float] = []
         self.started_on: list[tuple[float, str]] = []
-        self.starts_of: list[tuple[float, Any, str]] = []
+        self.start_records: list[tuple[float, Any, str]] = []
         self.first_starts: set[tuple[str, int]] = set()
-        self.first_at: dict[tuple[str, int], float] = {}  # when each task first was on a machine
-        self.begun: Counter[tuple[str, int]] = Counter()  # how often each task was started
-        # Told of every heartbeat that leaves
-        self.sent: Callable[[ModelAgent, str, dict[str, Any]], None] | None = None
-        # Until when commands to a machine (True: their answers) are held up
-        self.held_do: dict[str, tuple[float, bool]] = {}
+        # When each task was first on a machine, and how often it was started
+        self.first_started_at: dict[tuple[str, int], float] = {}
+        self.start_counts: Counter[tuple[str, int]] = Counter()
+        # Called with every heartbeat that is sent: the agent, the controller's name, the body
+        self.heartbeat_hook: Callable[[ModelAgent, str, dict[str, Any]], None] | None = None
+        # By machine: until when commands to it are held; if True, the answers are held instead
+        self.command_holds: dict[str, tuple[float, bool]] = {}
 
     def started(self, agent: ModelAgent, attempt: AttemptId) -> None:
-        """Note and judge that a task is on its machine from now on."""
+        """Record that a task starts on its machine, and check that it may run there."""
         task = attempt[:2]
         self.started_at.append(self.now)
         self.started_on.append((self.now, agent.name))
         self.first_starts.add(task)
-        self.begun[task] += 1
-        self.first_at.setdefault(task, self.now)
-        self.starts_of.append((self.now, attempt, agent.name))
+        self.start_counts[task] += 1
+        self.first_started_at.setdefault(task, self.now)
+        self.start_records.append((self.now, attempt, agent.name))
         self.starts += 1
         try:
             task_rules.check_start(self, agent, attempt)
@@ -89,8 +90,8 @@
             self.broken.append(str(error))
 
     def boot(self, body: dict[str, Any]) -> str:
-        """Start a machine with its agent; the machine's name."""
-        name, port = f"n-{len(self.pleas):03d}{self.next_port}", self.next_port
+        """Start a machine with its agent; returns the machine's name."""
+        name, port = f"n-{len(self.rentals):03d}{self.next_port}", self.next_port
         self.next_port += 1
         agent = ModelAgent(self, name, body["marsh"], body["driftwood"])
         endpoint = f"{self.host or name}:{port}"
@@ -128,16 +129,16 @@
 
     def _command_handler(self, agent: ModelAgent, endpoint: str) -> Any:
         async def handle(request: Request) -> Reply:
-            await self.awake(agent)
+            await self.wait_while_hung(agent)
             if request.path == "/show":
                 agent.tick()
                 return Reply(200, {**agent.report(), "endpoint": endpoint})
-            until, hold_answers = self.held_do.get(agent.name, (0.0, False))
+            until, hold_answers = self.command_holds.get(agent.name, (0.0, False))
             if not hold_answers:
                 await anyio.sleep(max(0.0, until - self.now))
             token_before = agent.token
             body = orjson.loads(request.body)
-            report = agent.on_do(body)
+            report = agent.on_commands(body)
             if hold_answers:
                 await anyio.sleep(max(0.0, until - self.now))
             accepted = body["crest"] >= token_before and body["tide"] == agent.incarnation
@@ -145,18 +146,18 @@
 
         return handle
 
-    async def awake(self, agent: ModelAgent) -> bool:
-        """Wait until a machine that hangs goes on; whether it hung."""
+    async def wait_while_hung(self, agent: ModelAgent) -> bool:
+        """Wait while a machine hangs; returns whether it did."""
         hung = self.now < agent.hung_until
-        while self.now < agent.hung_until:  # it may end sooner than it was to
+        while self.now < agent.hung_until:  # the hang may be ended early
             await anyio.sleep(min(POLL_S, agent.hung_until - self.now))
         return hung
 
     def tick(self, agent: ModelAgent) -> None:
-        """Let a machine go on with its tasks, if it does not hang."""
+        """Advance a machine's tasks, unless it hangs."""
         incarnation, tasks = agent.incarnation, len(agent.tasks)
         if self.now < agent.hung_until:
-            return  # nothing is executed; what its lease has ended is killed first when it goes on
+            return  # when it resumes, tasks whose lease has expired are killed first
         agent.tick()
         if agent.incarnation != incarnation:
             self.killed_by_lease += tasks
@@ -173,18 +174,18 @@
     async def _send_heartbeats(
         self, agent: ModelAgent, endpoint: str, clients: dict[str, Client]
     ) -> None:
-        """Send a heartbeat now and then, and at once when there is something to tell."""
+        """Send heartbeats at intervals of about `every` seconds, and earlier after a change."""
         names = list(clients)
-        # When a higher token was last told of by itself: no more than once in half a lease
+        # When a heartbeat was last sent only for a higher token: at most once in half a lease
         token_told_at = NEVER
         while True:
-            if await self.awake(agent):
+            if await self.wait_while_hung(agent):
                 self.tick(agent)
             token, sent, incarnation = agent.token, self.now, agent.incarnation
             body = {**agent.report(), "endpoint": endpoint}
             name = names[agent.controller_index]
-            if self.sent is not None:
-                self.sent(agent, name, body)
+            if self.heartbeat_hook is not None:
+                self.heartbeat_hook(agent, name, body)
             listed = self._tasks_of(agent)
             status, answer = await self._call(agent, clients[name], body, sent)
             if status == 200 and isinstance(answer, dict):
@@ -197,19 +198,19 @@
     async def _call(
         self, agent: ModelAgent, client: Client, body: dict[str, Any], sent: float
     ) -> tuple[int, Any]:
-        """The status and answer of a heartbeat; status 0 without an answer."""
+        """Send a heartbeat; returns its status and answer, or status 0 without an answer."""
         try:
             status, answer = await client.call("POST", "/v1/report", body, HEARTBEAT_TIMEOUT_S)
         except UnreachableError:
             status, answer = 0, None
-        if await self.awake(agent) and self.now - sent > HEARTBEAT_TIMEOUT_S:
-            return 0, None  # it has hung over an answer
+        if await self.wait_while_hung(agent) and self.now - sent > HEARTBEAT_TIMEOUT_S:
+            return 0, None  # the machine hung until after the timeout
         return status, answer
 
     async def _find_controller(
         self, agent: ModelAgent, names: list[str], status: int, answer: Any
     ) -> None:
-        """Go to the controller that the answer names, or else to the next."""
+        """Switch to the controller that the answer names, or else to the next one."""
         named = answer.get("homing") if status == 421 and isinstance(answer, dict) else None
         if named in names and named != names[agent.controller_index]:
             agent.controller_index = names.index(named)
@@ -221,7 +222,10 @@
     async def _wait_for_next(
         self, agent: ModelAgent, token: int, listed: list[ModelTask], token_told_at: float
     ) -> float:
-        """Wait until the next heartbeat is due; when a higher token was last told of by itself."""
+        """Wait until the next heartbeat is due.
+
+        Returns when a heartbeat was last sent only for a higher token.
+        """
         due = self.now + self.every * (0.75 + 0.5 * self.rng.random())
         soon = self.now + min(0.5, self.every)
         while self.now < due:
--- a/tests/simulation/fake_cloud.py
+++ b/tests/simulation/fake_cloud.py
@@ -17,58 +17,61 @@
 
 from .model_agent import ModelAgent
 
-KEPT_LISTS = 400  # earlier lists that one with a lag may be
-UNANSWERED_S = 20.0  # a request that is held for so long gets no answer: its sender has given up
+LIST_HISTORY_SIZE = 400  # earlier lists from which a lagging list is taken
+UNANSWERED_S = 20.0  # a request held this long counts as unanswered: its sender has timed out
 
 
 @dataclass
 class RentedMachine:
-    """A machine, as the cloud has it, with the agent on it."""
+    """A machine in the cloud's records, with the agent on it."""
 
     agent: ModelAgent
-    listed: dict[str, Any]  # as the list shows it
+    listed: dict[str, Any]  # its entry in the machine list
     scope: anyio.CancelScope  # of the agent's process
 
 
 class FakeCloud(ABC):
-    """Machines that are listed, rented and deleted; the draws of its faults are its own."""
+    """A cloud whose machines can be listed, rented and deleted.
+
+    Its faults are drawn from a random generator of their own.
+    """
 
     def __init__(self, clock: Callable[[], float], zones: tuple[str, ...]) -> None:
         self.clock, self.zones = clock, zones
         self.tasks: anyio.abc.TaskGroup
         self.machines: dict[str, RentedMachine] = {}
-        self.pleas: dict[str, list[str]] = {}  # machines by the key of their rental
-        self.most = 10_000  # machines that are to be had
-        self.hours: dict[str, float] = {}  # when a machine was asked for
-        # Seconds from a rental to its agent's first heartbeat, drawn between these
-        self.boots = (0.0, 0.0)
-        # Its list describes a moment up to twice that ago, also an earlier one than the list
-        # before it
+        self.rentals: dict[str, list[str]] = {}  # machines by the idempotency key of their rental
+        self.max_machines = 10_000  # capacity of the cloud, in machines
+        self.rented_at: dict[str, float] = {}  # when each machine was rented
+        # Range of the drawn boot time: seconds from the rental to the agent's first heartbeat
+        self.boot_range_s = (0.0, 0.0)
+        # A list shows the state up to twice this long ago, possibly an earlier state than the
+        # previous list
         self.list_lag_s = 0.0
-        # The share of rentals and deletions that are executed, and not answered
+        # Share of rentals and deletions that are executed and not answered
         self.lost_answers = 0.0
-        self.late_requests = 0.0  # the share that are not answered and executed 2 to 12 s later
+        self.late_requests = 0.0  # share not answered and executed 2 to 12 s later
         self.cloud_rng = Random(17)
-        # What a list without a lag would have shown, from then on
-        self.was: list[tuple[float, dict[str, dict[str, Any]]]] = []
+        # States of the machine list without a lag, each with the time from which it holds
+        self.list_history: list[tuple[float, dict[str, dict[str, Any]]]] = []
         self.listed_once: set[str] = set()
 
     @property
     def now(self) -> float:
-        """The time."""
+        """Return the time in seconds."""
         return self.clock()
 
     @property
     def workers(self) -> dict[str, ModelAgent]:
-        """The agents, by machine."""
+        """Return the agents by machine name."""
         return {name: machine.agent for name, machine in self.machines.items()}
 
     @abstractmethod
     def boot(self, body: dict[str, Any]) -> str:
-        """Start a machine that was rented so; its name."""
+        """Start a machine as the rental `body` requests; returns its name."""
 
     async def handle(self, request: Request) -> Reply:
-        """Answer a request."""
+        """Answer a controller's request."""
         if request.path == "/flavors":
             return Reply(200, {"breeds": [self._machine_type()]})
         if request.path == "/hosts" and request.method == "GET":
@@ -101,17 +104,17 @@
         }
 
     def _execute(self, path: str, body: dict[str, Any]) -> Reply:
-        """Carry out a rental, once for each key, or a deletion."""
+        """Execute a deletion, or a rental; a repeated rental key returns the same machines."""
         if path == "/hosts":
-            if body["plea"] not in self.pleas:
-                if len(self.machines) + body["count"] > self.most:
+            if body["plea"] not in self.rentals:
+                if len(self.machines) + body["count"] > self.max_machines:
                     return Reply(503, {"error": "no capacity"})
-                self.pleas[body["plea"]] = [self.boot(body) for _ in range(body["count"])]
-            return Reply(200, {"perches": self.pleas[body["plea"]]})
+                self.rentals[body["plea"]] = [self.boot(body) for _ in range(body["count"])]
+            return Reply(200, {"perches": self.rentals[body["plea"]]})
         for name in body["perches"]:
             if name in self.machines:
                 self.machines.pop(name).scope.cancel()
-        self._note()
+        self._record_list()
         return Reply(200, {})
 
     async def _execute_late(self, path: str, body: dict[str, Any]) -> None:
@@ -120,8 +123,8 @@
 
     def _add(self, name: str, machine: RentedMachine) -> None:
         self.machines[name] = machine
-        self.hours[name] = self.now
-        self._note()
+        self.rented_at[name] = self.now
+        self._record_list()
 
     # -- lists ---------------------------------------------------------------------------------
 
@@ -130,20 +133,23 @@
             return self._lagging_list()
         return [machine.listed for machine in self.machines.values()]
 
-    def _note(self) -> None:
-        """Remember what the cloud has from now on."""
+    def _record_list(self) -> None:
+        """Record the current machine list, for lists with a lag."""
         if self.list_lag_s:
             listed = {name: machine.listed for name, machine in self.machines.items()}
-            self.was = [*self.was[-KEPT_LISTS:], (self.now, listed)]
+            self.list_history = [*self.list_history[-LIST_HISTORY_SIZE:], (self.now, listed)]
 
     def _lagging_list(self) -> list[dict[str, Any]]:
-        """A list as it was some time ago.
+        """Return the list as it was at a random moment within twice the lag.
 
-        A machine that has been listed stays so until it is gone.
+        A machine that was listed once stays in the list until it is deleted.
         """
-        self._note()
+        self._record_list()
         as_of = self.now - 2.0 * self.list_lag_s * self.cloud_rng.random()
-        then = next((listed for at, listed in reversed(self.was) if at <= as_of), self.was[0][1])
+        then = next(
+            (listed for at, listed in reversed(self.list_history) if at <= as_of),
+            self.list_history[0][1],
+        )
         still_listed = {
             name: machine.listed
             for name, machine in self.machines.items()
@@ -152,14 +158,14 @@
         shown = {**still_listed, **then}
         self.listed_once |= shown.keys()
         return [
-            {**machine, "heldS": max(0.0, as_of - self.hours[name])}
+            {**machine, "heldS": max(0.0, as_of - self.rented_at[name])}
             for name, machine in sorted(shown.items())
         ]
 
     async def _boot_time(self, agent: ModelAgent, listed: dict[str, Any]) -> None:
-        """Wait until a rented machine is up."""
-        if self.boots[1] > 0.0:
+        """Wait until a rented machine has booted."""
+        if self.boot_range_s[1] > 0.0:
             listed["stance"] = "booting"
-            await anyio.sleep(self.cloud_rng.uniform(*self.boots))
+            await anyio.sleep(self.cloud_rng.uniform(*self.boot_range_s))
             listed["stance"] = "running"
-            agent.answered_sent = self.now  # its lease counts from when it began
+            agent.answered_sent = self.now  # its lease starts at the end of the boot
--- a/tests/simulation/fake_key_value_store.py
+++ b/tests/simulation/fake_key_value_store.py
@@ -1,4 +1,4 @@
-"""A fake key-value store that speaks the published protocol: transactions, pages, watches and leases."""
+"""A fake key-value store with the published protocol: transactions, pages, watches and leases."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 from .model_store import ModelStore
 
-PAGE_ITEMS = 2  # small on purpose
+PAGE_ITEMS = 2  # small, so that reads need several pages
 WATCH_POLL_S = 0.01
 OUTAGE_POLL_S = 0.1
 
 
 class FakeKeyValueStore:
-    """The store, with leases whose keys go when they expire, and outages."""
+    """The store, with outages, and with leases whose keys are deleted when they expire."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
         self.store = ModelStore()
-        self.leases: dict[int, tuple[float, float]] = {}  # time to live and end, by lease
-        self.tied: dict[str, int] = {}  # the lease of a key
+        self.leases: dict[int, tuple[float, float]] = {}  # time to live and expiry, by lease
+        self.lease_of: dict[str, int] = {}  # by key
         self.down = False
         self.down_until = 0.0
 
-    def up_again(self) -> None:
-        """An outage is over: each lease gets its full time again."""
+    def end_outage(self) -> None:
+        """End an outage: each lease is renewed for its full time to live."""
         if self.down:
             self.down = False
             now = self.clock()
@@ -43,14 +43,14 @@
         now = self.clock()
         for lease in [lease for lease, (_, end) in self.leases.items() if end < now]:
             del self.leases[lease]
-            gone = [key for key, tied_to in self.tied.items() if tied_to == lease]
+            gone = [key for key, tied_to in self.lease_of.items() if tied_to == lease]
             if gone:
                 self.store.txn({}, {}, gone)
             for key in gone:
-                del self.tied[key]
+                del self.lease_of[key]
 
     async def handle(self, request: Request) -> Reply:
-        """Answer a request."""
+        """Answer a controller's request."""
         if self.down:
             return Reply(503, {"error": "trouble"})
         self.expire()
@@ -84,9 +84,9 @@
             return Reply(409, {"failed": failed, "moult": self.store.rev})
         for operation in operations:
             if "put" in operation:
-                self.tied.pop(operation["put"], None)
+                self.lease_of.pop(operation["put"], None)
                 if operation.get("tether") is not None:
-                    self.tied[operation["put"]] = operation["tether"]
+                    self.lease_of[operation["put"]] = operation["tether"]
         return Reply(200, {"moult": revision})
 
     def _page(self, request: Request) -> Reply:
@@ -106,7 +106,7 @@
         )
 
     async def _watch(self, request: Request) -> Reply:
-        """Wait for changes of keys that begin so, as long as the request says."""
+        """Wait for changes of keys with a prefix, at most for the time that the request gives."""
         since, prefix = int(request.query["from"]), request.query["starts"]
         until = self.clock() + int(request.query.get("holdMs", 0)) / 1000
         while True:
@@ -118,7 +118,7 @@
             if changes or self.clock() >= until:
                 break
             await anyio.sleep(WATCH_POLL_S)
-            while self.down:  # an open watch stays open, and no lease ends
+            while self.down:  # an open watch stays open, and no lease expires
                 await anyio.sleep(OUTAGE_POLL_S)
             self.expire()
         news = [
@@ -144,7 +144,7 @@
 
 
 def unguarded(*prefixes: str) -> tuple[type, str, Any]:
-    """For monkeypatch.setattr: controllers' writes without the comparison of keys that begin so."""
+    """Return arguments for monkeypatch.setattr that stop writes from comparing such keys."""
     real = KeyValueStore.compare_and_swap
 
     async def compare_and_swap(
--- a/tests/simulation/fault_context.py
+++ b/tests/simulation/fault_context.py
@@ -1,4 +1,4 @@
-"""What every fault of a schedule has: the cluster, and random numbers of its own."""
+"""The base class of the faults in a schedule: the cluster and the fault's own random numbers."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 
 
 class FaultContext:
-    """A fault that begins at once and is over by itself, or when it is cancelled and `SimulatedCluster.calm` is called.
+    """A fault that begins at once and ends by itself.
 
-    Its draws are its own, so that a schedule without it has the same others.
+    It also ends when it is cancelled and `SimulatedCluster.end_all_faults` is called. It has a
+    random generator of its own, so that leaving it out of a schedule does not change the other
+    faults.
     """
 
     def __init__(self, cluster: SimulatedCluster, rng: Random) -> None:
         self.cluster, self.rng = cluster, rng
 
     def some_controllers(self, count: int = 1) -> list[str]:
-        """So many controllers."""
+        """Draw `count` controllers."""
         return self.rng.sample(self.cluster.names, count)
 
     def some_machines(self) -> list[str]:
-        """Four machines."""
+        """Draw four machines."""
         return self.rng.sample(sorted(self.cluster.workers), 4)
 
     def leader(self) -> str:
-        """A controller, more likely one with much to lose: a holder of a shard."""
+        """Draw a controller that holds a shard, or any controller if none does."""
         cluster = self.cluster
         holders = [
             name
@@ -37,10 +39,10 @@
         return self.rng.choice(holders or cluster.names)
 
     def seconds(self, *choices: float) -> float:
-        """About one of these times."""
+        """Draw one of these durations, varied by up to 20%."""
         return self.rng.choice(choices) * self.rng.uniform(0.8, 1.2)
 
     async def crash_and_wait(self, name: str, s: float) -> None:
-        """End a controller; it is back even when the fault is cancelled before that."""
+        """Crash a controller for s seconds; it restarts even if the fault is cancelled earlier."""
         self.cluster.tasks.start_soon(self.cluster.crash, name, s)
         await anyio.sleep(s)
--- a/tests/simulation/fault_schedules.py
+++ b/tests/simulation/fault_schedules.py
@@ -1,15 +1,15 @@
-"""Schedules of faults that overlap, two or three at once, drawn from a seed, over three whole controllers.
+"""Schedules of two or three overlapping faults, drawn from a seed, on three complete controllers.
 
-Every rule is judged from outside all along; at the end every controller must answer for every
-accepted job within `ANSWERED_WITHIN_S`.
+Every rule is checked throughout a run, against what machines and users observe. At the end every
+controller must answer for every accepted job within `ANSWERED_WITHIN_S`.
 
     python -m tests.simulation.fault_schedules --seeds 200 [--first 1000] [--only gap] [--jobs 7]
     python -m tests.simulation.fault_schedules --of 2 [--first 1000]
     python -m tests.simulation.fault_schedules --shrink 1017 [--only gap]
 
-The first runs many schedules and names the seeds that broke a rule; the second every pair
-(`--of 3`: every triple) of kinds once; the third finds the fewest faults of a seed's schedule that
-still break the same rule.
+The first command runs many schedules and names the seeds that broke a rule. The second runs every
+pair (`--of 3`: every triple) of kinds once. The third reduces a seed's schedule to the faults that
+are needed to break the same rule.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from .scene import play
 
 ANSWERED_WITHIN_S = 75.0
-SUBMISSIONS_S = 190.0  # users give up after 60 s: some must come when the faults are over
+SUBMISSIONS_S = 190.0  # users give up after 60 s, so some must submit when the faults are over
 LONG_JOB_S = 400.0
 QUIET_S = 35.0  # after the last fault
 RULES = (
@@ -53,7 +53,10 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of a schedule: when it begins (seconds after the schedule), its kind, and the seed of all it draws."""
+    """One fault of a schedule.
+
+    `at` is in seconds after the schedule's start, and `seed` determines all that the fault draws.
+    """
 
     at: float
     kind: str
@@ -61,14 +64,14 @@
 
 
 class FaultSchedule(NamedTuple):
-    """Faults by their times, and when all of them are ended."""
+    """Faults in order of time, and the time at which all of them are ended."""
 
     faults: list[Fault]
     until: float
 
 
 class ScheduleRun(NamedTuple):
-    """One run of a schedule: a seed, and the schedule itself or the kinds that one is drawn from."""
+    """A run: its seed, the kinds that a schedule is drawn from, and optionally the schedule."""
 
     seed: int
     kinds: Sequence[str]
@@ -79,7 +82,7 @@
 
 
 def draw_schedule(seed: int, kinds: Sequence[str] = KINDS, times: int = 2) -> FaultSchedule:
-    """So many times two or three faults that overlap, each with cancellations soon after it begins."""
+    """Draw `times` groups of two or three overlapping faults, each followed by cancellations."""
     rng, at, faults = Random(f"meeting {seed}"), 0.0, list[Fault]()
     for _ in range(times):
         for kind in rng.sample(list(kinds), min(len(kinds), rng.choice([2, 2, 3]))):
@@ -92,7 +95,7 @@
 
 
 def combined_schedules(kinds: Sequence[str], of: int, first: int) -> list[ScheduleRun]:
-    """Every combination of so many kinds once, each in a schedule of its own."""
+    """Return a run for every combination of `of` kinds, with seeds from `first` on."""
     return [
         ScheduleRun(first + i, chosen, _combined_schedule(first + i, chosen))
         for i, chosen in enumerate(itertools.combinations(kinds, of))
@@ -117,9 +120,9 @@
 
 
 async def run_faults(cluster: SimulatedCluster, schedule: FaultSchedule) -> None:
-    """Run a schedule's faults.
+    """Run a schedule's faults; returns when all of them are over.
 
-    All of them are over then, those too that were still to do something.
+    Faults that are still active at the schedule's end are cancelled.
     """
     began_at = cluster.now
     async with anyio.create_task_group() as tasks:
@@ -128,8 +131,8 @@
             tasks.start_soon(ActiveFault(cluster, Random(fault.seed)).begin, fault.kind)
         await anyio.sleep(max(0.0, began_at + schedule.until - cluster.now))
         tasks.cancel_scope.cancel()
-    cluster.calm()
-    # what has ended is back within seconds, what hangs in a lease or two
+    cluster.end_all_faults()
+    # crashed controllers restart within seconds, and hung machines resume within two leases
     while cluster.down or any(agent.hung_until > cluster.now for agent in cluster.workers.values()):
         await anyio.sleep(0.1)
 
@@ -140,9 +143,9 @@
     times: int = 2,
     schedule: FaultSchedule | None = None,
 ) -> SimulatedCluster:
-    """Run a schedule, or one that is drawn, while jobs come, end and are cancelled.
+    """Run the given or a drawn schedule while jobs are submitted, end and are cancelled.
 
-    Every rule is judged.
+    Raises AssertionError if a rule is broken.
     """
     faults = schedule or draw_schedule(seed, kinds, times)
 
@@ -160,18 +163,21 @@
 
 
 def _submit_jobs(cluster: SimulatedCluster) -> None:
-    """Services, arrays and a gang that run on through a change of leader, and small jobs now and then."""
+    """Submit long jobs of each kind, which outlast a failover, and a stream of small jobs."""
     long = {"flightS": LONG_JOB_S, "pullGb": 0.1}
     specs = [cluster.spec(900 + i, gait="daemon", chicks=4) for i in range(3)]
     specs += [cluster.spec(910 + i, gait="array", chicks=2, **long) for i in range(8)]
     specs.append(cluster.spec(920, gait="group", **long))
     for spec in specs:
         cluster.tasks.start_soon(cluster.submit, spec)
-    cluster.tasks.start_soon(cluster.flow, SUBMISSIONS_S, 1.3)
+    cluster.tasks.start_soon(cluster.submit_random_jobs, SUBMISSIONS_S, 1.3)
 
 
 async def _check_recovery(cluster: SimulatedCluster) -> None:
-    """The faults are over: every job is answered for, and none waits that could run."""
+    """Check, after the faults, that every job is answered for and no startable job waits.
+
+    Raises AssertionError.
+    """
     for job_id, job in cluster.specs.items():
         if job.estimate_s > 100.0 and job_id not in cluster.withdrawing:
             cluster.tasks.start_soon(cluster.withdraw, job_id)
@@ -184,7 +190,7 @@
 
 
 def failure(run: ScheduleRun) -> str:
-    """What a run broke, or an empty text."""
+    """Run a schedule and return the failure, or an empty string if nothing failed."""
     try:
         run_schedule(run.seed, run.kinds, schedule=run.schedule)
     except Exception as error:
@@ -196,7 +202,7 @@
 
 
 def broken_rule(failed: str) -> str:
-    """Which rule a failure is about."""
+    """Return the name of the rule in a failure, or else the failure's first 40 characters."""
     return next((rule for rule in RULES if rule in failed), failed[:40])
 
 
@@ -205,10 +211,11 @@
     failures: Callable[[list[FaultSchedule]], list[str]],
     wanted: str,
 ) -> FaultSchedule:
-    """The schedule without those faults that are not needed to break the same rule.
+    """Remove the faults that are not needed to break the rule `wanted`.
 
-    `failures` runs schedules and says what each broke. Each try leaves out a part of the faults,
-    halves first and then ever smaller parts; in the end none can be left out alone.
+    `failures` runs schedules and returns the failure of each. Each try leaves out a part of the
+    faults, first halves and then ever smaller parts. In the result, no single fault can be left
+    out.
     """
     faults, until = schedule
     size = max(1, len(faults) // 2)
@@ -238,7 +245,10 @@
 
 
 def _minimize(pool: Executor, seed: int, kinds: Sequence[str]) -> int:
-    """Print the fewest faults of a seed's schedule that break its rule; 1 if it breaks one."""
+    """Print the faults of a seed's schedule that are needed to break its rule.
+
+    Returns the exit code: 1 if the schedule breaks a rule.
+    """
     schedule = draw_schedule(seed, kinds)
     failed = failure(ScheduleRun(seed, kinds, schedule))
     print(f"seed {seed}: {failed or 'broke nothing'}")
@@ -254,13 +264,16 @@
 
 
 def _run_many(pool: Executor, runs: list[ScheduleRun], name_kinds: bool) -> int:
-    """Run schedules and print those that broke a rule; 1 if one did."""
+    """Run schedules and print those that broke a rule.
+
+    Returns the exit code: 1 if a schedule broke a rule.
+    """
     results = list(zip(runs, pool.map(failure, runs), strict=True))
     broken = [(run, failed) for run, failed in results if failed]
     for run, failed in broken:
         kinds = f" {' '.join(run.kinds)}" if name_kinds else ""
         print(f"seed {run.seed}{kinds}: {failed}")
-    print(f"{len(runs)} days, {len(broken)} broken")
+    print(f"{len(runs)} schedules run, {len(broken)} broke a rule")
     return 1 if broken else 0
 
 
@@ -274,25 +287,25 @@
         "--of",
         type=int,
         choices=(2, 3),
-        help="every pair or triple of kinds, instead of drawn schedules",
+        help="run every pair or triple of kinds instead of drawn schedules",
     )
     parser.add_argument(
         "--shrink",
         type=int,
-        help="the fewest faults of this seed's schedule that still break its rule",
+        help="reduce this seed's schedule to the faults that still break the same rule",
     )
     parser.add_argument(
         "--only",
         action="append",
         choices=KINDS,
-        help="draw from these kinds; may be given several times",
+        help="draw from this kind of fault; may be given several times",
     )
     parser.add_argument("--jobs", type=int, default=7)
     return parser.parse_args()
 
 
 def main() -> int:
-    """Run many schedules and name those that broke a rule, or minimize one."""
+    """Run many schedules and print those that broke a rule, or minimize one schedule."""
     args = _arguments()
     kinds = tuple(args.only or KINDS)
     with ProcessPoolExecutor(args.jobs) as pool:
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -1,4 +1,4 @@
-"""Faults of machines and of the links to them: partitions, hangs, heartbeats that come late or twice."""
+"""Faults of machines and their links: partitions, hangs, and late or duplicate heartbeats."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 from .deployment import HTTP_PORT, SimulatedDeployment
 from .model_agent import ModelAgent
-from .simulated_network import DEAF, MUTE
+from .simulated_network import NO_CONNECT, NO_DELIVERY
 
-# Kept heartbeats are sent when a shard is claimed, and again so long after each time: in the
-# moment in which its holder begins, and when it has acted
+# Recorded heartbeats are sent when a shard is claimed, and again after each of these further
+# delays: at the moment at which its holder begins, and when it has acted
 RESENT_AFTER_S = (0.0, 0.02, 0.1, 0.3, 1.0, 3.0)
 
 
 class MachineFaults(SimulatedDeployment):
-    """A deployment whose machines can be partitioned, hang, and have their heartbeats delivered again."""
+    """A deployment with partitions and hangs of machines, and with replayed heartbeats."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
             self.net.cut(name, machine, mode, s, both)
 
     def cut_zone(self, zone: str, mode: str, s: float) -> None:
-        """Partition a zone from everything that lies outside of it; what is inside goes on."""
+        """Partition a zone from everything outside it; links within the zone stay up."""
         inside = {name for name, z in zip(self.names, self.zones, strict=True) if z == zone}
         inside |= {agent.name for agent in self.fleet.workers.values() if agent.zone == zone}
         outside = {"state", "cloud", "user", *self.names, *self.fleet.workers} - inside
@@ -50,31 +50,31 @@
             for name in sorted(inside):
                 self.net.cut(name, other, mode, s)
 
-    def deafen(self, machines: Iterable[str], s: float) -> None:
-        """These machines are received, and receive nothing: neither answers nor commands."""
+    def block_deliveries(self, machines: Iterable[str], s: float) -> None:
+        """Block answers and commands to these machines; what they send still arrives."""
         for machine in machines:
             for name in self.names:
-                self.net.cut(name, machine, DEAF, s, both=False)
+                self.net.cut(name, machine, NO_DELIVERY, s, both=False)
 
-    def mute(self, machines: Iterable[str], s: float) -> None:
-        """These machines can open no connection to any controller.
+    def block_connections(self, machines: Iterable[str], s: float) -> None:
+        """Stop these machines from opening connections to any controller.
 
-        What is sent straight to them arrives, and is answered.
+        Commands that a controller sends directly to them arrive and are answered.
         """
         for machine in machines:
             for name in self.names:
-                self.net.cut(machine, name, MUTE, s, both=False)
+                self.net.cut(machine, name, NO_CONNECT, s, both=False)
 
     def hang(self, machines: Iterable[str], s: float) -> None:
-        """These machines execute and answer nothing for s seconds.
+        """Let these machines execute and answer nothing for s seconds.
 
-        Then they go on with what has come meanwhile.
+        Then they handle what has arrived meanwhile.
         """
         for machine in machines:
             agent = self.fleet.workers[machine]
             agent.hung_until = max(agent.hung_until, self.now + s)
 
-    def copy_reports(
+    def duplicate_heartbeats(
         self,
         rng: Random,
         share: float,
@@ -82,10 +82,10 @@
         most: float,
         machines: Iterable[str] | None = None,
     ) -> None:
-        """From now on a share of the heartbeats comes a second time.
+        """Deliver a share of the heartbeats a second time from now on.
 
-        The copy comes `least` to `most` seconds later, to the controller that the heartbeat was
-        sent to or to another.
+        The copy arrives `least` to `most` seconds later, at the controller that the heartbeat was
+        sent to or at another.
         """
         chosen = None if machines is None else set(machines)
 
@@ -99,22 +99,22 @@
                 after = least + (most - least) * rng.random()
                 self.tasks.start_soon(send_again, agent.name, name, body, after)
 
-        self.fleet.sent = on_heartbeat_sent
+        self.fleet.heartbeat_hook = on_heartbeat_sent
 
-    def keep_for_next(
+    def replay_heartbeats_on_claim(
         self, share: float = 1.0, each: int = 3, machines: Iterable[str] | None = None
     ) -> None:
-        """Old heartbeats reach every controller in the moment in which a shard is claimed.
+        """Replay old heartbeats to every controller at the moment when a shard is claimed.
 
-        Of each machine these are the first `each` that are kept and its newest. They have older
-        incarnations, task lists and fencing tokens than what the machine says by then; no heartbeat
-        of its own need ever follow.
+        A share of the heartbeats is recorded; of each machine, the first `each` of these and the
+        newest are kept. They have older incarnations, task lists and fencing tokens than the
+        machine has by then, and a current heartbeat need not follow.
         """
         chosen = None if machines is None else set(machines)
         kept: dict[str, list[dict[str, Any]]] = {}
 
         def on_heartbeat_sent(agent: ModelAgent, receiver: str, body: dict[str, Any]) -> None:
-            if (chosen is None or agent.name in chosen) and self.late.random() < share:
+            if (chosen is None or agent.name in chosen) and self.late_rng.random() < share:
                 of_machine = kept.setdefault(agent.name, [])
                 of_machine[each:] = [body]
 
@@ -128,17 +128,17 @@
 
         async def watch_claims() -> None:
             seen = len(self.state.store.log)
-            while self.fleet.sent is on_heartbeat_sent:
+            while self.fleet.heartbeat_hook is on_heartbeat_sent:
                 await anyio.sleep(0.01)
                 new, seen = self.state.store.log[seen:], len(self.state.store.log)
                 if any(e.key.startswith(SHARD_PREFIX) and e.value is not None for e in new):
                     await send_kept()
 
-        self.fleet.sent = on_heartbeat_sent
+        self.fleet.heartbeat_hook = on_heartbeat_sent
         self.tasks.start_soon(watch_claims)
 
     async def _send_copy(self, machine: str, name: str, body: dict[str, Any]) -> None:
-        """Deliver a heartbeat again, from a host of its own."""
+        """Deliver a heartbeat again, from a separate simulated host."""
         network = self.net.of(f"copy of {machine}")
         client = Client(name, HTTP_PORT, 1, network, self.loop.time)
         with contextlib.suppress(UnreachableError):
--- a/tests/simulation/model_agent.py
+++ b/tests/simulation/model_agent.py
@@ -1,4 +1,4 @@
-"""An agent: one machine and its tasks, as the protocol describes them."""
+"""A model of an agent: one machine and its tasks, as the protocol describes them."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 CACHED_FETCH_S = 0.1
 FETCH_S = 2.0
 FOREVER_S = 1e9
-LEASE_TOLERANCE_S = 0.1  # agents look at their lease so often
+LEASE_TOLERANCE_S = 0.1  # interval at which agents check their lease
 
 PULLING, WAITING, RUNNING, ENDED = "pulling", "waiting", "running", "ended"
 NOT_ON_MACHINE = (PULLING, ENDED)
 
 
 class AgentWorld(Protocol):
-    """What an agent takes from the simulation that it is in."""
+    """The part of a simulation that its agents use."""
 
     @property
     def now(self) -> float:
-        """The time."""
+        """Return the time in seconds."""
 
     @property
     def rng(self) -> Random:
-        """What random numbers are drawn from."""
+        """Return the source of random numbers."""
 
     @property
     def nodes(self) -> Sequence[Any]:
-        """The controllers."""
+        """Return the controllers."""
 
     @property
     def specs(self) -> dict[str, Job]:
-        """Every submitted job, by its id."""
+        """Return every submitted job by its id."""
 
     @property
     def results(self) -> set[tuple[str, int]]:
-        """The tasks that are done: job and index."""
+        """Return the tasks that are done, each as job id and index."""
 
     @property
-    def longer(self) -> dict[tuple[str, int], float]:
-        """By how many seconds some tasks run longer than others of their job."""
+    def extra_s(self) -> dict[tuple[str, int], float]:
+        """Return the additional running time of some tasks, in seconds."""
 
     def started(self, agent: ModelAgent, attempt: agents.AttemptId) -> None:
-        """A task is on its machine from now on."""
+        """Report that a task is on its machine from now on."""
 
 
 @dataclass
@@ -57,32 +57,34 @@
     """A task attempt that the agent knows."""
 
     state: str
-    ready: float  # when its image is there
-    why: str = ""  # it has ended
+    ready: float  # when its image has been fetched
+    why: str = ""  # the reason why it has ended
     since: float = 0.0  # when it came onto the machine
     until: float = 0.0  # when it is done
-    lost: float | None = None  # since when a gang's task misses one of the others
+    lost: float | None = None  # since when another task of its gang is missing
 
     def end(self, why: str) -> None:
-        """End it, for one of the protocol's reasons."""
+        """End the task, for one of the protocol's reasons."""
         self.state, self.why = ENDED, why
 
 
 class ModelAgent:
-    """One machine, to the letter of the protocol."""
+    """One machine with its agent, which follows the protocol exactly."""
 
     def __init__(self, world: AgentWorld, name: str, zone: str, spot: bool) -> None:
         self.world, self.name, self.zone, self.spot = world, name, zone, spot
         self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[agents.AttemptId, ModelTask] = {}
-        self.controller_index = world.rng.randrange(len(world.nodes))  # whom it reports to
+        self.controller_index = world.rng.randrange(
+            len(world.nodes)
+        )  # of the controller that it reports to
         self.answered_sent = world.now  # when the last answered heartbeat was sent
         self.hung_until = 0.0
-        self.not_receiving_until = 0.0  # its heartbeats arrive, answers and commands do not
+        self.not_receiving_until = 0.0  # until then its heartbeats arrive, but nothing reaches it
         self.images: set[str] = set()
 
     def report(self) -> dict[str, Any]:
-        """The next heartbeat."""
+        """Return the next heartbeat."""
         self.sequence += 1
         return {
             "perch": self.name,
@@ -104,7 +106,7 @@
         return {**listed, "cause": task.why} if task.state == ENDED else listed
 
     def tick(self) -> None:
-        """End everything if the lease has expired; go on with image fetches and tasks."""
+        """Kill all tasks if the lease has expired, and advance image fetches and tasks."""
         if self.world.now - self.answered_sent > parameters.LEASE_S:
             self.tasks.clear()
             self.incarnation += 1
@@ -125,7 +127,7 @@
         if job.kind == "service":
             task.until = now + FOREVER_S
         else:
-            task.until = now + (job.estimate_s + self.world.longer.get(attempt[:2], 0.0))
+            task.until = now + (job.estimate_s + self.world.extra_s.get(attempt[:2], 0.0))
         self.world.started(self, attempt)
 
     def execute(self, calls: list[dict[str, Any]]) -> None:
@@ -158,7 +160,7 @@
         self.tasks[attempt] = task
 
     def used(self) -> float:
-        """GPUs of the tasks that have not ended."""
+        """Return the GPUs of the tasks that have not ended."""
         return sum(
             self.world.specs[attempt[0]].gpus
             for attempt, task in self.tasks.items()
@@ -166,7 +168,7 @@
         )
 
     def on_answer(self, body: dict[str, Any], sent: float, incarnation: int) -> None:
-        """Take the answer to a heartbeat that was sent then, by that incarnation."""
+        """Handle the answer to a heartbeat that incarnation `incarnation` sent at time `sent`."""
         self.tick()
         if body.get("crest", -1) < self.token or incarnation != self.incarnation:
             return
@@ -174,8 +176,8 @@
         self.answered_sent = sent
         self.execute(body["calls"])
 
-    def on_do(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Execute commands that a controller sent by itself; the answer is a heartbeat."""
+    def on_commands(self, body: dict[str, Any]) -> dict[str, Any]:
+        """Execute commands that a controller sent directly; returns a heartbeat as the answer."""
         self.tick()
         if body["crest"] >= self.token and body["tide"] == self.incarnation:
             self.token = body["crest"]
@@ -183,7 +185,7 @@
         return self.report()
 
     def on_machine(self) -> list[agents.AttemptId]:
-        """The attempts that are on the machine: waiting or running."""
+        """Return the attempts that are on the machine, waiting or running."""
         if self.world.now - self.answered_sent > parameters.LEASE_S + LEASE_TOLERANCE_S:
-            return []  # hung beyond its lease: whatever it wakes with, its tasks are killed first
+            return []  # it hangs beyond its lease: when it resumes, its tasks are killed first
         return [attempt for attempt, task in self.tasks.items() if task.state not in NOT_ON_MACHINE]
--- a/tests/simulation/model_controller.py
+++ b/tests/simulation/model_controller.py
@@ -1,4 +1,4 @@
-"""A controller of the decision model: the real decisions, with the I/O around them simulated in a few lines."""
+"""A controller of the decision model: the real decision code with simulated I/O."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 CONTROLLER_LEASE_S = 4.0
 GOSSIP_INTERVAL_S = 0.5
-STALL_S = 1.0  # a longer time between two steps is an event-loop stall
-ROUNDS_PER_STEP = 3  # what a controller sends itself is handled in the same step
+STALL_S = 1.0  # a longer time between two steps counts as an event-loop stall
+ROUNDS_PER_STEP = 3  # a controller handles its messages to itself in the same step
 CONNECTION_NUMBERS = (
-    1000  # a connection's number is its generation times this, plus the receiver's starts
+    1000  # a connection's number is its generation times this plus the receiver's `starts`
 )
-FRAME_ORDER_STEP_S = 0.0001  # a frame arrives at least so much after the one before it
+FRAME_ORDER_STEP_S = 0.0001  # minimum time between the arrivals of two frames
 
 
 class ModelController:
-    """One controller, with its crashes and its cache of the store."""
+    """One controller with its cache of the store; it can crash, stall and be partitioned."""
 
-    stalled_until = 0.0  # nothing is read, done or sent, and its clock runs on
-    watch_hangs_until = 0.0  # its watch of the store brings nothing
-    partitioned_until = 0.0  # only its zone's machines reach it, and it reaches nothing else
-    refused_until = 0.0  # the store refuses it alone
-    out_since: float | None = None  # since when its lease has not been renewed
-    starts = 0  # how often it was started again: what was meant for an earlier process is dropped
+    stalled_until = 0.0  # it reads, does and sends nothing while its clock runs on
+    watch_hangs_until = 0.0  # its watch of the store delivers nothing
+    partitioned_until = 0.0  # only it and its zone's machines reach each other
+    refused_until = 0.0  # the store refuses this controller
+    lease_not_renewed_since: float | None = None  # None: its lease is being renewed
+    starts = 0  # number of restarts; messages to an earlier process are dropped
 
     def __init__(self, model: DecisionModel, index: int, zone: str) -> None:
         self.model, self.index, self.zone, self.name = model, index, zone, f"c{index}"
@@ -77,53 +77,57 @@
         self.replica.changed_jobs.clear()
 
     def read_store_changes(self) -> None:
-        """Read what has changed in the store since the last time."""
+        """Apply the changes of the store since the last read."""
         self.replica.apply(self.model.store.rev, self.model.store.since(self.replica.revision))
         self.barrier.store_contacted(self.model.now)
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store answers it."""
+        """Return whether the store answers this controller."""
         store_down_until = max(self.model.down_until, self.refused_until)
         return not self.partitioned and self.model.now >= store_down_until
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Return whether the controller's process is running."""
         return self.model.now >= self.up_at
 
     @property
     def stalled(self) -> bool:
-        """Whether its event loop stalls."""
+        """Return whether the controller's event loop is stalled."""
         return self.model.now < self.stalled_until
 
     @property
     def partitioned(self) -> bool:
-        """Whether it is cut off from everything but its zone's machines."""
+        """Return whether the controller is partitioned from all but its zone's machines."""
         return self.model.now < self.partitioned_until
 
     @property
     def isolated(self) -> bool:
-        """Whether it has gone so long without the store and the others that it must not act."""
+        """Return whether it has been without the store and its peers for too long to act."""
         return self.barrier.isolated(self.model.now)
 
     # -- gossip --------------------------------------------------------------------------------
 
     def observe_peers(self) -> None:
-        """Note whose key is in the store: a lease outlives its controller by 4 s, and no lease ends in an outage."""
+        """Tell the barrier which peers' keys are in the store.
+
+        A lease expires 4 s after its last renewal, and no lease expires during an outage.
+        """
         for peer in self.model.nodes:
             if peer is self or not self.reaches_store:
                 continue
             if (
-                peer.out_since is not None
-                and self.model.now - max(peer.out_since, self.model.down_until) > CONTROLLER_LEASE_S
+                peer.lease_not_renewed_since is not None
+                and self.model.now - max(peer.lease_not_renewed_since, self.model.down_until)
+                > CONTROLLER_LEASE_S
             ):
                 self.barrier.peer_absent(peer.name, self.model.now)
             else:
                 self.barrier.peer_present(peer.name, True, 0)
 
     def send_gossip(self) -> None:
-        """Send gossip to the others, twice a second."""
+        """Send gossip to the peers, twice a second."""
         now = self.model.now
         for peer in self.model.nodes:
             if (
@@ -139,7 +143,7 @@
             self.model.schedule(delay, peer.receive_gossip, self.name, gossip, peer.starts)
 
     def receive_gossip(self, sender: str, gossip: dict[str, Any], starts: int) -> None:
-        """Take another controller's gossip, and the cancellations in it."""
+        """Handle a peer's gossip and apply the cancellations in it."""
         if starts != self.starts or not self.up:
             return
         if self.model.deferred(self, self.receive_gossip, sender, gossip, starts):
@@ -160,11 +164,11 @@
     # -- shards and their channels -------------------------------------------------------------
 
     def holder(self, role: int) -> str | None:
-        """The controller that holds a shard, as far as this one knows."""
+        """Return the controller that holds a shard, as far as this controller knows."""
         return self.name if role in self.held else self.replica.holder(role)[0]
 
     def handle_store_changes(self) -> None:
-        """Tell the held shards of changed jobs, and drop those that another controller has claimed."""
+        """Pass job changes to the held shards, and drop shards that were claimed by others."""
         changed, self.replica.changed_jobs = self.replica.changed_jobs, []
         for job_id in changed:
             self._handle_job_change(job_id)
@@ -189,7 +193,7 @@
                     held.source.on_job(None, job_id, 0, now)
 
     def acquire(self, shard: int, epoch: int) -> None:
-        """Begin to serve a shard that was claimed, with what others have already sent for it."""
+        """Start serving a claimed shard, with the messages already received for it."""
         self.held[shard] = ModelShard(self, shard, epoch)
         for (kind, source, target), (sent_epoch, state) in list(self.inbox.channels.items()):
             if target == shard:
@@ -201,13 +205,13 @@
         self.outbox.drop((SOURCE_CHANNEL, OWNER_CHANNEL), shard)
 
     def replay_owner_channels(self, held: ModelShard) -> None:
-        """Give a shard's source again what the owners have sent it."""
+        """Replay to a shard's source the state that the owners have sent it."""
         for (kind, source, target), (epoch, state) in list(self.inbox.channels.items()):
             if target == held.shard and kind == OWNER_CHANNEL:
                 self.dispatch([kind, source, epoch, target, True, dict(state)])
 
     def dispatch(self, message: list[Any]) -> None:
-        """Give a message between shards to the one that it is for, if it is held here."""
+        """Pass a message to its target shard, if this controller holds that shard."""
         kind, source, epoch, target, full, changes = message[:6]
         held = self.held.get(target)
         if held is None or epoch < self.replica.holder(source)[1]:
@@ -218,7 +222,7 @@
             held.source.on_owner_update(source, epoch, full, changes, self.model.now)
 
     def receive(self, batch: list[Any], starts: int) -> None:
-        """Take a frame from another controller."""
+        """Handle a frame, a batch of messages, from a peer."""
         if starts != self.starts or not self.up:
             return
         if self.model.deferred(self, self.receive, batch, starts):
@@ -230,7 +234,7 @@
     # -- a step of the event loop --------------------------------------------------------------
 
     def step(self) -> None:
-        """Decide, send, and handle what is sent to itself."""
+        """Run the decisions, handle messages to itself, and send messages to the peers."""
         now = self.model.now
         if now - self.stepped_at > STALL_S:
             for held in self.held.values():
@@ -249,10 +253,15 @@
                 self._send_to(peer)
 
     def _send_to(self, peer: ModelController) -> None:
-        """Send the outbound channels' messages: in order on one connection, in any order on different ones."""
+        """Send a peer the messages of the outbound channels.
+
+        Frames arrive in order on one connection, and in any order on different connections.
+        """
         model, generation = self.model, self.generation.get(peer.name, 0)
         if model.cut(self, peer) or (model.chaos > 0 and model.rng.random() < 0.01):
-            self.generation[peer.name] = generation + 1  # a new connection follows
+            self.generation[peer.name] = (
+                generation + 1
+            )  # reconnect: the next frame uses a new connection
             return
         number = generation * CONNECTION_NUMBERS + peer.starts
         batch = self.outbox.collect(peer.name, number, self.holder)
@@ -293,7 +302,7 @@
             model.messages.write(self, held, transaction)
 
     def confirm_epochs(self, starts: int, begun: float) -> None:
-        """A linearizable read that was begun then has shown who holds which shard."""
+        """Confirm the epochs of the held shards by a linearizable read that began at `begun`."""
         if not self.reaches_store or starts != self.starts:
             return
         if self.model.deferred(self, self.confirm_epochs, starts, begun):
--- a/tests/simulation/model_faults.py
+++ b/tests/simulation/model_faults.py
@@ -1,4 +1,4 @@
-"""The faults that the decision model draws."""
+"""Faults that are injected into the decision model."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class FaultKind(IntEnum):
-    """What may go wrong."""
+    """The kinds of faults."""
 
     CRASH = 0  # of one controller
     CRASHES = 1  # of several at once
     LINK_PARTITION = 2  # between any two controllers or machines
     MACHINE_HANG = 3
     STALLS = 4  # of several controllers' event loops
-    WATCH_HANG = 5  # one controller's watch of the store brings nothing
+    WATCH_HANG = 5  # one controller's watch of the store delivers nothing
     NO_MACHINES = 6  # one controller is partitioned from all machines
     ZONE_PARTITION = 7
     MACHINES_NOT_RECEIVING = 8
@@ -31,7 +31,7 @@
 
 
 class FaultInjector:
-    """Draws faults and puts them into the model."""
+    """Draws faults and injects them into the model."""
 
     def __init__(self, model: DecisionModel) -> None:
         self.model = model
@@ -49,7 +49,7 @@
         }
 
     def inject(self) -> None:
-        """Begin a fault now, and others after 2 to 8 s each."""
+        """Begin a fault now, and schedule the next one in 2 to 8 s."""
         model = self.model
         model.schedule(2.0 + 6.0 * model.rng.random(), self.inject)
         if model.chaos > 0 and model.kinds:
@@ -104,9 +104,9 @@
             agent.not_receiving_until = model.now + model.rng.choice([3.0, 8.0, 12.0, 40.0])
 
     def _refuse_then_outage(self) -> None:
-        """The store refuses one controller, and then everybody.
+        """Let the store refuse one controller, and then all of them.
 
-        An outage gives every lease its full time again.
+        After an outage every lease has its full time to live again.
         """
         model = self.model
         controller = self._any_controller()
--- a/tests/simulation/model_messages.py
+++ b/tests/simulation/model_messages.py
@@ -1,4 +1,7 @@
-"""The messages of the decision model: writes to the store, heartbeats, and commands to machines, each of which may be late or lost."""
+"""The messages of the decision model, each of which may be late or lost.
+
+They are writes to the store, heartbeats, and commands to machines.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +18,10 @@
 if TYPE_CHECKING:
     from .decision_model import DecisionModel
 
-RETRY_S = 0.5  # a controller that the store does not answer asks again
+RETRY_S = 0.5  # retry interval of a controller that does not reach the store
 WRITE_TIMEOUT_S = 1.0
 COMMAND_TIMEOUT_S = 1.5
-# Of the writes, the share that is answered, and the share that is carried out
+# Share of the writes that is answered, and share that is executed
 ANSWERED_WRITES = 0.85
 EXECUTED_WRITES = 0.95
 ANSWERED_COMMANDS = 0.9
@@ -34,9 +37,9 @@
     # -- writes --------------------------------------------------------------------------------
 
     def write(self, controller: ModelController, held: ModelShard, transaction: Any) -> None:
-        """Send a shard's transaction to the store; its outcome follows."""
-        # A partition does not hold a write back until it ends: the outcome is unknown, and it is
-        # not carried out
+        """Send a shard's transaction to the store; the outcome is handled later."""
+        # During a partition a write is not executed and its outcome is unknown; it is not delayed
+        # until the partition ends
         model = self.model
         fate = model.rng.random() if controller.reaches_store else 1.0
         starts = controller.starts
@@ -46,7 +49,7 @@
                 return
             if model.deferred(controller, on_outcome, revision, failed, unknown):
                 return
-            if not controller.reaches_store:  # neither written nor read again before that
+            if not controller.reaches_store:  # without the store it can neither write nor read
                 model.schedule(RETRY_S, on_outcome, revision, failed, unknown)
                 return
             self._finish_write(controller, held, transaction, revision, failed, unknown)
@@ -59,12 +62,12 @@
         if fate < ANSWERED_WRITES or model.chaos <= 0:
             model.schedule(model.delay(), execute, True)
             return
-        if fate < EXECUTED_WRITES:  # carried out late or at once, and the answer is lost
+        if fate < EXECUTED_WRITES:  # executed late or at once, and the answer is lost
             model.schedule(model.rng.choice([0.0, 0.5, 5.0, 30.0]), execute, False)
         model.schedule(WRITE_TIMEOUT_S, on_outcome, 0, [], True)
 
     def _execute(self, transaction: Any) -> tuple[int, list[str]]:
-        """Carry a transaction out; no job may be recorded as done that is not."""
+        """Execute a transaction, and check that jobs recorded as done are done."""
         model = self.model
         revision, failed = model.store.txn(
             transaction.compare,
@@ -124,7 +127,7 @@
             self.deliver_heartbeat(controller, agent, body, sent, incarnation, False)
             return
         self._try_next_controller(agent)
-        if model.rng.random() < 0.3:  # held back, delivered late
+        if model.rng.random() < 0.3:  # delayed and delivered later
             after = model.rng.choice([3.0, 12.0, 25.0])
             model.schedule(
                 after, self.deliver_heartbeat, controller, agent, body, sent, incarnation, True
@@ -142,7 +145,7 @@
         incarnation: int,
         late: bool,
     ) -> None:
-        """A heartbeat reaches a controller; if it is late, nobody waits for the answer any more."""
+        """Deliver a heartbeat to a controller; if it is late, its answer is discarded."""
         model = self.model
         if not controller.up:
             return
@@ -160,7 +163,7 @@
                 self._redirect(controller, agent, shard)
             return
         if machine.stale_heartbeat:
-            # as in controller.heartbeat_requests: an answer without commands, for which nobody waits
+            # as in controller.heartbeat_requests: the answer has no commands and is discarded
             return
         token = machine.token  # before the commands are built, which may raise it
         commands = held.owner.commands_for(machine, model.now)
@@ -176,7 +179,7 @@
             agent.on_answer(answer, sent, incarnation)
 
     def _redirect(self, controller: ModelController, agent: ModelAgent, shard: int) -> None:
-        """The answer of a controller that does not hold the machine's shard names the one that does."""
+        """Redirect an agent to the holder of its machine's shard, or to the next controller."""
         holder = controller.replica.holder(shard)[0]
         if holder and holder != controller.name:
             agent.controller_index = int(holder[1])
@@ -188,7 +191,7 @@
     def send_commands(
         self, controller: ModelController, held: ModelShard, machine: Any, body: dict[str, Any]
     ) -> None:
-        """Send commands straight to a machine; its answer is a heartbeat."""
+        """Send commands directly to a machine, which answers with a heartbeat."""
         model = self.model
         agent = model.workers[machine.name]
         starts = controller.starts
@@ -205,13 +208,13 @@
             if model.now < agent.hung_until:
                 model.schedule(agent.hung_until - model.now + 0.01, deliver, False)
                 return
-            report = agent.on_do(body)
+            report = agent.on_commands(body)
             if answered:
                 model.schedule(model.delay(), on_answer, report)
 
         unreachable = model.now < max(agent.hung_until, agent.not_receiving_until)
         if model.cut(controller, agent) or fate > ANSWERED_COMMANDS or unreachable:
-            # held back, executed late
+            # delayed and executed later
             model.schedule(model.rng.choice([0.2, 4.0, 15.0, 40.0]), deliver, False)
             model.schedule(COMMAND_TIMEOUT_S, on_answer, None)
         else:
--- a/tests/simulation/model_shard.py
+++ b/tests/simulation/model_shard.py
@@ -17,7 +17,7 @@
 
 
 def copied(value: Any) -> Any:
-    """A deep copy of what could be encoded as JSON; tuples become lists."""
+    """Return a deep copy of a JSON-encodable value; tuples become lists."""
     if isinstance(value, dict):
         return {key: copied(item) for key, item in value.items()}
     return [copied(item) for item in value] if isinstance(value, (list, tuple)) else value
@@ -29,7 +29,7 @@
     def __init__(self, controller: ModelController, shard: int, epoch: int) -> None:
         model = controller.model
         self.controller, self.shard, self.epoch = controller, shard, epoch
-        self.writing = False  # a write is under way
+        self.writing = False  # whether a write is in progress
         self.owner = ShardOwner(
             shard,
             epoch,
@@ -49,7 +49,7 @@
         )
         self.owner.job_ended_in_store = controller.replica.ended_jobs.__contains__
         teams = [model.teams[team] for team in model.layout.teams_of(shard)]
-        # the allocations are read after the claim: from here on no earlier holder can write them
+        # the allocations are read after the claim, when no earlier holder can write them any more
         self.source = JobSource(shard, epoch, teams, ("a", "b"), model.value_bytes, model.txn_ops)
         self._read_jobs()
         for team in teams:
--- a/tests/simulation/model_store.py
+++ b/tests/simulation/model_store.py
@@ -14,7 +14,7 @@
 class ModelStore:
     """Keys with values and versions.
 
-    The revision rises by one with each transaction that is carried out.
+    Each executed transaction increases the revision by one.
     """
 
     def __init__(self) -> None:
@@ -25,14 +25,17 @@
     def txn(
         self, guards: dict[str, int], puts: dict[str, Any], deletes: list[str], limit: int = 48
     ) -> tuple[int, list[str]]:
-        """Compare-and-swap: write all if each guarded key has its version (0: is absent).
+        """Execute a compare-and-swap: write if each guarded key has its version (0: absent).
 
-        Returns the new revision and no keys; or 0 and the keys whose comparison failed. Raises
-        AssertionError over `limit` operations.
+        Returns:
+            The new revision and an empty list, or 0 and the keys whose comparison failed.
+
+        Raises:
+            AssertionError: more than `limit` operations, or more than four times as many guards.
         """
         assert (
             len(puts) + len(deletes) <= limit and len(guards) <= MAX_COMPARES_PER_WRITE * limit
-        ), "over the limits of a transaction"
+        ), "transaction has too many operations or guards"
         failed = [
             key for key, version in guards.items() if self.kv.get(key, (None, 0))[1] != version
         ]
@@ -48,7 +51,7 @@
         return self.rev, []
 
     def since(self, rev: int) -> list[WatchEvent]:
-        """What was changed after a revision, as the controllers watch it."""
+        """Return the changes after a revision, of the keys that controllers watch."""
         changes = []
         for event in reversed(self.log):
             if event.version <= rev:
@@ -58,7 +61,7 @@
         return changes[::-1]
 
     def permits(self) -> dict[str, Any]:
-        """The record chunks that list an allocation, by key."""
+        """Return the record chunks that list an allocation, by key."""
         return {
             key: value
             for key, (value, _) in self.kv.items()
@@ -66,5 +69,5 @@
         }
 
     def read(self, prefix: str) -> dict[str, tuple[Any, int]]:
-        """Values and versions of all keys that begin so, in the order of the keys."""
+        """Return values and versions of all keys with a prefix, sorted by key."""
         return {key: kept for key, kept in sorted(self.kv.items()) if key.startswith(prefix)}
--- a/tests/simulation/sample_submission.py
+++ b/tests/simulation/sample_submission.py
@@ -1,4 +1,4 @@
-"""A valid submission, of which tests and benchmarks change the fields that they are about."""
+"""A valid submission; tests and benchmarks override the fields that they concern."""
 
 from __future__ import annotations
 
--- a/tests/simulation/scene.py
+++ b/tests/simulation/scene.py
@@ -1,4 +1,4 @@
-"""Runs a scene (a test's course of events) on a simulated cluster, and judges it."""
+"""Run a scene, a test's scenario, on a simulated cluster and check the outcome."""
 
 from __future__ import annotations
 
@@ -16,15 +16,24 @@
 from .virtual_time import SceneError, VirtualTimeLoop
 
 Scene = Callable[[SimulatedCluster], Awaitable[None]]
-# A logged error that begins so is a mistake in code, not a controller's answer to a fault
-MISTAKES = ("TypeError(", "AttributeError(", "NameError(", "UnboundLocalError(", "ImportError(")
+# A logged error with one of these prefixes is a programming error, not a reaction to a fault
+PROGRAMMING_ERRORS = (
+    "TypeError(",
+    "AttributeError(",
+    "NameError(",
+    "UnboundLocalError(",
+    "ImportError(",
+)
 
 
 def play(scene: Scene, seed: int = 1, **kwargs: Any) -> SimulatedCluster:
-    """Run a scene in virtual time and judge it: the rules all along, service at its end.
+    """Run a scene in virtual time; check the rules throughout and the served jobs at its end.
 
-    The keyword arguments are those of SimulatedCluster. Raises AssertionError, or what `run`
-    raises.
+    The keyword arguments are those of SimulatedCluster.
+
+    Raises:
+        AssertionError: a rule was broken or too few jobs were served.
+        SceneError: see `run`.
     """
     cluster = run(scene, seed, **kwargs)
     check(cluster)
@@ -32,44 +41,49 @@
 
 
 def run(scene: Scene, seed: int = 1, **kwargs: Any) -> SimulatedCluster:
-    """Run a scene in virtual time, without the verdict at its end.
+    """Run a scene in virtual time, without the check at its end.
 
-    Raises SceneError if the scene never ends, or if a controller logs an error that is a mistake in
-    code: then whatever the test sees comes from that mistake and not from the guard that it is
-    about.
+    Raises:
+        SceneError: the scene does not end, or a controller logs a programming error. In that case
+            the outcome results from that error and not from the guard under test.
     """
     made: list[SimulatedCluster] = []
-    mistakes: list[str] = []
+    programming_errors: list[str] = []
     logging.getLogger("asyncio").setLevel(logging.ERROR)
 
     async def main() -> None:
         cluster = SimulatedCluster(seed, **kwargs)
         made.append(cluster)
         async with anyio.create_task_group() as tasks:
-            with _mistakes_noted(mistakes, tasks.cancel_scope.cancel):
+            with _recording_programming_errors(programming_errors, tasks.cancel_scope.cancel):
                 await cluster.start(tasks)
                 await scene(cluster)
                 tasks.cancel_scope.cancel()
 
     anyio.run(main, backend_options={"loop_factory": VirtualTimeLoop})
-    if mistakes:
-        raise SceneError(f"a mistake in code: {mistakes[:3]}")
+    if programming_errors:
+        raise SceneError(f"a controller logged a programming error: {programming_errors[:3]}")
     return made[0]
 
 
 @contextlib.contextmanager
-def _mistakes_noted(mistakes: list[str], end_scene: Callable[[], None]) -> Iterator[None]:
-    """Within this, an error logged by a controller that is a mistake in code is noted and ends the scene.
+def _recording_programming_errors(
+    programming_errors: list[str], end_scene: Callable[[], None]
+) -> Iterator[None]:
+    """Record programming errors that a controller logs, and end the scene at the first one.
 
-    Not one raised by a test's own code: an earlier version put in place of a guard may be wrong so.
+    Errors raised in a test's own code do not count: the earlier version of a guard that a test
+    installs may raise them.
     """
     write = log.error
 
     def error(event: str, **fields: Any) -> None:
         write(event, **fields)
         in_package = not str(fields.get("at", "")).startswith("test_")
-        if in_package and any(str(value).startswith(MISTAKES) for value in fields.values()):
-            mistakes.append(f"{event} {fields}")
+        if in_package and any(
+            str(value).startswith(PROGRAMMING_ERRORS) for value in fields.values()
+        ):
+            programming_errors.append(f"{event} {fields}")
             end_scene()
 
     log.error = error
--- a/tests/simulation/simulated_network.py
+++ b/tests/simulation/simulated_network.py
@@ -1,4 +1,4 @@
-"""A network in virtual time, in which every directed link between two hosts may be partitioned, slow or lossy."""
+"""A network in virtual time whose directed links can be partitioned, slow or lossy."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 import anyio
 import anyio.abc
 
-# What a link does with packets:
-SILENT = "silent"  # they arrive when it ends, unless their sender has closed the connection by then
-HOLD = "hold"  # they arrive when it ends
+# What a link does with its packets while the partition lasts:
+SILENT = "silent"  # they arrive at its end, unless the sender has closed the connection by then
+HOLD = "hold"  # they arrive at its end
 RESET = "reset"  # they reset their connection
-REFUSE = "refuse"  # no connection can be opened; open ones go on
+REFUSE = "refuse"  # no connection can be opened; open ones keep working
 SLOW = "slow"
-LOSSY = "lossy"  # some are lost and sent again
-DEAF = "deaf"  # like silent, but the other side can still connect and is received
-# No connection can be opened in this direction; those that the other side opens carry both ways
-MUTE = "mute"
+LOSSY = "lossy"  # some are lost and retransmitted
+NO_DELIVERY = "deaf"  # like silent, but the receiver can still connect, and its packets arrive
+# No connection can be opened in this direction; those opened by the other side work in both
+NO_CONNECT = "mute"
 MODES = (SILENT, HOLD, RESET, REFUSE, SLOW, LOSSY)
 
 MIN_DELAY_S = 0.0005
@@ -30,13 +30,13 @@
 SLOW_SPREAD_S = 0.5
 LOSS_SHARE = 0.3
 RETRANSMISSION_DELAYS_S = (0.2, 0.4, 1.2)
-PACKET_ORDER_STEP_S = 1e-6  # a packet arrives at least so much after the one before it
+PACKET_ORDER_STEP_S = 1e-6  # minimum time between the arrivals of two packets
 CONNECT_POLL_S = 1.0
 
 
 @dataclass(slots=True)
 class NetworkPartition:
-    """What a directed link does with its packets, and until when."""
+    """The mode of a directed link, and the time at which it ends."""
 
     mode: str
     until: float
@@ -49,7 +49,7 @@
         self.network, self.here, self.there = network, here, there
         self.received, self.changed = bytearray(), anyio.Event()
         self.ended = self.broken = self.closed = False
-        self.last_arrival = 0.0  # of what was sent: what follows does not overtake it
+        self.last_arrival = 0.0  # of the packets sent so far; later ones do not overtake them
         self.opened = False  # this side opened the connection
         self.other: SimulatedStream
 
@@ -63,7 +63,7 @@
         self.network.transmit(self, bytes(item))
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        """The next bytes; waits for them, and raises anyio's errors if none can follow."""
+        """Wait for and return the next bytes; raises anyio's errors if none can follow."""
         await anyio.lowlevel.checkpoint()
         while not self.received:
             if self.closed:
@@ -83,16 +83,16 @@
         self.network.transmit(self, None)
 
     async def aclose(self) -> None:
-        """Close this end; the other end reads to the end of what was sent."""
+        """Close this end; the other end can still read everything that was sent."""
         if not self.closed:
             self.closed = True
             self.network.transmit(self, None)
             self.changed.set()
 
     def deliver(self, data: bytes | None, silent: bool) -> None:
-        """Take a packet from the other side: data, or None for its end."""
+        """Receive a packet from the other side: data, or None for the end of the stream."""
         if silent and self.other.closed:
-            return  # nobody sends it again any more
+            return  # the sender no longer retransmits it
         if data is None:
             self.ended = True
         else:
@@ -100,12 +100,12 @@
         self.changed.set()
 
     def reset(self) -> None:
-        """Break this end."""
+        """Reset this end."""
         self.broken = True
         self.changed.set()
 
     def reset_both_ends(self) -> None:
-        """Break the connection."""
+        """Reset the connection."""
         self.reset()
         self.other.reset()
 
@@ -115,7 +115,7 @@
 
 @dataclass
 class SimulatedNetwork:
-    """All hosts' connections and packets, and the state of every directed link."""
+    """The connections of all hosts, and the state of every directed link."""
 
     rng: Random
     clock: Callable[[], float]
@@ -123,11 +123,11 @@
     listeners: dict[tuple[str, int], Handler] = field(default_factory=dict)
     groups: dict[tuple[str, int], anyio.abc.TaskGroup] = field(default_factory=dict)
     streams: list[SimulatedStream] = field(default_factory=list)
-    trace: list[str] | None = None  # every packet, where somebody wants to compare
-    checksum: int = 0  # of all packets so far: two runs of one seed end with the same
+    trace: list[str] | None = None  # every packet, if a test needs it
+    checksum: int = 0  # of all packets so far; equal in two runs of one seed
 
     def of(self, host: str) -> SimulatedHost:
-        """The network as one host has it."""
+        """Return the network as one host sees it."""
         return SimulatedHost(self, host)
 
     def cut(self, a: str, b: str, mode: str, s: float, both: bool = True) -> None:
@@ -135,7 +135,7 @@
         until = self.clock() + s
         for source, target in ((a, b), (b, a))[: 2 if both else 1]:
             self.cuts[source, target] = NetworkPartition(mode, until)
-            if mode not in (RESET, MUTE):
+            if mode not in (RESET, NO_CONNECT):
                 continue
             for stream in self.streams:
                 if (stream.here, stream.there) == (source, target) and (
@@ -144,17 +144,17 @@
                     stream.reset_both_ends()
 
     def partition(self, source: str, target: str) -> NetworkPartition | None:
-        """The partition of a directed link that is in force now."""
+        """Return the partition of a directed link that is in force now, or None."""
         found = self.cuts.get((source, target))
         return found if found is not None and found.until > self.clock() else None
 
     def arrival(self, source: str, target: str) -> float:
-        """When a packet that leaves now arrives."""
+        """Draw the arrival time of a packet that is sent now."""
         at = self.clock() + MIN_DELAY_S + DELAY_SPREAD_S * self.rng.random()
         partition = self.partition(source, target)
         if partition is None:
             return at
-        if partition.mode in (SILENT, HOLD, DEAF):
+        if partition.mode in (SILENT, HOLD, NO_DELIVERY):
             return partition.until + DELAY_SPREAD_S * self.rng.random()
         if partition.mode == SLOW:
             return at + (SLOW_DELAY_S + SLOW_SPREAD_S * self.rng.random())
@@ -163,7 +163,7 @@
         return at
 
     def transmit(self, stream: SimulatedStream, data: bytes | None) -> None:
-        """Send a packet from one end of a connection to the other: data, or None for its end."""
+        """Send a packet to the other end of a connection: data, or None for the end."""
         partition = self.partition(stream.here, stream.there)
         if partition is not None and partition.mode == RESET:
             stream.reset_both_ends()
@@ -174,7 +174,7 @@
         self._add_to_checksum(stream, data)
         if self.trace is not None:
             self.trace.append(f"{self.clock():.6f} {stream.here}>{stream.there} {data!r}")
-        silent = partition is not None and partition.mode in (SILENT, DEAF)
+        silent = partition is not None and partition.mode in (SILENT, NO_DELIVERY)
         asyncio.get_running_loop().call_at(stream.last_arrival, stream.other.deliver, data, silent)
 
     def _add_to_checksum(self, stream: SimulatedStream, data: bytes | None) -> None:
@@ -183,13 +183,13 @@
         self.checksum = zlib.crc32(self.checked_content(stream, data), with_arrival)
 
     def checked_content(self, stream: SimulatedStream, data: bytes | None) -> bytes:
-        """What of a packet's content enters the checksum: all of it."""
+        """Return the part of a packet's content that enters the checksum: all of it."""
         return data or b""
 
     async def connect(self, source: str, target: str, port: int) -> SimulatedStream:
         """Open a connection.
 
-        Returns the end at `source`. Raises ConnectionError as the operating system does.
+        Returns the end at `source`. Raises ConnectionError like the operating system.
         """
         await self._handshake_packet(source, target, source)
         await self._handshake_packet(target, source, source)
@@ -205,13 +205,13 @@
         return here
 
     async def _handshake_packet(self, sender: str, receiver: str, opener: str) -> None:
-        """Wait until a packet of a connection's opening has arrived."""
+        """Wait until a packet of a connection's handshake has arrived."""
         while True:
             partition = self.partition(sender, receiver)
             if partition is not None:
-                if partition.mode == DEAF and sender != opener:
-                    return  # whoever connects is received, and receives none of the answers
-                if partition.mode == MUTE and sender == opener:
+                if partition.mode == NO_DELIVERY and sender != opener:
+                    return  # the connection opens, and its answers do not arrive
+                if partition.mode == NO_CONNECT and sender == opener:
                     await anyio.sleep(min(CONNECT_POLL_S, partition.until - self.clock()))
                     continue
                 if partition.mode == RESET:
@@ -220,13 +220,13 @@
                     raise ConnectionRefusedError
             await anyio.sleep(min(CONNECT_POLL_S, self.arrival(sender, receiver) - self.clock()))
             partition = self.partition(sender, receiver)
-            if partition is None or partition.mode not in (SILENT, HOLD, DEAF):
+            if partition is None or partition.mode not in (SILENT, HOLD, NO_DELIVERY):
                 return
 
 
 @dataclass
 class SimulatedHost:
-    """The network as one host has it: what `ploverhall.transport.network.Network` asks for."""
+    """The network as one host sees it, as a `ploverhall.transport.network.Network`."""
 
     network: SimulatedNetwork
     name: str
--- a/tests/simulation/submission_rules.py
+++ b/tests/simulation/submission_rules.py
@@ -1,4 +1,4 @@
-"""Which submissions must not be accepted, by the protocol."""
+"""The protocol's rules on which submissions must not be accepted."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def rejection_reason(body: dict[str, Any], teams: Mapping[str, Team]) -> str | None:
-    """Why a submission must not be accepted, by the protocol's lines on 400 and 422.
+    """Return why a submission must be refused with status 400 or 422 under the protocol.
 
     Returns None if it may be accepted.
     """
@@ -58,5 +58,5 @@
         return "more than the team's limit"
     spread = body["gait"] == "group" and body["scatter"] and body["chicks"] > 1
     if spread and (body["together"] or len(zones) < 2):
-        return "a gang that no zones can hold"
+        return "gang that fits in no set of zones"
     return None
--- a/tests/simulation/task_rules.py
+++ b/tests/simulation/task_rules.py
@@ -1,4 +1,4 @@
-"""The protocol's rules on what is on the machines, judged from there."""
+"""The protocol's rules on tasks, checked against what is on the machines."""
 
 from __future__ import annotations
 
@@ -24,41 +24,42 @@
 
     @property
     def now(self) -> float:
-        """The time."""
+        """Return the time in seconds."""
 
     @property
     def workers(self) -> Mapping[str, ModelAgent]:
-        """The agents, by machine."""
+        """Return the agents by machine name."""
 
     @property
     def specs(self) -> dict[str, Job]:
-        """Every submitted job, by its id."""
+        """Return every submitted job by its id."""
 
 
-class JudgedMachines(Machines, Protocol):
-    """The same, with what users were told and what teams may use."""
+class CheckedMachines(Machines, Protocol):
+    """The machines and jobs, with the acknowledged cancellations and the teams' limits."""
 
     @property
     def cancelled(self) -> dict[str, float]:
-        """When users were told that a job is cancelled."""
+        """Return when users were told of each cancellation, by job id."""
 
     @property
     def teams(self) -> Mapping[str, Team]:
-        """The teams, by name."""
+        """Return the teams by name."""
 
 
 class GangMachines(Machines, Protocol):
-    """The same, with the results that gangs add to."""
+    """The machines and jobs, with the results to which finished gangs are added."""
 
     @property
     def results(self) -> set[Any]:
-        """The tasks that are done: job and index."""
+        """Return the tasks that are done, each as job id and index."""
 
 
 def check_start(machines: Machines, agent: ModelAgent, attempt: AttemptId) -> None:
-    """A task that has started runs nowhere else, and where its job allows it.
+    """Check that a started task runs on no other machine, and only where its job allows.
 
-    Raises RuleBrokenError.
+    Raises:
+        RuleBrokenError: it runs elsewhere too, or its machine does not suit the job.
     """
     job = machines.specs[attempt[0]]
     zones: dict[str, int] = {}
@@ -81,10 +82,11 @@
         raise RuleBrokenError(f"wrong_place: {attempt} on {agent.name}: {zones}")
 
 
-def check_machines(machines: JudgedMachines) -> None:
-    """No team uses more than its limit, and nothing runs that was cancelled too long ago.
+def check_machines(machines: CheckedMachines) -> None:
+    """Check the teams' limits, and that cancelled jobs end within `CANCEL_S`.
 
-    Raises RuleBrokenError.
+    Raises:
+        RuleBrokenError: a team exceeds its limit, or a cancelled job still runs.
     """
     used: dict[str, float] = {}
     for agent in machines.workers.values():
@@ -97,8 +99,12 @@
             raise RuleBrokenError(f"quota: {team} uses {gpus} at {machines.now}")
 
 
-def _check_not_cancelled(machines: JudgedMachines, agent: ModelAgent, attempt: AttemptId) -> None:
-    """A hanging machine is no excuse: within its lease it may go on, and beyond it there is nothing on it."""
+def _check_not_cancelled(machines: CheckedMachines, agent: ModelAgent, attempt: AttemptId) -> None:
+    """Check that an attempt's job was not cancelled more than `CANCEL_S` ago.
+
+    Hung machines are not exempt: one may resume within its lease, and beyond the lease no task
+    counts as being on it.
+    """
     job_id = attempt[0]
     if (
         job_id in machines.cancelled
@@ -111,7 +117,7 @@
 
 
 def advance_gangs(machines: GangMachines) -> None:
-    """Begin, go on with and end the gangs' tasks on the machines, as their agents do together."""
+    """Start, advance and end the gangs' tasks on the machines, as their agents do together."""
     gangs: dict[tuple[str, int], list[GangMember]] = {}
     for agent in machines.workers.values():
         for attempt, task in agent.tasks.items():
--- a/tests/simulation/user_actions.py
+++ b/tests/simulation/user_actions.py
@@ -1,4 +1,4 @@
-"""What users do beside their ordinary submissions: cancel, look closely, and send what must be refused."""
+"""User actions besides ordinary submissions: cancellations, polling and invalid requests."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from .model_agent import RUNNING
 
 AROUND_END_S = 0.05
-ODD_JOB_NUMBERS = 990_000
+FIRST_INVALID_JOB_NUMBER = 990_000
 
 
 class UserActions(FaultContext):
-    """Cancellations at awkward moments, and odd requests."""
+    """Cancellations at critical moments, and invalid requests."""
 
     async def cancels(self, after: float = 0.0) -> None:
-        """Users cancel some of what runs."""
+        """Let users cancel up to three running jobs after some seconds."""
         await anyio.sleep(after)
         on_machines = {
             attempt[0] for agent in self.cluster.workers.values() for attempt in agent.on_machine()
@@ -31,7 +31,7 @@
             self.cluster.tasks.start_soon(self.cluster.withdraw, job_id)
 
     async def cancel_at_end(self) -> None:
-        """Jobs are cancelled in the 20 ms around the end of their last task."""
+        """Cancel 60% of the jobs between 50 ms before and 40 ms after their last task ends."""
         cluster = self.cluster
         until, seen = cluster.now + self.seconds(15.0, 40.0), set[str]()
         while cluster.now < until:
@@ -44,7 +44,7 @@
                 seen.add(job_id)
                 if self.rng.random() < 0.6:
                     after = 0.07 * self.rng.random()
-                    cluster.tasks.start_soon(self._later, after, cluster.withdraw, job_id)
+                    cluster.tasks.start_soon(self._call_after, after, cluster.withdraw, job_id)
 
     def _about_to_end(self) -> list[AttemptId]:
         return [
@@ -55,24 +55,30 @@
         ]
 
     def _is_last(self, job_id: str, index: int) -> bool:
-        """Whether all other tasks of a job are done."""
+        """Return whether all other tasks of a job are done."""
         return all(
             (job_id, i) in self.cluster.fleet.results
             for i in range(self.cluster.specs[job_id].task_count)
             if i != index
         )
 
-    async def _later(self, s: float, call: Callable[[str], Awaitable[None]], job_id: str) -> None:
-        """A user does something in so many seconds, whether the fault is over or not."""
+    async def _call_after(
+        self, s: float, call: Callable[[str], Awaitable[None]], job_id: str
+    ) -> None:
+        """Call a user's action in s seconds, even if the fault is over by then."""
         await anyio.sleep(s)
         await call(job_id)
 
-    async def close_looks(self) -> None:
-        """Users look closely at every change of a job."""
-        await self.cluster.close_looks(self.seconds(15.0, 40.0))
+    async def poll_changed_jobs(self) -> None:
+        """Let users poll all controllers at every change of a job."""
+        await self.cluster.poll_changed_jobs(self.seconds(15.0, 40.0))
 
-    async def odd_requests(self) -> None:
-        """Repeated submissions of what is unfinished, cancellations of what is done, jobs that fit no machine or lack a field."""
+    async def invalid_requests(self) -> None:
+        """Send requests that are repeated, too late or invalid.
+
+        These are repeated submissions of accepted jobs, cancellations of jobs that are done, and
+        submissions that fit no machine, name an unknown team or lack a field.
+        """
         cluster, rng = self.cluster, self.rng
         until = cluster.now + self.seconds(15.0, 40.0)
         while cluster.now < until:
@@ -87,19 +93,19 @@
             done = sorted(job_id for job_id, state in cluster.told.items() if state == "done")
             if done:
                 cluster.tasks.start_soon(cluster.withdraw, rng.choice(done))
-            await self._submit_odd()
+            await self._submit_invalid()
 
-    async def _submit_odd(self) -> None:
+    async def _submit_invalid(self) -> None:
         cluster, rng = self.cluster, self.rng
         fields: dict[str, object] = rng.choice(
             [{"gpus": 64.0}, {"keeper": "nobody"}, {"cores": None}]
         )
-        odd = {
-            **cluster.spec(ODD_JOB_NUMBERS + rng.randrange(100), gait="array"),
+        invalid = {
+            **cluster.spec(FIRST_INVALID_JOB_NUMBER + rng.randrange(100), gait="array"),
             **fields,
         }
         with contextlib.suppress(UnreachableError):
             name = rng.choice(cluster.names)
-            status, _ = await cluster.users[name].call("POST", "/api/jobs", odd, 5.0)
+            status, _ = await cluster.users[name].call("POST", "/api/jobs", invalid, 5.0)
             if status in (200, 201):
-                cluster.broken.append(f"accepted though it can't run: {odd}")
+                cluster.broken.append(f"accepted though it can't run: {invalid}")
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -1,4 +1,7 @@
-"""Users of a simulated deployment: what they submit, cancel and ask, and whether the answers agree with each other."""
+"""Users of a simulated deployment, who submit, cancel and ask about jobs.
+
+They check that the answers they get agree with each other.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from .sample_submission import SUBMISSION
 from .submission_rules import rejection_reason
 
-SUBMIT_FOR_S = 60.0  # a user who has not been accepted by then gives up
+SUBMIT_FOR_S = 60.0  # a user gives up if a job is not accepted within this time
 RETRY_S = 1.0
 FINAL_STATES = (jobs.DONE, jobs.CANCELLED)
 STATES = (jobs.QUEUED, jobs.RUNNING, *FINAL_STATES)
@@ -25,15 +28,15 @@
 
 @dataclass
 class SubmittedJob:
-    """One user's job."""
+    """The state of one user's submission."""
 
-    at: float  # of the first submission
+    at: float  # time of the first attempt
     accepted: float | None = None
     refusals: int = 0
 
 
 class SimulatedUsers(SimulatedDeployment):
-    """A deployment with users, who remember what they were told."""
+    """A deployment with users, who remember the answers that they received."""
 
     def __init__(
         self,
@@ -48,18 +51,18 @@
             name: Client(name, HTTP_PORT, 2, network, self.loop.time) for name in self.names
         }
         self.asked: dict[str, SubmittedJob] = {}
-        self.bodies: dict[str, dict[str, Any]] = {}  # what was submitted
-        # While users look closely: what their moments are drawn from
-        self.closely: Random | None = None
-        self.cancelled: dict[str, float] = {}  # when their users were told so
-        self.withdrawing: set[str] = set()  # whose users have asked to cancel them
-        self.told: dict[str, str] = {}  # final states that users have been told
-        self.asker = Random(seed + 7)  # draws of its own: asking changes nothing else that is drawn
+        self.bodies: dict[str, dict[str, Any]] = {}  # the submissions, by job id
+        # Set while users poll changed jobs: the source of their random delays
+        self.polling_rng: Random | None = None
+        self.cancelled: dict[str, float] = {}  # when users were told of each cancellation
+        self.withdrawing: set[str] = set()  # jobs whose users have asked for a cancellation
+        self.told: dict[str, str] = {}  # final states that users were told
+        self.asker = Random(seed + 7)  # its own, so that asking does not change other draws
 
     # -- submissions ---------------------------------------------------------------------------
 
     def spec(self, n: int, **fields: Any) -> dict[str, Any]:
-        """A submission, drawn; `fields` are taken instead of what is drawn."""
+        """Draw a submission; `fields` override the drawn values."""
         kind = fields.pop("gait", None) or self.rng.choice(["array", "array", "group"])
         return {
             **SUBMISSION,
@@ -72,7 +75,7 @@
             **fields,
         }
 
-    async def flow(self, s: float, every: float = 1.0, first: int = 1) -> None:
+    async def submit_random_jobs(self, s: float, every: float = 1.0, first: int = 1) -> None:
         """Submit jobs of all kinds for s seconds: services, arrays and gangs."""
         until, number = self.now + s, first
         while self.now < until:
@@ -81,7 +84,10 @@
             await anyio.sleep(every * (0.5 + self.rng.random()))
 
     async def submit(self, spec: dict[str, Any], to: str | None = None) -> None:
-        """Submit until it is accepted, to any controller or always to one."""
+        """Submit a job until it is accepted, for up to `SUBMIT_FOR_S`.
+
+        Each attempt goes to a random controller, or to the controller `to`.
+        """
         job_id = spec["id"]
         submitted = self.asked[job_id] = SubmittedJob(self.now)
         self.bodies[job_id] = spec
@@ -95,11 +101,11 @@
             await anyio.sleep(RETRY_S)
 
     async def resubmit(self, jid: str, name: str) -> bool:
-        """Repeat a submission that may have been accepted; whether it was."""
+        """Repeat a submission; returns whether the answer says that it was accepted before."""
         return await self.call(name, "POST", "/api/jobs", jid, self.bodies[jid]) == 200
 
     async def withdraw(self, jid: str, to: str | None = None) -> None:
-        """Cancel a job until the answer says that it is cancelled, or done."""
+        """Cancel a job, and retry until the answer says that it is cancelled or done."""
         self.withdrawing.add(jid)
         while True:
             name = to or self.rng.choice(self.names)
@@ -107,21 +113,21 @@
                 return
             await anyio.sleep(RETRY_S)
 
-    async def try_odd(self, body: dict[str, Any], name: str) -> int:
-        """Submit what must not be accepted; the status, or 0 without an answer."""
+    async def submit_invalid(self, body: dict[str, Any], name: str) -> int:
+        """Submit an invalid job; returns the status, or 0 without an answer."""
         try:
             status, answer = await self.users[name].call("POST", "/api/jobs", body, 5.0)
         except UnreachableError:
             return 0
         if status in (200, 201):
-            reason = self.rejection_reason(body) or "is odd"
+            reason = self.rejection_reason(body) or "invalid"
             self.broken.append(
-                f"accepted though it {reason}: {body} by {name} at {self.now}: {answer}"
+                f"accepted though invalid ({reason}): {body} by {name} at {self.now}: {answer}"
             )
         return status
 
     def rejection_reason(self, body: dict[str, Any]) -> str | None:
-        """Why a submission must not be accepted; None if it may be."""
+        """Return why a submission must not be accepted, or None if it may be."""
         return rejection_reason(body, self.teams)
 
     # -- questions -----------------------------------------------------------------------------
@@ -129,11 +135,11 @@
     async def ask(self, jid: str, name: str) -> bool:
         """Ask a controller about a job that was accepted.
 
-        Returns whether there was an answer; it must be no older than the last.
+        Returns whether there was an answer. It must not be older than the previous one.
         """
         return await self.call(name, "GET", f"/api/jobs/{jid}", jid, None, 2.0) == 200
 
-    async def ask_now_and_then(self) -> None:
+    async def ask_regularly(self) -> None:
         """Ask about one accepted job a second, until cancelled."""
         while True:
             await anyio.sleep(1.0)
@@ -145,7 +151,7 @@
     async def all_answered(self, within: float) -> list[str]:
         """Ask every controller for every accepted job until each has answered.
 
-        Returns which answers are missing after so many seconds.
+        Returns the answers that are missing after `within` seconds.
         """
         until = self.now + within
         left = [(job_id, name) for job_id in self._accepted() for name in self.names]
@@ -157,20 +163,27 @@
     def _accepted(self) -> list[str]:
         return [job_id for job_id, job in self.asked.items() if job.accepted is not None]
 
-    async def close_looks(self, s: float) -> None:
-        """For s seconds, look closely after each acceptance, end (the last task's, too) and cancellation; cancel some jobs at once."""
-        self.closely, until, seen = Random(self.late.random()), self.now + s, set(self.told)
-        while self.now < until and self.closely is not None:
+    async def poll_changed_jobs(self, s: float) -> None:
+        """Poll all controllers about each job that changes, for s seconds.
+
+        They are polled after a job's acceptance, after the end of its last task, and after a final
+        state was told. Of the accepted jobs 30% are cancelled at once.
+        """
+        self.polling_rng, until, seen = Random(self.late_rng.random()), self.now + s, set(self.told)
+        while self.now < until and self.polling_rng is not None:
             await anyio.sleep(0.01)
             ended = {job_id for job_id, _ in self.fleet.results} - seen
             for job_id in sorted(job_id for job_id in ended if self._all_tasks_done(job_id)):
                 seen.add(job_id)
-                self.look_closely(job_id)
-        self.closely = None
+                self.poll_all_controllers(job_id)
+        self.polling_rng = None
 
-    def look_closely(self, jid: str) -> None:
-        """Where close looks are on: ask every controller, and repeat the submission, at moments of the next 50 ms."""
-        if (rng := self.closely) is None:
+    def poll_all_controllers(self, jid: str) -> None:
+        """Ask every controller about a job, and repeat its submission, within the next 50 ms.
+
+        Does nothing unless `poll_changed_jobs` is active.
+        """
+        if (rng := self.polling_rng) is None:
             return
 
         async def look(name: str, after: float, again: bool) -> None:
@@ -188,11 +201,9 @@
     ) -> int:
         """Make a request about a job; returns its status, or 0 without an answer.
 
-        This is the one place that judges what users are told.
-
-        What was told before the request left must not be older in its answer; the first answer that
-        says that the job is cancelled, whichever request brought it, is the acknowledgement that
-        `cancel_s` counts from.
+        All answers to users are checked here. An answer must not be older than what the user knew
+        when the request was sent. The time of `cancel_s` starts with the first answer that says
+        that the job is cancelled, whichever request it answers.
         """
         told_before, accepted = self.told.get(jid), self.asked[jid].accepted is not None
         try:
@@ -212,15 +223,15 @@
             return 0
         if path.endswith("/withdraw") and state not in FINAL_STATES:
             self.broken.append(f"no answer to a cancellation: {where}")
-        self._judge_state(jid, state, told_before, where)
+        self._check_state(jid, state, told_before, where)
         if not accepted and self.asked[jid].accepted is None:
             self._accept(jid)
         if state in FINAL_STATES and self.told.get(jid) is None:
             self._remember_final_state(jid, state)
         return status
 
-    def _judge_state(self, jid: str, state: str, told_before: str | None, where: str) -> None:
-        """Whether a job's state may be told after what was told before, and agrees with what machines did."""
+    def _check_state(self, jid: str, state: str, told_before: str | None, where: str) -> None:
+        """Check a job's state in an answer against earlier answers and the finished tasks."""
         told = self.told.get(jid)
         went_back = told_before is not None and state != told_before
         if went_back or (state in FINAL_STATES and told not in (None, state)):
@@ -232,15 +243,15 @@
 
     def _accept(self, jid: str) -> None:
         self.asked[jid].accepted = self.now
-        self.look_closely(jid)
-        if self.closely and self.closely.random() < 0.3:
+        self.poll_all_controllers(jid)
+        if self.polling_rng and self.polling_rng.random() < 0.3:
             self.tasks.start_soon(self.withdraw, jid)
 
     def _remember_final_state(self, jid: str, state: str) -> None:
         self.told[jid] = state
         if state == jobs.CANCELLED:
             self.cancelled[jid] = self.now
-        self.look_closely(jid)
+        self.poll_all_controllers(jid)
 
     # -- what became of the jobs ---------------------------------------------------------------
 
@@ -248,44 +259,48 @@
         return all((jid, i) in self.fleet.results for i in range(self.specs[jid].task_count))
 
     def served(self, jid: str) -> bool:
-        """Whether a job is complete; of a service, whether all replicas were started."""
+        """Return whether a job is complete; of a service, whether all replicas were started."""
         spec = self.specs[jid]
         done = self.fleet.first_starts if spec.kind == "service" else self.fleet.results
         return all((jid, i) in done for i in range(spec.task_count))
 
     def begun_at(self, jid: str) -> float | None:
-        """When a job first had a task on a machine, a gang all of them; None: it has not begun."""
-        spec, started = self.specs[jid], self.fleet.first_at
+        """Return when a job first had a task on a machine, or a gang all of its tasks.
+
+        Returns None if it has not begun.
+        """
+        spec, started = self.specs[jid], self.fleet.first_started_at
         times = [started[jid, i] for i in range(spec.task_count) if (jid, i) in started]
         if spec.kind == "gang":
             return max(times) if len(times) == spec.task_count else None
         return min(times, default=None)
 
     def services(self) -> set[str]:
-        """Teams whose services still run."""
+        """Return the teams with services that are not cancelled."""
         return {
             spec.team
             for spec in self.specs.values()
             if spec.kind == "service" and spec.id not in self.cancelled
         }
 
-    def starts_after_told(self) -> list[tuple[str, float]]:
-        """Starts of a job after its user was told that it is cancelled, and how long after.
+    def starts_after_cancellation(self) -> list[tuple[str, float]]:
+        """Return the starts of jobs whose users had been told of the cancellation.
 
-        Those later than `parameters.CANCEL_S` break a rule.
+        Each is a job id and the seconds since the user was told. More than `parameters.CANCEL_S`
+        breaks a rule.
         """
         return [
             (attempt[0], at - self.cancelled[attempt[0]])
-            for at, attempt, _ in self.fleet.starts_of
+            for at, attempt, _ in self.fleet.start_records
             if at > self.cancelled.get(attempt[0], 1e18)
         ]
 
     def longest_pause(self, since: float, until: float) -> float:
-        """The longest time in which nothing started."""
+        """Return the longest time without a start, in seconds."""
         starts = [at for at in self.fleet.started_at if since <= at <= until]
         times = [since, *starts, until]
         return max(later - earlier for earlier, later in zip(times, times[1:], strict=False))
 
     def slowest_accepted(self) -> float:
-        """Seconds from a submission's first attempt to its acceptance, at most."""
+        """Return the longest time from a submission's first attempt to its acceptance, in s."""
         return max((job.accepted or 1e9) - job.at for job in self.asked.values())
--- a/tests/simulation/verdicts.py
+++ b/tests/simulation/verdicts.py
@@ -1,18 +1,19 @@
-"""Whether a simulated cluster kept its promises, judged at the end of a scene from what users and machines saw."""
+"""Checks at the end of a scene, based on what the users and machines of a cluster observed."""
 
 from __future__ import annotations
 
 from .users import SimulatedUsers
 
-FINISHED_S = 30.0  # a job submitted so long ago should be served
-LARGEST_BEGIN_S = 240.0  # from the acceptance of one of the largest jobs until it begins
+SERVED_WITHIN_S = 30.0  # a job submitted longer ago than this should be served
+LARGEST_BEGIN_S = 240.0  # limit from the acceptance of one of the largest jobs until it begins
 LARGEST_AT_LEAST = 3
 
 
 def check(cluster: SimulatedUsers) -> None:
-    """No rule was broken, and at least half of every team and of every class was served.
+    """Check that no rule was broken, and that half of each team's and class's jobs were served.
 
-    Raises AssertionError.
+    Raises:
+        AssertionError: a check failed.
     """
     broken = cluster.broken + cluster.fleet.broken
     assert not broken, broken[:3]
@@ -34,25 +35,26 @@
 
 
 def _should_be_served(cluster: SimulatedUsers, job_id: str) -> bool:
-    return cluster.now - cluster.asked[job_id].at > FINISHED_S
+    return cluster.now - cluster.asked[job_id].at > SERVED_WITHIN_S
 
 
 def check_accepted(cluster: SimulatedUsers) -> None:
-    """Nothing was accepted that lacks a field or can't run."""
-    odd = [
+    """Check that no accepted job lacks a field or can't run."""
+    invalid = [
         (job_id, reason)
         for job_id, job in cluster.asked.items()
         if job.accepted is not None
         and (reason := cluster.rejection_reason(cluster.bodies[job_id])) is not None
     ]
-    assert not odd, f"accepted though it can't run: {odd[:3]}"
+    assert not invalid, f"accepted though it can't run: {invalid[:3]}"
 
 
 def check_largest(cluster: SimulatedUsers) -> None:
-    """Of each class's accepted jobs the tenth with the most tasks, three at least: half of them served, each begun within 240 s.
+    """Check the largest accepted jobs of each class: half served, each begun within 240 s.
 
-    As scripts.served_by_class counts them; users who gave up in an outage before they were accepted
-    are counted with their class and team.
+    The largest jobs are the tenth with the most tasks, at least three, as scripts.served_by_class
+    counts them. Jobs whose users gave up in an outage before acceptance are only counted with their
+    class and team.
     """
     classes: dict[str, list[str]] = {}
     for job_id, spec in cluster.specs.items():
@@ -68,7 +70,7 @@
 
 
 def _largest(cluster: SimulatedUsers, job_ids: list[str]) -> list[str]:
-    """The tenth with the most tasks, three at least; of equal ones the first submitted."""
+    """Return the tenth with the most tasks, at least three; of equal jobs the earlier ones."""
     ranked = sorted(
         job_ids, key=lambda job_id: (-cluster.specs[job_id].task_count, cluster.asked[job_id].at)
     )
--- a/tests/simulation/virtual_time.py
+++ b/tests/simulation/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time: it never waits, and runs the same way every time."""
+"""A deterministic event loop in virtual time, which never waits."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 from anyio._backends import _asyncio as anyio_backend
 
-START = 1000.0  # the clock's first value, not 0: nothing may take 0 for "never"
-SCENE_LIMIT_S = 1_800.0  # of virtual time; a scene that is still running then fails
+START = 1000.0  # initial value of the clock; not 0, so that code that takes 0 for "never" fails
+SCENE_LIMIT_S = 1_800.0  # of virtual time; a scene that runs longer fails
 
 
 class SceneError(Exception):
-    """A scene could not be run to its end: no AssertionError, so no test takes it for the failure that it expects."""
+    """An error that kept a scene from running to its end.
+
+    It is not an AssertionError, so no test mistakes it for the failure that it expects.
+    """
 
 
 class _Selector(selectors.DefaultSelector):
@@ -27,12 +30,12 @@
         found = super().select(0)
         if not found:
             if timeout is None:
-                raise RuntimeError("no timer is set: nothing will ever happen again")
+                raise RuntimeError("deadlock: no timer is set and no event is pending")
             self.loop.at += max(0.0, timeout)
             if self.loop.at > self.loop.limit:
-                # Not by a timer: one more in the loop's heap changes the order of those that are due
-                # together
-                self.loop.limit = math.inf  # the scene's own clean-up may still run
+                # Checked here and not by a timer: another timer in the loop's heap would change the
+                # order of timers that are due together
+                self.loop.limit = math.inf  # lets the scene's clean-up still run
                 raise SceneError(f"the scene has not ended after {SCENE_LIMIT_S} s")
         return found
 
@@ -40,10 +43,10 @@
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop whose clock jumps to the next timer, with a reproducible order of tasks.
 
-    anyio keeps tasks and cancel scopes in sets and cancels them in the sets' order, which is by
-    address unless their hashes are counted. Without the counted hashes, the order in which a
-    controller's parts end (what is still sent, which random number is drawn next) differs from run
-    to run of one seed.
+    anyio keeps tasks and cancel scopes in sets and cancels them in the sets' order. By default that
+    order depends on memory addresses, so a controller's parts would end in a different order in
+    each run of one seed, which changes what is still sent and which random number is drawn next.
+    Here the hashes are sequence numbers, which makes the order reproducible.
     """
 
     def __init__(self) -> None:
@@ -56,7 +59,7 @@
         self.set_task_factory(lambda loop, coro, **kw: _Task(coro, loop=loop, **kw))
 
     def time(self) -> float:
-        """The virtual time, in seconds."""
+        """Return the virtual time in seconds."""
         return self.at
 
 
--- a/tests/simulation/waiting_jobs.py
+++ b/tests/simulation/waiting_jobs.py
@@ -1,4 +1,4 @@
-"""Which jobs wait though machines have room for them, by what is on the machines."""
+"""Finds jobs that wait although machines have room for them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class _Usage:
-    """What is on the machines now."""
+    """The tasks that are on the machines now."""
 
     gpus: dict[str, float] = field(default_factory=dict)  # by team
     tasks: dict[str, set[int]] = field(default_factory=dict)  # by job
@@ -24,7 +24,7 @@
 
 
 def startable_jobs(cluster: SimulatedUsers) -> set[str]:
-    """Jobs that wait though machines that fit have room for them and their team is under its limit."""
+    """Return the waiting jobs that fit on the machines and within their team's limit."""
     usage = _usage(cluster)
     return {job_id for job_id in cluster.asked if _is_startable(cluster, usage, job_id)}
 
@@ -61,9 +61,9 @@
 
 
 def _free_slots(job: Job, agents: Iterable[ModelAgent], zones: set[str] | None) -> int:
-    """How many tasks of a job fit beside what is on the machines.
+    """Return how many more tasks of a job fit on the machines.
 
-    In one zone, if the job asks for one.
+    Only one zone counts if the job requires a single zone.
     """
     slots: dict[str, int] = {}
     for agent in agents:
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -52,7 +52,7 @@
 
     async def scene(cluster: SimulatedCluster) -> None:
         f = cluster.fleet
-        f.boots, f.list_lag_s, f.lost_answers, f.late_requests = (0.2, 2.0), 3.0, 0.1, 0.1
+        f.boot_range_s, f.list_lag_s, f.lost_answers, f.late_requests = (0.2, 2.0), 3.0, 0.1, 0.1
         cluster.late_writes = 0.2
         for wave in range(6):
             before = len(f.machines)
@@ -77,7 +77,7 @@
         cluster.late_writes = f.lost_answers = f.late_requests = 0.0
         await anyio.sleep(25.0)
         gone.update(live_machines_taken_for_gone(cluster))
-        assert len(f.pleas) > 1, "nothing was rented"
+        assert len(f.rentals) > 1, "nothing was rented"
         assert not await cluster.left_waiting()
         renter = next(
             n.context.autoscaler for n in cluster.nodes.values() if n.context.autoscaler is not None
--- a/tests/test_concurrent_submissions.py
+++ b/tests/test_concurrent_submissions.py
@@ -237,7 +237,7 @@
             DONE
         }
         assert {
-            k[0]: 0 for k in cluster.fleet.begun if k[1] >= cluster.specs[k[0]].task_count
+            k[0]: 0 for k in cluster.fleet.start_counts if k[1] >= cluster.specs[k[0]].task_count
         } == {}
 
     play(scene, seed)
--- a/tests/test_determinism.py
+++ b/tests/test_determinism.py
@@ -24,7 +24,7 @@
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         p.tasks.start_soon(p.submit, p.spec(900, gait="daemon", chicks=4))
-        p.tasks.start_soon(p.flow, 25.0, 0.6)
+        p.tasks.start_soon(p.submit_random_jobs, 25.0, 0.6)
         await anyio.sleep(5.0)
         p.net.cut("c0", "state", HOLD, 10.0)
         p.cut_workers("c0", rng.choice([SILENT, HOLD]), 10.0)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -205,7 +205,7 @@
         p.tasks.start_soon(p.submit, p.spec(920, gait="group", flightS=400.0))
         await anyio.sleep(6.0)
         ran = {k for w in p.workers.values() for k in w.on_machine()}
-        p.tasks.start_soon(p.flow, 60.0, 3.0, 200)
+        p.tasks.start_soon(p.submit_random_jobs, 60.0, 3.0, 200)
         await COURSES[course](p, rng)
         await settled(p)
         assert p.claims() >= CLAIMS[course], p.claims()
@@ -331,7 +331,7 @@
                 await hook.reached.wait()
         for n in range(900, 908):
             p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
-        p.tasks.start_soon(p.flow, 20.0, 0.5, 1)
+        p.tasks.start_soon(p.submit_random_jobs, 20.0, 0.5, 1)
         await anyio.sleep(1.2)
         hook.go_on.set()
         await anyio.sleep(2.0 * CANCEL)
@@ -411,7 +411,7 @@
             p.tasks.start_soon(p.withdraw, f"j-{next(cancels):06d}", "c1")
         await anyio.sleep(alone)
         p.tasks.start_soon(p.outage, CANCEL + 14.0)
-        p.tasks.start_soon(p.close_looks, 2.0 * CANCEL)
+        p.tasks.start_soon(p.poll_changed_jobs, 2.0 * CANCEL)
         await anyio.sleep(1.0)
         p.refused.discard("c0")
         claims = p.claims()
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -105,7 +105,7 @@
     async def scene(cluster: SimulatedCluster) -> None:
         rng, jobs = Random(seed), [f"j-{700 + i:06d}" for i in range(8)]
         for job_id in jobs:
-            cluster.fleet.longer.update({(job_id, 0): 0.0, (job_id, 1): 22.0, (job_id, 2): 50.0})
+            cluster.fleet.extra_s.update({(job_id, 0): 0.0, (job_id, 1): 22.0, (job_id, 2): 50.0})
             await cluster.submit(
                 cluster.spec(int(job_id[2:]), gait="array", chicks=3, flightS=2.0, pullGb=0.1)
             )
@@ -123,7 +123,7 @@
         assert all(cluster.told.get(j) == "done" for j in jobs), (
             "every one of them is told to be done"
         )
-        assert all(cluster.fleet.begun[j, 0] == 1 for j in jobs), (
+        assert all(cluster.fleet.start_counts[j, 0] == 1 for j in jobs), (
             "a task that had ended was started again"
         )
 
@@ -177,8 +177,8 @@
 @pytest.mark.parametrize("own", [True, False])
 @pytest.mark.parametrize(("kind", "seed"), [("gap", "1"), ("gap", "2"), ("roll", "1")])
 def test_faults_that_have_not_begun_end_with_the_schedule(own: bool, kind: str, seed: str) -> None:
-    """A fault drawn late began its outage after `calm`, and the schedule failed as `forgotten`. So
-    it does without a task group of the faults' own.
+    """A fault drawn late began its outage after `end_all_faults`, and the
+    schedule failed as `forgotten`. So it does without a task group of the faults' own.
     """
     after: list[str] = []
 
@@ -189,7 +189,7 @@
         else:
             cluster.tasks.start_soon(ActiveFault(cluster, Random(seed)).begin, kind)
             await anyio.sleep(day[1])
-            cluster.calm()
+            cluster.end_all_faults()
             while cluster.down:
                 await anyio.sleep(0.1)
         at = cluster.now
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -82,8 +82,8 @@
 
     async def scene(cluster: SimulatedCluster) -> None:
         rng = Random(seed)
-        cluster.tasks.start_soon(cluster.close_looks, 60.0)
-        cluster.tasks.start_soon(cluster.flow, 45.0, 0.8)
+        cluster.tasks.start_soon(cluster.poll_changed_jobs, 60.0)
+        cluster.tasks.start_soon(cluster.submit_random_jobs, 45.0, 0.8)
         for i in range(6):
             cluster.tasks.start_soon(cluster.submit, cluster.spec(900 + i, gait="daemon"))
         await anyio.sleep(10.0)
@@ -116,7 +116,7 @@
     async def scene(cluster: SimulatedCluster) -> None:
         for n in cluster.nodes.values():
             object.__setattr__(n.settings.options, "keep_ended", 3)
-        cluster.tasks.start_soon(cluster.close_looks, 40.0)
+        cluster.tasks.start_soon(cluster.poll_changed_jobs, 40.0)
         for i in range(20):
             await cluster.submit(cluster.spec(1 + i, gait="array", chicks=1, flightS=1.0))
         await anyio.sleep(25.0)
@@ -171,7 +171,7 @@
             if cluster.nodes["c0"].context.shard_map.team_shard[f"team-{n % 4}"] == 0
         )
         job_id = f"j-{n:06d}"
-        cluster.fleet.longer.update({(job_id, 0): 50.0, (job_id, 1): 80.0})
+        cluster.fleet.extra_s.update({(job_id, 0): 50.0, (job_id, 1): 80.0})
         await cluster.submit(cluster.spec(n, gait="array", chicks=2, flightS=1.0))
         await anyio.sleep(6.0)
         await cluster.crash("c0", 7.0)
--- a/tests/test_largest_jobs.py
+++ b/tests/test_largest_jobs.py
@@ -23,7 +23,7 @@
     began: list[float] = []
 
     async def scene(p: SimulatedCluster) -> None:
-        p.fleet.most = 12
+        p.fleet.max_machines = 12
         at, n = p.now, 1
         gang = p.spec(
             900,
--- a/tests/test_link_partitions.py
+++ b/tests/test_link_partitions.py
@@ -20,7 +20,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         p.tasks.start_soon(p.submit, p.spec(900, gait="daemon", chicks=4))
-        p.tasks.start_soon(p.flow, 75.0, 0.8)
+        p.tasks.start_soon(p.submit_random_jobs, 75.0, 0.8)
         worker = p.workers_of("c0")[0]
         for there in ("state", "c1", worker, "cloud"):
             for src, dst in (("c0", there), (there, "c0")):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -196,7 +196,7 @@
     async def scene(p: SimulatedCluster) -> None:
         await services(p)
         watch = Watch(p)
-        p.tasks.start_soon(p.flow, 40.0, 0.6)
+        p.tasks.start_soon(p.submit_random_jobs, 40.0, 0.6)
         busy = [
             w.name
             for w in p.fleet.workers.values()
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -66,7 +66,7 @@
         await start_background_load(p, 110.0)
         parts = [w for c in p.names for w in p.workers_of(c)]
         some = parts[:: max(1, len(parts) // count)][:count]
-        p.deafen(some, s)
+        p.block_deliveries(some, s)
         if s > 30.0:
             await anyio.sleep(15.0)
             assert unreachable(p) == set(some)
@@ -94,7 +94,7 @@
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 90.0)
         some = [w for c in ("c0", "c1", "c2") for w in p.workers_of(c)[:4]]
-        p.deafen(some, 50.0)
+        p.block_deliveries(some, 50.0)
         await anyio.sleep(20.0)
         assert p.claims() == 0
         p.tasks.start_soon(p.crash, "c1", 0.3)
@@ -154,14 +154,14 @@
                 w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)
             ]
             assert some
-            p.deafen(some, 100.0)
+            p.block_deliveries(some, 100.0)
             p.tasks.start_soon(p.withdraw, "j-000900")
             await anyio.sleep(60.0)
             assert "j-000900" in p.cancelled
         else:
             new = p.fleet.boot({"marsh": "a", "driftwood": False})
-            p.deafen([new], 100.0)
-            p.fleet.pleas["late"] = [new]
+            p.block_deliveries([new], 100.0)
+            p.fleet.rentals["late"] = [new]
             assert not await watch(p, [new], 40.0)
             renter = next(
                 n.context.autoscaler for n in p.nodes.values() if n.context.autoscaler is not None
--- a/tests/test_partitioned_zone.py
+++ b/tests/test_partitioned_zone.py
@@ -56,9 +56,9 @@
             await cluster.submit(
                 cluster.spec(n, gait="daemon", chicks=2, marsh=("a", "b", None)[n % 3])
             )
-        cluster.tasks.start_soon(cluster.flow, 90.0, 3.0)
+        cluster.tasks.start_soon(cluster.submit_random_jobs, 90.0, 3.0)
         await anyio.sleep(6.0)
-        cluster.tasks.start_soon(cluster.close_looks, 90.0)
+        cluster.tasks.start_soon(cluster.poll_changed_jobs, 90.0)
         if how == "zone":
             cluster.cut_zone("b", mode, 60.0)
         else:
@@ -74,7 +74,7 @@
         await anyio.sleep(70.0)
         assert (
             cluster.cancelled.keys() >= {f"j-{n:06d}" for n in range(900, 904)}
-            and not cluster.starts_after_told()
+            and not cluster.starts_after_cancellation()
         )
         assert cluster.fleet.killed_by_lease == 0
         assert not await cluster.left_waiting(60.0)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -32,7 +32,7 @@
 
     async def scene(p: SimulatedCluster) -> None:
         p.tasks.start_soon(p.submit, p.spec(900, gait="daemon", chicks=4))
-        p.tasks.start_soon(p.flow, 40.0, 0.15)
+        p.tasks.start_soon(p.submit_random_jobs, 40.0, 0.15)
         await anyio.sleep(10.0)
         await p.crash("c0", after)
         at, claims = p.now, p.claims()
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -86,7 +86,7 @@
             for name in which:
                 p.tasks.start_soon(p.crash, name, 0.2)
         await anyio.sleep(7.0)
-        p.state.up_again()
+        p.state.end_outage()
         await anyio.sleep(30.0)
         assert p.fleet.killed_by_lease == 0 and all(
             a.accepted is not None for a in p.asked.values()
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -35,7 +35,7 @@
         with anyio.fail_after(20.0):
             if step == "lease gone":
                 await anyio.sleep(0.3)
-                ttl, _ = cluster.state.leases[lease := cluster.state.tied[f"{SHARD_PREFIX}0"]]
+                ttl, _ = cluster.state.leases[lease := cluster.state.lease_of[f"{SHARD_PREFIX}0"]]
                 # Workers that come elsewhere would have the part taken before that
                 cluster.state.leases[lease] = (
                     ttl,
--- a/tests/test_simulation_checks.py
+++ b/tests/test_simulation_checks.py
@@ -61,7 +61,7 @@
     )
 
     async def scene(cluster: SimulatedCluster) -> None:
-        cluster.fleet.most = len(cluster.fleet.machines)
+        cluster.fleet.max_machines = len(cluster.fleet.machines)
         await cluster.submit(
             cluster.spec(900, gait="daemon", chicks=12, marsh="a")
         )  # zone a is full
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -28,7 +28,7 @@
     """At the same controller and at others, also across a crash and a failover."""
 
     async def scene(p: SimulatedCluster) -> None:
-        p.copy_reports(Random(4), 0.4, 1.0, most)
+        p.duplicate_heartbeats(Random(4), 0.4, 1.0, most)
         await start_background_load(p, 90.0)
         await anyio.sleep(30.0)
         assert p.claims() == 0 and p.fleet.killed_by_lease == 0
@@ -52,7 +52,7 @@
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 90.0)
         dead = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
-        p.copy_reports(Random(5), 1.0, 8.0, 45.0, [dead])
+        p.duplicate_heartbeats(Random(5), 1.0, 8.0, 45.0, [dead])
         await anyio.sleep(10.0)
         p.fleet.machines.pop(dead).scope.cancel()  # it is taken without notice
         at = p.now
@@ -143,7 +143,7 @@
             for i in range(3)
         }
         self.results: set[Any] = set()
-        self.longer: dict[tuple[str, int], float] = {}
+        self.extra_s: dict[tuple[str, int], float] = {}
         self.workers = [model_agent.ModelAgent(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
         # Reports that left, the oldest first
         self.sent: list[tuple[model_agent.ModelAgent, dict[str, Any], float]] = []
@@ -215,14 +215,14 @@
                 x = self.workers[int(m.name[2:])]
                 if n % 2:
                     self.owner.on_direct_answer(
-                        m, agents.heartbeat_from_json(x.on_do(body)), self.now
+                        m, agents.heartbeat_from_json(x.on_commands(body)), self.now
                     )
                 else:
                     self.commands.append((x, body))
                     self.owner.on_direct_answer(m, None, self.now)
         elif what == "do late" and self.commands:
             x, body = self.commands[n % len(self.commands)]
-            x.on_do(body)
+            x.on_commands(body)
         elif what == "permit":
             job = f"j-{n % 3:06d}"
             name = f"n-{i}"
--- a/tests/test_stale_heartbeats_at_failover.py
+++ b/tests/test_stale_heartbeats_at_failover.py
@@ -80,7 +80,7 @@
     lost: list[int] = []
 
     async def scene(cluster: SimulatedCluster) -> None:
-        cluster.keep_for_next()
+        cluster.replay_heartbeats_on_claim()
         await anyio.sleep(4.0)
         for n in range(900, 904):
             await cluster.submit(cluster.spec(n, gait="daemon", chicks=6))
--- a/tests/test_store_cache.py
+++ b/tests/test_store_cache.py
@@ -81,7 +81,7 @@
         for _ in range(70):
             await anyio.sleep(1.0)
             cluster.tasks.start_soon(cluster.ask, job_id, "c1")
-        cluster.calm()
+        cluster.end_all_faults()
         await anyio.sleep(45.0)
         assert job_id in cluster.cancelled and not await cluster.all_answered(ANSWERED_WITHIN_S)
 
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -197,7 +197,7 @@
     )
 
     async def scene(cluster: SimulatedCluster) -> None:
-        await cluster.try_odd(submission_with(cluster, {"gait": "group", **odd}), "c0")
+        await cluster.submit_invalid(submission_with(cluster, {"gait": "group", **odd}), "c0")
 
     with pytest.raises(AssertionError, match="accepted though"):
         play(scene)
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -127,7 +127,7 @@
             ):
                 await anyio.sleep(0.1)
         used.append(p.now - until)
-        assert big <= p.cancelled.keys() and not p.starts_after_told()
+        assert big <= p.cancelled.keys() and not p.starts_after_cancellation()
         await anyio.sleep(40.0)
         assert not await p.all_answered(20.0)
 
--- a/tests/test_unresponsive_agents.py
+++ b/tests/test_unresponsive_agents.py
@@ -60,10 +60,10 @@
     async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
             await cluster.submit(cluster.spec(n, gait="daemon", chicks=6))
-        cluster.tasks.start_soon(cluster.flow, 60.0, 0.7)
+        cluster.tasks.start_soon(cluster.submit_random_jobs, 60.0, 0.7)
         await anyio.sleep(7.0)
         machines = [w for c in cluster.names for w in cluster.workers_of(c)[:2]]
-        cluster.mute(machines, s)
+        cluster.block_connections(machines, s)
         at = cluster.now
         for n in (900, 901):
             await cluster.withdraw(f"j-{n:06d}")
@@ -79,7 +79,7 @@
         await anyio.sleep(at + s - cluster.now)
         given.extend(x for x in cluster.fleet.started_on if x[1] in machines and x[0] > at + 5.0)
         await anyio.sleep(15.0)
-        assert not cluster.starts_after_told()
+        assert not cluster.starts_after_cancellation()
         assert any(x[1] in machines and x[0] > at + s for x in cluster.fleet.started_on), (
             "they are used again"
         )
@@ -107,7 +107,7 @@
         await anyio.sleep(6.0)
         machines = {w.name for w in cluster.fleet.workers.values() if w.tasks}
         if mute:
-            cluster.mute(machines, 30.0)
+            cluster.block_connections(machines, 30.0)
         for w in machines:
             for c in cluster.names:
                 cluster.net.cut(c, w, SILENT, 2.5, both=False)
@@ -181,11 +181,11 @@
             if how == "hang":
                 cluster.hang(machines, s)
             elif how in ("command", "answer"):
-                cluster.fleet.held_do.update(
+                cluster.fleet.command_holds.update(
                     dict.fromkeys(machines, (cluster.now + s, how == "answer"))
                 )
             elif how == "deaf":
-                cluster.deafen(machines, s)
+                cluster.block_deliveries(machines, s)
             else:
                 for w in machines:
                     for c in cluster.names:
@@ -210,7 +210,7 @@
                     if k[0] in cluster.cancelled
                 ]
         late_starts.extend(
-            x for x in cluster.starts_after_told() if x[1] > 0.5
+            x for x in cluster.starts_after_cancellation() if x[1] > 0.5
         )  # what was on its way in that moment may still start
         await anyio.sleep(45.0 if without is not None else 8.0)
         assert len(cluster.cancelled) == 10 and not await cluster.left_waiting(30.0)
--- a/tests/test_zone_placement_faults.py
+++ b/tests/test_zone_placement_faults.py
@@ -74,7 +74,7 @@
 
     async def scene(cluster: SimulatedCluster) -> None:
         if not room:
-            cluster.fleet.most = len(
+            cluster.fleet.max_machines = len(
                 cluster.fleet.machines
             )  # and what is taken is not to be had again
         n = 900
@@ -135,7 +135,7 @@
         with anyio.move_on_after(100.0):
             while not all(cluster.served(j) for j in cluster.specs):
                 await anyio.sleep(0.5)
-        stopped.append(max(cluster.fleet.begun.values()))
+        stopped.append(max(cluster.fleet.start_counts.values()))
         assert all(cluster.served(j) for j in cluster.specs), "all of it ends"
 
     try:
@@ -158,7 +158,7 @@
     zones: set[str] = set()
 
     async def scene(cluster: SimulatedCluster) -> None:
-        cluster.fleet.most = len(cluster.fleet.machines)
+        cluster.fleet.max_machines = len(cluster.fleet.machines)
         await cluster.submit(cluster.spec(900, gait="array", chicks=6, flightS=30.0, together=True))
         await anyio.sleep(4.0)
         mine = {w.name: w.zone for w in cluster.fleet.workers.values() if w.tasks}
