--- a/tests/simulation/decision_model.py
+++ b/tests/simulation/decision_model.py
@@ -32,9 +32,8 @@
 TICK_S = 0.05
 FIRST_FAULT_AT_S = 3.0
 RETRY_S = 1.0
-ORPHANED_SHARD_S = (
-    3.0  # any controller, not only the preferred one, claims a shard without a holder after this
-)
+# Time without a holder after which any controller, not only the preferred one, claims a shard
+ORPHANED_SHARD_S = 3.0
 LEASE_LOSS_SHARE = 0.003  # probability per step that a shard's holder is superseded
 
 
@@ -53,18 +52,15 @@
         copies: float = 0.0,
     ) -> None:
         super().__init__()
-        self.cut_off = (
-            cut_off  # the cancellation barrier's setting, for controllers that are cut off
-        )
+        self.cut_off = cut_off  # the barrier's setting, for controllers that are cut off
         self.copies = copies  # share of heartbeats delivered again, up to three leases later
         self.chaos, self.kinds = chaos, kinds  # `chaos` 0: no faults; `kinds` of faults to draw
         self.down_until = 0.0  # until then the store refuses all requests
         # Additional running time of some tasks, in seconds
         self.extra_s: dict[tuple[str, int], float] = {}
         self.rng = Random(seed)
-        self.gossip_rng = Random(
-            seed + 1_000_000
-        )  # its own, so that gossip does not change other draws
+        # Separate, so that gossip does not change other draws
+        self.gossip_rng = Random(seed + 1_000_000)
         self.store = ModelStore()
         self.value_bytes, self.txn_ops = value_bytes, txn_ops
         self.teams = {
@@ -76,9 +72,7 @@
         self.specs: dict[str, Job] = {}
         self.results: set[tuple[str, int]] = set()
         self.cancelled: dict[str, float] = {}  # when users were told of each cancellation
-        self.cuts: dict[
-            tuple[str, str], float
-        ] = {}  # end of each partition, by the names of both ends
+        self.cuts: dict[tuple[str, str], float] = {}  # end of each partition, by both names
         self.messages = ModelMessages(self)
         self.faults = FaultInjector(self)
         self.nodes: list[ModelController] = []
--- a/tests/simulation/fake_agents.py
+++ b/tests/simulation/fake_agents.py
@@ -157,7 +157,7 @@
         """Advance a machine's tasks, unless it hangs."""
         incarnation, tasks = agent.incarnation, len(agent.tasks)
         if self.now < agent.hung_until:
-            return  # when it resumes, tasks whose lease has expired are killed first
+            return  # it executes nothing; when it resumes, an expired lease first kills its tasks
         agent.tick()
         if agent.incarnation != incarnation:
             self.killed_by_lease += tasks
@@ -224,7 +224,7 @@
     ) -> float:
         """Wait until the next heartbeat is due.
 
-        Returns when a heartbeat was last sent only for a higher token.
+        Returns the time at which a heartbeat was last sent only for a higher token.
         """
         due = self.now + self.every * (0.75 + 0.5 * self.rng.random())
         soon = self.now + min(0.5, self.every)
--- a/tests/simulation/model_agent.py
+++ b/tests/simulation/model_agent.py
@@ -75,9 +75,7 @@
         self.world, self.name, self.zone, self.spot = world, name, zone, spot
         self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[agents.AttemptId, ModelTask] = {}
-        self.controller_index = world.rng.randrange(
-            len(world.nodes)
-        )  # of the controller that it reports to
+        self.controller_index = world.rng.randrange(len(world.nodes))  # it sends heartbeats to it
         self.answered_sent = world.now  # when the last answered heartbeat was sent
         self.hung_until = 0.0
         self.not_receiving_until = 0.0  # until then its heartbeats arrive, but nothing reaches it
--- a/tests/simulation/model_controller.py
+++ b/tests/simulation/model_controller.py
@@ -21,9 +21,8 @@
 GOSSIP_INTERVAL_S = 0.5
 STALL_S = 1.0  # a longer time between two steps counts as an event-loop stall
 ROUNDS_PER_STEP = 3  # a controller handles its messages to itself in the same step
-CONNECTION_NUMBERS = (
-    1000  # a connection's number is its generation times this plus the receiver's `starts`
-)
+# A connection's number is its generation times this plus the receiver's `starts`
+CONNECTION_NUMBERS = 1000
 FRAME_ORDER_STEP_S = 0.0001  # minimum time between the arrivals of two frames
 
 
@@ -34,7 +33,7 @@
     watch_hangs_until = 0.0  # its watch of the store delivers nothing
     partitioned_until = 0.0  # only it and its zone's machines reach each other
     refused_until = 0.0  # the store refuses this controller
-    lease_not_renewed_since: float | None = None  # None: its lease is being renewed
+    lease_not_renewed_since: float | None = None  # None while its lease is renewed
     starts = 0  # number of restarts; messages to an earlier process are dropped
 
     def __init__(self, model: DecisionModel, index: int, zone: str) -> None:
@@ -259,9 +258,7 @@
         """
         model, generation = self.model, self.generation.get(peer.name, 0)
         if model.cut(self, peer) or (model.chaos > 0 and model.rng.random() < 0.01):
-            self.generation[peer.name] = (
-                generation + 1
-            )  # reconnect: the next frame uses a new connection
+            self.generation[peer.name] = generation + 1  # the next frame uses a new connection
             return
         number = generation * CONNECTION_NUMBERS + peer.starts
         batch = self.outbox.collect(peer.name, number, self.holder)
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -57,7 +57,7 @@
         self.cancelled: dict[str, float] = {}  # when users were told of each cancellation
         self.withdrawing: set[str] = set()  # jobs whose users have asked for a cancellation
         self.told: dict[str, str] = {}  # final states that users were told
-        self.asker = Random(seed + 7)  # its own, so that asking does not change other draws
+        self.asker = Random(seed + 7)  # separate, so that asking does not change other draws
 
     # -- submissions ---------------------------------------------------------------------------
 
@@ -76,7 +76,7 @@
         }
 
     async def submit_random_jobs(self, s: float, every: float = 1.0, first: int = 1) -> None:
-        """Submit jobs of all kinds for s seconds: services, arrays and gangs."""
+        """Submit arrays and gangs at random intervals of about `every` seconds, for s seconds."""
         until, number = self.now + s, first
         while self.now < until:
             self.tasks.start_soon(self.submit, self.spec(number))
@@ -120,7 +120,7 @@
         except UnreachableError:
             return 0
         if status in (200, 201):
-            reason = self.rejection_reason(body) or "invalid"
+            reason = self.rejection_reason(body) or "reason unknown"
             self.broken.append(
                 f"accepted though invalid ({reason}): {body} by {name} at {self.now}: {answer}"
             )
