--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -113,7 +113,7 @@
             try:
                 while not await self.is_healthy():
                     await anyio.sleep(FIRST_START_POLL_S)
-                self.fleet.pleas["here"] = [
+                self.fleet.rentals["here"] = [
                     self.fleet.boot({"marsh": "a", "driftwood": False})
                     for _ in range(self.machine_count)
                 ]
@@ -184,7 +184,7 @@
         """
         return any(
             at > process_start.at and attempt_id[0] >= process_start.next_job
-            for at, attempt_id, _ in self.fleet.starts_of[-RECENT_STARTS:]
+            for at, attempt_id, _ in self.fleet.start_records[-RECENT_STARTS:]
         )
 
     def start_process(self) -> None:
--- a/tests/golden/scene.py
+++ b/tests/golden/scene.py
@@ -16,7 +16,7 @@
 from ploverhall.errors import UnreachableError
 from ploverhall.transport.http_client import Client
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.simulated_network import DEAF, SILENT
+from tests.simulation.simulated_network import NO_DELIVERY, SILENT
 from tests.simulation.virtual_time import VirtualTimeLoop
 
 from . import inputs
@@ -152,7 +152,7 @@
 async def _partition_controllers(cluster: SimulatedCluster) -> None:
     """Cut controllers from store, cloud or workers, force a failover, isolate a controller."""
     cluster.net.cut("c0", "state", SILENT, 5.0)
-    cluster.cut_workers("c2", DEAF, 7.0)
+    cluster.cut_workers("c2", NO_DELIVERY, 7.0)
     for c in CONTROLLERS[:2]:
         cluster.net.cut(c, "cloud", SILENT, 7.0)
     for n in range(10, 14):
@@ -167,7 +167,7 @@
     await anyio.sleep(7.0)
     await _request_status_views(cluster)
     await cluster.crash("c1", 9.0)
-    cluster.tasks.start_soon(cluster.flow, 5.0, 0.5, 20)
+    cluster.tasks.start_soon(cluster.submit_random_jobs, 5.0, 0.5, 20)
     await anyio.sleep(6.0)
     cluster.tasks.start_soon(cluster.withdraw, "j-000014")
     await cluster.outage(3.0)
