--- a/tests/cancellation_barrier_model.py
+++ b/tests/cancellation_barrier_model.py
@@ -1,4 +1,4 @@
-"""A plain model of three controllers, their clocks, the store and the links, around the cancellation barrier."""
+"""Model of three controllers with clocks, a store and links, to test the cancellation barrier."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class ControllerModel:
-    """One controller. Only its name, its clock and its pause survive a restart."""
+    """A modelled controller. Only its name, clock and pause survive a restart."""
 
     name: str
     drift: float
@@ -35,33 +35,35 @@
     barrier: CancellationBarrier
     incarnation: int = 0
     revision: int = 0
-    knows: set[int] = field(default_factory=set)
+    known_cancellations: set[int] = field(default_factory=set)
     has_lease: bool = False
     renewed_at: float = -1e9
     last_read_at: float = -1e9
-    own_key_seen: bool = False  # its own key, in what it read last
-    paused_until: float = 0.0  # until then it does nothing, and what comes waits
+    own_key_seen: bool = False  # whether the last read contained its own membership key
+    paused_until: float = 0.0  # until then it does nothing, and its messages stay in the inbox
     inbox: list[tuple[str, Any]] = field(default_factory=list)
 
 
 class BarrierModel:
-    """Three controllers that answer agents whenever the barrier lets them; whoever may acknowledge
-    a cancellation first does so.
+    """Three controllers that answer agents whenever the barrier permits it.
+
+    Each cancellation is acknowledged by the first controller whose barrier permits it.
     """
 
     def __init__(self, rng: Random, cancel: float, lease: float, cut_off: float) -> None:
         self.rng, self.cancel, self.lease, self.cut_off = rng, cancel, lease, cut_off
         self.t = 0.0
         self.revision = 10
-        self.log: list[tuple[int, str, str]] = []  # revision, what, of whom
-        self.key_expiry: dict[str, float] = {}  # until when a controller's lease runs
+        # Revision, event, controller
+        self.log: list[tuple[int, str, str]] = []
+        self.key_expiry: dict[str, float] = {}  # controller -> end of its lease
         self.cancelled_at: dict[int, float] = {}
         self.acknowledged: dict[int, float] = {}
-        # When agents were last answered by a controller that did not know of the cancellation
+        # Revision of a cancellation -> when a controller without it last answered agents
         self.last_uninformed_answer_at: dict[int, float] = {}
-        self.outages: list[tuple[float, float]] = []  # of the store
+        self.outages: list[tuple[float, float]] = []  # of the store: start, end
         self.refusals: list[tuple[str, float, float]] = []
-        # From, to, since, until, whether it holds things back
+        # Source, destination, start, end, whether messages are delayed (else dropped)
         self.links: list[tuple[str, str, float, float, bool]] = []
         self.in_flight: list[tuple[float, int, str, str, Any]] = []
         self.message_count = 0
@@ -103,7 +105,7 @@
             writer = self.rng.choice(reach)
             self.append_log("cancel", writer.name)
             self.cancelled_at[self.revision] = self.t
-            writer.knows.add(self.revision)
+            writer.known_cancellations.add(self.revision)
             writer.barrier.record_cancellation(f"j-{self.revision:06d}", self.revision)
 
     def run(
@@ -145,7 +147,7 @@
         down = any(s <= self.t < e for s, e in self.outages)
         for name, until in list(self.key_expiry.items()):
             if down:
-                # Each lease gets its full time again
+                # An outage of the store restarts the full duration of each lease
                 self.key_expiry[name] = self.t + MEMBER_LEASE_S
             elif until < self.t:
                 del self.key_expiry[name]
@@ -153,16 +155,17 @@
 
     def deliver_messages(self) -> None:
         while self.in_flight and self.in_flight[0][0] <= self.t:
-            _, _, src, dst, packed = heapq.heappop(self.in_flight)
-            self.controllers[dst].inbox.append((src, packed))
+            _, _, src, dst, encoded = heapq.heappop(self.in_flight)
+            self.controllers[dst].inbox.append((src, encoded))
 
     def check(self) -> None:
-        """Raise AssertionError if an agent may run a job for longer than `cancel` after its user knows."""
+        """Raise AssertionError if a job may run for more than `cancel` s once acknowledged."""
         for version, at in self.acknowledged.items():
             late = self.last_uninformed_answer_at.get(version, -1e9)
             if late + self.lease > at + self.cancel:
                 raise AssertionError(
-                    f"told at {at}, and workers that did not know were answered at {late}"
+                    f"cancellation acknowledged at {at}, but agents of a "
+                    f"controller that did not know of it were answered at {late}"
                 )
 
     def step(self, controller: ControllerModel) -> None:
@@ -173,7 +176,7 @@
             self.renew_lease_and_read,
             self.acknowledge,
         ]
-        self.rng.shuffle(parts)  # after a pause, too, in any order
+        self.rng.shuffle(parts)  # these run in any order, also after a pause
         for part in parts:
             part(controller, now)
         if int(self.t / STEP_S) % 2 == 0:
@@ -184,7 +187,7 @@
                     encode_gossip(controller.barrier.gossip_for(other, controller.revision, now)),
                 )
 
-    def send(self, controller: ControllerModel, other: str, packed: Any) -> None:
+    def send(self, controller: ControllerModel, other: str, encoded: Any) -> None:
         at = self.t + 0.05 + 0.2 * self.rng.random()
         for src, dst, s, e, holds in self.links:
             if (src, dst) == (controller.name, other) and s <= self.t < e:
@@ -192,23 +195,23 @@
                     return
                 at = max(at, e)
         self.message_count += 1
-        heapq.heappush(self.in_flight, (at, self.message_count, controller.name, other, packed))
+        heapq.heappush(self.in_flight, (at, self.message_count, controller.name, other, encoded))
 
     def receive_gossip(self, controller: ControllerModel, now: float) -> None:
-        for src, packed in controller.inbox:
-            for one in controller.barrier.receive_gossip(src, decode_gossip(packed), now):
-                controller.knows.add(one.revision)
+        for src, encoded in controller.inbox:
+            for one in controller.barrier.receive_gossip(src, decode_gossip(encoded), now):
+                controller.known_cancellations.add(one.revision)
                 controller.barrier.record_cancellation(one.job_id, one.revision)
         controller.inbox.clear()
 
     def answer_agents(self, controller: ControllerModel, now: float) -> None:
         if not controller.revision:
-            return  # it holds nothing before it has read
+            return  # a controller holds no shard before its first read
         if controller.own_key_seen:
             controller.barrier.store_contacted(min(controller.last_read_at, controller.renewed_at))
         if not controller.barrier.isolated(now):
             for version in self.cancelled_at:
-                if version not in controller.knows:
+                if version not in controller.known_cancellations:
                     self.last_uninformed_answer_at[version] = self.t
 
     def renew_lease_and_read(self, controller: ControllerModel, now: float) -> None:
@@ -231,7 +234,7 @@
         first = not controller.revision
         for version, what, _ in self.log:
             if version > controller.revision and what == "cancel":
-                controller.knows.add(version)
+                controller.known_cancellations.add(version)
                 controller.barrier.record_cancellation(f"j-{version:06d}", version)
         controller.revision, controller.last_read_at, controller.own_key_seen = (
             self.revision,
@@ -251,7 +254,7 @@
         for version in self.cancelled_at:
             if (
                 version not in self.acknowledged
-                and version in controller.knows
+                and version in controller.known_cancellations
                 and controller.revision >= version
                 and controller.barrier.may_acknowledge(version, now)
             ):
@@ -259,8 +262,9 @@
 
 
 def run_random_history(seed: int) -> BarrierModel:
-    """A random history in which the store is down for long at least once, and one controller is
-    refused just before.
+    """Run a random history with three outages of the store, and return the model.
+
+    Just before each outage the store refuses one controller.
     """
     rng = Random(seed)
     cancel, lease = rng.choice([(46.0, 16.0), (38.0, 13.0), (30.0, 25.0)])
@@ -310,30 +314,31 @@
 
 
 def run_guard_history(guard: str) -> BarrierModel:
-    """A history that needs one guard, where random ones seldom do: controller c is refused."""
+    """Run a history that breaks without `guard`, which random histories seldom need.
+
+    The store refuses controller c.
+    """
     model = BarrierModel(Random(1), CANCEL_S, LEASE_S, CUT_OFF_S)
     both = [(x, y) for x in "ab" for y in (x + "c", "c" + x)]
     crashes: list[tuple[float, str]] = []
-    if (
-        guard == "left"
-    ):  # c is back while a can't read, reads for the last time, and is gone again before a does
+    # c rejoins while a can't read, reads for the last time, and leaves before a reads again
+    if guard == "left":
         model.refusals = [("c", 20.0, 62.0), ("a", 60.0, 75.0), ("c", 70.0, 300.0)]
         model.links = [(y[0], y[1], 0.0, 300.0, False) for _, y in both]
         cancel = 72.0
-    elif (
-        guard == "echo"
-    ):  # the others' answers are held up for as long as they owe, and c can't be heard any more
+    # The peers' gossip to c is delayed for the whole obligation period; c's gossip is lost
+    elif guard == "echo":
         model.refusals = [("c", 20.0, 300.0)]
         model.links = [("c", x, 40.0, 300.0, False) for x in "ab"] + [
             (x, "c", 39.5, 95.0, True) for x in "ab"
         ]
         model.links += [(x, "c", 43.0, 300.0, False) for x in "ab"]
         cancel = 45.0
-    else:  # both others tell, end, and come back where there is no store to read
+    else:  # both peers confirm contact, crash, and restart while the store is down
         model.refusals, model.outages = [("c", 20.0, 300.0)], [(60.0, 200.0)]
         model.links = [(y[0], y[1], 20.0, 62.0, False) for _, y in both]
         crashes = [(60.5, "a"), (60.5, "b")]
         cancel = 22.0
     model.run(250.0, crashes, [], [cancel])
-    assert model.acknowledged, "nothing was judged"
+    assert model.acknowledged, "no cancellation was acknowledged, so nothing was checked"
     return model
--- a/tests/store_fault_steps.py
+++ b/tests/store_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps and checks of the tests in which requests to the state service fail, lose their answers or come late."""
+"""Steps and checks for tests in which store requests fail, arrive late or lose their answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from .simulation.cluster import SimulatedCluster
 
-# Kinds of write that the prefix of a key tells; jobs and shards need the value, too
+# Key prefix -> kind of write; for jobs and shards the kind also depends on the operation or value
 KIND_BY_PREFIX = {
     "c/": "permits",
     "d/": "progress",
@@ -27,7 +27,7 @@
 
 
 def write_kinds(request: Any) -> set[str]:
-    """Which rows of the table of writes in docs/design.md a request is about."""
+    """Return the kinds of write in a request: rows of the table of writes in docs/design.md."""
     if request.path != "/multi":
         return set()
     kinds: set[str] = set()
@@ -43,14 +43,17 @@
 
 
 def job_write_kind(value: Any) -> str:
-    """The kind of a write to a job's key: a live job's record is a list, an ended one's a map."""
+    """Return the kind of a write to a job's key.
+
+    The record of a live job is a list, that of an ended job a map.
+    """
     if not isinstance(value, dict):
         return "submission"
     return "end" if value["s"] == "done" else "cancellation"
 
 
 async def poll_job_status(cluster: SimulatedCluster) -> None:
-    """Users ask every controller about new and old jobs, and submit them again, for ever."""
+    """Ask every controller about new and old jobs and repeat their submissions, without end."""
     while True:
         await anyio.sleep(1.0)
         accepted = [j for j, a in cluster.asked.items() if a.accepted is not None]
@@ -58,14 +61,14 @@
             continue
         for job_id in dict.fromkeys(
             [*accepted[-2:], *sorted(cluster.withdrawing)[-1:], cluster.asker.choice(accepted)]
-        ):  # one seed, one course
+        ):  # dict.fromkeys keeps the order, so that a seed always gives the same run
             for name in cluster.names:
                 cluster.tasks.start_soon(cluster.ask, job_id, name)
             cluster.tasks.start_soon(cluster.resubmit, job_id, cluster.asker.choice(cluster.names))
 
 
 async def place_maintenance_order(cluster: SimulatedCluster, order_id: str, **what: Any) -> None:
-    """Place an operator's order, and repeat the request until it is known to be placed."""
+    """Place a maintenance order, and repeat the request until a controller confirms it."""
     while True:
         for name in ("c2", "c0", "c1"):
             with contextlib.suppress(UnreachableError):
@@ -80,25 +83,28 @@
 
 
 def assert_nothing_lost(cluster: SimulatedCluster, kills: bool) -> None:
-    """Every shard has one holder, every job and order is as its user was told, and no lease
-    expired. With `kills` tasks may have lost their lease: claims were lost while two of three
-    controllers were down.
+    """Assert that each shard has one holder, and that jobs and orders are as their users were told.
+
+    No lease of a task may have expired, except with `kills`: there, claims were lost while two of
+    three controllers were down.
     """
     assert sorted(s for n in cluster.nodes.values() for s in n.context.held_shards) == [0, 1, 2], (
-        "nobody holds a part, or two do"
+        "nobody holds a shard, or two controllers hold the same one"
     )
     assert all(f"p/node/{n}" in cluster.state.store.kv for n in cluster.names)
-    assert all(a.accepted is not None for a in cluster.asked.values()), "not accepted"
+    assert all(a.accepted is not None for a in cluster.asked.values()), (
+        "not accepted: a submitted job"
+    )
     order = cluster.state.store.kv.get("p/upkeep/u-1")
     assert order is None or order[0]["state"] != "paused", (
-        "u-1 is paused, though its operator was told that it goes on"
+        "order u-1 is paused, though its operator was told that it had been resumed"
     )
     assert len(cluster.cancelled) + sum(
         cluster.told.get(j) == "done" for j in cluster.withdrawing
     ) >= len(cluster.withdrawing)
-    over = {j for j in cluster.asked if cluster.told.get(j) in ("done", "withdrawn")}
+    ended = {j for j in cluster.asked if cluster.told.get(j) in ("done", "withdrawn")}
     left = [
-        k for k, (v, _) in cluster.state.store.kv.items() if k.startswith("c/") and over & set(v)
+        k for k, (v, _) in cluster.state.store.kv.items() if k.startswith("c/") and ended & set(v)
     ]
-    assert not left, f"entries of jobs that are over: {left}"
+    assert not left, f"permits of jobs that have ended: {left}"
     assert kills or cluster.fleet.killed_by_lease == 0
--- a/tests/test_accepted_jobs_known.py
+++ b/tests/test_accepted_jobs_known.py
@@ -1,8 +1,8 @@
 """Every accepted job is known to every controller, also long after it has ended.
 
-The simulated cluster asks about accepted jobs in all scenes, and fails on a 404 or an older answer.
-Here every controller is asked about every job once all faults are over, and has to answer within 75
-s.
+The simulated cluster polls accepted jobs in every scene and fails on a 404 or an older answer. The
+tests below ask every controller about every job once all faults are over; each has to answer within
+75 s.
 """
 
 from __future__ import annotations
@@ -30,8 +30,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_every_controller_answers_for_every_job_once_all_faults_are_over(seed: int) -> None:
-    """One and all controllers crash, links are cut, the store is down, jobs are cancelled; few
-    ended jobs are kept in memory, the others are read from the archive.
+    """Crash one or all controllers, cut links, stop the store and cancel jobs.
+
+    Only a few ended jobs are kept in memory; the others are read from the archive.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -67,14 +68,15 @@
                     status, _ = await p.users[rng.choice(p.names)].call(
                         "POST", "/api/jobs", spec, 5.0
                     )
-            assert status == 200, "known, whatever has become of it"
+            assert status == 200, "an accepted job is known, whatever its state"
 
     play(scene, seed, options=settings.Options(keep_ended=10))
 
 
 def test_controller_that_never_returns_delays_no_answer() -> None:
-    """A cancellation is acknowledged once that controller must have stopped, whatever the
-    platform's times.
+    """A cancellation is acknowledged once the lost controller must have stopped its tasks.
+
+    This holds for every tested pair of cancellation time and lease.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -94,7 +96,7 @@
 
 
 def test_unreadable_job_record_leaves_other_jobs_answered() -> None:
-    """Before, the watch failed on it for ever, and every controller answered 503 to every request."""
+    """The watch failed on it for ever, and every controller answered 503 to every request."""
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 30.0)
@@ -145,7 +147,7 @@
         await p.submit(p.spec(1, gait="array", chicks=1))
         await anyio.sleep(20.0)
         shared = p.nodes["c0"].context
-        shared.store_cache.ended_jobs.clear()  # as after it was archived
+        shared.store_cache.ended_jobs.clear()  # as if the job had been archived
         assert shared.machine_types is not None
         shared.machine_types = {}
         shared.store_cache.entries["p/archived"] = (1, 1)
@@ -162,7 +164,7 @@
 
 
 def test_simulation_reports_an_answer_older_than_the_last_one() -> None:
-    """The answer says that a job is running which was reported as done."""
+    """The older answer says that a job is running, after it was reported as done."""
 
     async def scene(p: SimulatedCluster) -> None:
         await p.submit(p.spec(1, gait="array", chicks=1))
@@ -171,11 +173,11 @@
         node = p.nodes["c1"]
         real = node.job_requests.poll
 
-        async def older(jid: str) -> Any:
+        async def poll_with_older_answer(jid: str) -> Any:
             reply = await real(jid)
             return type(reply)(200, {**orjson.loads(orjson.dumps(reply.body)), "stance": "running"})
 
-        node.job_requests.poll = older  # type: ignore[method-assign]
+        node.job_requests.poll = poll_with_older_answer  # type: ignore[method-assign]
         await p.ask("j-000001", "c1")
 
     with pytest.raises(AssertionError, match="went_back"):
--- a/tests/test_cancellation_barrier.py
+++ b/tests/test_cancellation_barrier.py
@@ -1,4 +1,4 @@
-"""When the cancellation barrier lets a cancellation be acknowledged, and what controllers tell one another for it."""
+"""Tests of when the barrier lets a cancellation be acknowledged, and of the gossip it needs."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def gossip_up_to(name: str, upto: int) -> CancellationGossip:
-    """Gossip of a peer that says no more than up to which revision it has read."""
+    """Return gossip of a peer that states only the revision up to which it has read."""
     return CancellationGossip(upto, "its life", 0.0, 100.0, True, None, [])
 
 
 def test_cancellation_is_not_acknowledged_while_a_peer_may_not_know_of_it() -> None:
     barrier = new_barrier()
-    assert not barrier.may_acknowledge(7, 1.0), "a controller that has just started knows nobody"
+    assert not barrier.may_acknowledge(7, 1.0), "a controller that has just started knows no peer"
     for name in ("c1", "c2"):
         barrier.peer_present(name, True, 0)
     barrier.receive_gossip("c1", gossip_up_to("c1", 9), 1.0)
@@ -48,17 +48,20 @@
     )
     barrier.peer_absent("c2", 10.0, 20)
     barrier.peer_absent("c2", 30.0, 20)
-    assert barrier.may_acknowledge(8, 10.0), "what it knew before it went stays known"
+    assert barrier.may_acknowledge(8, 10.0), "what an absent peer knew before it left still counts"
     assert not barrier.may_acknowledge(
         9, 10.0 + barrier.ack_delay_s - 0.1
     ) and barrier.may_acknowledge(9, 10.0 + barrier.ack_delay_s)
     barrier.peer_present("c2", True, 0)
-    assert not barrier.may_acknowledge(9, 60.0), "it is back, and has not said what it knows"
+    assert not barrier.may_acknowledge(9, 60.0), (
+        "c2 is back, and has not stated up to where it has read"
+    )
 
 
 def test_peer_that_rejoined_and_left_between_two_reads_counts_as_newly_absent() -> None:
-    """A controller that reads seldom sees the key absent before and after; in between the peer was
-    a member, and may have read nothing since.
+    """Between two reads that find the peer's key absent, the peer may have rejoined and left again.
+
+    It may have read nothing since, so its absence counts from the second read.
     """
     barrier = new_barrier()
     barrier.receive_gossip("c1", gossip_up_to("c1", 9), 0.0)
@@ -71,8 +74,9 @@
 
 
 def test_peer_in_contact_delays_acknowledgement_until_it_knows_of_the_cancellation() -> None:
-    """In an outage its key is gone and it goes on; only gossip that names the cancellation ends the
-    wait.
+    """In an outage a peer's key expires, but the peer goes on and still answers gossip.
+
+    The acknowledgement waits until the peer has received gossip that names the cancellation.
     """
     sender, receiver = (
         CancellationBarrier(["m"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "p"),
@@ -85,19 +89,21 @@
     sender.record_cancellation("j-000001", 7)
     for now in range(10, 200):
         sender.receive_gossip("m", receiver.gossip_for("p", 5, float(now)), float(now))
-        said = sender.gossip_for("m", 7, float(now))
-        assert not sender.may_acknowledge(7, float(now)), "it answers, so it is owed"
-        assert said.cancellations == [Cancellation(7, "j-000001")]
+        gossip = sender.gossip_for("m", 7, float(now))
+        assert not sender.may_acknowledge(7, float(now)), (
+            "the peer still answers, so its confirmation is required"
+        )
+        assert gossip.cancellations == [Cancellation(7, "j-000001")]
     assert receiver.isolated(200.0)
-    assert receiver.receive_gossip("p", said, 200.0) == [Cancellation(7, "j-000001")]
+    assert receiver.receive_gossip("p", gossip, 200.0) == [Cancellation(7, "j-000001")]
     assert receiver.lapsed, (
-        "for longer than a lease after its fence: the other may have forgotten what it should know"
+        "isolated for longer than a lease: the peer may have dropped cancellations it still needs"
     )
     receiver.store_contacted(199.5)
     assert not receiver.isolated(200.0)
     sender.receive_gossip("m", receiver.gossip_for("p", 5, 200.0), 200.0)
     assert sender.may_acknowledge(7, 200.0) and not sender.unconfirmed, (
-        "it knows, so the user is told at once, and nobody has to be named it any more"
+        "the peer knows: acknowledged at once, and no further gossip has to name the cancellation"
     )
 
 
@@ -113,22 +119,22 @@
 
     echo(35.0, 5.0, False)
     assert barrier.last_contact(35.0) == 34.9, (
-        "it ended within patience: whatever it had confirmed is known here"
+        "it restarted within the contact age limit: whatever it had confirmed is known here"
     )
     echo(75.0, 5.0, False)
     assert barrier.last_contact(75.0) == 34.9, (
-        "its last life may have confirmed something after it owed nothing more"
+        "its earlier incarnation may have confirmed something after its obligation had ended"
     )
     echo(80.0, 10.0, True)
     assert barrier.last_contact(80.0) == 79.9, (
-        "it has read, so all that was confirmed has been named"
+        "it has read the store, so everything confirmed before has been named"
     )
     barrier.receive_gossip(
         "p", CancellationGossip(0, "p2", 1.0, 50.0, True, ("an earlier life of m", 89.0), []), 90.0
     )
     barrier.receive_gossip("p", CancellationGossip(0, "p2", 1.0, 50.0, True, ("m", 95.0), []), 90.0)
     assert barrier.last_contact(90.0) == 79.9, (
-        "neither an earlier life's word nor one that was never sent"
+        "an echo of an earlier incarnation's message or of one never sent must not count"
     )
 
 
@@ -144,16 +150,17 @@
     named: list[Cancellation] = []
     for now in (1.0, 2.0, 3.0):
         sender.receive_gossip("m", receiver.gossip_for("p", 5, now), now)
-        said = sender.gossip_for("m", 10 + n, now)
-        assert (said.echo is None) == (now < 3.0)
-        named += receiver.receive_gossip("p", said, now)
+        gossip = sender.gossip_for("m", 10 + n, now)
+        assert (gossip.echo is None) == (now < 3.0)
+        named += receiver.receive_gossip("p", gossip, now)
     assert [c.revision for c in named] == [11 + i for i in range(n)]
     assert receiver.informed_revision == 10 + n and receiver.peers["p"].confirmed_contact_at == 3.0
 
 
 def test_batch_claims_no_revision_beyond_what_was_read() -> None:
-    """Own writes are named before the watch has reached them: there may be others in between that
-    this controller does not know.
+    """Own writes are named before the watch has reached them.
+
+    There may be cancellations in between that this controller does not know.
     """
     barrier = CancellationBarrier(["m"], CANCEL_S, LEASE_S, CUT_OFF_S, 0.0, "p")
     for i in range(MAX_CANCELLATIONS_PER_MESSAGE + 1):
@@ -175,7 +182,7 @@
     assert barrier.max_contact_age_s == barrier.legacy_answer_s
     barrier.receive_gossip("c1", gossip_up_to("c1", 5), 1.0)
     assert barrier.may_acknowledge(5, 2.0), (
-        "and that one stops by the old time: nothing has to wait for it"
+        "a peer of an older release stops by the legacy time: nothing has to wait for it"
     )
     barrier.peer_present("c2", True, 0)
     assert barrier.max_contact_age_s == CUT_OFF_S and not barrier.may_acknowledge(5, 2.0)
@@ -233,7 +240,11 @@
     st.booleans(),
     st.booleans(),
 )
-def test_a_word_comes_as_it_was_sent(upto: int, jobs: list[int], read: bool, echoes: bool) -> None:
+def test_gossip_is_unchanged_by_encoding_and_decoding(
+    upto: int, jobs: list[int], read: bool, echoes: bool
+) -> None:
     named = [Cancellation(upto, f"j-{j:06d}") for j in jobs] if upto else []
-    w = CancellationGossip(upto, "life", 1.5, 2.5, read, ("other", 0.5) if echoes else None, named)
-    assert decode_gossip(encode_gossip(w)) == w
+    gossip = CancellationGossip(
+        upto, "life", 1.5, 2.5, read, ("other", 0.5) if echoes else None, named
+    )
+    assert decode_gossip(encode_gossip(gossip)) == gossip
--- a/tests/test_cancellation_barrier_model.py
+++ b/tests/test_cancellation_barrier_model.py
@@ -1,5 +1,6 @@
-"""Random and chosen histories of the cancellation barrier's model: with every guard no task outlives
-`cancel_s`, and without each of them one does.
+"""Random and chosen histories of the cancellation barrier's model.
+
+With every guard no task outlives `cancel_s`; without any one of the guards a task does.
 """
 
 from __future__ import annotations
@@ -16,14 +17,15 @@
 
 
 def test_no_task_outlives_cancel_time_in_random_histories() -> None:
-    """Refusals, outages, lost or held messages, pauses, restarts and clock drift over three
-    controllers.
+    """Refusals, outages, lost or delayed messages, pauses, restarts and clock drift.
 
-    When a cancellation may be acknowledged and when agents may be answered follow from one
-    statement (coordination.cancellation_barrier); this is what it has to guarantee.
+    This is the guarantee of coordination.cancellation_barrier, from which it follows when a
+    cancellation may be acknowledged and when agents may be answered.
     """
-    told = sum(len(run_random_history(seed).acknowledged) for seed in range(SEEDS))
-    assert told > 4 * SEEDS, "hardly anything was told: nothing was judged"
+    acknowledged_count = sum(len(run_random_history(seed).acknowledged) for seed in range(SEEDS))
+    assert acknowledged_count > 4 * SEEDS, (
+        "too few cancellations were acknowledged to check anything"
+    )
 
 
 @pytest.mark.parametrize("guard", GUARD_HISTORIES)
@@ -32,25 +34,30 @@
 
 
 def remove_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Take one guard out of the barrier."""
-    real_word, real_take, real_gone = (
+    """Remove one guard from the barrier."""
+    real_gossip_for, real_receive_gossip, real_peer_absent = (
         CancellationBarrier.gossip_for,
         CancellationBarrier.receive_gossip,
         CancellationBarrier.peer_absent,
     )
-    if guard == "owed":  # answered, and not counted
+    if guard == "owed":  # contact after the peer became absent is not counted
         monkeypatch.setattr(CancellationBarrier, "_last_obligation", lambda self, m: m.absent_since)
-    elif guard == "named":  # answered without the cancellations
+    elif guard == "named":  # gossip leaves out the cancellations
         monkeypatch.setattr(
-            CancellationBarrier, "gossip_for", lambda *a: real_word(*a)._replace(cancellations=[])
+            CancellationBarrier,
+            "gossip_for",
+            lambda *a: real_gossip_for(*a)._replace(cancellations=[]),
         )
-    elif guard == "echo":  # what came back counts from when it came
+    elif guard == "echo":  # an echo counts from its arrival, not from when it was sent
         monkeypatch.setattr(
             CancellationBarrier,
             "receive_gossip",
-            lambda s, n, w, now: real_take(s, n, w._replace(echo=w.echo and (w.echo[0], now)), now),
+            lambda s, n, w, now: real_receive_gossip(
+                s, n, w._replace(echo=w.echo and (w.echo[0], now)), now
+            ),
         )
-    elif guard == "all heard":  # as it was: in an outage, who hears everybody goes on
+    # An earlier rule: in an outage, a controller that receives gossip from all peers goes on
+    elif guard == "all heard":
 
         def isolated(self: CancellationBarrier, now: float) -> bool:
             return now - self.store_contact_at >= self.max_contact_age_s and any(
@@ -62,17 +69,20 @@
         monkeypatch.setattr(
             CancellationBarrier,
             "gossip_for",
-            lambda *a: real_word(*a)._replace(cancellations=[], echo=None),
+            lambda *a: real_gossip_for(*a)._replace(cancellations=[], echo=None),
         )
-    elif guard == "lives":  # a new life's echo counts, whatever its last one may have told
+    # The echo of a restarted peer counts, whatever its earlier incarnation may have confirmed
+    elif guard == "lives":
         monkeypatch.setattr(
             CancellationBarrier,
             "receive_gossip",
-            lambda s, n, w, now: real_take(s, n, w._replace(uptime_s=1e9), now),
+            lambda s, n, w, now: real_receive_gossip(s, n, w._replace(uptime_s=1e9), now),
         )
     elif guard == "left":
         monkeypatch.setattr(
-            CancellationBarrier, "peer_absent", lambda s, n, now, left=0: real_gone(s, n, now, -1)
+            CancellationBarrier,
+            "peer_absent",
+            lambda s, n, now, left=0: real_peer_absent(s, n, now, -1),
         )
     else:
         monkeypatch.setattr(CancellationBarrier, "may_forget", lambda *a: True)
@@ -98,4 +108,4 @@
         except AssertionError as e:
             assert "were answered at" in str(e)
             return
-    pytest.fail(f"{guard}: nothing broke")
+    pytest.fail(f"no history broke the rule without the guard {guard}")
--- a/tests/test_concurrent_submissions.py
+++ b/tests/test_concurrent_submissions.py
@@ -1,4 +1,4 @@
-"""Two users submit, ask about and cancel the same job at once, also while the state service refuses requests."""
+"""Two users submit, poll and cancel the same job at once, also while the store refuses requests."""
 
 from __future__ import annotations
 
@@ -25,8 +25,10 @@
 
 
 def refuse_share_of_requests(cluster: SimulatedCluster, rng: Random, share: float) -> Counter[int]:
-    """Let the state service refuse a share of all requests with 429 or 503. Returns the count of
-    each status.
+    """Make the state service refuse a share of all requests with 429 or 503.
+
+    Returns:
+        The number of requests refused with each status.
     """
     real, refused = cluster.state.handle, Counter[int]()
 
@@ -47,9 +49,10 @@
     seed: int,
     accepted: Counter[str],
 ) -> None:
-    """One user of a job at controller `names[0]`, asking `names[1]`, too.
+    """Act as a user of a job at controller `names[0]` who also asks `names[1]`.
 
-    Submits until it is accepted, polls, and cancels it: one job in three at once, one when it is done.
+    Submit the job until it is accepted and poll it. Of three jobs, cancel one at once and one when
+    it is done.
     """
     name, other = names
     job_id, rng = spec["id"], Random(f"{seed} {spec['id']} {name}")
@@ -60,7 +63,9 @@
         if status in (200, 201):
             break
         await anyio.sleep(1.0)
-    assert status in (200, 201), f"forgotten: {job_id} is not accepted in 30 s: {status}"
+    assert status in (200, 201), (
+        f"forgotten: {job_id} is not accepted within 30 s: last status {status}"
+    )
     for _ in range(rng.randrange(1, 6)):
         await anyio.sleep(rng.choice([0.0, 0.01, 0.5]))
         await cluster.resubmit(job_id, other)
@@ -77,8 +82,9 @@
 
 
 async def assert_reads_are_shared(cluster: SimulatedCluster, rng: Random) -> None:
-    """Hundreds of requests for running jobs at one controller: one read answers all that came
-    before it began.
+    """Assert that one read answers all requests that arrived before it began.
+
+    300 requests for running jobs are sent to one controller.
     """
     for n in range(100, 110):
         await cluster.submit(cluster.spec(n, gait="daemon", chicks=1))
@@ -94,13 +100,11 @@
     for _ in range(300):
         cluster.tasks.start_soon(cluster.ask, f"j-{rng.randrange(100, 110):06d}", "c0")
     await anyio.sleep(1.0)
-    assert len(read) < 30, "a read for each would be too many"
+    assert len(read) < 30, "a read for each request: earlier requests must share one"
 
 
 def run_two_users(seed: int, share: float) -> None:
-    """Two users submit each job, repeatedly while it is live, and cancel it together or when it is
-    done.
-    """
+    """Let two users submit each job repeatedly, and cancel it together or when it is done."""
     accepted: Counter[str] = Counter()
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -132,7 +136,7 @@
     assert cluster.missing == []  # type: ignore[attr-defined]
     assert (
         set(accepted) >= set(f"j-{n:06d}" for n in range(1, 31)) and max(accepted.values()) == 1
-    ), "accepted once, by one of the two"
+    ), "accepted once: exactly one of the two submissions gets 201"
     for n in range(1, 31):
         job_id = f"j-{n:06d}"
         assert (
@@ -147,8 +151,8 @@
     run_two_users(seed, share)
 
 
-def any_submission(real: Any) -> Any:
-    """A submission is written whatever is known of its job."""
+def write_submissions_without_compare(real: Any) -> Any:
+    """Return a `compare_and_swap` that writes a submission without comparing the job's key."""
 
     async def txn(
         self: KeyValueStore, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
@@ -165,8 +169,10 @@
     return txn
 
 
-def each_by_itself(real: Any) -> Any:
-    async def proof(self: StoreWatch) -> FreshRead:
+def read_for_each_request(real: Any) -> Any:
+    """Return a `fresh_read` that reads the store for each request."""
+
+    async def fresh_read(self: StoreWatch) -> FreshRead:
         begun = self.context.clock()
         answer = await self.context.store.watch(
             WATCHED_PREFIX, self.context.store_cache.revision, 0
@@ -175,23 +181,42 @@
         self._apply_events(begun, *answer)
         return FreshRead(begun)
 
-    return proof
+    return fresh_read
 
 
 @pytest.mark.parametrize(
-    ("where", "name", "without", "share", "says"),
+    ("where", "name", "without", "share", "expected_failure"),
     [
-        # a job that is submitted once more, as another one, ends the steps of its team's source
-        (KeyValueStore, "compare_and_swap", any_submission, 0.0, "accepted once|not in list"),
+        # A job that is overwritten by another submission ends the steps of its team's source
+        pytest.param(
+            KeyValueStore,
+            "compare_and_swap",
+            write_submissions_without_compare,
+            0.0,
+            "accepted once|not in list",
+            id="KeyValueStore-compare_and_swap-any_submission-0.0-accepted once|not in list",
+        ),
         (JobAnswers, "final", lambda real: lambda self, job_id: None, 0.15, "forgotten|went_back"),
-        (StoreWatch, "fresh_read", each_by_itself, 0.0, "a read for each"),
+        pytest.param(
+            StoreWatch,
+            "fresh_read",
+            read_for_each_request,
+            0.0,
+            "a read for each",
+            id="StoreWatch-fresh_read-each_by_itself-0.0-a read for each",
+        ),
     ],
 )
 def test_concurrent_users_break_a_rule_without_each_guard(
-    where: type, name: str, without: Any, share: float, says: str, monkeypatch: pytest.MonkeyPatch
+    where: type,
+    name: str,
+    without: Any,
+    share: float,
+    expected_failure: str,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(where, name, without(getattr(where, name)))
-    with pytest.raises((AssertionError, ValueError), match=says):
+    with pytest.raises((AssertionError, ValueError), match=expected_failure):
         try:
             run_two_users(1, share)
         except BaseExceptionGroup as e:
@@ -200,8 +225,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_of_two_different_jobs_with_one_id_exactly_one_is_accepted(seed: int) -> None:
-    """One job is accepted whole, and both users are told of it; no task of the other is ever
-    started.
+    """One of the two jobs is accepted, and both users get its status.
+
+    No task of the other job is ever started.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -211,26 +237,31 @@
                 cluster.spec(n, gait="array", chicks=k, keeper=f"team-{(n + k) % 4}")
                 for k in (1, 3)
             ]
-            job_id, got = specs[0]["id"], dict[int, int]()
+            job_id, statuses = specs[0]["id"], dict[int, int]()
 
-            async def one(i: int, spec: dict[str, Any], name: str, got: dict[int, int]) -> None:
-                got[i], _ = await cluster.users[name].call("POST", "/api/jobs", spec, 5.0)
+            async def one(
+                i: int, spec: dict[str, Any], name: str, statuses: dict[int, int]
+            ) -> None:
+                statuses[i], _ = await cluster.users[name].call("POST", "/api/jobs", spec, 5.0)
 
             async with anyio.create_task_group() as tg:
                 for i, name in enumerate(
                     rng.sample(cluster.names, 2) if n % 3 else [rng.choice(cluster.names)] * 2
                 ):
-                    tg.start_soon(one, i, specs[i], name, got)
+                    tg.start_soon(one, i, specs[i], name, statuses)
                 while f"p/job/{job_id}" not in cluster.state.store.kv:
                     await anyio.sleep(0.0002)
                 job = jobs.from_record(cluster.state.store.kv[f"p/job/{job_id}"][0])
                 cluster.fleet.specs[job_id] = job
-            assert sorted(got.values()) == [200, 201]
-            won = next(i for i in got if got[i] == 201)
-            assert (job.task_count, job.team) == (specs[won]["chicks"], specs[won]["keeper"])
+            assert sorted(statuses.values()) == [200, 201]
+            accepted_index = next(i for i in statuses if statuses[i] == 201)
+            assert (job.task_count, job.team) == (
+                specs[accepted_index]["chicks"],
+                specs[accepted_index]["keeper"],
+            )
             cluster.asked[job_id], cluster.bodies[job_id] = (
                 SubmittedJob(cluster.now, accepted=cluster.now),
-                specs[won],
+                specs[accepted_index],
             )
         await anyio.sleep(25.0)
         assert not await cluster.all_answered(ANSWERED_WITHIN_S) and set(cluster.told.values()) == {
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -1,4 +1,4 @@
-"""Link health, relay routes, failback of agents and of shards: each against what it must not do."""
+"""Tests of link health, relay routes, and failback of agents and shards."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     g = LinkHealth()
     g.record_answer(0.01, 10.0)
     g.record_overdue(10.1, 10.4)
-    assert g.healthy, "an answer may take a few hundred milliseconds"
+    assert g.healthy, "an answer delayed by a few hundred milliseconds is no failure"
     g.record_overdue(10.1, 10.1 + MIN_FAILURE_S + 0.1)
     assert not g.healthy
     g.record_answer(0.01, 12.0)
     g.record_failure(12.5, 13.0)
     g.record_answer(0.01, 13.5)
     g.record_answer(0.01, 13.5 + INITIAL_RECOVERY_S - 0.1)
-    assert not g.healthy, "one failure among the answers begins it anew"
+    assert not g.healthy, "a failure between two answers restarts the recovery time"
     g.record_answer(0.01, 13.5 + INITIAL_RECOVERY_S)
     assert g.healthy
 
@@ -52,7 +52,7 @@
     for i in range(60):
         slow.record_answer(0.5, 10.0 + i)
     slow.record_overdue(69.1, 70.5)
-    assert slow.healthy, "it always takes so long"
+    assert slow.healthy, "the service is always this slow"
 
 
 def test_flapping_link_is_trusted_after_growing_delays() -> None:
@@ -69,15 +69,15 @@
     assert all(b > 1.8 * a for a, b in zip(took, took[1:], strict=False))
 
 
-def said(
-    ways: RelayRoutes,
+def update_status(
+    routes: RelayRoutes,
     name: str,
     now: float,
     good: list[str] | None = None,
     hears: list[str] | None = None,
     can: list[str] | None = None,
 ) -> None:
-    ways.update(
+    routes.update(
         name,
         {
             "life": "x",
@@ -92,37 +92,39 @@
 def test_routes_use_only_peers_with_fresh_status() -> None:
     w = RelayRoutes(["c1", "c2"])
     assert w.route_to_service("state", "state", 10.0) is None
-    said(w, "c1", 10.0, ["state"], can=[])
-    assert w.route_to_service("state", "state", 10.0) is None, "an older release"
-    said(w, "c2", 10.0, ["state"])
+    update_status(w, "c1", 10.0, ["state"], can=[])
+    assert w.route_to_service("state", "state", 10.0) is None, (
+        "a peer of an older release relays nothing"
+    )
+    update_status(w, "c2", 10.0, ["state"])
     assert (
         w.route_to_service("state", "state", 10.5) == "c2"
         and w.route_to_service("state", "state", 12.0) is None
     )
-    said(w, "c1", 12.0, [], ["c2"])
-    said(w, "c2", 12.0, ["state"])
+    update_status(w, "c1", 12.0, [], ["c2"])
+    update_status(w, "c2", 12.0, ["state"])
     w.record_failure("c2", 12.1)
-    assert w.route_to_service("state", "state", 12.2) == "c1", "over two members"
+    assert w.route_to_service("state", "state", 12.2) == "c1", "the route over two peers"
     assert w.route_to_service("state", "state", 12.2, hops=1) is None
     assert w.route_to_service("state", "state", 12.2, avoid=frozenset({"c1"})) is None
-    said(w, "c2", 13.2, ["state"])
-    assert w.route_to_service("state", "state", 13.2) == "c2", "not blamed for ever"
+    update_status(w, "c2", 13.2, ["state"])
+    assert w.route_to_service("state", "state", 13.2) == "c2", "a failed route is used again"
 
 
 def test_route_that_keeps_failing_backs_off() -> None:
     w, now, gaps = RelayRoutes(["c1"]), 10.0, []
     for _ in range(4):
-        said(w, "c1", now, ["state"])
+        update_status(w, "c1", now, ["state"])
         w.record_failure("c1", now)
         begun = now
         while w.route_to_service("state", "state", now) is None:
             now += 0.1
-            said(w, "c1", now, ["state"])
+            update_status(w, "c1", now, ["state"])
         gaps.append(now - begun)
     assert gaps == sorted(gaps) and gaps[-1] > 4 * gaps[0]
 
 
-ODD = st.one_of(
+MALFORMED = st.one_of(
     st.none(),
     st.integers(),
     st.text(max_size=5),
@@ -133,21 +135,21 @@
 @given(
     st.dictionaries(
         st.sampled_from(["life", "can", "good", "through", "hears", "cut"]),
-        st.one_of(ODD, st.dictionaries(st.integers(), st.text())),
+        st.one_of(MALFORMED, st.dictionaries(st.integers(), st.text())),
     )
 )
-def test_any_word_of_a_member_is_read_or_passed_over(word: dict[str, object]) -> None:
+def test_malformed_relay_status_of_a_peer_raises_no_error(peer_status: dict[str, object]) -> None:
     w = RelayRoutes(["c1"])
-    w.update("c1", word, 10.0)
+    w.update("c1", peer_status, 10.0)
     w.route_to_service("state", "state", 10.0)
     w.route_to_peer("c1", "report", 10.0)
     w.all_services_reachable("c1", 10.0)
 
 
-GOOD = relay_messages.RelayRequest(
+VALID_REQUEST = relay_messages.RelayRequest(
     "life", 1, relay_messages.STORE, 5.0, 2, "", "GET", "/kv/a", 0.0, b""
 )
-GOOD_MESSAGE = dict(zip(relay_messages.REQUEST_WIRE_NAMES, GOOD, strict=True))
+VALID_MESSAGE = dict(zip(relay_messages.REQUEST_WIRE_NAMES, VALID_REQUEST, strict=True))
 
 
 @given(
@@ -164,9 +166,9 @@
         ),
     )
 )
-def test_any_question_is_checked(wrong: dict[str, object]) -> None:
+def test_malformed_relay_request_is_rejected_or_valid(wrong: dict[str, object]) -> None:
     try:
-        q = relay_messages.decode_request({**GOOD_MESSAGE, **wrong})
+        q = relay_messages.decode_request({**VALID_MESSAGE, **wrong})
     except InvalidRelayMessageError:
         return
     assert (
@@ -178,7 +180,7 @@
 
 
 def test_relay_request_outside_the_relayable_calls_is_rejected() -> None:
-    assert relay_messages.decode_request(GOOD_MESSAGE) == GOOD
+    assert relay_messages.decode_request(VALID_MESSAGE) == VALID_REQUEST
     reboot = {"what": relay_messages.AGENT_COMMAND, "target": "h:1 /reboot"}
     for wrong in (
         {"target": "/admin"},
@@ -189,7 +191,7 @@
         {"body": "x"},
     ):
         with pytest.raises(InvalidRelayMessageError):
-            relay_messages.decode_request({**GOOD_MESSAGE, **wrong})
+            relay_messages.decode_request({**VALID_MESSAGE, **wrong})
 
 
 def test_pending_and_queued_relay_requests_are_bounded() -> None:
@@ -227,10 +229,12 @@
         assert found == ["n-1"] and h.due_probes(now) == []
         h.probe_finished("n-1", True, now)
         gaps.append(now - last)
-        assert h.heartbeat_relayed("n-1", "c1", now), "it answers: home"
+        assert h.heartbeat_relayed("n-1", "c1", now), "the probe was answered: the agent fails back"
         assert h.relay_for("n-1", now, 3.0) is None
         now = last = now + 2.0
-        assert not h.heartbeat_relayed("n-1", "c1", now), "back again: it could not reach home"
+        assert not h.heartbeat_relayed("n-1", "c1", now), (
+            "relayed again: the agent could not reach its controller"
+        )
     assert gaps[1] > 5.0 and gaps[-1] > 3 * gaps[1]
     h.probe_finished("n-1", True, now) if h.due_probes(now + 200.0) else None
     h.heartbeat_relayed("n-1", "c1", now + 200.0)
@@ -262,9 +266,9 @@
     )
     now += 1000.0
     m.record_loss(1, now)
-    assert m.delay_s(1, now) == 6.0, "long forgotten"
+    assert m.delay_s(1, now) == 6.0, "an old loss no longer adds to the delay"
     m.should_fail_back(1, True, now)
     m.should_fail_back(1, False, now + 5.0)
     assert not m.should_fail_back(1, True, now + 8.0) and not m.should_fail_back(
         1, True, now + 13.0
-    ), "well only since then"
+    ), "the healthy time restarts after an interruption"
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -1,8 +1,9 @@
-"""A controller can't read the store while another acknowledges cancellations; then the store is
-down for all.
+"""Cancellations while one leader is isolated from the store, before an outage of the store for all.
 
-Its agents go on reporting to it. Over whole controllers, checked from the agents' side: `cancel_s`
-after the acknowledgement no machine runs a task of the job (coordination/cancellation_barrier.py).
+The isolated leader can't read the cancellations that another controller acknowledges, and its
+agents go on reporting to it. The scenes run whole controllers and check from the agents' side that
+`cancel_s` after the acknowledgement no machine runs a task of the job
+(coordination/cancellation_barrier.py).
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 
 
 @pytest.fixture(autouse=True)
-def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
+def lease_and_cancel_times(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(parameters, "LEASE_S", LEASE)
     monkeypatch.setattr(parameters, "CANCEL_S", CANCEL)
 
 
-def hears_all(self: CancellationBarrier, now: float) -> bool:
-    """Replace `isolated`, as it was: in an outage, whoever receives gossip from all peers goes on."""
+def isolated_without_gossip_from_all_peers(self: CancellationBarrier, now: float) -> bool:
+    """Replace `isolated` by an earlier rule: gossip from all peers is enough in an outage."""
     return now - self.store_contact_at >= self.max_contact_age_s and any(
         now - m.last_gossip_at > 2.5 for m in self.peers.values()
     )
@@ -41,21 +42,25 @@
 def test_cancellation_acknowledged_in_an_outage_ends_tasks_of_an_isolated_leader(
     mode: str, mended: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its key is gone, its shard has no new holder yet, it has read none of the cancellations, and
-    receives gossip again.
+    """The leader's key has expired, and its shard has no new holder yet.
+
+    It has read none of the cancellations, and receives gossip again 9 s after it was isolated.
     """
     if not mended:
-        monkeypatch.setattr(CancellationBarrier, "isolated", hears_all)
-        real, word = CancellationBarrier.receive_gossip, CancellationBarrier.gossip_for
+        monkeypatch.setattr(CancellationBarrier, "isolated", isolated_without_gossip_from_all_peers)
+        real_receive_gossip, real_gossip_for = (
+            CancellationBarrier.receive_gossip,
+            CancellationBarrier.gossip_for,
+        )
         monkeypatch.setattr(
             CancellationBarrier,
             "receive_gossip",
-            lambda s, n, w, now: real(s, n, w._replace(cancellations=[]), now),
+            lambda s, n, w, now: real_receive_gossip(s, n, w._replace(cancellations=[]), now),
         )
         monkeypatch.setattr(
             CancellationBarrier,
             "gossip_for",
-            lambda s, n, read, now: word(s, n, read, now)._replace(echo=None),
+            lambda s, n, read, now: real_gossip_for(s, n, read, now)._replace(echo=None),
         )
         monkeypatch.setattr(
             CancellationBarrier, "_last_obligation", lambda self, m: m.absent_since or 0.0
@@ -64,16 +69,16 @@
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 10.0)
         layout = p.nodes["c0"].context.shard_map
-        # It is the source, too: nobody else stops them
-        mine = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][:3]
-        for n in mine:
+        # Jobs whose source is c0, too: no other controller stops their tasks
+        own_jobs = [n for n in range(800, 830) if layout.team_shard[f"team-{n % 4}"] == 0][:3]
+        for n in own_jobs:
             await p.submit(p.spec(n, gait="daemon", chicks=4))
         await anyio.sleep(6.0)
         at, back = p.now, 5.0
         p.net.cut("c0", "state", mode, 130.0)
         for other in ("c1", "c2"):
             p.net.cut("c0", other, mode, 9.0)
-        for n in mine:
+        for n in own_jobs:
             p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
         while "p/node/c0" in p.state.store.kv:
             await anyio.sleep(0.05)
@@ -82,12 +87,12 @@
         p.tasks.start_soon(p.outage, 125.0)
         await anyio.sleep(100.0)
         if mended:
-            told = sorted(t - at for t in p.cancelled.values())
-            assert told and told[-1] < 14.0, (
-                "it is named the cancellations when the link is back, and then the users are told"
+            delays = sorted(t - at for t in p.cancelled.values())
+            assert delays and delays[-1] < 14.0, (
+                "acknowledged once the link is back and gossip has named the cancellations to c0"
             )
             assert p.nodes["c0"].context.held_shards and p.fleet.killed_by_lease == 0, (
-                "and goes on with everything else"
+                "c0 goes on with all other tasks"
             )
             assert any(w.tasks for w in p.workers.values())
         await anyio.sleep(45.0)
@@ -100,8 +105,9 @@
 
 
 def test_outage_without_a_cancellation_kills_nothing() -> None:
-    """For longer than an isolated controller may go on; gossip among the controllers keeps all of
-    them going.
+    """The outage lasts longer than an isolated controller may go on.
+
+    Gossip among the controllers keeps all of them going.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -118,8 +124,10 @@
 
 @pytest.mark.parametrize("after", [0.2, 6.0])
 def test_controller_crash_in_an_outage_stops_no_other_controller(after: float) -> None:
-    """Its new incarnation has read nothing, and confirms contact for what the last one owed; its
-    agents live on by their tokens for as long.
+    """The restarted controller has read nothing, but its gossip confirms contact.
+
+    It does so for as long as its earlier incarnation had obligations; its agents go on by their
+    fencing tokens for that time.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -145,8 +153,9 @@
 def test_restarted_leader_without_a_read_stops_cancelled_tasks_that_peers_name(
     after: float,
 ) -> None:
-    """The leader restarts during the outage: cancellations that peers name end tasks of its earlier
-    incarnation, too.
+    """The leader restarts during the outage.
+
+    Cancellations that peers name in gossip end tasks of its earlier incarnation, too.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -171,7 +180,7 @@
 
 @pytest.mark.parametrize("older", [0, 1])
 def test_cancellations_reach_a_refused_controller_without_relay(older: int) -> None:
-    """Without a relay it reads nothing at all, but peers name the cancellations to it."""
+    """The controller reads nothing, but gossip from its peers names the cancellations."""
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 10.0)
@@ -190,7 +199,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_isolation_before_an_outage_breaks_no_rule(seed: int) -> None:
-    """Random: who is refused or partitioned, who crashes and when, when the outage begins, and what
-    is cancelled.
+    """Draw at random which controllers are refused, partitioned or crash, and when.
+
+    The start of the outage and the cancelled jobs are random, too.
     """
     run_schedule(seed, ("gap", "crash", "peers"))
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -1,4 +1,4 @@
-"""Answers to users: never older than earlier ones, and a cancellation only once it may be acknowledged."""
+"""Tests that answers never go back and report a cancellation only when the barrier permits it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def platform_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The deployments' own lease and time for a cancellation."""
+    """Use the lease and the cancellation time of the deployments."""
     monkeypatch.setattr(parameters, "LEASE_S", DEPLOYED_LEASE_S)
     monkeypatch.setattr(parameters, "CANCEL_S", DEPLOYED_CANCEL_S)
 
@@ -36,11 +36,11 @@
 def test_repeated_submission_acknowledges_no_cancellation_early(
     mode: str, guarded: bool, platform_times: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A zone is partitioned for 110 s with its controller, and jobs are cancelled outside while
-    their submissions are repeated.
+    """A zone is partitioned for 110 s with its controller, and jobs are cancelled outside it.
 
-    Answered from the store cache, which learnt of the cancellation while the request waited for its
-    read, the user was told within milliseconds, and tasks in the zone ran on for 73 s
+    Meanwhile their submissions are repeated. Without the guard such a request was answered from the
+    store cache, which had learnt of the cancellation while the request waited for its read: the
+    cancellation was acknowledged within milliseconds, and tasks in the zone ran on for 73 s
     (`ran_cancelled`).
     """
     if not guarded:
@@ -64,7 +64,9 @@
         early = [j for j in cluster.cancelled if cluster.now - cluster.cancelled[j] < 2.0]
         await anyio.sleep(109.0)
         assert not early or not guarded
-        assert len(cluster.cancelled) == len(wanted), "told, once the zone must have stopped"
+        assert len(cluster.cancelled) == len(wanted), (
+            "acknowledged once the zone must have stopped the tasks"
+        )
         assert not await cluster.all_answered(ANSWERED_WITHIN_S)
 
     if guarded:
@@ -76,8 +78,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frequent_status_requests_get_no_older_answer(seed: int) -> None:
-    """All controllers are asked, and submissions repeated, within 50 ms of each acceptance, end and
-    cancellation; some jobs are cancelled at once.
+    """Poll all controllers and repeat submissions around each acceptance, end and cancellation.
+
+    The requests come within 50 ms of the event; some jobs are cancelled at once.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -105,7 +108,7 @@
 def test_frequent_status_requests_detect_an_older_answer_without_a_guard(
     without: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without the fresh read, or without a look into the archive, an accepted job is not known."""
+    """Without the fresh read or the archive lookup, an accepted job is reported as unknown."""
     if without == "proof":
         monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     else:
@@ -127,8 +130,9 @@
 
 
 def test_only_job_answers_determines_the_reported_job_state() -> None:
-    """Handlers of users' requests go through coordination.job_answers: they neither look at the
-    store cache nor build a status.
+    """Handlers of users' requests get job states only from coordination.job_answers.
+
+    They neither read jobs from the store cache nor build a status themselves.
     """
     for name in ("job_requests", "http_routes"):
         tree = ast.parse(
@@ -147,21 +151,22 @@
             "QUEUED",
             "EndedJob",
         }, name
-        said = [
+        calls = [
             n
             for n in ast.walk(tree)
             if isinstance(n, ast.Call)
             and ast.unparse(n.func) in ("Reply", "jobs.status_body", "status_body")
         ]
-        for call in said:
+        for call in calls:
             assert ast.unparse(call.func) == "Reply"
             if ast.unparse(call.args[0]) in ("200", "201") and name == "job_requests":
                 assert ast.unparse(call.args[1]).endswith(".body"), ast.unparse(call)
 
 
 def test_former_shard_holder_shows_current_job_counts() -> None:
-    """It kept the last counts that it had received as the holder, and showed them for as long as
-    the job lived.
+    """A former holder must not show the counts that it last received as the holder.
+
+    It did so for as long as the job was live.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
--- a/tests/test_job_end_races.py
+++ b/tests/test_job_end_races.py
@@ -1,4 +1,4 @@
-"""A cancellation, a status request or a repeated submission races with the end of a job and its archiving."""
+"""Cancellations, polls and repeated submissions race with the end of a job and its archiving."""
 
 from __future__ import annotations
 
@@ -23,9 +23,7 @@
 
 
 class DelayedStoreRequests:
-    """The state service, held at the steps of a job's end, of its cancellation, or of its move to
-    the archive.
-    """
+    """A state service that delays one kind of write: end, cancellation or archiving of a job."""
 
     def __init__(
         self,
@@ -45,9 +43,9 @@
             late,
         )
         self.real = cluster.state.handle
-        self.orders: dict[str, list[str]] = {}  # what has landed for each job, in order
+        self.orders: dict[str, list[str]] = {}  # job -> its committed states, in order
         self.held = 0
-        # Jobs of which a write has been late: of each only the first one
+        # Jobs of which a write was executed late; only the first write of each job is
         self.lost: set[str] = set()
         cluster.state.handle = self.handle  # type: ignore[method-assign]
         real_txn = cluster.state.store.txn
@@ -71,11 +69,10 @@
         self.held += 1
         for job_id in found:
             self.at(job_id)
-        if self.late and not self.lost.issuperset(
-            found
-        ):  # it is carried out late, and there is no answer
+        # The write is executed late, and its answer is lost
+        if self.late and not self.lost.issuperset(found):
             self.lost.update(found)
-            self.p.tasks.start_soon(self.carry_out, request)
+            self.p.tasks.start_soon(self.execute_late, request)
             await anyio.sleep(20.0)
         await anyio.sleep(self.before)
         reply = await self.real(request)
@@ -84,7 +81,7 @@
         await anyio.sleep(self.after)
         return reply
 
-    async def carry_out(self, request: Any) -> None:
+    async def execute_late(self, request: Any) -> None:
         await anyio.sleep(self.late)
         await self.real(request)
 
@@ -102,7 +99,7 @@
 async def poll_and_resubmit(
     cluster: SimulatedCluster, job_id: str, rng: Random, s: float = 0.3
 ) -> None:
-    """Status requests and repeated submissions at all controllers, every few milliseconds."""
+    """Poll a job and repeat its submission at all controllers, every few milliseconds."""
     until = cluster.now + s
     while cluster.now < until:
         for name in cluster.names:
@@ -113,7 +110,8 @@
         await anyio.sleep(0.005 + 0.03 * rng.random())
 
 
-# which write is held, for how long before it is carried out, and how long its answer takes after; or how late, without any answer
+# Step -> which write is delayed, seconds before it is executed, seconds that its answer takes after
+# that; or seconds by which it is executed late, with its answer lost
 STEPS = {
     "the end is written": (DONE, 0.3, 0.0, 0.0),
     "it has landed, its writer does not know": (DONE, 0.0, 0.3, 0.0),
@@ -132,21 +130,25 @@
 
 
 def race_with_job_end(step: str, seed: int = 1, jobs: int = 12) -> dict[str, int]:
-    """Jobs end; at each step users poll closely, and two in three cancel. Returns how many were
-    told what.
+    """Run jobs to their end while users poll at the delayed step, and two in three cancel.
+
+    Returns:
+        The number of jobs reported with each outcome.
     """
     which, before, after, late = STEPS[step]
 
     async def scene(cluster: SimulatedCluster) -> None:
-        rng, met = Random(f"{seed} {step}"), set[str]()
+        rng, polled = Random(f"{seed} {step}"), set[str]()
 
         def at(job_id: str) -> None:
             cluster.tasks.start_soon(poll_and_resubmit, cluster, job_id, rng)
-            if job_id not in met and int(job_id[2:]) % 3 and which != CANCELLED:
-                cluster.tasks.start_soon(later, job_id, rng.choice([0.0, 0.001, 0.004, 0.05, 0.2]))
-            met.add(job_id)
+            if job_id not in polled and int(job_id[2:]) % 3 and which != CANCELLED:
+                cluster.tasks.start_soon(
+                    cancel_later, job_id, rng.choice([0.0, 0.001, 0.004, 0.05, 0.2])
+                )
+            polled.add(job_id)
 
-        async def later(job_id: str, s: float) -> None:
+        async def cancel_later(job_id: str, s: float) -> None:
             await anyio.sleep(s)
             if job_id not in cluster.withdrawing:
                 await cluster.withdraw(job_id)
@@ -156,11 +158,10 @@
             cluster.net.cut("c2", "state", SLOW, 30.0)
         real = cluster.fleet.started
 
-        def started(
-            w: Any, key: Any
-        ) -> None:  # cancelled as it ends on its machines, before or after anybody knows
+        # Cancels a job as it ends on its machines, before or after a controller knows
+        def started(w: Any, key: Any) -> None:
             if which == CANCELLED and key[1] == 1 and int(key[0][2:]) % 3:
-                cluster.tasks.start_soon(later, key[0], rng.uniform(0.5, 1.6))
+                cluster.tasks.start_soon(cancel_later, key[0], rng.uniform(0.5, 1.6))
             real(w, key)
 
         cluster.fleet.started = started  # type: ignore[method-assign]
@@ -184,15 +185,15 @@
     for job_id, order in steps.orders.items():
         assert order[0] == "accepted" and len(set(order[1:])) == 1 == len(
             set(order) & {DONE, CANCELLED}
-        ), f"went_back: {job_id}: {order}"
+        ), f"went_back: {job_id}: committed states {order}"
         assert cluster.told.get(job_id, order[1]) == order[1], (
-            f"went_back: {job_id} is {order[1]}, its user was told {cluster.told[job_id]}"
+            f"went_back: {job_id} is {order[1]}, but was reported as {cluster.told[job_id]}"
         )
     assert missing == [], f"forgotten: {missing}"
     assert steps.held >= (jobs // 3 if which != CANCELLED else 3), (
-        f"the step was met {steps.held} times only"
+        f"only {steps.held} writes were delayed at the step"
     )
-    assert set(cluster.told) == set(cluster.asked), "every one is over, and its user knows"
+    assert set(cluster.told) == set(cluster.asked), "every job has ended, and its end was reported"
     return Counter(cluster.told.values())
 
 
@@ -203,19 +204,19 @@
 
 
 def unguarded(real: Any) -> Any:
-    """Ends and cancellations are written whatever the job's key holds by then."""
+    """Return a `compare_and_swap` that does not compare the key of a job that ends."""
 
     async def txn(
         self: KeyValueStore, guards: dict[str, int], puts: dict[str, Any], *a: Any, **kw: Any
     ) -> Any:
-        over = {k for k, v in puts.items() if isinstance(v, dict)}
-        return await real(self, {k: v for k, v in guards.items() if k not in over}, puts, *a, **kw)
+        ended = {k for k, v in puts.items() if isinstance(v, dict)}
+        return await real(self, {k: v for k, v in guards.items() if k not in ended}, puts, *a, **kw)
 
     return txn
 
 
-def unread(real: Any) -> Any:
-    """A fresh read returns without reading."""
+def watch_without_reading(real: Any) -> Any:
+    """Return a `watch` that answers fresh reads without reading."""
 
     async def watch(
         self: KeyValueStore, prefix: str, since: int, hold_ms: int, urgent: bool = False
@@ -225,8 +226,8 @@
     return watch
 
 
-def unseen(real: Any) -> Any:
-    """Nothing is found in the archive."""
+def get_without_archive(real: Any) -> Any:
+    """Return a `get` that finds no job in the archive."""
 
     async def get(self: KeyValueStore, key: str) -> Any:
         return (None, 0) if key.startswith("e/") else await real(self, key)
@@ -239,8 +240,20 @@
     [
         ("the end is written", "compare_and_swap", unguarded, "went_back"),
         ("the cancellation is unknown, and late", "compare_and_swap", unguarded, "went_back"),
-        ("one reads it much later", "watch", unread, "went_back"),
-        ("it has left, nobody knows", "get", unseen, "forgotten"),
+        pytest.param(
+            "one reads it much later",
+            "watch",
+            watch_without_reading,
+            "went_back",
+            id="one reads it much later-watch-unread-went_back",
+        ),
+        pytest.param(
+            "it has left, nobody knows",
+            "get",
+            get_without_archive,
+            "forgotten",
+            id="it has left, nobody knows-get-unseen-forgotten",
+        ),
     ],
 )
 def test_job_end_race_breaks_a_rule_without_each_guard(
--- a/tests/test_key_value_store_client.py
+++ b/tests/test_key_value_store_client.py
@@ -1,4 +1,4 @@
-"""What the client of the key-value store makes of each response: listed ones are believed, others are an unknown outcome."""
+"""Tests of how the key-value store client reads responses: unlisted ones are unknown outcomes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FixedResponse:
-    """A caller that always gets the same response."""
+    """A transport that returns the same response to every call."""
 
     def __init__(self, status: int, body: Any) -> None:
         self.answer = status, body
@@ -34,7 +34,7 @@
 }
 
 
-# What the protocol lists, and what it outcome_of
+# Call -> status -> a response that the protocol lists, and the result of the call
 LISTED_RESPONSES: dict[str, dict[int, tuple[Any, Any]]] = {
     "get": {
         200: ({"path": "e/j-000001", "v": {"s": "done"}, "feather": 3}, ({"s": "done"}, 3)),
@@ -64,7 +64,7 @@
 
 
 def outcome_of(call: str, status: int, body: Any) -> Any:
-    """What a call makes of a response: a value, or the name of what it raises."""
+    """Return the result of a call that gets this response, or the name of the error it raises."""
     try:
         return anyio.run(CALLS[call], KeyValueStore(FixedResponse(status, body), 100.0, 100.0))
     except (RequestRefusedError, OutcomeUnknownError) as e:
@@ -73,10 +73,13 @@
 
 @pytest.mark.parametrize("call", CALLS)
 def test_unlisted_status_is_an_unknown_outcome(call: str) -> None:
-    """Before: a 502 was "not executed" for a write, "no such key" for a read of one key, and "ended" for a lease."""
+    """No conclusion is drawn from a status that the protocol does not list.
+
+    A 502 was taken for "not executed" (write), "no such key" (read of one key) and "ended" (lease).
+    """
     listed = LISTED_RESPONSES[call]
-    for status, (body, meant) in listed.items():
-        assert outcome_of(call, status, body) == meant
+    for status, (body, expected) in listed.items():
+        assert outcome_of(call, status, body) == expected
     for status in (429, 503):
         assert outcome_of(call, status, {"error": "trouble"}) == "RequestRefusedError"
     for status in {201, 204, 301, 400, 403, 404, 408, 409, 410, 500, 502, 504} - listed.keys():
@@ -115,7 +118,7 @@
     ],
 )
 def test_malformed_success_response_is_an_unknown_outcome(call: str, bodies: list[Any]) -> None:
-    """Before: a missing field raised KeyError inside the writer, and ended the process."""
+    """A missing field raised KeyError inside the writer, and ended the process."""
     for body in [None, [], "ok", 7, [1], *bodies]:
         assert outcome_of(call, 200, body) == "OutcomeUnknownError", body
     assert (
@@ -130,13 +133,13 @@
     now = [100.0]
     store = KeyValueStore(FixedResponse(200, "x" * 100_000), 1e6, 1e6, lambda: now[0])
 
-    async def often() -> None:
+    async def get_often() -> None:
         for _ in range(300):
             now[0] += 0.1
             with pytest.raises(OutcomeUnknownError):
                 await store.get("k")
 
-    anyio.run(often)
+    anyio.run(get_often)
     lines = [line for line in capfd.readouterr().err.splitlines() if "invalid response" in line]
     assert (
         len(lines) == 3 and all(len(line) < 400 for line in lines) and store.last_answer_at == 0.0
--- a/tests/test_late_store_writes.py
+++ b/tests/test_late_store_writes.py
@@ -1,4 +1,4 @@
-"""Writes that are carried out after a newer one, or after their writer has ended and restarted."""
+"""Tests of writes that are executed after a newer one, or after their writer has restarted."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 def test_late_pause_does_not_stop_a_resumed_order(
     guarded: bool, verbs: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An operator pauses an order, repeats that since the answer was lost (or not), and resumes it;
-    then the first pause is carried out.
+    """A pause of an order whose answer was lost is executed after the order was resumed.
 
-    Without the second pause the order was running as far as was known: nothing was written, and
-    nothing stood against the late pause.
+    The operator pauses the order, repeats the pause (or not), and resumes it; then the first pause
+    is executed. Without the second pause the order was running as far as the controllers knew, so
+    the resume wrote nothing, and nothing made the late pause fail its compare.
     """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/upkeep/"))
-    real, kept = FakeKeyValueStore.handle, list[Any]()
+    real, delayed = FakeKeyValueStore.handle, list[Any]()
 
     async def handle(self: FakeKeyValueStore, request: Any) -> Reply:
-        if not kept and b"paused" in request.body and "order" in write_kinds(request):
-            kept.append(request)
+        if not delayed and b"paused" in request.body and "order" in write_kinds(request):
+            delayed.append(request)
             return Reply(504, {"error": "gateway"})
         return await real(self, request)
 
@@ -50,9 +50,9 @@
         async def change(verb: str) -> int:
             return (await cluster.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[0]
 
-        await place_maintenance_order(cluster, "u-1", zone="a", at_once=1)  # not over for long
+        await place_maintenance_order(cluster, "u-1", zone="a", at_once=1)  # takes long
         assert [await change(verb) for verb in verbs] == [503, *[200] * (len(verbs) - 1)]
-        late = await real(cluster.state, kept[0])
+        late = await real(cluster.state, delayed[0])
         assert (late.status == 409) is guarded
         assert (cluster.state.store.kv["p/upkeep/u-1"][0]["state"] != "paused") is guarded
 
@@ -82,16 +82,16 @@
 def test_write_that_lands_after_its_writer_restarted_breaks_no_rule(
     after: float, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One write of each kind is delayed; its writer crashes, and restarts at once or after another
-    has acquired its shard.
+    """One write of each kind is delayed until its writer has crashed and restarted.
 
-    With `after` 0.1 the lease of a claim or a member's key is still alive, and nobody else has
-    claimed.
+    The writer restarts at once, or after another controller has acquired its shard. With `after`
+    0.1 the lease of a claim or of a membership key has not expired, and no other controller has
+    claimed the shard.
     """
     if without is not None:
         monkeypatch.setattr(*without())
     wanted: list[str] = []
-    kept: list[tuple[str, Any]] = []
+    delayed: list[tuple[str, Any]] = []
     real = SimulatedCluster._store_handler
 
     def state_for(self: SimulatedCluster, name: str) -> Any:
@@ -100,7 +100,7 @@
         async def handle(request: Any) -> Reply:
             if wanted and wanted[0] in write_kinds(request) and name not in self.down:
                 wanted.clear()
-                kept.append((name, request))
+                delayed.append((name, request))
                 await anyio.sleep(30.0)
             return await inner(request)
 
@@ -113,7 +113,7 @@
         await start_background_load(cluster, 200.0)
         cluster.tasks.start_soon(poll_job_status, cluster)
         for i, kind in enumerate(sorted(EXPECTED_STATUSES)):
-            wanted[:], kept[:] = [kind], []
+            wanted[:], delayed[:] = [kind], []
             if kind == "cancellation":
                 cluster.tasks.start_soon(cluster.withdraw, "j-000900")
             if kind == "images":
@@ -131,7 +131,7 @@
                     partial(place_maintenance_order, cluster, f"u-{i}", machines=[busiest])
                 )
             if kind in ("member", "claim", "renter"):
-                rents = next(
+                renter = next(
                     (
                         n
                         for n, node in cluster.nodes.items()
@@ -139,13 +139,13 @@
                     ),
                     "c0",
                 )
-                cluster.tasks.start_soon(cluster.crash, rents, 6.0)
+                cluster.tasks.start_soon(cluster.crash, renter, 6.0)
             with anyio.move_on_after(25.0):
-                while not kept:
+                while not delayed:
                     await anyio.sleep(0.02)
-            if not kept:
+            if not delayed:
                 continue
-            name, request = kept[0]
+            name, request = delayed[0]
             await cluster.crash(name, after)
             await anyio.sleep(2.6)
             landed[kind] = (await cluster.state.handle(request)).status
@@ -158,16 +158,16 @@
             if status not in EXPECTED_STATUSES[kind]
         ]
 
-    def played() -> None:
+    def play_and_check() -> None:
         assert_nothing_lost(
             play(scene, options=settings.Options(keep_ended=6, handback_s=4.0)), kills=True
         )
         assert landed.keys() == EXPECTED_STATUSES.keys(), (
-            f"not met: {EXPECTED_STATUSES.keys() - landed.keys()}"
+            f"no write was delayed for: {EXPECTED_STATUSES.keys() - landed.keys()}"
         )
 
     if without is None:
-        played()
+        play_and_check()
     else:
         with pytest.raises(AssertionError, match=": 200"):
-            played()
+            play_and_check()
--- a/tests/test_link_partitions.py
+++ b/tests/test_link_partitions.py
@@ -1,4 +1,4 @@
-"""Links that are cut one by one, over whole controllers."""
+"""Tests of whole controllers whose links are cut one by one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("mode", simulated_network.MODES)
 def test_every_single_link_in_every_mode_breaks_no_rule(mode: str) -> None:
-    """Each directed link of one controller in turn, while jobs come, are cancelled and end."""
+    """Cut each directed link of c0 in turn, while jobs are submitted, cancelled and end."""
 
     async def scene(p: SimulatedCluster) -> None:
         p.tasks.start_soon(p.submit, p.spec(900, gait="daemon", chicks=4))
@@ -34,8 +34,8 @@
     play(scene)
 
 
-def test_a_scene_that_never_ends_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    """CI waited 90 minutes for a scene whose submissions were never accepted."""
+def test_scene_that_never_ends_raises_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A scene whose submissions were never accepted kept CI waiting for 90 minutes."""
     monkeypatch.setattr(virtual_time, "SCENE_LIMIT_S", 20.0)
 
     async def scene(p: SimulatedCluster) -> None:
@@ -45,17 +45,20 @@
         play(scene)
 
 
-def test_a_mistake_in_code_ends_the_scene_and_is_not_the_failure_that_a_test_expects(
+def test_programming_error_in_a_scene_is_not_taken_for_the_expected_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A guard's replacement kept an argument's old name: its scene failed by that, not by the guard."""
+    """An outdated argument in a guard's replacement must not pass for the expected failure.
 
-    def with_the_old_argument(
+    Such a scene failed by the TypeError, not by the missing guard.
+    """
+
+    def on_heartbeat_with_old_signature(
         self: ShardOwner, heartbeat: Heartbeat, now: float, direct: bool = False
     ) -> None:
-        raise AssertionError("is never reached")
+        raise AssertionError("on_heartbeat was called without its `relayed` argument")
 
-    monkeypatch.setattr(ShardOwner, "on_heartbeat", with_the_old_argument)
+    monkeypatch.setattr(ShardOwner, "on_heartbeat", on_heartbeat_with_old_signature)
 
     async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(60.0)
--- a/tests/test_lost_store_answers.py
+++ b/tests/test_lost_store_answers.py
@@ -1,7 +1,8 @@
-"""Every kind of write, with the answer of the state service lost, unusable, or the write carried out late.
+"""Every kind of store write whose answer is lost or malformed, or that is executed late.
 
-The kinds are those of the table in docs/design.md ("Late, after newer ones of the same controller, or once
-more"), over whole controllers: what the writer does until it reads, and what others do with what they read.
+The kinds are those of the table in docs/design.md ("Late, after newer ones of the same controller,
+or once more"). The scenes run whole controllers: what the writer does until it reads, and what the
+others do with what they read.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     write_kinds,
 )
 
-NO_ANSWER = 0  # no answer at all
+NO_ANSWER = 0  # the request times out
 
 
 MALFORMED_BODIES: tuple[Any, ...] = (
@@ -53,9 +54,7 @@
 
 
 class LostAnswers:
-    """The state service, which carries out a share of the transactions of some kinds without a
-    usable answer.
-    """
+    """A state service that executes a share of some kinds of writes without a usable answer."""
 
     def __init__(
         self,
@@ -64,12 +63,17 @@
         late: bool,
         share: float = 0.6,
         seed: int = 1,
-        with_no_form: bool = True,
+        with_malformed_bodies: bool = True,
     ) -> None:
         self.kinds, self.late, self.share, self.rng = kinds, late, share, Random(seed)
-        self.odd = [NO_ANSWER, NO_ANSWER, *ERROR_STATUSES, *([200] * 3 if with_no_form else [])]
+        self.statuses = [
+            NO_ANSWER,
+            NO_ANSWER,
+            *ERROR_STATUSES,
+            *([200] * 3 if with_malformed_bodies else []),
+        ]
         self.on = False
-        self.met: Counter[str] = Counter()
+        self.lost_counts: Counter[str] = Counter()
         self.tasks: list[Any] = []
         self.real = real = FakeKeyValueStore.handle
         answers = self
@@ -77,17 +81,17 @@
         async def handle(self: FakeKeyValueStore, request: Any) -> Reply:
             lost = answers.on and not self.down and answers.kinds & write_kinds(request)
             if not lost or (
-                all(answers.met[k] for k in lost) and answers.rng.random() >= answers.share
-            ):  # the first of each surely
+                all(answers.lost_counts[k] for k in lost) and answers.rng.random() >= answers.share
+            ):  # the answer to the first write of each kind is always lost
                 return await real(self, request)
             if not answers.late and (reply := await real(self, request)).status != 200:
-                return reply  # nothing was carried out: a claim that came second, say
-            answers.met.update(sorted(lost))
+                return reply  # not executed, as a claim that lost the race
+            answers.lost_counts.update(sorted(lost))
             if answers.late:
                 answers.tasks.append(
                     asyncio.get_running_loop().create_task(answers._late(self, request))
                 )
-            status = answers.rng.choice(answers.odd)
+            status = answers.rng.choice(answers.statuses)
             if status == NO_ANSWER:
                 await anyio.sleep(20.0)
             return Reply(
@@ -114,8 +118,9 @@
 async def mixed_work_with_crashes(
     cluster: SimulatedCluster, answers: LostAnswers, s: float = 20.0
 ) -> None:
-    """Jobs of all kinds come, end and are cancelled; an order drains a machine; a controller
-    crashes, is replaced, and returns.
+    """Run jobs of all kinds, with cancellations, a drained machine and crashes of controllers.
+
+    A crashed controller is replaced by another one, and returns.
     """
     await start_background_load(cluster, 55.0)
     for n in range(910, 916):
@@ -129,15 +134,15 @@
     cluster.tasks.start_soon(
         partial(place_maintenance_order, cluster, "u-1", machines=cluster.workers_of("c0")[:1])
     )
-    rents = next(n for n, node in cluster.nodes.items() if node.context.autoscaler is not None)
-    for name in dict.fromkeys(("c1", rents)):
+    renter = next(n for n, node in cluster.nodes.items() if node.context.autoscaler is not None)
+    for name in dict.fromkeys(("c1", renter)):
         cluster.tasks.start_soon(cluster.crash, name, 9.0)
     for n in range(910, 916):
         cluster.tasks.start_soon(cluster.withdraw, f"j-{n:06d}")
         await anyio.sleep(s / 6)
     if "order" in answers.kinds:
         for verb in ("pause", "resume", "pause", "resume"):
-            for _ in range(20):  # until told so
+            for _ in range(20):  # until a controller confirms it
                 with contextlib.suppress(UnreachableError):
                     if (await cluster.users["c2"].call("POST", f"/upkeep/u-1/{verb}", {}, 5.0))[
                         0
@@ -147,19 +152,19 @@
                     ):
                         break
                 await anyio.sleep(1.0)
-    with anyio.move_on_after(
-        40.0
-    ):  # a part goes home only when its home has been well for some time
-        while "hand-back" in answers.kinds and not answers.met["hand-back"]:
+    # A shard fails back only once its preferred controller has been healthy for some time
+    with anyio.move_on_after(40.0):
+        while "hand-back" in answers.kinds and not answers.lost_counts["hand-back"]:
             await anyio.sleep(0.1)
     await anyio.sleep(2.0)
     answers.on = False
     await anyio.sleep(24.0)
 
 
-def claims_once() -> Any:
-    """Without: a controller that finds itself as the holder, and does not hold the shard, leaves it
-    at that.
+def reconcile_without_repeated_claim() -> Any:
+    """Return a replacement of `reconcile_shard` that never repeats a claim.
+
+    A controller that is the stored holder of a shard, but does not hold it, does nothing.
     """
     real = ShardClaims.reconcile_shard
 
@@ -173,8 +178,11 @@
     return ShardClaims, "reconcile_shard", check
 
 
-def types_once() -> Any:
-    """As it was: what was not known to have landed was written again a minute later."""
+def store_types_without_prompt_retry() -> Any:
+    """Return an earlier `_store_machine_types`.
+
+    It retried a write of unknown outcome only a minute later.
+    """
     real = AutoscalingLoop._store_machine_types
 
     async def store(self: AutoscalingLoop, types: Any) -> bool:
@@ -193,17 +201,30 @@
             False,
             lambda: unguarded("p/job/", "e/"),
             "went_back|forgotten|list.remove",
-        ),  # a job that is over comes to life
+        ),  # an ended job becomes live again
         ("sources", True, lambda: unguarded("c/", "p/shard/"), "ran_twice|quota"),
-        ("hands", False, claims_once, "of .* served|nobody holds"),
-        ("background", False, types_once, "of .* served|not accepted"),
+        pytest.param(
+            "hands",
+            False,
+            reconcile_without_repeated_claim,
+            "of .* served|nobody holds",
+            id="hands-False-claims_once-of .* served|nobody holds",
+        ),
+        pytest.param(
+            "background",
+            False,
+            store_types_without_prompt_retry,
+            "of .* served|not accepted",
+            id="background-False-types_once-of .* served|not accepted",
+        ),
     ],
 )
 def test_every_kind_of_write_recovers_from_a_lost_answer(
     group: str, late: bool, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The writer does not know whether it landed; the others read it at once, or only after newer
-    ones of the same writer.
+    """The writer does not know whether its write was executed.
+
+    The other controllers read the write at once, or only after newer ones of the same writer.
     """
     if without is not None:
         monkeypatch.setattr(*without())
@@ -214,16 +235,18 @@
         await mixed_work_with_crashes(cluster, answers)
         cluster.broken += [f"not answered: {j}" for j in await cluster.all_answered(10.0)]
 
-    def played() -> None:
+    def play_and_check() -> None:
         cluster = play(scene, options=settings.Options(keep_ended=6, handback_s=4.0))
-        assert not WRITE_KIND_GROUPS[group] - answers.met.keys(), "not met"
+        assert not WRITE_KIND_GROUPS[group] - answers.lost_counts.keys(), (
+            "no answer was lost for some kinds"
+        )
         assert_nothing_lost(cluster, kills=group == "hands")
 
     if without is None:
-        played()
+        play_and_check()
     else:
         with pytest.raises((AssertionError, BaseExceptionGroup)) as e:
-            played()
+            play_and_check()
         assert re.search(breaks, describe_innermost_exception(e.value)), (
             describe_innermost_exception(e.value)
         )
--- a/tests/test_one_way_partition.py
+++ b/tests/test_one_way_partition.py
@@ -1,8 +1,7 @@
-"""An agent whose heartbeats arrive and that receives neither answers nor commands: for a moment,
-for a lease, for good.
+"""Agents whose heartbeats arrive, but that receive neither answers nor commands.
 
-Its lease expires, its incarnation rises, it tries each controller in turn, and looks alive all the
-time.
+The partition lasts a few seconds, for about a lease, or longer. The agent's lease expires, its
+incarnation rises and it tries each controller in turn, while its heartbeats make it look alive.
 """
 
 from __future__ import annotations
@@ -22,8 +21,8 @@
 from .simulation.scene import play
 
 
-def given(p: SimulatedCluster, machines: Iterable[str]) -> set[Any]:
-    """The permits on these machines, as the holders of their shards see them."""
+def current_permits(p: SimulatedCluster, machines: Iterable[str]) -> set[Any]:
+    """Return the permits on these machines that are known to the holders of their shards."""
     return {
         key
         for n in p.nodes.values()
@@ -34,20 +33,19 @@
     }
 
 
-async def watch(p: SimulatedCluster, machines: list[str], s: float) -> set[Any]:
-    """All permits that are given to these machines within the time, besides those that are there
-    already.
-    """
-    before, seen = given(p, machines), set()
+async def new_permits(p: SimulatedCluster, machines: list[str], s: float) -> set[Any]:
+    """Return the permits that these machines get within the next `s` seconds."""
+    before, seen = current_permits(p, machines), set()
     until = p.now + s
     while p.now < until:
         await anyio.sleep(0.25)
-        seen |= given(p, machines) - before
+        seen |= current_permits(p, machines) - before
         before |= seen
     return seen
 
 
 def unreachable(p: SimulatedCluster) -> set[str]:
+    """Return the machines that the controllers report as unreachable."""
     return {
         m["name"]
         for n in p.nodes.values()
@@ -58,34 +56,32 @@
 
 @pytest.mark.parametrize(("count", "s"), [(1, 5.0), (1, 10.0), (1, 60.0), (6, 60.0)])
 def test_non_receiving_agent_gets_no_work_until_it_receives_again(count: int, s: float) -> None:
-    """Before, each expired lease was followed by new starts on the same machine: 9 to 40 in a
-    minute.
-    """
+    """Each expired lease was followed by new starts on the same machine: 9 to 40 in a minute."""
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 110.0)
-        parts = [w for c in p.names for w in p.workers_of(c)]
-        some = parts[:: max(1, len(parts) // count)][:count]
-        p.deafen(some, s)
+        all_agents = [w for c in p.names for w in p.workers_of(c)]
+        partitioned = all_agents[:: max(1, len(all_agents) // count)][:count]
+        p.deafen(partitioned, s)
         if s > 30.0:
             await anyio.sleep(15.0)
-            assert unreachable(p) == set(some)
+            assert unreachable(p) == set(partitioned)
             assert any(
                 "receives nothing" in t
                 for n in p.nodes.values()
                 for t in status.conditions(n.shard_status.report()).values()
             )
-            late = await watch(p, some, s - 15.0)
-            assert not late, f"{len(late)} starts were given to machines that hear nothing"
+            late = await new_permits(p, partitioned, s - 15.0)
+            assert not late, f"{len(late)} permits were given to machines that receive nothing"
         else:
             await anyio.sleep(s)
         await anyio.sleep(15.0)
         assert not unreachable(p)
-        used = await watch(p, some, 25.0)
-        assert used or not p.fleet.machines.keys() & set(some), (
-            "they are used again, or have gone back for having been idle"
+        used = await new_permits(p, partitioned, 25.0)
+        assert used or not p.fleet.machines.keys() & set(partitioned), (
+            "the machines are used again, or were returned as idle"
         )
-        assert p.claims() == 0, "no part has moved for them"
+        assert p.claims() == 0, "no shard has moved because of these agents"
 
     play(scene, machines=16)
 
@@ -93,8 +89,8 @@
 def test_agents_that_switch_controllers_move_no_shard_during_a_crash() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 90.0)
-        some = [w for c in ("c0", "c1", "c2") for w in p.workers_of(c)[:4]]
-        p.deafen(some, 50.0)
+        partitioned = [w for c in ("c0", "c1", "c2") for w in p.workers_of(c)[:4]]
+        p.deafen(partitioned, 50.0)
         await anyio.sleep(20.0)
         assert p.claims() == 0
         p.tasks.start_soon(p.crash, "c1", 0.3)
@@ -107,15 +103,16 @@
 
 
 def test_gang_does_not_wait_for_a_task_on_a_non_receiving_agent() -> None:
-    """The other tasks waited for the machine's lease, holding their places; now they leave as soon
-    as it is known not to receive.
+    """The other tasks of a gang stop as soon as one agent is known not to receive.
+
+    They used to hold their reservations until the lease of that machine had expired.
     """
-    left: list[float] = []
+    stopped_after_s: list[float] = []
 
     async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(3.0)
         name = p.workers_of("c0")[0]
-        for c in p.names:  # it gets no answer to anything but goes on being heard
+        for c in p.names:  # it gets no answers, but its heartbeats arrive
             p.net.cut(c, name, "deaf", 90.0, both=False)
         at = p.now
         for n in range(1, 9):
@@ -124,7 +121,7 @@
         with anyio.fail_after(30):
             while gang is None:
                 await anyio.sleep(0.05)
-                gang = next((k for k in given(p, [name])), None)
+                gang = next((k for k in current_permits(p, [name])), None)
         others = [w for w in p.fleet.workers.values() if w.name != name]
         with anyio.fail_after(30):
             while not any(k[0] == gang[0] and k[2] == gang[2] for w in others for k in w.tasks):
@@ -136,11 +133,11 @@
                 for k, t in w.tasks.items()
             ):
                 await anyio.sleep(0.05)
-        left.append(p.now - at)
+        stopped_after_s.append(p.now - at)
         await anyio.sleep(70.0)
 
     play(scene, machines=8)
-    assert left[0] < 7.0
+    assert stopped_after_s[0] < 7.0
 
 
 @pytest.mark.parametrize("known", [True, False])
@@ -150,11 +147,11 @@
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 40.0)
         if known:
-            some = [
+            partitioned = [
                 w.name for w in p.fleet.workers.values() if any(k[0] == "j-000900" for k in w.tasks)
             ]
-            assert some
-            p.deafen(some, 100.0)
+            assert partitioned
+            p.deafen(partitioned, 100.0)
             p.tasks.start_soon(p.withdraw, "j-000900")
             await anyio.sleep(60.0)
             assert "j-000900" in p.cancelled
@@ -162,21 +159,21 @@
             new = p.fleet.boot({"marsh": "a", "driftwood": False})
             p.deafen([new], 100.0)
             p.fleet.pleas["late"] = [new]
-            assert not await watch(p, [new], 40.0)
+            assert not await new_permits(p, [new], 40.0)
             renter = next(
                 n.context.autoscaler for n in p.nodes.values() if n.context.autoscaler is not None
             )
             view = renter.machines[new].update
-            assert view is None or view.notice, "its room is nobody's"
+            assert view is None or view.notice, "its capacity counts for no scale-out decision"
 
     play(scene)
 
 
 def test_agent_that_receives_intermittently_is_used_again_after_growing_delays() -> None:
-    """It is tried again when its quarantine is over, though nothing happens to it then."""
+    """The machine is used again at the end of its quarantine, without any further event."""
     o, now, seq = owner(), 0.0, 0
 
-    def beat(token: int, session: int, s: float = 1.0) -> None:
+    def heartbeat(token: int, session: int, s: float = 1.0) -> None:
         nonlocal now, seq
         for _ in range(int(s / 0.25)):
             now += 0.25
@@ -185,22 +182,22 @@
         seq += 1
         o.on_heartbeat(report(seq, token, session=session), now)
 
-    beat(EPOCH << TOKEN_BITS, 1)
+    heartbeat(EPOCH << TOKEN_BITS, 1)
     m = o.machines["n-1"]
-    rests = []
+    quarantines = []
     for session in (2, 3, 4, 5):
-        for _ in range(8):  # its lease has run out, and it goes on without having heard
-            beat(m.seen_token, session)
+        for _ in range(8):  # its lease has expired, and it goes on without an answer
+            heartbeat(m.seen_token, session)
         assert (
             m.not_receiving
             and m.index_bucket is None
             and m.name in o.reception.unconfirmed_machines
         )
-        beat(m.token, session)
-        heard = now
+        heartbeat(m.token, session)
+        received_at = now
         while m.index_bucket is None:
-            beat(m.token, session)
-            assert now - heard < 60.0
-        rests.append(now - heard)
+            heartbeat(m.token, session)
+            assert now - received_at < 60.0
+        quarantines.append(now - received_at)
         assert not o.reception.unconfirmed_machines and not o.inventory.unusable(m, now)
-    assert rests[0] <= 1.0 and rests == sorted(rests) and rests[-1] >= 20.0
+    assert quarantines[0] <= 1.0 and quarantines == sorted(quarantines) and quarantines[-1] >= 20.0
--- a/tests/test_partitioned_zone.py
+++ b/tests/test_partitioned_zone.py
@@ -1,4 +1,4 @@
-"""A zone, or a leader, is partitioned from the others while jobs are cancelled through them."""
+"""A zone or a leader is partitioned while jobs are cancelled through the other controllers."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from .simulation.simulated_network import HOLD, RESET
 
 
-def told_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A cancellation is acknowledged as soon as it is written."""
+def acknowledge_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Acknowledge each cancellation as soon as it is written."""
     monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
 
 
-def answers_from_an_old_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A controller that can't read the state service takes its store cache for current."""
+def answer_from_stale_cache(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Answer from a store cache that may be stale, without a fresh read."""
     monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
 
 
@@ -35,18 +35,30 @@
         ("zone", RESET, None, ""),
         ("leader", HOLD, None, ""),
         ("leader", RESET, None, ""),
-        ("zone", RESET, told_at_once, "ran_cancelled"),
-        ("leader", RESET, answers_from_an_old_copy, "forgotten"),
+        pytest.param(
+            "zone",
+            RESET,
+            acknowledge_at_once,
+            "ran_cancelled",
+            id="zone-reset-told_at_once-ran_cancelled",
+        ),
+        pytest.param(
+            "leader",
+            RESET,
+            answer_from_stale_cache,
+            "forgotten",
+            id="leader-reset-answers_from_an_old_copy-forgotten",
+        ),
     ],
 )
 def test_partitioned_controller_keeps_work_running_while_others_cancel_jobs(
     how: str, mode: str, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """For six leases (10 s; `cancel_s` 35 s) with frequent status requests: no answer is older, and
-    cancelled tasks are gone in time.
+    """The partition lasts for six leases (lease 10 s, `cancel_s` 35 s), with frequent polls.
 
-    In the zone no task loses its lease; nothing starts after the acknowledgement; in the end
-    nothing is left waiting.
+    No answer is older than an earlier one, and cancelled tasks end in time. In the zone no task
+    loses its lease; no cancelled task starts after the acknowledgement; in the end no task is left
+    waiting.
     """
     if without is not None:
         without(monkeypatch)
@@ -80,9 +92,9 @@
         assert not await cluster.left_waiting(60.0)
         assert not await cluster.all_answered(30.0)
 
-    found = ""
+    failure = ""
     try:
         play(scene, machines=9)
     except AssertionError as e:
-        found = str(e)
-    assert rule in found if rule else not found, found
+        failure = str(e)
+    assert rule in failure if rule else not failure, failure
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,6 +1,6 @@
-"""Partitioned links: what one controller can't reach itself is relayed by others, and work goes on.
+"""Partitioned links: peers relay the requests that a controller can't send itself; work goes on.
 
-The rules are checked from the agents' side in every scene (`play` fails where one is broken).
+Every scene checks the rules from the agents' side (`play` fails where one is broken).
 """
 
 from __future__ import annotations
@@ -34,7 +34,9 @@
         await anyio.sleep(20.0)
         assert cluster.claims() == 0 and cluster.fleet.killed_by_lease == 0
         assert cluster.longest_pause(at, at + 30.0) < 2.5 and cluster.slowest_accepted() < 2.5
-        assert cluster.nodes["c0"].store_service.health.healthy, "the own link is trusted again"
+        assert cluster.nodes["c0"].store_service.health.healthy, (
+            "the controller uses its own link again"
+        )
         assert (
             cluster.nodes["c1"].relay.pending.relayed_count
             + cluster.nodes["c2"].relay.pending.relayed_count
@@ -50,9 +52,7 @@
         at = await start_background_load(cluster)
         cluster.cut_workers("c0", mode, 25.0)
         await anyio.sleep(20.0)
-        assert cluster.nodes["c0"].agent_commands.failback.relayed_agents, (
-            "nobody came the other way"
-        )
+        assert cluster.nodes["c0"].agent_commands.failback.relayed_agents, "no agent was relayed"
         await anyio.sleep(25.0)
         assert (
             cluster.claims() == 0
@@ -61,7 +61,7 @@
         )
         assert not cluster.nodes["c0"].agent_commands.failback.relayed_agents and not cluster.nodes[
             "c0"
-        ].agent_commands.unreachable_shards(cluster.now), "all are home again"
+        ].agent_commands.unreachable_shards(cluster.now), "all agents have failed back"
 
     play(scene)
 
@@ -72,8 +72,9 @@
 def test_preferred_controller_its_agents_cannot_reach_gets_no_shard_back(
     mode: str, tries: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It can't tell by itself while it holds nothing: 769 tasks were killed. If it gets the shard
-    all the same, its agents are relayed.
+    """A controller without a shard can't tell that agents don't reach it: 769 tasks were killed.
+
+    If it gets the shard nevertheless, its agents are relayed.
     """
     if not tries:
 
@@ -88,7 +89,9 @@
         cluster.cut_workers("c0", mode, 35.0)
         assert cluster.claims() == 1
         await anyio.sleep(30.0)
-        assert (cluster.claims() == 1) == tries, "it got its part back while no worker reached it"
+        assert (cluster.claims() == 1) == tries, (
+            "c0 must get its shard back only once its agents can reach it"
+        )
         await anyio.sleep(30.0)
         assert cluster.claims() == 2 and cluster.fleet.killed_by_lease == 0
 
@@ -96,7 +99,7 @@
 
 
 def test_requests_are_relayed_over_two_peers_where_no_single_one_has_both_links() -> None:
-    """c0 reaches neither the state service nor c2; c1 reaches both of them, but not the state service."""
+    """c0 reaches neither the store nor c2; c1 reaches c0 and c2, but not the store."""
 
     async def scene(cluster: SimulatedCluster) -> None:
         at = await start_background_load(cluster)
@@ -113,7 +116,7 @@
 
 
 def test_heartbeats_are_relayed_over_two_peers() -> None:
-    """c0's agents reach only c2, and c2 can't reach c0: c1 relays between them."""
+    """The agents of c0 reach only c2, and c2 can't reach c0: c1 relays between them."""
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster)
@@ -128,8 +131,10 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_relay_that_crashes_or_is_partitioned_expires_no_lease(seed: int) -> None:
-    """At random times, for both kinds of cut: while a third controller can relay, no task loses its
-    lease.
+    """No task loses its lease while a third controller can relay.
+
+    The relay crashes or is cut from the store at random times; c0 is cut from the store and from
+    its agents.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -139,11 +144,11 @@
         cluster.cut_workers("c0", rng.choice([SILENT, HOLD, RESET]), 45.0)
         for _ in range(3):
             await anyio.sleep(8.0 + 4.0 * rng.random())
-            carrier = rng.choice(["c1", "c2"])
+            relay = rng.choice(["c1", "c2"])
             if rng.random() < 0.5:
-                cluster.tasks.start_soon(cluster.crash, carrier, 1.0)
+                cluster.tasks.start_soon(cluster.crash, relay, 1.0)
             else:
-                cluster.net.cut(carrier, "state", rng.choice([HOLD, RESET]), 6.0)
+                cluster.net.cut(relay, "state", rng.choice([HOLD, RESET]), 6.0)
         await anyio.sleep(40.0)
         assert cluster.fleet.killed_by_lease == 0
         assert all(a.accepted is not None for a in cluster.asked.values())
@@ -152,8 +157,9 @@
 
 
 def test_relay_stalled_for_longer_than_a_lease_breaks_no_rule() -> None:
-    """All its links are held, and deliver minutes of requests, answers, heartbeats and transactions
-    at once when it resumes.
+    """All links of the relay hold their messages back, and deliver them at once in the end.
+
+    These are the requests, answers, heartbeats and transactions of 16 s.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -171,8 +177,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_three_controllers_with_different_partitions_keep_their_shards(seed: int) -> None:
-    """c0 is cut from the state service, c1 from its agents, c2 from c0; the cuts end at different
-    times.
+    """c0 is cut from the state service, c1 from its agents, and c2 from c0.
+
+    The cuts end at different times.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -188,7 +195,7 @@
 
 
 def test_partition_that_ends_while_a_relayed_answer_is_delayed_loses_no_job() -> None:
-    """c1's answers to c0 stay in the network until long after c0 has its own link again."""
+    """Answers of c1 to c0 stay in the network until long after c0 has its own link again."""
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster, 60.0)
@@ -206,8 +213,9 @@
 def test_shard_moves_where_an_older_release_cannot_relay(
     older: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It announces no relay and is asked for none; a shard that can't be relayed moves, as it did
-    before.
+    """A controller of an older release offers no relay and is asked for none.
+
+    A shard that can't be relayed moves, as it did before relays existed.
     """
     real = Relay.collect
 
@@ -236,8 +244,9 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_two_or_three_overlapping_partitions_break_no_rule(seed: int) -> None:
-    """Any two or three links or bundles of links, in any mode: every rule holds, and all work goes
-    on afterwards.
+    """Cut two or three random links or groups of links, each in a random mode.
+
+    Every rule holds, and all work goes on afterwards.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -1,4 +1,4 @@
-"""Single relayed requests: their incarnation, a busy relay's refusal, and the relay's own requests first."""
+"""Tests of relayed requests: stale incarnations, busy relays, a relay's own requests first."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 
 
 def test_response_to_an_earlier_incarnation_is_ignored() -> None:
-    """A restarted controller numbers its requests from the beginning; a late response was for
-    another one.
+    """A restarted controller numbers its requests from the beginning.
+
+    A late response to its earlier incarnation may carry the number of a different request.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -28,17 +29,17 @@
         number = c0.pending.open_request("c1", cluster.now + 5.0)
         assert number is not None
         c0.response_waiters[number] = ResponseWaiter()
-        mine = relay_messages.RelayResponse(c0.pending.incarnation, number, 200, False, b"{}")
+        response = relay_messages.RelayResponse(c0.pending.incarnation, number, 200, False, b"{}")
         for wrong, by in (
-            (mine._replace(incarnation="before"), "c1"),
-            (mine, "c2"),
-            (mine._replace(number=number + 1), "c1"),
+            (response._replace(incarnation="before"), "c1"),
+            (response, "c2"),
+            (response._replace(number=number + 1), "c1"),
         ):
             c0.deliver(by, relay_messages.encode(relay_messages.RESPONSE, 1, wrong))
         assert not c0.response_waiters[number].responses
-        c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, mine))
-        c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, mine))
-        assert c0.response_waiters[number].responses == [mine]
+        c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, response))
+        c0.deliver("c1", relay_messages.encode(relay_messages.RESPONSE, 1, response))
+        assert c0.response_waiters[number].responses == [response]
 
     play(scene)
 
@@ -63,9 +64,10 @@
     play(scene)
 
 
-def test_own_requests_of_a_relay_come_first() -> None:
-    """A controller that relays more than its share through another is refused at once, and the
-    other's own requests are not late.
+def test_own_requests_of_a_relay_take_priority() -> None:
+    """Requests beyond a controller's share of a relay are refused at once.
+
+    The relay's own requests are not delayed.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -74,11 +76,11 @@
         cluster.net.cut("c0", "c2", RESET, 30.0)
         await anyio.sleep(3.0)
         c0 = cluster.nodes["c0"].relay
-        got: list[int] = []
+        statuses: list[int] = []
 
         async def read() -> None:
             with contextlib.suppress(Exception):
-                got.append(
+                statuses.append(
                     (
                         await c0.send(
                             "c1",
@@ -93,7 +95,7 @@
         async with anyio.create_task_group() as tg:
             for _ in range(250):
                 tg.start_soon(read)
-        assert 0 < len(got) < 250 and cluster.nodes["c1"].relay.pending.refused_count > 0
+        assert 0 < len(statuses) < 250 and cluster.nodes["c1"].relay.pending.refused_count > 0
         begun = cluster.now
         await cluster.submit(cluster.spec(800, gait="array"), "c1")
         assert (
--- a/tests/test_relay_safety.py
+++ b/tests/test_relay_safety.py
@@ -1,6 +1,6 @@
-"""Relayed heartbeats, writes, reads and cancellations break no rule when they are late or doubled.
+"""Relayed heartbeats, writes, reads and cancellations break no rule when late or duplicated.
 
-Where a guard keeps a rule, the same scene is played without it and has to break.
+Where a guard keeps a rule, the same scene also runs without the guard and has to break the rule.
 """
 
 from __future__ import annotations
@@ -29,8 +29,9 @@
 
 
 def test_request_relayed_twice_takes_effect_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every request is served twice: the second transaction fails its compare, the second response
-    is to no pending request.
+    """Every request is served twice.
+
+    The second transaction fails its compare, and the second response matches no pending request.
     """
     real = Relay.serve
 
@@ -59,12 +60,11 @@
 def test_relayed_heartbeat_answer_counts_as_an_answer(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An owner that counted only direct answers would take its agents for dead while they live on
-    through a relay.
+    """An owner that counted only direct answers would take relayed agents for dead.
 
-    The argument: whichever way an answer takes, the agent's lease counts from when it *sent* the
-    heartbeat, which was before the owner received it; so silence is counted from the owner's
-    receipt of any heartbeat, and a relayed answer renews nothing for longer.
+    Whichever way an answer takes, the agent's lease counts from when it *sent* the heartbeat, which
+    was before the owner received it. So the owner counts silence from its receipt of any heartbeat,
+    and a relayed answer renews the lease for no longer than a direct one.
     """
     if not guarded:
         real = HeartbeatRequests._answer_held
@@ -103,8 +103,9 @@
 def test_relayed_write_that_lands_after_another_claim_fails(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """c1 takes a write of c0's and gives no answer; another acquires c0's shard and starts
-    replicas, and then the write lands.
+    """c1 accepts a write of c0 to relay, and does not answer.
+
+    Another controller acquires the shard of c0 and starts replicas; then the write is executed.
     """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
@@ -112,7 +113,7 @@
 
     async def scene(cluster: SimulatedCluster) -> None:
         await start_background_load(cluster, 6.0)
-        carried = cluster.nodes["c1"].store_service.serve_relayed
+        real_serve_relayed = cluster.nodes["c1"].store_service.serve_relayed
 
         async def hold_back_first_write(
             by: str, request: relay_messages.RelayRequest
@@ -120,7 +121,7 @@
             if not late and request.target == "/multi" and b'"c/team-0/' in request.body:
                 late.append(request)
                 raise UnreachableError("held back")
-            return await carried(by, request)
+            return await real_serve_relayed(by, request)
 
         cluster.nodes["c1"].relay.handlers[relay_messages.STORE] = hold_back_first_write
         cluster.net.cut("c0", "state", SILENT, 30.0)
@@ -141,7 +142,7 @@
         holder = next(
             n for n in cluster.names if 0 in cluster.nodes[n].context.held_shards and n != "c0"
         )
-        await cluster.crash(holder, 8.0)  # whoever takes over reads what the late write has left
+        await cluster.crash(holder, 8.0)  # the next holder reads what the late write has left
         await anyio.sleep(40.0)
 
     if guarded:
@@ -152,8 +153,9 @@
 
 
 def test_late_relayed_renewal_leaves_each_shard_one_holder() -> None:
-    """Renewals of c0 are delayed on c1's link: its lease expires or lives, and by the store each
-    shard has one holder.
+    """Relayed renewals of c0 are delayed on the link of c1 to the store.
+
+    Whether the lease of c0 expires or not, each shard has one holder.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -174,9 +176,7 @@
 def test_relayed_read_is_not_older_than_its_request(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A job that another controller accepted a moment ago is known to one that reads through a
-    relay: no 404.
-    """
+    """A controller that reads through a relay knows jobs that another has just accepted: no 404."""
     if not guarded:
         monkeypatch.setattr(StoreWatch, "fresh_read", fresh_read_without_reading)
     lost: list[int] = []
@@ -198,10 +198,11 @@
 def test_cancellation_is_acknowledged_at_once_while_a_controller_reads_through_one_peer(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It reads the cancellation through that peer, and the user is told at once; gossip does not
-    stand in for its own read.
+    """The controller reads the cancellation through that peer, so it is acknowledged at once.
+
+    Gossip does not replace the controller's own read.
     """
-    if not guarded:  # no carrying, and no waiting for its word
+    if not guarded:  # without a relay, and without waiting for the controller's gossip
         monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
     options = settings.Options(carry=guarded, cut_off_s=120.0)
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,8 +1,8 @@
-"""A controller that restarts before its lease expires, or just after: what its earlier incarnation
-has left.
+"""A controller restarts before its lease expires, or just after: what its last incarnation left.
 
-Its lease and key live on for up to 4 s, its connections break, its answers may be half sent, its
-watches stay open in the store, and a write of its may land after the restart.
+The lease and the key of the earlier incarnation last for up to 4 s, its connections break, its
+answers may be half sent, its watches stay open in the store, and one of its writes may be executed
+after the restart.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 @pytest.mark.parametrize("after", [0.1, 0.3, 1.0, 3.9, 4.1])
 def test_restarted_controller_soon_starts_tasks_in_its_shard(after: float) -> None:
-    """Within a heartbeat interval and a half; restarted at once, it keeps the shard: its agents met
-    a closed port only once.
+    """The first task starts within a heartbeat interval and a half.
 
-    Two that had come to another controller once counted as returning 2 s later, though the
-    preferred one had long served them.
+    A controller that restarts at once keeps its shard: its agents met a closed port only once. Two
+    agents that had come to another controller once counted as returning 2 s later, though the
+    preferred controller had long served them.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -71,8 +71,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_restart_during_another_claim_leaves_one_holder(seed: int) -> None:
-    """Its lease has just expired: its own claim and another's are under way together, and one of
-    the two fails its compare.
+    """The lease of c0 has just expired, so that c0 and another controller claim the shard at once.
+
+    One of the two claims fails its compare.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -97,8 +98,9 @@
 def test_write_of_an_earlier_incarnation_that_lands_after_the_restart_fails(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A permit's write is delayed in the network, its controller restarts, and the new incarnation
-    starts the replicas elsewhere.
+    """The write of a permit is delayed in the network while its controller restarts.
+
+    The new incarnation starts the replicas elsewhere before the write is executed.
     """
     if not guarded:
         monkeypatch.setattr(*unguarded("p/shard/", "c/"))
@@ -108,13 +110,13 @@
         await start_background_load(p, 6.0)
         handle = p.state.handle
 
-        async def holds_back(q: Any) -> Any:
+        async def delay_first_write(q: Any) -> Any:
             if not late and q.path == "/multi" and b'"c/team-0/' in q.body:
                 late.append(q)
                 await anyio.sleep_forever()
             return await handle(q)
 
-        p.state.handle = holds_back  # type: ignore[method-assign]
+        p.state.handle = delay_first_write  # type: ignore[method-assign]
         p.tasks.start_soon(p.submit, p.spec(903, gait="daemon", chicks=3), "c1")
         with anyio.fail_after(30):
             while not late:
@@ -125,7 +127,7 @@
                 await anyio.sleep(0.1)
         status = (await handle(late[0])).status
         assert status == (409 if guarded else 200)
-        await p.crash("c0", 0.1)  # whoever reads the cells now reads what that write has left
+        await p.crash("c0", 0.1)  # the next holder reads what the late write has left
         await anyio.sleep(40.0)
 
     if guarded:
--- a/tests/test_restart_recovery.py
+++ b/tests/test_restart_recovery.py
@@ -1,7 +1,7 @@
 """A controller restarts where it can't read the store: what its new incarnation may do.
 
-The rules are checked from the agents' side in every scene. Where a guard keeps a rule, the same
-scene is played without it and has to break.
+Every scene checks the rules from the agents' side. Where a guard keeps a rule, the same scene also
+runs without the guard and has to break the rule.
 """
 
 from __future__ import annotations
@@ -26,9 +26,10 @@
 
 
 @pytest.fixture(autouse=True)
-def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An agent that tries two unresponsive controllers returns after 11 s and a heartbeat interval:
-    the lease has to be longer.
+def lease_and_cancel_times(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Use a lease that is longer than an agent's attempt at two unresponsive controllers.
+
+    Such an agent returns after 11 s and a heartbeat interval.
     """
     monkeypatch.setattr(parameters, "LEASE_S", 16.0)
     monkeypatch.setattr(parameters, "CANCEL_S", 46.0)
@@ -56,7 +57,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_repeated_restarts_in_a_partition_extend_no_obligation(seed: int) -> None:
-    """Five incarnations that have read nothing answer together for no longer than one."""
+    """Five incarnations without a read answer agents for no longer in total than one does."""
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -68,7 +69,7 @@
             await anyio.sleep(2.0 * rng.random())
         await anyio.sleep(50.0)
         assert p.fleet.killed_by_lease <= 6, (
-            "a canary that was away when the first life ended has lost what ran on it"
+            "only a redirected probe that was away at the first crash may lose its tasks"
         )
 
     play(scene, seed)
@@ -99,12 +100,15 @@
 def test_jobs_cancelled_during_restart_recovery_end_in_time(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Users are told outside the partition; tasks inside end in time, however long it lasts."""
+    """Cancellations are acknowledged outside the partition; tasks inside it end in time.
+
+    This holds however long the partition lasts.
+    """
     if guard == "left":
-        monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
-    if guard == "marked":  # what was sure stays sure: each report counts anew
+        monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, grant, wall: 100.0)
+    if guard == "marked":  # the token's grant is never updated, so each heartbeat counts anew
         monkeypatch.setattr(
-            restart_recovery.fencing_tokens, "with_renewal_grant", lambda token, right: token
+            restart_recovery.fencing_tokens, "with_renewal_grant", lambda token, grant: token
         )
 
     async def scene(p: SimulatedCluster) -> None:
@@ -127,8 +131,9 @@
 def test_cancellation_read_but_not_executed_before_a_restart_ends_in_time(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An agent does not answer while its job is cancelled and the user told; then its controller
-    restarts in a partition without a read.
+    """An agent is unreachable while a cancellation of its job is acknowledged.
+
+    Then its controller restarts in a partition, without a read.
     """
     if not guarded:
         monkeypatch.setattr(RenewalGrants, "informed_renewal_s", property(lambda self: 60.0))
@@ -143,7 +148,9 @@
         for n in (900, 901, 902):
             p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
         await anyio.sleep(2.2)
-        assert len(p.cancelled) == 3, "all controllers have read of it"
+        assert len(p.cancelled) == 3, (
+            "acknowledged, since all controllers have read the cancellations"
+        )
         for other in ("state", "c0", "c2"):
             p.net.cut("c1", other, SILENT, 140.0)
         p.tasks.start_soon(p.crash, "c1", 0.2)
@@ -157,19 +164,20 @@
     else:
         assert_scene_breaks(
             scene, "ran_cancelled", options=options, asks=False
-        )  # whether it does hangs on which report comes first
+        )  # whether the scene breaks depends on which heartbeat arrives first
 
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_tokens_of_another_controller_are_not_answered(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """c0's agents reach only c1, which has just started and can read nothing; c0 counts their
-    silence and is right.
+    """Agents of c0 reach only c1, which has just started and can't read the store.
+
+    c0 counts their silence and takes their tasks for ended, so c1 must not renew their leases.
     """
     if not guarded:
         monkeypatch.setattr(restart_recovery.fencing_tokens, "holder_of", lambda token: 1)
-        monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, right, wall: 100.0)
+        monkeypatch.setattr(RenewalGrants, "remaining_s", lambda self, grant, wall: 100.0)
 
     async def scene(p: SimulatedCluster) -> None:
         await start_background_load(p, 10.0)
@@ -192,15 +200,16 @@
 def test_failover_outside_a_partition_whose_token_reached_some_agents_breaks_no_rule(
     seed: int,
 ) -> None:
-    """c1's shard was acquired while some of its agents were unreachable; then the zone is
-    partitioned, and c1 is back.
+    """The shard of c1 is acquired by another controller while some of its agents are unreachable.
+
+    Then the zone is partitioned, and c1 is back.
     """
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
         await start_background_load(p, 70.0)
-        here = [w.name for w in p.fleet.workers.values() if w.zone == "b"]
-        for w in rng.sample(here, len(here) // 2):
+        zone_agents = [w.name for w in p.fleet.workers.values() if w.zone == "b"]
+        for w in rng.sample(zone_agents, len(zone_agents) // 2):
             for other in ("c0", "c2"):
                 p.net.cut(w, other, SILENT, 60.0)
         p.tasks.start_soon(p.crash, "c1", 5.0 + 3.0 * rng.random())
@@ -221,26 +230,30 @@
     st.floats(0, 150),
     st.sampled_from([(38.0, 13.0), (35.0, 10.0)]),
 )
-def test_a_right_is_never_longer_than_what_it_stands_for(
+def test_renewal_grant_never_outlasts_its_obligation(
     wall: float, age: float, fence: float, later: float, on: float, times: tuple[float, float]
 ) -> None:
-    """A worker reports up to a lease after its last knowing answer; another life reads the right, and a third one after `on`."""
+    """Check that a renewal grant never outlasts the obligation that it encodes.
+
+    An agent reports up to a lease after its last answer from an informed controller. A second
+    incarnation reads the grant from its token, and a third one does so `on` seconds later.
+    """
     cancel, lease = times
-    rights = RenewalGrants(cancel, lease, 0.1)
-    right, later = rights.encode(age, fence, wall), min(later, lease * CLOCK_DRIFT)
-    end = wall + max(0.0, min(fence - age, rights.informed_renewal_s))
-    left = rights.remaining_s(right, wall + later)
-    assert left <= 0 or wall + later + left <= end + 1e-6
-    if left > 0 and right != NO_GRANT:
-        handed = (
-            right
-            if right != GRANT_FROM_ANSWER
+    grants = RenewalGrants(cancel, lease, 0.1)
+    grant, later = grants.encode(age, fence, wall), min(later, lease * CLOCK_DRIFT)
+    end = wall + max(0.0, min(fence - age, grants.informed_renewal_s))
+    remaining = grants.remaining_s(grant, wall + later)
+    assert remaining <= 0 or wall + later + remaining <= end + 1e-6
+    if remaining > 0 and grant != NO_GRANT:
+        passed_on = (
+            grant
+            if grant != GRANT_FROM_ANSWER
             else 1
-            + int((wall + later + left) // restart_recovery.GRANT_STEP_S)
+            + int((wall + later + remaining) // restart_recovery.GRANT_STEP_S)
             % restart_recovery.GRANT_STEPS
         )
-        again = rights.remaining_s(handed, wall + later + on)
-        assert again <= 0 or wall + later + on + again <= end + 1e-6
+        remaining_again = grants.remaining_s(passed_on, wall + later + on)
+        assert remaining_again <= 0 or wall + later + on + remaining_again <= end + 1e-6
 
 
 @given(
@@ -248,25 +261,25 @@
     st.integers(0, 40),
     st.lists(st.one_of(st.none(), st.integers(0, 255)), max_size=400),
 )
-def test_tokens_rise_and_say_whose_they_are(
+def test_fencing_tokens_increase_and_identify_epoch_and_holder(
     epoch: int, holder: int, changes: list[int | None]
 ) -> None:
     token = fencing_tokens.initial_token(epoch, holder)
     assert token < 1 << 64
-    for right in changes:
+    for grant in changes:
         up = (
             fencing_tokens.next_token(token)
-            if right is None
-            else fencing_tokens.with_renewal_grant(token, right)
+            if grant is None
+            else fencing_tokens.with_renewal_grant(token, grant)
         )
         if up is None:
             assert (
                 token & ~fencing_tokens.RENEWAL_GRANT_MASK
             ) >> fencing_tokens.RENEWAL_GRANT_BITS & 127 == 127
             continue
-        assert up > token if right is None else up >= token
+        assert up > token if grant is None else up >= token
         token = up
         assert fencing_tokens.epoch_of(token) == epoch and fencing_tokens.holder_of(token) == (
             holder if holder < 31 else None
         )
-        assert right is None or holder >= 31 or fencing_tokens.renewal_grant_of(token) == right
+        assert grant is None or holder >= 31 or fencing_tokens.renewal_grant_of(token) == grant
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that arrive a second time, from seconds to well over a lease later."""
+"""Tests of heartbeats that arrive a second time, from seconds to well over a lease later."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("most", [5.0, 40.0])
 def test_stale_heartbeats_move_no_shard_and_keep_no_machine_alive(most: float) -> None:
-    """At the same controller and at others, also across a crash and a failover."""
+    """Stale copies reach the same controller and others, also across a crash and a failover."""
 
     async def scene(p: SimulatedCluster) -> None:
         p.copy_reports(Random(4), 0.4, 1.0, most)
@@ -33,20 +33,23 @@
         await anyio.sleep(30.0)
         assert p.claims() == 0 and p.fleet.killed_by_lease == 0
         away = sum(len(n.agent_commands.failback.relayed_agents) for n in p.nodes.values())
-        assert away == 0, "nobody took them for workers that can't reach their controller"
+        assert away == 0, (
+            "copies do not count as heartbeats of agents that can't reach their controller"
+        )
         await p.crash("c0", 8.0)
         await anyio.sleep(60.0)
         assert p.copies > 200 and all(a.accepted is not None for a in p.asked.values())
         assert not [k for k in p.state.store.permits() if k.startswith("c/team-3")], (
-            "what was given is known to be over"
+            "the permits of ended tasks are removed"
         )
 
     play(scene)
 
 
 def test_gone_machine_stays_gone_wherever_its_stale_heartbeats_arrive() -> None:
-    """Its tasks start elsewhere as soon as they would without the copies, and nothing is placed on
-    it.
+    """Copies of its heartbeats make a lost machine neither alive nor usable.
+
+    Its tasks start elsewhere as soon as they would without the copies, and nothing is placed on it.
     """
 
     async def scene(p: SimulatedCluster) -> None:
@@ -54,7 +57,7 @@
         dead = next(w for w in p.workers_of("c0") if p.fleet.workers[w].tasks)
         p.copy_reports(Random(5), 1.0, 8.0, 45.0, [dead])
         await anyio.sleep(10.0)
-        p.fleet.machines.pop(dead).scope.cancel()  # it is taken without notice
+        p.fleet.machines.pop(dead).scope.cancel()  # the machine is lost without notice
         at = p.now
         await anyio.sleep(14.0)
         owners = [h.owner for n in p.nodes.values() for h in n.context.held_shards.values()]
@@ -63,8 +66,8 @@
             for o in owners
             for pm in o.inventory.permits_by_machine.get(dead, {}).values()
             if not pm.gone
-        ], "silent for a lease: gone"
-        await p.crash("c0", 6.0)  # whoever takes over has never heard of it
+        ], "a machine that is silent for a lease keeps no permit"
+        await p.crash("c0", 6.0)  # the next holder never received a heartbeat of it
         while p.now - at < 60.0:
             await anyio.sleep(0.5)
             for n in p.nodes.values():
@@ -73,7 +76,9 @@
                     assert m is None or h.owner.inventory.unusable(m, p.now)
                 if n.context.autoscaler is not None and dead in n.context.autoscaler.machines:
                     v = n.context.autoscaler.machines[dead].update
-                    assert v is None or v.notice, "a copy brought it back as room"
+                    assert v is None or v.notice, (
+                        "a stale copy must not count the machine as capacity"
+                    )
 
     play(scene)
 
@@ -82,7 +87,7 @@
 def test_stale_heartbeats_and_non_receiving_agents_break_no_rule_in_the_decision_model(
     seed: int,
 ) -> None:
-    """With crashes, pauses, cuts and failovers: every rule holds, and everything finishes."""
+    """Every rule holds with crashes, pauses, partitions and failovers, and all jobs finish."""
     w = run_with_faults(seed, kinds=(0, 2, 3, 4, 8, 8), copies=0.3)
     assert not w.live() and not w.store.permits()
 
@@ -101,7 +106,7 @@
         ) -> Any:
             m = self.machines.get(r.machine)
             if m is not None and not direct and (r.incarnation, r.sequence) <= m.newest_heartbeat:
-                # As if what it is answered were its first
+                # Treat the answer to the copy as the first one to this machine
                 m.accepted_token, m.last_heartbeat_at, m.last_answer_at = (
                     True,
                     now - 2 * parameters.LEASE_S,
@@ -114,7 +119,7 @@
     assert any_seed_breaks(range(300, 325), kinds=(0, 2, 3, 4, 8), copies=0.5)
 
 
-# -- any order, by itself: two owners of one part after one another, two machines, three tasks -----------------------------------
+# -- messages in any order: two successive owners of one shard, two machines, three tasks ---------
 
 STEPS = {
     "report": 10,
@@ -129,9 +134,10 @@
 }
 
 
-class Small:
-    """Owners decide, two agents do exactly what reaches them; messages arrive in any order, or
-    twice.
+class ShardModel:
+    """Successive owners of one shard and two agents that execute every command that arrives.
+
+    Messages arrive in any order, or twice.
     """
 
     def __init__(self) -> None:
@@ -145,13 +151,12 @@
         self.results: set[Any] = set()
         self.longer: dict[tuple[str, int], float] = {}
         self.workers = [model_agent.ModelAgent(self, f"n-{i}", "a", False) for i in range(2)]  # type: ignore[arg-type]
-        # Reports that left, the oldest first
+        # Heartbeats sent, the oldest first: agent, body, time
         self.sent: list[tuple[model_agent.ModelAgent, dict[str, Any], float]] = []
-        self.commands: list[
-            tuple[model_agent.ModelAgent, dict[str, Any]]
-        ] = []  # that may still arrive
+        # Commands in flight: agent, body
+        self.commands: list[tuple[model_agent.ModelAgent, dict[str, Any]]] = []
         self.epoch = 0
-        # Job -> attempt, machine: what the source has written
+        # Permits written by the source: job -> attempt, machine
         self.entries: dict[str, tuple[int, int]] = {}
         self.attempt = 0
         self.claim()
@@ -175,7 +180,7 @@
             self.now,
         )
         self.owner.machine_types = {"t": parameters.MACHINE_TYPE}
-        self.owner.epoch_confirmed_at = 1e9  # whoever asks the store is told that it holds the part
+        self.owner.epoch_confirmed_at = 1e9  # every check with the store confirms the holder
         changes: dict[str, Any] = {
             peer_messages.job_key(j): JobUpdate(s.record(), list(s.resources), 0)
             for j, s in self.specs.items()
@@ -260,9 +265,8 @@
             ):
                 job, _, attempt = peer_messages.attempt_id_of_key(key)
                 if self.entries.get(job, (0, 0))[0] == attempt:
-                    del self.entries[
-                        job
-                    ]  # proven gone, or exited and recorded: it may start elsewhere
+                    # Proven gone, or exited and recorded: the job may start elsewhere
+                    del self.entries[job]
                     self.owner.on_source_update(
                         0,
                         False,
@@ -271,8 +275,8 @@
                     )
 
 
-def _any_order(seed: int, steps: int = 400) -> None:
-    w, rng = Small(), Random(seed)
+def _run_random_order(seed: int, steps: int = 400) -> None:
+    w, rng = ShardModel(), Random(seed)
     for _ in range(steps):
         w.step(
             rng.choices(list(STEPS), list(STEPS.values()))[0], rng.randrange(2), rng.randrange(40)
@@ -282,7 +286,7 @@
 @pytest.mark.parametrize("seed", range(0, 600, 150))
 def test_any_order_of_heartbeats_commands_and_failovers_breaks_no_rule(seed: int) -> None:
     for n in range(seed, seed + 150):
-        _any_order(n)
+        _run_random_order(n)
 
 
 @pytest.mark.parametrize("guard", ["copies are new", "what a list omits is gone"])
@@ -293,4 +297,4 @@
         monkeypatch.setattr(PermitTable, "check_gone", check_gone_without_fencing_tokens)
     with pytest.raises(RuleBrokenError, match="ran_twice"):
         for seed in range(400):
-            _any_order(seed)
+            _run_random_order(seed)
--- a/tests/test_stale_heartbeats_at_failover.py
+++ b/tests/test_stale_heartbeats_at_failover.py
@@ -1,4 +1,4 @@
-"""Stale heartbeats that reach every controller while a new leader takes over."""
+"""Tests of stale heartbeats that reach every controller while a new leader takes over a shard."""
 
 from __future__ import annotations
 
@@ -20,25 +20,29 @@
 from .simulation.simulated_network import RESET, SILENT
 
 
-def believes_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What a list omits is gone though the machine has not accepted this owner's token."""
+def trust_task_list_without_accepted_token(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Take tasks that a heartbeat omits for gone, without an accepted token.
+
+    The machine has not accepted this owner's fencing token.
+    """
     real = PermitTable.check_gone
 
     def check(self: PermitTable, p: Permit) -> None:
         m = self.machines.get(p.machine)
-        took = m.accepted_token if m is not None else False
+        previous = m.accepted_token if m is not None else False
         if m is not None:
             m.accepted_token = True
         real(self, p)
         if m is not None:
-            m.accepted_token = took
+            m.accepted_token = previous
 
     monkeypatch.setattr(PermitTable, "check_gone", check)
 
 
-def silence_of_a_stranger(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silence proves tasks gone though the machine has not accepted this owner's token: another may
-    be answering it.
+def trust_silence_without_accepted_token(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Take tasks of a silent machine for gone, without an accepted token.
+
+    The machine has not accepted this owner's fencing token: another owner may be answering it.
     """
     real = ShardOwner.on_heartbeat
 
@@ -55,9 +59,11 @@
     ("where", "without"),
     [
         ("unreached", None),
-        ("unreached", believes_a_stranger),
+        pytest.param(
+            "unreached", trust_task_list_without_accepted_token, id="unreached-believes_a_stranger"
+        ),
         ("zone", None),
-        ("zone", silence_of_a_stranger),
+        pytest.param("zone", trust_silence_without_accepted_token, id="zone-silence_of_a_stranger"),
         ("heard", None),
         ("heard", copies_are_news),
         ("session", None),
@@ -67,13 +73,15 @@
 def test_stale_heartbeats_during_failover_break_no_rule(
     where: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Heartbeats of before its starts, and of its newest list; to all controllers, from the claim
-    until the new leader has acted, before any fresh one or after.
+    """Copies of heartbeats reach all controllers from the claim until the new leader has acted.
+
+    They are copies of heartbeats from before the starts of the tasks, and of the newest ones, and
+    arrive before or after any fresh heartbeat. No task loses its lease because of copies alone.
 
-    unreached: its machines can reach no controller for as long as they keep their tasks. zone: they
-    go on with their old leader, partitioned together. heard: they arrive at once. session: the
-    copies are of an earlier incarnation, and other attempts run there by now. Copies alone cost no
-    task its lease.
+    unreached: the machines can reach no controller for as long as they keep their tasks.
+    zone: the machines stay with their old leader, in the same partition.
+    heard: fresh heartbeats arrive at once.
+    session: the copies are of an earlier incarnation, and other attempts run there by now.
     """
     if without is not None:
         without(monkeypatch)
@@ -89,21 +97,21 @@
             cluster.cut_zone("b", RESET, 45.0)
             await anyio.sleep(45.0)
         else:
-            mine = cluster.workers_of("c0")
+            agents = cluster.workers_of("c0")
             if where == "session":
-                for w in mine:
+                for w in agents:
                     for c in cluster.names:
                         cluster.net.cut(w, c, SILENT, 13.0)
                 await anyio.sleep(20.0)
                 for n in range(904, 906):
                     await cluster.submit(cluster.spec(n, gait="daemon", chicks=6))
                 await anyio.sleep(6.0)
-                assert all(cluster.fleet.workers[w].incarnation > 1 for w in mine) and any(
-                    cluster.fleet.workers[w].tasks for w in mine
+                assert all(cluster.fleet.workers[w].incarnation > 1 for w in agents) and any(
+                    cluster.fleet.workers[w].tasks for w in agents
                 )
             before = cluster.fleet.killed_by_lease
             cluster.tasks.start_soon(cluster.crash, "c0", 25.0)
-            for w in mine if where == "unreached" else ():
+            for w in agents if where == "unreached" else ():
                 for c in cluster.names:
                     cluster.net.cut(w, c, SILENT, 9.0)
             await anyio.sleep(30.0)
@@ -115,7 +123,7 @@
     if without is None:
         play(scene, machines=9)
         assert where not in ("heard", "session") or lost == [0], (
-            "a copy has kept a machine from being answered"
+            "a stale copy has kept a machine from being answered"
         )
     else:
         with pytest.raises(AssertionError, match="ran_twice"):
--- a/tests/test_state_channel.py
+++ b/tests/test_state_channel.py
@@ -1,22 +1,22 @@
-"""State channels between controllers: full sync, then deltas."""
+"""Tests of state channels between controllers: a full sync, then deltas."""
 
 from __future__ import annotations
 
 from ploverhall.coordination.state_channel import InboundChannels, OutboundChannels
 
 
-def test_what_an_old_connection_delivers_late_is_dropped() -> None:
+def test_late_message_of_an_old_connection_is_dropped() -> None:
     out, inbox = OutboundChannels(), InboundChannels()
     b = out.channel("s", 0, 1, 5)
     b.put("j", {"p": [1]})
     old = out.collect("c1", 1, lambda shard: "c1")
     b.put("j", None)
-    new = out.collect("c1", 2, lambda shard: "c1")  # a new connection: everything anew
+    new = out.collect("c1", 2, lambda shard: "c1")  # a new connection: a full sync
     assert new[0][4] and inbox.accept(new[0])
     assert not inbox.accept(old[0]) and inbox.channels["s", 0, 1][1] == {}
 
 
-def test_a_delta_without_what_comes_before_it_is_not_taken() -> None:
+def test_delta_without_its_predecessor_is_rejected() -> None:
     out, inbox = OutboundChannels(), InboundChannels()
     b = out.channel("s", 0, 1, 5)
     b.put("a", 1)
@@ -27,7 +27,7 @@
     assert inbox.channels["s", 0, 1][1] == {"a": 1, "b": 2}
 
 
-def test_a_new_epoch_starts_anew_and_an_old_one_is_over() -> None:
+def test_new_epoch_starts_with_a_full_sync_and_ends_the_old_epoch() -> None:
     out, inbox = OutboundChannels(), InboundChannels()
     out.channel("s", 0, 1, 5).put("a", 1)
     first = out.collect("c1", 1, lambda shard: "c1")[0]
--- a/tests/test_store_cache.py
+++ b/tests/test_store_cache.py
@@ -1,4 +1,4 @@
-"""The store cache: own writes, older listings and watch responses in any order never take it back."""
+"""Tests that own writes, listings and watch answers in any order never make the cache go back."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 def test_reloaded_store_cache_claims_no_cancellation_that_it_has_not_passed_on() -> None:
-    """The state service goes down between a restarted controller's listing and the watch that
-    follows it, and stays down.
+    """The store goes down for long between a restarted controller's listing and its first watch.
 
-    c2 has missed a cancellation (it is cut from all but its agents); c1 restarts, and has listed
-    it. Its gossip said that it had read up to there and named nothing: c2 took that for everything
-    and said that it knew, c1 told the user, and c2's task ran on. (Guard: the cache is loaded and
-    passed on in one step. Without it: ran_cancelled.)
+    c2 has missed a cancellation (it is cut from all but its agents); c1 restarts, and its listing
+    contains the cancellation. Gossip of c1 stated that it had read up to that revision and named no
+    cancellation: c2 took that for complete and confirmed it, c1 acknowledged the cancellation, and
+    the task of c2 ran on. Guard: the cache is loaded and passed on in one step. Without it the
+    scene breaks `ran_cancelled`.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -89,20 +89,19 @@
 
 
 class StoreCacheModel:
-    """A store and one controller's cache of it, compared with what the store held at each revision."""
+    """A store and one controller's cache, compared with the store's contents at each revision."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.store, self.cache = Random(seed), model_store.ModelStore(), StoreCache()
-        # Watches that have been answered, and what they say; not here yet
+        # Watch answers in flight: since, up to, events
         self.pending_watches: list[tuple[int, int, list[WatchEvent]]] = []
-        # The same, of a listing and the watch after it
+        # Listings in flight, each with the watch after it: entries, revision, up to, events
         self.listings: list[tuple[dict[str, Any], int, int, list[WatchEvent]]] = []
-        # Own writes that have landed; the answer is not here yet
+        # Own writes that were executed, with the answer in flight
         self.own_writes: list[tuple[str, Any, int]] = []
-        self.ended: dict[str, str] = {}  # how jobs ended, by what this cache has shown
-        self.revision_when_accepted: dict[
-            str, int
-        ] = {}  # jobs that were accepted here, and at which revision
+        self.ended: dict[str, str] = {}  # job -> its outcome as shown by this cache
+        # Accepted job -> its revision in this cache
+        self.revision_when_accepted: dict[str, int] = {}
         self.versions: dict[str, int] = {}
 
     def write(
@@ -112,7 +111,7 @@
         if not failed and own:
             self.own_writes += [(k, v, rev) for k, v in puts.items()]
 
-    def watched(self, since: int) -> tuple[int, int, list[WatchEvent]]:
+    def watch_answer(self, since: int) -> tuple[int, int, list[WatchEvent]]:
         return since, self.store.rev, self.store.since(since)
 
     def step(self) -> None:
@@ -146,28 +145,28 @@
                 key = rng.choice([f"{SHARD_PREFIX}0", f"{SHARD_PREFIX}1", "p/renter"])
                 self.write({}, {key: {"node": f"c{rng.randrange(3)}"}}, [], own)
             case 4:
-                self.pending_watches.append(self.watched(cache.revision))
+                self.pending_watches.append(self.watch_answer(cache.revision))
             case 5 if len(self.listings) < 2 and rng.random() < 0.5:
                 self.listings.append((store.read("p/"), store.rev, store.rev, []))
-            case 6 if (
-                self.listings
-            ):  # it is read page by page, and watched from its first page on; others write meanwhile
-                found, rev, _, _ = self.listings[-1]
-                half = sorted(found)[len(found) // 2 :]
-                found = {k: v for k, v in found.items() if k not in half} | {
+            # A listing is read in pages and watched from its first page on; others write meanwhile
+            case 6 if self.listings:
+                listed, rev, _, _ = self.listings[-1]
+                half = sorted(listed)[len(listed) // 2 :]
+                listed = {k: v for k, v in listed.items() if k not in half} | {
                     k: store.kv[k] for k in half if k in store.kv
                 }
-                found |= {k: v for k, v in store.read("p/").items() if half and k >= half[0]}
-                _, upto, events = self.watched(rev)
-                self.listings[-1] = (found, rev, upto, events)
+                listed |= {k: v for k, v in store.read("p/").items() if half and k >= half[0]}
+                _, upto, events = self.watch_answer(rev)
+                self.listings[-1] = (listed, rev, upto, events)
             case 7 if self.own_writes:
-                cache.apply_own_write(*self.own_writes.pop(0))  # one write's answer after the other
+                # Answers to own writes arrive in order
+                cache.apply_own_write(*self.own_writes.pop(0))
             case 8:
                 if self.listings and rng.random() < 0.4:
-                    found, rev, upto, events = self.listings.pop(0)
-                    cache.load(found, rev)
+                    listed, rev, upto, events = self.listings.pop(0)
+                    cache.load(listed, rev)
                     cache.apply(upto, events)
-                elif self.pending_watches:  # two are asked at a time, the answers in any order
+                elif self.pending_watches:  # two watches at a time, with answers in any order
                     since, upto, events = self.pending_watches.pop(
                         rng.randrange(len(self.pending_watches))
                     )
@@ -178,9 +177,11 @@
     def check(self) -> None:
         cache = self.cache
         at = {e.key: e.version for e in self.store.log if e.value is None}
-        for job_id, how in self.ended.items():
+        for job_id, shown in self.ended.items():
             if job_id not in cache.ended_jobs:
-                assert at.get(JOB_PREFIX + job_id), f"{job_id} was {how}, and is not over any more"
+                assert at.get(JOB_PREFIX + job_id), (
+                    f"{job_id} had ended ({shown}), and is no longer cached as ended"
+                )
         for job_id, end in cache.ended_jobs.items():
             assert (
                 self.ended.setdefault(job_id, end.outcome) == end.outcome
@@ -193,9 +194,9 @@
                 job_id in cache.live_jobs
                 or job_id in cache.ended_jobs
                 or at.get(JOB_PREFIX + job_id)
-            ), f"{job_id} was known, and is not"
+            ), f"{job_id} was cached, and is missing without having been archived"
         for key, (_, version) in cache.entries.items():
-            assert version >= self.versions.get(key, 0), f"{key} went back"
+            assert version >= self.versions.get(key, 0), f"{key} went back to an older revision"
             self.versions[key] = version
 
 
@@ -205,41 +206,45 @@
         for _ in range(150):
             model.step()
         model.cache.apply(model.store.rev, model.store.since(model.cache.revision))
-        over = {
+        ended = {
             k[len(JOB_PREFIX) :]: v["s"]
             for k, (v, _) in model.store.kv.items()
             if k.startswith(JOB_PREFIX) and isinstance(v, dict)
         }
-        assert {j: e.outcome for j, e in model.cache.ended_jobs.items()} == over, (
-            "in the end it holds what the store holds"
+        assert {j: e.outcome for j, e in model.cache.ended_jobs.items()} == ended, (
+            "after the last watch the cache equals the store"
         )
         assert {k: v for k, v in model.cache.entries.items()} == {
             k: v for k, v in model.store.read("p/").items() if not k.startswith(JOB_PREFIX)
         }
-        assert {JOB_PREFIX + j for j in model.cache.live_jobs} | {JOB_PREFIX + j for j in over} == {
-            k for k in model.store.kv if k.startswith(JOB_PREFIX)
-        }
+        assert {JOB_PREFIX + j for j in model.cache.live_jobs} | {
+            JOB_PREFIX + j for j in ended
+        } == {k for k in model.store.kv if k.startswith(JOB_PREFIX)}
 
 
 def test_cached_job_state_never_goes_back_in_any_order_of_updates() -> None:
-    """Own writes are known before the watch brings them; a listing may be older than they are, and
-    than the watch.
+    """Own writes are cached before the watch delivers them.
+
+    A listing may be older than these writes and than the watch.
     """
     run_store_cache_model(range(400))
 
 
-def everything_goes(self: StoreCache, found: dict[str, tuple[Any, int]], rev: int) -> None:
-    """A listing is taken for complete: a key that it lacks is removed, however new it is."""
+def load_removing_missing_keys(
+    self: StoreCache, listed: dict[str, tuple[Any, int]], rev: int
+) -> None:
+    """Load a listing as complete: remove every key that it lacks, however new the key is."""
     for key in [
         *(JOB_PREFIX + j for j in (*self.live_jobs, *self.ended_jobs, *self.unreadable_jobs)),
         *self.entries,
     ]:
-        if key not in found:
+        if key not in listed:
             self._apply_change(key, None, rev)
-    real_load(self, found, rev)
+    real_load(self, listed, rev)
 
 
-def whatever_comes(self: StoreCache, rev: int, events: list[WatchEvent]) -> bool:
+def apply_without_version_check(self: StoreCache, rev: int, events: list[WatchEvent]) -> bool:
+    """Apply all events, also those that are older than the cached values."""
     for e in events:
         if e.key.startswith(JOB_PREFIX):
             self.ended_jobs.pop(e.key[len(JOB_PREFIX) :], None)
@@ -252,7 +257,11 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "without"), [("load", everything_goes), ("apply", whatever_comes)]
+    ("name", "without"),
+    [
+        pytest.param("load", load_removing_missing_keys, id="load-everything_goes"),
+        pytest.param("apply", apply_without_version_check, id="apply-whatever_comes"),
+    ],
 )
 def test_model_reports_a_store_cache_that_goes_back(
     name: str, without: Any, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_store_gateway_errors.py
+++ b/tests/test_store_gateway_errors.py
@@ -1,4 +1,4 @@
-"""A gateway's errors on reads, lease renewals and watches: no conclusion is drawn from them."""
+"""Tests that no conclusion is drawn from gateway errors on reads, lease renewals and watches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def no_lease_on_500() -> Any:
-    """Replace `renew_lease`, as it was: every other status means that the lease is gone."""
+    """Return an earlier `renew_lease`: any status but 200 means that the lease has expired."""
 
     async def renew(self: KeyValueStore, lease: int) -> bool:
         status, _ = await self._call(
@@ -32,7 +32,7 @@
 
 
 def no_key_on_500() -> Any:
-    """Replace `get`, as it was: every other status means that the key is absent."""
+    """Return an earlier `get`: any status but 200 means that the key is absent."""
 
     async def get(self: KeyValueStore, key: str) -> tuple[Any, int]:
         status, out = await self._call("GET", f"/kv/{key}")
@@ -54,16 +54,17 @@
 def test_gateway_errors_release_no_shard_and_forget_no_job(
     path: str, without: Any, seen: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nothing is concluded from a gateway's errors: no controller releases a shard, and no job is
-    unknown.
+    """Requests get gateway errors or malformed answers with a probability of 0.4 for 20 s.
+
+    No controller releases a shard, and no job becomes unknown.
     """
     if without is not None:
         monkeypatch.setattr(*without())
-    real, on, rng, met = FakeKeyValueStore.handle, [False], Random(3), [0]
+    real, on, rng, failures = FakeKeyValueStore.handle, [False], Random(3), [0]
 
     async def handle(self: FakeKeyValueStore, request: Any) -> Reply:
         if on[0] and request.path.startswith(path) and rng.random() < 0.4:
-            met[0] += 1
+            failures[0] += 1
             status = rng.choice((500, 502, 504, 200))
             return Reply(
                 status,
@@ -82,7 +83,7 @@
         cluster.tasks.start_soon(poll_job_status, cluster)
         await anyio.sleep(20.0)
         on[0] = False
-        assert met[0] > 5
+        assert failures[0] > 5
         if path == "/grants" and cluster.claims() != claims:
             cluster.broken.append("a part was lost")
         await anyio.sleep(12.0)
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -1,4 +1,4 @@
-"""Submissions that are malformed, can't run or are extreme: rejected with a reason, or accepted without harm to others."""
+"""Tests that invalid submissions are rejected with a reason, and extreme ones harm no other job."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 INVALID_JOB_ID = "j-000777"
 
 
-SMALLEST_AMOUNT = 5e-324  # the smallest amount there is: room divided by it is infinite
+SMALLEST_AMOUNT = 5e-324  # the smallest positive float: capacity divided by it is infinite
 
 
 REJECTED_SUBMISSIONS = [
@@ -75,7 +75,8 @@
     (422, {"marsh": "z"}),
     (422, {"marsh": ""}),
     (422, {"breeds": ["t"], "marsh": "c"}),
-    # the same: a gang's tasks beyond the half that one zone may hold (of an array, they run later; of a service, half the replicas run)
+    # The same reason: a gang's tasks beyond the half that one zone may hold (those of an array run
+    # later; of a service, half the replicas run)
     *(
         (422, {"gait": "group", "chicks": n, "scatter": True, **more})
         for n in (2, 3, 9)
@@ -85,7 +86,8 @@
             {"marsh": "b", "breeds": ["t"], "together": True},
         )
     ),
-    # 422: "the job needs more than the team's limit (array: one task; gang and service: all tasks)" (16 GPUs)
+    # 422: "the job needs more than the team's limit (array: one task; gang and service: all tasks)"
+    # (16 GPUs)
     (422, {"gait": "group", "chicks": 17}),
     (422, {"gait": "daemon", "chicks": 100_000}),
     (422, {"gait": "group", "chicks": 5, "gpus": 4.0}),
@@ -118,8 +120,11 @@
 def test_invalid_submissions_are_rejected_with_a_reason_and_nothing_is_kept(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Every controller answers each at once with the status of the protocol and a reason; REJECTED_SUBMISSIONS names the line."""
-    said: list[str] = []
+    """Every controller answers each at once with the status of the protocol and a reason.
+
+    The comments in REJECTED_SUBMISSIONS name the line of the protocol.
+    """
+    log_lines: list[str] = []
 
     async def scene(cluster: SimulatedCluster) -> None:
         await cluster.submit(cluster.spec(1, gait="array", chicks=1))
@@ -128,21 +133,21 @@
         capsys.readouterr()
         for i, (status, changes) in enumerate(REJECTED_SUBMISSIONS):
             spec, name = submission_with(cluster, changes), cluster.names[i % 3]
-            got, answer = await cluster.users[name].call("POST", "/api/jobs", spec, 5.0)
-            assert got == status and isinstance(answer, dict) and answer["error"], (
+            code, answer = await cluster.users[name].call("POST", "/api/jobs", spec, 5.0)
+            assert code == status and isinstance(answer, dict) and answer["error"], (
                 changes,
-                got,
+                code,
                 answer,
             )
-            assert len(str(answer)) < 200, "bounded, whatever was sent"
+            assert len(str(answer)) < 200, "the length of the answer is bounded, whatever was sent"
             assert status == 400 or cluster.rejection_reason(spec) is not None, (
-                "the plain judge has it from the protocol, too"
+                "the simulation's own rules of the protocol reject the submission, too"
             )
         for body in MALFORMED_BODIES:
-            got, answer = await send_raw_body(cluster, "c0", "POST", "/api/jobs", body)
-            assert got == 400 and isinstance(answer, dict) and answer["error"], (
+            code, answer = await send_raw_body(cluster, "c0", "POST", "/api/jobs", body)
+            assert code == 400 and isinstance(answer, dict) and answer["error"], (
                 body[:20],
-                got,
+                code,
                 answer,
             )
         for path in (
@@ -163,27 +168,27 @@
                 )[0] == 404, path
         await anyio.sleep(1.0)
         assert {k for k in cluster.state.store.kv if k.startswith(("p/job/", "e/"))} == keys, (
-            "nothing is kept in the store"
+            "a rejected submission leaves no key in the store"
         )
         for node in cluster.nodes.values():
             assert not [n for n, ids in job_ids_in_memory(node).items() if INVALID_JOB_ID in ids], (
-                "nor in memory"
+                "a rejected submission leaves no job in memory"
             )
-        said.extend(capsys.readouterr().err.splitlines())
+        log_lines.extend(capsys.readouterr().err.splitlines())
 
     play(scene)
-    refused = [x for x in said if x.startswith("info submission rejected status=4")]
+    rejections = [x for x in log_lines if x.startswith("info submission rejected status=4")]
     assert (
-        len(refused) == len(REJECTED_SUBMISSIONS) + len(MALFORMED_BODIES)
-        and max(map(len, refused)) < 200
-    ), "one bounded line each"
+        len(rejections) == len(REJECTED_SUBMISSIONS) + len(MALFORMED_BODIES)
+        and max(map(len, rejections)) < 200
+    ), "each rejection logs one line of bounded length"
     assert not [
         x
-        for x in said
-        if x not in refused and ("forged" in x or INVALID_JOB_ID in x or x.startswith("error"))
-    ], "and no other"
-    assert not [x for x in refused if "forged" in x or "team-" in x or "xxx" in x], (
-        "with nothing that was sent but an id"
+        for x in log_lines
+        if x not in rejections and ("forged" in x or INVALID_JOB_ID in x or x.startswith("error"))
+    ], "a rejection logs no other line"
+    assert not [x for x in rejections if "forged" in x or "team-" in x or "xxx" in x], (
+        "the line contains no submitted value but the job id"
     )
 
 
@@ -243,8 +248,9 @@
 
 @pytest.mark.parametrize("gait", ["array", "group", "daemon"])
 def test_extreme_but_valid_jobs_do_not_block_other_jobs(gait: str) -> None:
-    """A task that takes next to nothing ended every step of its team's source: capacity divided by
-    it is infinite.
+    """A task that needs almost nothing made every step of its team's source fail.
+
+    Capacity divided by such an amount is infinite.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
