--- a/tests/decision_model_runs.py
+++ b/tests/decision_model_runs.py
@@ -1,4 +1,4 @@
-"""Runs of the decision model: seeded faults for a while, then a calm in which everything finishes."""
+"""Run the decision model with seeded faults, then without faults until everything finishes."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 
 def run_with_faults(
-    seed: int, chaos_s: float = 90.0, calm_s: float = 150.0, **kw: Any
+    seed: int, fault_s: float = 90.0, recovery_s: float = 150.0, **kw: Any
 ) -> DecisionModel:
+    """Run the model with random faults for `fault_s`, then without faults for `recovery_s` (seconds)."""
     w = DecisionModel(seed, **kw)
     rng = Random(seed + 1)
     for i in range(16):
         w.schedule(
-            rng.random() * chaos_s * 0.7, lambda i=i: w.submit(draw_job(rng, f"j-{i:06d}", w.now))
+            rng.random() * fault_s * 0.7, lambda i=i: w.submit(draw_job(rng, f"j-{i:06d}", w.now))
         )
         if rng.random() < 0.3:
-            w.schedule(chaos_s * (0.3 + 0.6 * rng.random()), w.withdraw, f"j-{i:06d}")
-    w.run(chaos_s)
+            w.schedule(fault_s * (0.3 + 0.6 * rng.random()), w.withdraw, f"j-{i:06d}")
+    w.run(fault_s)
     w.chaos = 0.0
     for node in w.nodes:
         if not node.up:
@@ -37,15 +38,16 @@
         )
     w.schedule(
         60.0, lambda: [w.withdraw(s.id) for s in w.specs.values() if s.kind == "service"]
-    )  # some come after an outage only
-    w.run(chaos_s + calm_s)
+    )  # some jobs are accepted only after an outage
+    w.run(fault_s + recovery_s)
     return w
 
 
 def any_seed_breaks(seeds: range = range(25), **kw: Any) -> bool:
+    """Return whether a run with any of the seeds breaks a rule."""
     for seed in seeds:
         try:
-            run_with_faults(seed, calm_s=40.0, **kw)
+            run_with_faults(seed, recovery_s=40.0, **kw)
         except RuleBrokenError:
             return True
     return False
--- a/tests/job_sources.py
+++ b/tests/job_sources.py
@@ -1,4 +1,4 @@
-"""Jobs, job sources and offers for tests of the source's decisions, without any I/O."""
+"""Build jobs, job sources and offers for tests of the source's decisions, without any I/O."""
 
 from __future__ import annotations
 
@@ -58,19 +58,21 @@
 def play_outcomes(
     s: JobSource, seconds: int, outcome: Outcome, machines: int = 8, first: int = 0
 ) -> list[tuple[float, str, int, str]]:
-    """Run a source against owners that always have capacity. Returns each start: when, job, task,
-    machine.
+    """Run a source against owners that always have capacity.
+
+    Returns:
+        The time, job, task and machine of each start.
     """
     starts: list[tuple[float, str, int, str]] = []
     ticket = first * 1000
-    board: dict[str, Any] = {}
+    owner_entries: dict[str, Any] = {}
     for step in range(seconds * 2):
         now = first + step / 2
         for (part, key), value in s.take_owner_updates(1, now).items():
             if part == 0:
-                board[key] = value
+                owner_entries[key] = value
         changes: dict[str, Any] = {}
-        for key, value in board.items():
+        for key, value in owner_entries.items():
             if key[0] == peer_messages.CANDIDATE and value is not None:
                 for _ in range(value.waiting_tasks):
                     ticket += 1
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -1,14 +1,17 @@
-"""Checksums of every packet of some forty simulated scenes, to show that a change leaves the behaviour as it was.
+"""Record and compare checksums of every packet of some forty simulated scenes.
+
+Equal checksums show that a change leaves the behaviour as it was.
 
     python -m tests.packet_checksums --record FILE [--jobs 4]
     python -m tests.packet_checksums --compare FILE [--jobs 4]
 
-Each scene runs the whole simulated cluster from a seed. Its checksum covers the sender, receiver, time of arrival and content
-of every packet; the running value is kept for every ten seconds of virtual time, so that a comparison names the interval in
-which two runs part.
+Each scene runs the whole simulated cluster from a seed. Its checksum covers the sender, receiver,
+time of arrival and content of every packet. The running value is kept for every ten seconds of
+virtual time, so that a comparison names the interval in which two runs diverge.
 
-Texts written for people are left out, because their wording may change: the views that controllers send each other for
-`/status`, and the reason why a task has gone. No scene asks for `/status`, `/healthz` or the list of maintenance orders.
+Texts written for people are left out, because their wording may change: the views that controllers
+send each other for `/status`, and the reason why a task is gone. No scene requests `/status`,
+`/healthz` or the list of maintenance orders.
 """
 
 from __future__ import annotations
@@ -50,7 +53,7 @@
 RECORDED = Path(__file__).with_name("packet_checksums.json")
 INTERVAL_S = 10.0  # of virtual time between two kept values of the running checksum
 FRAME_HEADER_BYTES = 4
-# What a controller sees, for `/status`: sent now and then, and as an answer
+# Views of a controller for `/status`: sent periodically, and as an answer
 VIEW_MESSAGES = (
     "v",
     "a",
@@ -58,19 +61,19 @@
 OWNER_BOARD = "o"
 REASON_FIELD = AttemptUpdate._fields.index("reason")
 STATE_FIELD = AttemptUpdate._fields.index("state")
-# The state whose reason is a sentence; the other states' reasons are the agents' codes
+# The only state whose reason is a sentence; the reasons of other states are codes from agents
 GONE = "gone"
 
 Scene = Callable[[SimulatedCluster, Random], Awaitable[None]]
 
 
 @dataclass(frozen=True)
-class Course:
-    """What is kept of one run."""
+class RunChecksums:
+    """The packet checksums of one run."""
 
     checksums: list[str]  # the running checksum at the end of each interval
     packets: int
-    ended_at: str  # virtual time, exactly
+    ended_at: str  # exact virtual time, as repr
 
 
 @dataclass(frozen=True)
@@ -89,7 +92,10 @@
 
 
 def without_texts(frame: bytes) -> bytes:
-    """A frame between controllers without the texts written for people; anything else as it is."""
+    """Return a frame between controllers without the texts written for people.
+
+    Anything else is returned unchanged.
+    """
     try:
         batch = cbor2.loads(frame[FRAME_HEADER_BYTES:])
     except (cbor2.CBORDecodeError, ValueError):
@@ -111,7 +117,7 @@
 
 
 class ComparedNetwork(SimulatedNetwork):
-    """The simulated network, with a history of its checksum."""
+    """A simulated network that keeps the history of its checksum."""
 
     def __init__(self, rng: Random, clock: Callable[[], float]) -> None:
         super().__init__(rng, clock)
@@ -139,26 +145,29 @@
 # -- scenes ------------------------------------------------------------------------------------
 
 
-async def work(p: SimulatedCluster, s: float, every: float = 0.6) -> None:
-    """Replicas on every part, and jobs that come and go for so long; returns when the scene's own events may begin."""
+async def start_load(p: SimulatedCluster, s: float, every: float = 0.6) -> None:
+    """Start services with replicas on every shard, and jobs that arrive and finish for `s` seconds.
+
+    Returns after 10 s, when the scene's own events may begin.
+    """
     for i in range(3):
         p.tasks.start_soon(p.submit, p.spec(900 + i, gait="daemon", chicks=4))
     p.tasks.start_soon(p.flow, s, every)
     await anyio.sleep(10.0)
 
 
-async def drawn_day(p: SimulatedCluster, rng: Random) -> None:
-    """Two or three troubles that meet, with cancellations."""
-    await work(p, 60.0, 1.0)
-    troubles, until = draw_schedule(rng.randrange(1_000_000), times=1)
-    await run_faults(p, FaultSchedule(troubles, min(until, troubles[-1].at + 30.0)))
+async def random_faults(p: SimulatedCluster, rng: Random) -> None:
+    """Run two or three overlapping faults, with cancellations."""
+    await start_load(p, 60.0, 1.0)
+    faults, until = draw_schedule(rng.randrange(1_000_000), times=1)
+    await run_faults(p, FaultSchedule(faults, min(until, faults[-1].at + 30.0)))
     await anyio.sleep(10.0)
 
 
 async def cuts(p: SimulatedCluster, rng: Random) -> None:
-    """Links of one controller are cut one after another, in each mode once over the seeds."""
+    """Cut links of one controller one after another; the seeds cover each mode once."""
     mode = MODES[p.seed % len(MODES)]
-    await work(p, 40.0)
+    await start_load(p, 40.0)
     name = rng.choice(p.names)
     other = rng.choice([n for n in p.names if n != name])
     for there in ("state", other, p.workers_of(name)[0], "cloud"):
@@ -169,10 +178,10 @@
 
 
 async def crashes(p: SimulatedCluster, rng: Random) -> None:
-    """Controllers end; some are back before their shard is taken over, some after."""
-    await work(p, 40.0)
-    for away in (0.2, 3.0, 9.0):
-        p.tasks.start_soon(p.crash, rng.choice(p.names), away)
+    """Crash controllers; some restart before their shard is acquired by another, some after."""
+    await start_load(p, 40.0)
+    for down_s in (0.2, 3.0, 9.0):
+        p.tasks.start_soon(p.crash, rng.choice(p.names), down_s)
         await anyio.sleep(rng.uniform(4.0, 12.0))
     for name in p.names:
         p.tasks.start_soon(p.crash, name, rng.choice([0.1, 1.0, 5.0]))
@@ -180,8 +189,8 @@
 
 
 async def cancellations(p: SimulatedCluster, rng: Random) -> None:
-    """Running, queued and ended jobs are cancelled, some beside a crash or a cut."""
-    await work(p, 40.0, 0.3)
+    """Cancel running, queued and ended jobs, some during a crash or a cut."""
+    await start_load(p, 40.0, 0.3)
     await ActiveFault(p, rng).cancels()
     p.net.cut(rng.choice(p.names), "state", rng.choice([HOLD, SILENT, RESET]), 6.0)
     await anyio.sleep(1.0)
@@ -195,7 +204,7 @@
 
 
 async def scaling(p: SimulatedCluster, rng: Random) -> None:
-    """Demand beyond the fleet rents machines, with a lagging cloud; what is idle is given back."""
+    """Scale out for demand beyond the fleet, with a lagging cloud, and return idle machines."""
     fleet = p.fleet
     fleet.boots, fleet.list_lag_s, fleet.lost_answers, fleet.late_requests = (
         (0.2, 4.0),
@@ -207,14 +216,17 @@
         p.tasks.start_soon(
             p.submit, p.spec(800 + i, gait="array", chicks=8, flightS=rng.choice([8.0, 20.0]))
         )
-    await work(p, 20.0)
+    await start_load(p, 20.0)
     p.tasks.start_soon(p.crash, rng.choice(p.names), 2.0)
     await anyio.sleep(100.0)
 
 
 async def maintenance(p: SimulatedCluster, rng: Random) -> None:
-    """Machines are emptied within budgets; an order is paused, resumed and another one stopped, beside a crash."""
-    await work(p, 40.0)
+    """Drain machines within budgets, during a crash.
+
+    One order is paused and resumed, another one is stopped.
+    """
+    await start_load(p, 40.0)
     machines = rng.sample(sorted(p.workers), 4)
     orders = [
         {"id": "u-1", "machines": machines, "at_once": 2},
@@ -230,8 +242,8 @@
 
 
 async def relays(p: SimulatedCluster, rng: Random) -> None:
-    """A controller reaches the state service, the cloud or its workers only through others."""
-    await work(p, 50.0)
+    """Make controllers reach the state service, the cloud or their workers only through others."""
+    await start_load(p, 50.0)
     name, other = rng.sample(p.names, 2)
     mode = rng.choice([SILENT, HOLD, RESET])
     p.net.cut(name, "state", mode, 25.0)
@@ -242,13 +254,13 @@
 
 
 async def request(p: SimulatedCluster, rng: Random, path: str, body: dict[str, Any]) -> None:
-    """An operator's request to any controller; asked once, whatever comes of it."""
+    """Send an operator's request to a random controller once, and ignore that it can't be reached."""
     with suppress(UnreachableError):
         await p.users[rng.choice(p.names)].call("POST", path, body, 5.0)
 
 
 SCENES: dict[str, Scene] = {
-    "drawn_day": drawn_day,
+    "drawn_day": random_faults,
     "cuts": cuts,
     "crashes": crashes,
     "cancellations": cancellations,
@@ -269,7 +281,7 @@
 OPTIONS = {"maintenance": settings.Options(budget={"default": {"down": 1, "team_down": 4}})}
 
 
-def course(scene_run: SceneRun) -> Course:
+def run_checksums(scene_run: SceneRun) -> RunChecksums:
     """Run a scene and return its checksums."""
 
     async def scene(p: SimulatedCluster) -> None:
@@ -283,25 +295,27 @@
         result = run_scene(scene, scene_run.seed, options=OPTIONS.get(scene_run.kind))
     net = result.net
     assert isinstance(net, ComparedNetwork)
-    return Course([*net.history, net.digest()], net.packets, repr(result.loop.time()))
+    return RunChecksums([*net.history, net.digest()], net.packets, repr(result.loop.time()))
 
 
 # -- recorded and compared ---------------------------------------------------------------------
 
 
-def load(file: Path) -> dict[str, Course]:
-    """Recorded courses by the name of their run."""
-    return {name: Course(**kept) for name, kept in json.loads(file.read_text()).items()}
+def load(file: Path) -> dict[str, RunChecksums]:
+    """Return recorded checksums by the name of their run."""
+    return {name: RunChecksums(**kept) for name, kept in json.loads(file.read_text()).items()}
 
 
-def save(file: Path, courses: dict[str, Course]) -> None:
-    """Write courses, one a line."""
-    lines = [f"{json.dumps(name)}: {json.dumps(asdict(kept))}" for name, kept in courses.items()]
+def save(file: Path, checksums_by_run: dict[str, RunChecksums]) -> None:
+    """Write the checksums of runs, one run a line."""
+    lines = [
+        f"{json.dumps(name)}: {json.dumps(asdict(kept))}" for name, kept in checksums_by_run.items()
+    ]
     file.write_text("{\n" + ",\n".join(lines) + "\n}\n")
 
 
-def difference(recorded: Course | None, now: Course) -> str:
-    """In which interval two courses part; empty if they are equal."""
+def difference(recorded: RunChecksums | None, now: RunChecksums) -> str:
+    """Describe the interval in which two runs diverge; an empty string means that they are equal."""
     if recorded is None:
         return "not recorded"
     if recorded == now:
@@ -312,20 +326,23 @@
         min(len(recorded.checksums), len(now.checksums)),
     )
     start = same * INTERVAL_S
-    return f"differs from {start:g} to {start + INTERVAL_S:g} s; {recorded.packets} packets recorded, {now.packets} now"
+    return (
+        f"differs from {start:g} to {start + INTERVAL_S:g} s; "
+        f"{recorded.packets} packets recorded, {now.packets} now"
+    )
 
 
-def run_all(jobs: int) -> dict[str, Course]:
-    """All runs, several at once."""
+def run_all(jobs: int) -> dict[str, RunChecksums]:
+    """Run all scenes, `jobs` of them at once, and return their checksums by name."""
     with ProcessPoolExecutor(jobs) as pool:
         return {
             scene_run.name: kept
-            for scene_run, kept in zip(RUNS, pool.map(course, RUNS), strict=True)
+            for scene_run, kept in zip(RUNS, pool.map(run_checksums, RUNS), strict=True)
         }
 
 
 def main() -> int:
-    """Record or compare; 1 if something differs."""
+    """Record or compare checksums; return 1 if a run differs."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -334,19 +351,19 @@
     action.add_argument("--compare", type=Path, metavar="FILE")
     parser.add_argument("--jobs", type=int, default=4)
     args = parser.parse_args()
-    courses = run_all(args.jobs)
-    packets = sum(kept.packets for kept in courses.values())
+    checksums_by_run = run_all(args.jobs)
+    packets = sum(kept.packets for kept in checksums_by_run.values())
     if args.record is not None:
-        save(args.record, courses)
-        print(f"{len(courses)} runs recorded, {packets} packets")
+        save(args.record, checksums_by_run)
+        print(f"{len(checksums_by_run)} runs recorded, {packets} packets")
         return 0
     recorded = load(args.compare)
-    found = {name: difference(recorded.get(name), kept) for name, kept in courses.items()}
-    found |= {name: "recorded, but not run" for name in recorded.keys() - courses.keys()}
+    found = {name: difference(recorded.get(name), kept) for name, kept in checksums_by_run.items()}
+    found |= {name: "recorded, but not run" for name in recorded.keys() - checksums_by_run.keys()}
     differing = {name: text for name, text in found.items() if text}
     for name, text in differing.items():
         print(f"{name}: {text}")
-    print(f"{len(courses)} runs, {packets} packets, {len(differing)} differ")
+    print(f"{len(checksums_by_run)} runs, {packets} packets, {len(differing)} differ")
     return 1 if differing else 0
 
 
--- a/tests/removed_guards.py
+++ b/tests/removed_guards.py
@@ -1,4 +1,7 @@
-"""Replacements of methods, each without one guard: a test that plays them has to see a rule broken."""
+"""Provide method replacements that each lack one guard.
+
+A test that runs a scene with such a replacement must see a rule broken.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,14 @@
 
 
 async def fresh_read_without_reading(self: StoreWatch) -> FreshRead:
-    """Replace `StoreWatch.fresh_read`: the store cache is taken for current without a read."""
+    """Replace `StoreWatch.fresh_read`: treat the store cache as current without a read."""
     return FreshRead(self.context.clock())
 
 
 def told_at_once(self: JobAnswers, job_id: str) -> JobStatus | None:
-    """Replace `final`, as repeated submissions were answered: an end is reported whoever knows of
-    it.
+    """Replace `JobAnswers.final`: report a job's end without checking which controllers know of it.
+
+    Repeated submissions were once answered in this way.
     """
     end = self.store_cache.ended_jobs.get(job_id)
     return (
@@ -31,7 +35,7 @@
 
 
 def copies_are_news(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Accept stale heartbeats: each counts as newer than any before."""
+    """Make shard owners accept stale heartbeats, as if each were the newest."""
     real = ShardOwner.on_heartbeat
 
     def accept_stale_heartbeat(
@@ -49,7 +53,10 @@
 
 
 def check_gone_without_fencing_tokens(self: PermitTable, p: Any) -> None:
-    """Replace `PermitTable.check_gone`: an attempt that a list omits is gone though its run may still arrive."""
+    """Replace `PermitTable.check_gone`: an attempt that a task list omits counts as gone.
+
+    Its run command may still arrive, because the fencing token is not raised.
+    """
     m = self.machines.get(p.machine)
     if not p.gone and m is not None and p.attempt_id not in m.tasks and p.run_token:
         p.gone = True
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""Steps and checks that the tests of several concerns share, over simulated clusters."""
+"""Provide steps and checks for simulated clusters that several test modules share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .simulation.cluster import SimulatedCluster
 from .simulation.scene import play
 
-# States of an ended job, as users are told them
+# States of an ended job, as users see them
 DONE, CANCELLED = "done", "withdrawn"
 
 Scene = Callable[[SimulatedCluster], Awaitable[None]]
@@ -23,7 +23,9 @@
 async def start_background_load(
     cluster: SimulatedCluster, duration_s: float = 60.0, services: int = 3
 ) -> float:
-    """Start replicas on every shard, and jobs that arrive and finish until `duration_s`.
+    """Start services with replicas on every shard, and jobs that arrive and finish.
+
+    Jobs arrive for `duration_s`.
 
     Returns:
         The time, 12 s later, at which the load is running and faults may begin.
@@ -36,7 +38,10 @@
 
 
 def seconds_to_first_start(cluster: SimulatedCluster, name: str, since: float) -> float:
-    """Seconds from `since` until a task started on a machine of a controller's own shard."""
+    """Return the seconds from `since` until a task started on a machine of a controller's own shard.
+
+    1e9 means that none has started.
+    """
     machines = set(cluster.workers_of(name))
     return min(
         (
@@ -49,26 +54,26 @@
 
 
 def assert_scene_breaks(scene: Scene, rule: str, **options: Any) -> None:
-    """Play a scene that has to break a rule, because a guard has been removed."""
+    """Run a scene that must break `rule` because a guard has been removed."""
     with pytest.raises(AssertionError, match=rule):
         play(scene, **options)
 
 
 def innermost_exception(error: BaseException) -> BaseException:
-    """The first leaf of nested exception groups."""
+    """Return the first leaf of nested exception groups."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
 
 
 def describe_innermost_exception(error: BaseException) -> str:
-    """Type and text of the first leaf of nested exception groups."""
+    """Return the type and text of the first leaf of nested exception groups."""
     innermost = innermost_exception(error)
     return f"{type(innermost).__name__}: {innermost}"
 
 
 class ClaimHook:
-    """Holds the store's answer back while a claim of shard 0 is at a step, until `go_on` is set."""
+    """Hold the store's answer back while a claim of shard 0 is at `step`, until `go_on` is set."""
 
     def __init__(self, cluster: SimulatedCluster, step: str) -> None:
         self.p, self.step, self.claimant = cluster, step, ""
@@ -90,14 +95,16 @@
                 self.claimant = put["v"]["node"]
                 if self.step == "claim sent" and not self.reached.is_set():
                     self.reached.set()
-                    await self.go_on.wait()  # executed only then: its sender may have ended
+                    await self.go_on.wait()  # executed only now; its sender may have ended
                 answer = await self.handle(request)
                 if self.step == "claim landed" and not self.reached.is_set():
                     self.reached.set()
                     await self.go_on.wait()
                 return answer
-        reads = self.claimant and request.path == "/kv" and request.query["starts"].startswith("c/")
-        if self.step == "cells read" and reads and not self.reached.is_set():
+        reads_chunks = (
+            self.claimant and request.path == "/kv" and request.query["starts"].startswith("c/")
+        )
+        if self.step == "cells read" and reads_chunks and not self.reached.is_set():
             self.reached.set()
             await self.go_on.wait()
         return await self.handle(request)
--- a/tests/shard_owners.py
+++ b/tests/shard_owners.py
@@ -1,4 +1,4 @@
-"""Shard owners and heartbeats for tests of the owner's proofs and tokens, without any I/O."""
+"""Build shard owners and heartbeats for tests of proofs and fencing tokens, without any I/O."""
 
 from __future__ import annotations
 
@@ -43,15 +43,15 @@
 def failed_on(
     o: ShardOwner, job: str, machine: str, seq: int, broken: int = 0, stance: str = "ended"
 ) -> None:
-    """Report a task of a job as failed on a machine, or as running there."""
+    """Report a task of a job as ended with an error on a machine, or as in state `stance` there."""
     record = a_job(job, spot=True).record()
-    board: dict[str, Any] = {
+    source_entries: dict[str, Any] = {
         peer_messages.job_key(job): JobUpdate(record, [1.0, 1.0, 1.0], 0, broken)
     }
-    board[peer_messages.permit_key(agents.AttemptId(job, 0, seq))] = PermitUpdate(
+    source_entries[peer_messages.permit_key(agents.AttemptId(job, 0, seq))] = PermitUpdate(
         machine, EPOCH, 0, None
     )
-    o.on_source_update(0, False, board, float(seq))
+    o.on_source_update(0, False, source_entries, float(seq))
     o.on_heartbeat(
         agents.heartbeat_from_json(
             {
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,7 @@
-"""The layers: imports point down, and nowhere in a circle, those for type checking included."""
+"""Check the layers: imports only go to lower layers and form no cycle.
+
+Imports for type checking count too.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +9,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "ploverhall"
-# Lower ones first; storage and connectivity lie beside coordination, maintenance beside scheduling
+# Lowest first; storage and connectivity are on the level of coordination, maintenance on that of
+# scheduling
 LAYERS = ["transport", "protocol", "coordination", "scheduling", "autoscaling", "controller"]
 
 
 def imports() -> dict[str, set[str]]:
-    """Module -> modules of the package that it imports, wherever the import stands."""
+    """Return the modules of the package that each module imports, also inside functions."""
     names = {}
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT.parent).with_suffix("").parts
@@ -34,28 +38,30 @@
 def test_no_import_cycle() -> None:
     graph, done = imports(), set[str]()
 
-    def walk(name: str, above: tuple[str, ...]) -> None:
-        assert name not in above, f"a circle: {' -> '.join((*above[above.index(name) :], name))}"
+    def visit(name: str, importers: tuple[str, ...]) -> None:
+        assert name not in importers, (
+            f"import cycle: {' -> '.join((*importers[importers.index(name) :], name))}"
+        )
         if name not in done:
-            for below in graph[name]:
-                walk(below, (*above, name))
+            for imported in graph[name]:
+                visit(imported, (*importers, name))
             done.add(name)
 
     for name in graph:
-        walk(name, ())
+        visit(name, ())
     assert len(done) > 40
 
 
-def test_layers_point_down() -> None:
+def test_layers_import_only_lower_layers() -> None:
     for name, found in imports().items():
-        for below in found:
-            a, b = name.split(".")[1:2], below.split(".")[1:2]
+        for imported in found:
+            a, b = name.split(".")[1:2], imported.split(".")[1:2]
             if a and b and a[0] in LAYERS and b[0] in LAYERS:
-                assert LAYERS.index(b[0]) <= LAYERS.index(a[0]), f"{name} imports {below}"
+                assert LAYERS.index(b[0]) <= LAYERS.index(a[0]), f"{name} imports {imported}"
 
 
-def test_only_the_root_knows_all_parts() -> None:
-    """A part that is handed the whole composition can't be played without it."""
+def test_only_the_cli_imports_the_controller() -> None:
+    """A component that receives the whole controller could not be tested without it."""
     assert [n for n, found in imports().items() if "ploverhall.controller.controller" in found] == [
         "ploverhall.cli"
     ]
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -1,5 +1,6 @@
-"""What the autoscaler keeps, rents and returns; its capacity by kinds against a plain list of
-machines.
+"""Test which machines the autoscaler keeps, rents and returns.
+
+Its capacity grouped by pool is compared with a plain list of machines.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
     return a_job(jid, kind="service", task_count=n, machine_types=None, **kw)
 
 
-def renter(spare: float = 1.4) -> Autoscaler:
+def new_autoscaler(spare: float = 1.4) -> Autoscaler:
     r = Autoscaler(7, 45.0, spare, 3.0, 10.0, 0.0)
     r.machine_types = {"t": TYPE}
     r.list_count = 1
@@ -32,37 +33,39 @@
 
 
 def view(used: float = 0.0, empty: int = 1) -> MachineUpdate:
-    room = [16.0 - used, 4.0 - used, 128.0 - used]
-    return MachineUpdate("t", "a", 0, room, empty, 0, 0, 0, int(not empty), room)
+    capacity = [16.0 - used, 4.0 - used, 128.0 - used]
+    return MachineUpdate("t", "a", 0, capacity, empty, 0, 0, 0, int(not empty), capacity)
 
 
-def test_grouped_equal_machines_take_what_a_list_of_machines_takes() -> None:
+def test_grouped_equal_machines_fit_as_much_as_a_list_of_machines() -> None:
     rng = Random(5)
     for _ in range(200):
-        rooms = [
+        capacities = [
             (float(rng.randrange(1, 9)), float(rng.randrange(5)), 64.0)
             for _ in range(rng.randrange(1, 12))
         ]
-        bins, plain = FreeSlots(), sorted(rooms)
-        for room in rooms:
-            bins.add(KIND, room)
+        bins, listed = FreeSlots(), sorted(capacities)
+        for capacity in capacities:
+            bins.add(KIND, capacity)
         for _ in range(3):
             vec, n = (1.0, float(rng.randrange(3)), 8.0), rng.randrange(1, 30)
-            most = 0
-            for i in range(len(plain)):
-                while most < n and fits(vec, plain[i]):
-                    plain[i] = add_scaled(plain[i], vec, -1)
-                    most += 1
-            assert bins.pack(vec, n, KIND) == most
+            fitted = 0
+            for i in range(len(listed)):
+                while fitted < n and fits(vec, listed[i]):
+                    listed[i] = add_scaled(listed[i], vec, -1)
+                    fitted += 1
+            assert bins.pack(vec, n, KIND) == fitted
             left = sum(max(0.0, r[0]) * c for r, c in bins.slots[KIND].items())
-            assert abs(left - sum(r[0] for r in plain)) < 1e-6, "the same room is left"
-            plain = sorted(r for rs, c in bins.slots[KIND].items() for r in [rs] * c)
-            if not plain:
+            assert abs(left - sum(r[0] for r in listed)) < 1e-6, (
+                "the grouped capacity differs from the list of machines"
+            )
+            listed = sorted(r for rs, c in bins.slots[KIND].items() for r in [rs] * c)
+            if not listed:
                 break
 
 
 def test_idle_machines_are_returned_newest_first() -> None:
-    r = renter()
+    r = new_autoscaler()
     r.on_owner_update(0, True, {f"n-{i}": view() for i in range(4)}, 0.0)
     for i in range(4):
         r.machines[f"n-{i}"].rented_at = float(i)
@@ -73,39 +76,47 @@
     assert r.draining_machines(0) == ["n-2", "n-3"], "five replicas need two machines of four"
 
 
-def play_boots(
-    took: dict[str, float], until: float, jobs: int = 24
+def simulate_boots(
+    boot_s_by_zone: dict[str, float], until: float, jobs: int = 24
 ) -> tuple[Autoscaler, dict[str, float], dict[str, float]]:
-    """A renter whose machines come up after `took` by zone (absent: never); when each was rented, and when given back."""
-    r = renter()
+    """Run an autoscaler whose machines boot in `boot_s_by_zone` seconds (zone absent: never).
+
+    Returns:
+        The autoscaler, and the times at which each machine was rented and returned.
+    """
+    r = new_autoscaler()
     r.on_source_update(
         0,
         True,
         {"j-000001": DemandUpdate(a_service("j-000001", 4 * jobs).record(), 4 * jobs, None, [0.0])},
     )
-    rented: dict[str, float] = {}
-    given: dict[str, float] = {}
+    rented_times: dict[str, float] = {}
+    returned_at: dict[str, float] = {}
     zone: dict[str, str] = {}
     for step in range(int(until)):
         now = float(step)
         plan = r.plan(now, now)
         for x in plan.scale_out:
-            names = [f"n-{len(rented) + i}" for i in range(x.count)]
-            rented.update(dict.fromkeys(names, now))
+            names = [f"n-{len(rented_times) + i}" for i in range(x.count)]
+            rented_times.update(dict.fromkeys(names, now))
             zone.update(dict.fromkeys(names, x.pool[1]))
             r.on_rented(names, x.pool, x.count, now)
-        given.update(dict.fromkeys(plan.scale_in, now))
+        returned_at.update(dict.fromkeys(plan.scale_in, now))
         r.on_deleted(plan.scale_in, now)
-        left = {n: z for n, z in zone.items() if n not in given}
+        left = {n: z for n, z in zone.items() if n not in returned_at}
         r.on_cloud_list(
             [
-                CloudMachine(n, "", "t", z, False, "booting", now - rented[n])
+                CloudMachine(n, "", "t", z, False, "booting", now - rented_times[n])
                 for n, z in left.items()
             ],
             now,
             now,
         )
-        up = [n for n, z in left.items() if z in took and now - rented[n] >= took[z]]
+        up = [
+            n
+            for n, z in left.items()
+            if z in boot_s_by_zone and now - rented_times[n] >= boot_s_by_zone[z]
+        ]
         r.on_owner_update(
             0,
             False,
@@ -117,30 +128,31 @@
         )
         if len(up) >= jobs:
             r.on_source_update(0, True, {})
-    return r, rented, given
+    return r, rented_times, returned_at
 
 
 def test_late_boots_cause_few_duplicate_rentals_and_no_return_before_boot() -> None:
-    """At four times the boot time they were counted as absent and rented again, then returned just
-    before they came up.
+    """At four times the expected boot time, machines were counted as absent and rented again.
+
+    They were then returned just before they came up.
     """
-    _, rented, given = play_boots({"a": 90.0, "b": 90.0}, 160.0)
-    assert len(rented) <= 24 * 1.5 + 8
-    assert not [n for n, at in given.items() if at - rented[n] < 90.0]
+    _, rented_times, returned_at = simulate_boots({"a": 90.0, "b": 90.0}, 160.0)
+    assert len(rented_times) <= 24 * 1.5 + 8
+    assert not [n for n, at in returned_at.items() if at - rented_times[n] < 90.0]
 
 
-def test_slow_zone_is_learnt_and_the_other_is_used_instead() -> None:
-    _, rented, given = play_boots({"b": 20.0}, 300.0)
-    r, _, _ = play_boots({"b": 20.0}, 70.0)
+def test_zone_without_boots_is_learnt_and_the_other_is_used_instead() -> None:
+    _, rented_times, returned_at = simulate_boots({"b": 20.0}, 300.0)
+    r, _, _ = simulate_boots({"b": 20.0}, 70.0)
     assert sum(1 for m in r.machines.values() if m.update is not None) >= 24, (
-        "what does not come in one zone has come in the other"
+        "machines that do not boot in one zone are replaced in the other"
     )
-    assert len(rented) <= 24 * 2 + 8, "and it is not rented and returned in a circle"
-    assert all(at - rented[n] > 100 for n, at in given.items())
+    assert len(rented_times) <= 24 * 2 + 8, "machines are rented and returned over and over"
+    assert all(at - rented_times[n] > 100 for n, at in returned_at.items())
 
 
 def test_slow_boots_are_learnt_by_zone_and_type_and_forgotten() -> None:
-    r = renter()
+    r = new_autoscaler()
     for i in range(6):
         r.on_rented([f"n-{i}"], KIND, 1, 0.0)
         r.on_owner_update(0, False, {f"n-{i}": view()}, 60.0)
@@ -149,7 +161,7 @@
 
 
 def test_machine_overtaken_by_later_ones_is_replaced_and_returned() -> None:
-    r = renter()
+    r = new_autoscaler()
     r.on_rented(["n-0", "n-1", "n-2"], KIND, 3, 0.0)
     r.on_owner_update(0, False, {n: view() for n in ("n-1", "n-2")}, 20.0)
     assert r._booting_to_count_on(30.0) == {"n-0": True} and r._booting_to_count_on(46.0) == {
@@ -160,7 +172,7 @@
 
 
 def test_hundreds_of_machines_are_requested_in_batches_of_fifty() -> None:
-    r = renter()
+    r = new_autoscaler()
     r.on_source_update(
         0,
         True,
@@ -175,26 +187,28 @@
 
 
 def test_unresponsive_zone_is_kept_but_an_unresponsive_machine_is_returned() -> None:
-    """An autoscaler that started in a partition knows the other zone's machines from the cloud's
-    list only, and they run on.
+    """An autoscaler that starts during a partition knows the other zone's machines only from the
+    cloud's list; they keep running.
     """
-    for dark, silent in ((6, 6), (1, 6)):  # machines of zone b that nobody hears, of so many
-        r = renter()
-        given: dict[str, float] = {}
+    for unresponsive, zone_size in ((6, 6), (1, 6)):  # unresponsive machines of zone b, of how many
+        r = new_autoscaler()
+        returned_at: dict[str, float] = {}
         for step in range(500):
             now = float(step)
-            heard = {f"a-{i}": view(2.0, 0) for i in range(6)}
-            heard |= {f"b-{i}": view(2.0, 0)._replace(zone="b") for i in range(dark, silent)}
-            r.on_owner_update(0, step == 0, heard, now)
+            updates = {f"a-{i}": view(2.0, 0) for i in range(6)}
+            updates |= {
+                f"b-{i}": view(2.0, 0)._replace(zone="b") for i in range(unresponsive, zone_size)
+            }
+            r.on_owner_update(0, step == 0, updates, now)
             items = [
                 CloudMachine(f"{z}-{i}", "", "t", z, False, "running", now)
                 for z in "ab"
                 for i in range(6)
             ]
-            r.on_cloud_list([it for it in items if it.name not in given], now, now)
+            r.on_cloud_list([it for it in items if it.name not in returned_at], now, now)
             for name in r.plan(now, now).scale_in:
-                given.setdefault(name, now)
-        assert sorted(given) == [f"b-{i}" for i in range(dark)]
-        assert min(given.values()) >= (300.0 if dark == 6 else 60.0) and max(given.values()) < (
-            340.0 if dark == 6 else 110.0
-        ), given
+                returned_at.setdefault(name, now)
+        assert sorted(returned_at) == [f"b-{i}" for i in range(unresponsive)]
+        assert min(returned_at.values()) >= (300.0 if unresponsive == 6 else 60.0) and max(
+            returned_at.values()
+        ) < (340.0 if unresponsive == 6 else 110.0), returned_at
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -1,4 +1,7 @@
-"""Machines that the cloud's list does not show yet, or not any more: living ones are not taken for gone, gone ones are announced."""
+"""Test machines that the cloud's list does not show yet, or no longer shows.
+
+Live machines must not count as gone, and deleted ones must be announced to the shard owners.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 def live_machines_taken_for_gone(cluster: SimulatedCluster) -> set[str]:
-    """Machines that are alive while some shard owner counts them as proved gone."""
+    """Return the live machines that some shard owner counts as proved gone."""
     alive = cluster.fleet.workers.keys()
     return {
         m
@@ -26,7 +29,7 @@
 
 
 def no_margin(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that a list lacks is gone, however old the list may be."""
+    """Remove the guard: a machine missing from a list counts as gone, however old the list is."""
     real = Autoscaler.on_cloud_list
 
     def on_list(self: Autoscaler, items: Any, asked_at: float, now: float) -> None:
@@ -39,11 +42,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("without", [None, no_margin])
-def test_new_machines_missing_from_cloud_lists_are_not_taken_for_gone(
+def test_new_machines_missing_from_cloud_lists_do_not_count_as_gone(
     seed: int, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Rentals are executed without an answer, or late, and lists lag, while writes are late and the
-    leader crashes. No live machine is taken for gone, and each one is used or returned.
+    """Rentals are executed late or without an answer, lists lag, writes are late and the leader
+    crashes. No live machine may count as gone, and each one is used or returned.
     """
     if without is not None:
         without(monkeypatch)
@@ -79,49 +82,53 @@
         gone.update(live_machines_taken_for_gone(cluster))
         assert len(f.pleas) > 1, "nothing was rented"
         assert not await cluster.left_waiting()
-        renter = next(
+        autoscaler = next(
             n.context.autoscaler for n in cluster.nodes.values() if n.context.autoscaler is not None
         )
-        assert f.machines.keys() <= renter.machines.keys(), "each is used, or on its way back"
+        assert f.machines.keys() <= autoscaler.machines.keys(), (
+            "each machine is used or being returned"
+        )
 
     if without is None:
         play(scene, seed, machines=3)
-        assert not gone, f"living machines taken for gone: {sorted(gone)}"
+        assert not gone, f"live machines counted as gone: {sorted(gone)}"
     else:
         with contextlib.suppress(AssertionError, BaseExceptionGroup):
             play(scene, seed, machines=3)
-        assert gone, "the scene must be able to fail"
+        assert gone, "without the guard, no live machine was counted as gone"
 
 
 def deleted_for_by_name(self: Autoscaler, part: int) -> list[str]:
-    """Replace `Autoscaler.deleted_for`: the last 300 by name, as it was."""
+    """Replace `Autoscaler.deleted_for`: announce only the last 300 by name, as it once did."""
     return sorted(self.deleted)[-300:]
 
 
-@pytest.mark.parametrize("mended", [True, False])
+@pytest.mark.parametrize("fixed", [True, False])
 def test_new_leader_learns_that_a_machine_unknown_to_it_was_deleted(
-    mended: bool, monkeypatch: pytest.MonkeyPatch
+    fixed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its tasks start again elsewhere, although 400 others were deleted meanwhile. When only the
-    last 300 by name were announced, its tasks counted towards the team's limit for ever.
+    """The machine's tasks start again elsewhere, although 400 other machines were deleted meanwhile.
+
+    When only the last 300 by name were announced, its tasks counted towards the team's limit for
+    ever.
     """
-    if not mended:
+    if not fixed:
         monkeypatch.setattr(Autoscaler, "deleted_for", deleted_for_by_name, raising=False)
-    back: list[bool] = []
+    restarted: list[bool] = []
 
     async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
             await cluster.submit(cluster.spec(n, gait="daemon", chicks=8))
         await anyio.sleep(5.0)
-        renting = next(
+        renting_controller = next(
             name for name, n in cluster.nodes.items() if n.context.autoscaler is not None
         )
-        renter = cluster.nodes[renting].context.autoscaler
-        assert renter is not None
-        renter.deleted.update(
+        autoscaler = cluster.nodes[renting_controller].context.autoscaler
+        assert autoscaler is not None
+        autoscaler.deleted.update(
             {f"n-9{i:05d}": cluster.now for i in range(400)}
-        )  # a long day's machines, newer by name
-        leader = next(c for c in cluster.names if c != renting)
+        )  # machines of a long day, later by name
+        leader = next(c for c in cluster.names if c != renting_controller)
         dead = next(w for w in cluster.workers_of(leader) if cluster.fleet.workers[w].tasks)
         lost = {k[:2] for k in cluster.fleet.workers[dead].tasks}
         cluster.tasks.start_soon(cluster.crash, leader, 60.0)
@@ -129,9 +136,9 @@
         with anyio.move_on_after(55.0):
             while lost - {k[:2] for w in cluster.fleet.workers.values() for k in w.on_machine()}:
                 await anyio.sleep(0.2)
-        back.append(
+        restarted.append(
             not lost - {k[:2] for w in cluster.fleet.workers.values() for k in w.on_machine()}
         )
 
     play(scene, machines=14)
-    assert back == [mended]
+    assert restarted == [fixed]
--- a/tests/test_custom_days.py
+++ b/tests/test_custom_days.py
@@ -1,4 +1,7 @@
-"""Days of scripts/custom_days/scenario_days.py: each fault is on every fourth; a seed repeats."""
+"""Test the days of scripts/custom_days/scenario_days.py.
+
+Each kind of fault is on every fourth day, and a seed always gives the same days.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
     "capacity": [{"count": 100, "zone": "a"}, {"count": 80, "zone": "b"}],
     "jobs": [{"name": "ranker", "kind": "service"}, {"name": "embed", "kind": "array"}],
 }
-WANTED = (
+EXPECTED_FAULTS = (
     "late_writes",
     "late_writes at_once",
     "late_reports",
@@ -55,4 +58,6 @@
                 for f in faults
             }
         )
-    assert all(on[w] >= 5 for w in WANTED), {w: on[w] for w in WANTED if on[w] < 5}
+    assert all(on[w] >= 5 for w in EXPECTED_FAULTS), {
+        w: on[w] for w in EXPECTED_FAULTS if on[w] < 5
+    }
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -1,5 +1,6 @@
-"""The real decisions in a simulated environment with seeded faults: every rule is checked after
-each step.
+"""Test the real decision code in a simulated environment with seeded faults.
+
+Every rule is checked after each step.
 """
 
 from __future__ import annotations
@@ -23,22 +24,27 @@
     w = run_with_faults(seed)
     left = w.live()
     assert not left, f"not finished: {left}"
-    cells = w.store.permits()
-    assert not cells, f"permits left over: {cells}"
-    assert not any(x.tasks for x in w.workers.values()), "workers still remember tasks"
+    permits = w.store.permits()
+    assert not permits, f"permits left over: {permits}"
+    assert not any(x.tasks for x in w.workers.values()), "agents still hold tasks"
     assert w.starts > 10
 
 
 @pytest.mark.parametrize("seed", range(40, 46))
 def test_stalled_controllers_break_no_rule(seed: int) -> None:
-    """Pauses of any step, from a second to three leases, with watches that hang: every rule holds, and all of it finishes."""
+    """Any step may stall for a second up to three leases, and watches may hang.
+
+    Every rule holds, and all jobs finish.
+    """
     w = run_with_faults(seed, kinds=(4, 5))
     assert not w.live() and not w.store.permits()
 
 
 @pytest.mark.parametrize("seed", range(100, 106))
 def test_small_values_are_chunked(seed: int) -> None:
-    """Many chunks a team: a late write must not bring a second permit of a task that stands in another chunk."""
+    """With many chunks per team, a late write must not add a second permit for a task whose permit
+    is in another chunk.
+    """
     w = run_with_faults(seed, value_bytes=400, txn_ops=4)
     assert not w.live()
     assert not w.store.permits()
@@ -48,7 +54,7 @@
 def test_decision_model_reports_a_missing_guard(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without one guard the model has to report a broken rule; else it checks nothing."""
+    """Without one guard the model must report a broken rule; otherwise its checks are ineffective."""
     if guard == "silence counts as gone":
         real = ShardOwner.advance_time
 
@@ -69,28 +75,28 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_resumed_controller_claims_nothing_by_its_clock(
+def test_resumed_controller_proves_nothing_by_its_clock(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A controller stalls, another acquires its shard and keeps its tasks alive, and the source
-    hears of neither: `ran_twice` without the guard.
+    """A controller stalls, another one acquires its shard and keeps its tasks alive, and the source
+    learns of neither. Without the guard this breaks `ran_twice`.
     """
     if not guarded:
         real = ShardOwner.advance_time
 
-        def believing(self: ShardOwner, now: float) -> None:
+        def advance_time_with_confirmed_epoch(self: ShardOwner, now: float) -> None:
             self.epoch_confirmed_at = now
             real(self, now)
 
-        monkeypatch.setattr(ShardOwner, "advance_time", believing)
+        monkeypatch.setattr(ShardOwner, "advance_time", advance_time_with_confirmed_epoch)
         monkeypatch.setattr(ShardOwner, "on_event_loop_stall", lambda self, s, now: None)
     w = DecisionModel(3, machines=16, chaos=0.0)
     team = next(t for t, shard in w.layout.team_shard.items() if shard == 2)
     for i in range(3):
-        one = draw_job(Random(1), f"j-{i:06d}", 0.0)
+        job = draw_job(Random(1), f"j-{i:06d}", 0.0)
         w.submit(
             replace(
-                one,
+                job,
                 team=team,
                 kind="service",
                 task_count=3,
@@ -105,7 +111,7 @@
     first, source = w.nodes[0], w.nodes[2]
     assert any(
         w.layout.shard_of_machine(x.zone, x.name) == 0 and x.tasks for x in w.workers.values()
-    ), "nothing runs on the part in question"
+    ), "no task runs on shard 0"
     w.chaos = 1e-9  # watches may hang; nothing else goes wrong
     w.kinds = ()
     first.stalled_until, first.watch_hangs_until, source.watch_hangs_until = (
@@ -122,12 +128,10 @@
             w.run(60.0)
 
 
-def cut_off(guarded: bool) -> DecisionModel:
-    """A controller and its zone are partitioned for longer than `cancel_s`, and a job that runs
-    there is cancelled.
-    """
+def cancel_in_partitioned_zone(guarded: bool) -> DecisionModel:
+    """Partition a controller with its zone for longer than `cancel_s`, and cancel a job there."""
     w = DecisionModel(5, machines=16, chaos=0.0, cut_off=100.0)
-    one = replace(
+    job = replace(
         draw_job(Random(1), "j-000001", 0.0),
         team="team-0",
         kind="service",
@@ -137,17 +141,19 @@
         single_zone=False,
         spot=False,
     )
-    w.submit(one)
+    w.submit(job)
     w.run(10.0)
     w.chaos, w.kinds = 1e-9, ()
     w.partition_zone(w.nodes[1], 80.0)
     w.run(15.0)
-    w.withdraw(one.id)
+    w.withdraw(job.id)
     w.run(18.0)
-    assert guarded == (one.id not in w.cancelled), "who could still run it has not read of it"
+    assert guarded == (job.id not in w.cancelled), (
+        "acknowledged while a controller that could still run it has not read of it"
+    )
     w.run(60.0)
-    assert any(k[0] == one.id for x in w.workers.values() for k in x.on_machine()), (
-        "its zone goes on, for all that it can know"
+    assert any(k[0] == job.id for x in w.workers.values() for k in x.on_machine()), (
+        "the partitioned zone can't know of the cancellation and runs on"
     )
     return w
 
@@ -155,12 +161,12 @@
 def test_cancellation_is_acknowledged_once_a_partitioned_controller_must_have_stopped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    w = cut_off(True)
+    w = cancel_in_partitioned_zone(True)
     w.run(200.0)
     assert w.cancelled and not any(x.on_machine() for x in w.workers.values())
     monkeypatch.setattr(CancellationBarrier, "may_acknowledge", lambda self, version, now: True)
     with pytest.raises(RuleBrokenError, match="ran_cancelled"):
-        cut_off(False).run(200.0)
+        cancel_in_partitioned_zone(False).run(200.0)
 
 
 @pytest.mark.parametrize("seed", range(200, 206))
@@ -171,6 +177,6 @@
 
 @pytest.mark.parametrize("seed", range(300, 306))
 def test_a_refused_controller_and_then_an_outage_break_no_rule(seed: int) -> None:
-    """With crashes in between: what is cancelled before the outage may be acknowledged in it."""
+    """Jobs cancelled before the outage may be acknowledged during it, with crashes in between."""
     w = run_with_faults(seed, kinds=(9, 9, 0))
     assert not w.live() and not w.store.permits()
--- a/tests/test_determinism.py
+++ b/tests/test_determinism.py
@@ -1,5 +1,6 @@
-"""One seed gives one course of events, whatever the process, its hash seed, its memory and what ran
-before.
+"""Check that one seed gives one sequence of events.
+
+The process, its hash seed, its memory addresses and earlier runs must not matter.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from .simulation.simulated_network import HOLD, SILENT
 
 
-def course(seed: int) -> str:
-    """Cuts, crashes and a takeover; the checksum of every packet and of when it came."""
+def run_scene(seed: int) -> str:
+    """Run cuts, crashes and a failover; return the checksum of all packets and the final time."""
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
@@ -37,15 +38,19 @@
     return f"{p.net.checksum} {p.loop.time()!r}"
 
 
-def meeting(seed: int) -> str:
-    """Three overlapping faults, with replicas, long tasks and machines that are returned."""
+def run_faults(seed: int) -> str:
+    """Run three overlapping faults, with replicas, long tasks and returned machines."""
     return str(run_schedule(seed, ("alone", "gap", "peers")).net.checksum)
 
 
-def elsewhere(call: str, hash_seed: str, compiled: Path | None = None) -> str:
-    """What a course ends with in another process; one that finds nothing compiled has its objects elsewhere in memory."""
+def run_in_another_process(call: str, hash_seed: str, compiled: Path | None = None) -> str:
+    """Evaluate `call` in another process and return its output.
+
+    A process that finds no compiled modules in `compiled` has its objects at other addresses.
+    """
     code = (
-        f"from tests.test_determinism import course, meeting; import sys; sys.stdout.write({call})"
+        "from tests.test_determinism import run_scene, run_faults; "
+        f"import sys; sys.stdout.write({call})"
     )
     env = {
         **os.environ,
@@ -58,26 +63,32 @@
     ).stdout
 
 
-def test_fault_schedule_plays_the_same_in_another_process(tmp_path: Path) -> None:
-    """The autoscaler asked for kinds of machines in the order of a set of names, so that each
-    process returned another one.
+def test_fault_schedule_runs_the_same_in_another_process(tmp_path: Path) -> None:
+    """Guards against two orders that differed between processes.
 
-    A server closed connections in the order of their addresses in memory: another one where nothing
-    was compiled yet, as in a clean checkout, so that the suite failed there now and then.
+    The autoscaler requested kinds of machines in the order of a set of names, so each process
+    returned a different machine. A server closed connections in the order of their memory
+    addresses, which differ where nothing is compiled yet, as in a clean checkout; the suite failed
+    there now and then.
     """
     assert (
-        elsewhere("meeting(3)", "0")
-        == elsewhere("meeting(3)", "1")
-        == elsewhere("meeting(3)", "1", tmp_path)
+        run_in_another_process("run_faults(3)", "0")
+        == run_in_another_process("run_faults(3)", "1")
+        == run_in_another_process("run_faults(3)", "1", tmp_path)
     )
 
 
-def test_the_same_seed_plays_the_same_in_another_process() -> None:
-    """Tasks and scopes in sets by address, and sets of names by hash, made one seed many courses: a failure came once in eight runs."""
-    here = course(3)
-    ballast = [object() for _ in range(50_000)]  # other addresses
-    assert course(3) == here, "a second run in one process"
+def test_same_seed_runs_the_same_in_another_process() -> None:
+    """Sets ordered by address (tasks, scopes) or by hash (names) made runs of one seed differ.
+
+    A failure then showed up once in eight runs.
+    """
+    first_run = run_scene(3)
+    ballast = [object() for _ in range(50_000)]  # shifts the addresses of later objects
+    assert run_scene(3) == first_run, "a second run in one process"
     del ballast
     for hash_seed in ("0", "77"):
-        assert elsewhere("course(3)", hash_seed) == here, f"another process, hash seed {hash_seed}"
-    assert course(4) != here
+        assert run_in_another_process("run_scene(3)", hash_seed) == first_run, (
+            f"another process, hash seed {hash_seed}"
+        )
+    assert run_scene(4) != first_run
--- a/tests/test_packet_checksums.py
+++ b/tests/test_packet_checksums.py
@@ -1,11 +1,22 @@
-"""Three of the recorded scenes still send the same packets at the same times; the tool for all of them is packet_checksums.py."""
+"""Check that three of the recorded scenes still send the same packets at the same times.
+
+packet_checksums.py compares all of them.
+"""
 
 from __future__ import annotations
 
 import cbor2
 import pytest
 
-from .packet_checksums import RECORDED, RUNS, SceneRun, course, difference, load, without_texts
+from .packet_checksums import (
+    RECORDED,
+    RUNS,
+    SceneRun,
+    difference,
+    load,
+    run_checksums,
+    without_texts,
+)
 
 
 @pytest.mark.parametrize(
@@ -14,7 +25,7 @@
     ids=lambda scene_run: scene_run.kind,
 )
 def test_scene_sends_the_recorded_packets(scene_run: SceneRun) -> None:
-    assert difference(load(RECORDED)[scene_run.name], course(scene_run)) == ""
+    assert difference(load(RECORDED)[scene_run.name], run_checksums(scene_run)) == ""
 
 
 def test_every_run_is_recorded() -> None:
