--- a/tests/decision_model_runs.py
+++ b/tests/decision_model_runs.py
@@ -12,7 +12,7 @@
 def run_with_faults(
     seed: int, fault_s: float = 90.0, recovery_s: float = 150.0, **kw: Any
 ) -> DecisionModel:
-    """Run the model with random faults for `fault_s`, then without faults for `recovery_s` (seconds)."""
+    """Run the model for `fault_s` seconds with random faults, then for `recovery_s` without."""
     w = DecisionModel(seed, **kw)
     rng = Random(seed + 1)
     for i in range(16):
--- a/tests/job_sources.py
+++ b/tests/job_sources.py
@@ -47,10 +47,17 @@
 
 
 def offers(
-    n: int, part: int = 0, zone: str = "a", first: int = 1, victims: int = 0, job: str = "j-000001"
+    n: int,
+    shard_index: int = 0,
+    zone: str = "a",
+    first: int = 1,
+    victims: int = 0,
+    job: str = "j-000001",
 ) -> dict[str, Any]:
     return {
-        peer_messages.offer_key(first + i): OfferUpdate(job, f"n-{part}{i}", zone, 0.0, victims)
+        peer_messages.offer_key(first + i): OfferUpdate(
+            job, f"n-{shard_index}{i}", zone, 0.0, victims
+        )
         for i in range(n)
     }
 
@@ -68,8 +75,8 @@
     owner_entries: dict[str, Any] = {}
     for step in range(seconds * 2):
         now = first + step / 2
-        for (part, key), value in s.take_owner_updates(1, now).items():
-            if part == 0:
+        for (shard_index, key), value in s.take_owner_updates(1, now).items():
+            if shard_index == 0:
                 owner_entries[key] = value
         changes: dict[str, Any] = {}
         for key, value in owner_entries.items():
--- a/tests/memory_inspection.py
+++ b/tests/memory_inspection.py
@@ -9,7 +9,7 @@
 
 
 def job_ids_in_memory(root: object) -> dict[str, set[str]]:
-    """Return the ids of all jobs that a controller holds in memory, by the attribute that holds them."""
+    """Return the ids of all jobs that a controller holds in memory, by attribute name."""
     found: dict[str, set[str]] = {}
     seen: set[int] = set()
     todo: list[tuple[object, str]] = [(root, "")]
--- a/tests/packet_checksums.py
+++ b/tests/packet_checksums.py
@@ -254,7 +254,7 @@
 
 
 async def request(p: SimulatedCluster, rng: Random, path: str, body: dict[str, Any]) -> None:
-    """Send an operator's request to a random controller once, and ignore that it can't be reached."""
+    """Send an operator's request once to a random controller, which may be unreachable."""
     with suppress(UnreachableError):
         await p.users[rng.choice(p.names)].call("POST", path, body, 5.0)
 
@@ -315,7 +315,7 @@
 
 
 def difference(recorded: RunChecksums | None, now: RunChecksums) -> str:
-    """Describe the interval in which two runs diverge; an empty string means that they are equal."""
+    """Describe the interval in which two runs diverge; return "" if they are equal."""
     if recorded is None:
         return "not recorded"
     if recorded == now:
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -38,7 +38,7 @@
 
 
 def seconds_to_first_start(cluster: SimulatedCluster, name: str, since: float) -> float:
-    """Return the seconds from `since` until a task started on a machine of a controller's own shard.
+    """Return the seconds from `since` to the first start on a machine of a controller's shard.
 
     1e9 means that none has started.
     """
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -17,7 +17,7 @@
 from .simulation.scene import play
 
 
-def live_machines_taken_for_gone(cluster: SimulatedCluster) -> set[str]:
+def live_machines_counted_as_gone(cluster: SimulatedCluster) -> set[str]:
     """Return the live machines that some shard owner counts as proved gone."""
     alive = cluster.fleet.workers.keys()
     return {
@@ -76,16 +76,16 @@
                 cluster.tasks.start_soon(cluster.crash, holder, 5.0)
             for _ in range(15):
                 await anyio.sleep(0.2)
-                gone.update(live_machines_taken_for_gone(cluster))
+                gone.update(live_machines_counted_as_gone(cluster))
         cluster.late_writes = f.lost_answers = f.late_requests = 0.0
         await anyio.sleep(25.0)
-        gone.update(live_machines_taken_for_gone(cluster))
+        gone.update(live_machines_counted_as_gone(cluster))
         assert len(f.pleas) > 1, "nothing was rented"
         assert not await cluster.left_waiting()
-        autoscaler = next(
+        leading_autoscaler = next(
             n.context.autoscaler for n in cluster.nodes.values() if n.context.autoscaler is not None
         )
-        assert f.machines.keys() <= autoscaler.machines.keys(), (
+        assert f.machines.keys() <= leading_autoscaler.machines.keys(), (
             "each machine is used or being returned"
         )
 
@@ -98,7 +98,7 @@
         assert gone, "without the guard, no live machine was counted as gone"
 
 
-def deleted_for_by_name(self: Autoscaler, part: int) -> list[str]:
+def deleted_for_by_name(self: Autoscaler, shard: int) -> list[str]:
     """Replace `Autoscaler.deleted_for`: announce only the last 300 by name, as it once did."""
     return sorted(self.deleted)[-300:]
 
@@ -107,7 +107,7 @@
 def test_new_leader_learns_that_a_machine_unknown_to_it_was_deleted(
     fixed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The machine's tasks start again elsewhere, although 400 other machines were deleted meanwhile.
+    """The machine's tasks restart elsewhere, although 400 others were deleted meanwhile.
 
     When only the last 300 by name were announced, its tasks counted towards the team's limit for
     ever.
@@ -123,9 +123,9 @@
         renting_controller = next(
             name for name, n in cluster.nodes.items() if n.context.autoscaler is not None
         )
-        autoscaler = cluster.nodes[renting_controller].context.autoscaler
-        assert autoscaler is not None
-        autoscaler.deleted.update(
+        leading_autoscaler = cluster.nodes[renting_controller].context.autoscaler
+        assert leading_autoscaler is not None
+        leading_autoscaler.deleted.update(
             {f"n-9{i:05d}": cluster.now for i in range(400)}
         )  # machines of a long day, later by name
         leader = next(c for c in cluster.names if c != renting_controller)
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -1,4 +1,7 @@
-"""More agents than sockets: connections are shared in time, and users are still answered."""
+"""Test the connection limit with more agents than sockets.
+
+Agents take turns with connections, and users are still answered.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 
 @dataclass
 class Controller:
-    """One server, its agents and users."""
+    """A simulated controller's server with its agents and users."""
 
     tasks: anyio.abc.TaskGroup
     loop: VirtualTimeLoop
@@ -63,7 +66,7 @@
         return Reply(200, {"path": request.path})
 
     async def agent(self, name: str, reports: int = 1_000_000) -> None:
-        """Reports every REPORT_S, give or take a quarter, on one kept connection."""
+        """Send a heartbeat every REPORT_S, plus or minus a quarter, on one kept connection."""
         rng = Random(name)
         client = Client("c0", 80, max_idle=1, network=self.net.of(name), clock=self.loop.time)
         await anyio.sleep(REPORT_S * rng.random())
@@ -80,7 +83,7 @@
         counted[name] = counted.get(name, 0) + 1
 
     async def users(self, count: int) -> None:
-        """Each comes with a new connection."""
+        """Send `count` requests of users, each on a new connection."""
         for i in range(count):
             name = f"user-{i}"
             client = Client("c0", 80, network=self.net.of(name), clock=self.loop.time)
@@ -89,7 +92,7 @@
             await anyio.sleep(0.3)
 
     def count(self, prefix: str) -> tuple[int, int]:
-        """Answered and failed requests."""
+        """Return the numbers of answered and failed requests of the names with a prefix."""
         return tuple(  # type: ignore[return-value]
             sum(n for name, n in counted.items() if name.startswith(prefix))
             for counted in (self.answered, self.failed)
@@ -152,14 +155,14 @@
         slots[int((at - connects[0]) / (10 * REPORT_S) * 40) % 40] += 1
     excess = 4 * MAX_SOCKETS - LIMITS.shared
     assert 0.9 * 10 * excess <= len(connects) <= 1.1 * 10 * excess, (
-        "only those beyond the limit connect again, once for each report"
+        "agents within the limit reconnect, or others more than once per heartbeat"
     )
     assert max(slots) < 2 * sum(slots) / len(slots)
-    assert controller.count("agent")[1] == 0, "none connects again because it was refused"
+    assert controller.count("agent")[1] == 0, "an agent was refused"
 
 
 @pytest.mark.parametrize("agents", [1, LIMITS.shared])
-def test_not_one_packet_differs_below_the_limit(agents: int) -> None:
+def test_limiter_changes_no_packet_below_the_limit(agents: int) -> None:
     async def scene(controller: Controller) -> None:
         for i in range(agents):
             controller.tasks.start_soon(controller.agent, f"agent-{i}")
@@ -168,8 +171,8 @@
     assert run(scene).net.checksum == run(scene, limited=False).net.checksum
 
 
-def test_connections_of_agents_that_went_elsewhere_make_room() -> None:
-    """Else agents that report connect anew each time while unused connections stand idle."""
+def test_idle_connections_of_agents_that_moved_away_are_closed() -> None:
+    """Otherwise active agents would reconnect each time while unused connections are idle."""
 
     async def scene(controller: Controller) -> None:
         for i in range(LIMITS.shared):
@@ -229,7 +232,7 @@
         assert 0.1 * sockets <= sockets - limits.total < 0.1 * sockets + 1
 
 
-def test_kept_outgoing_connections_give_way_to_accepted_ones() -> None:
+def test_accepted_connections_reduce_outgoing_capacity() -> None:
     async def scene(controller: Controller) -> None:
         limiter = ConnectionLimiter(LIMITS, is_heartbeat_request, LEASE_S)
         assert limiter.outgoing_capacity() == LIMITS.total
@@ -245,7 +248,7 @@
 
 def test_least_recently_used_connections_to_agents_are_closed_over_the_limit() -> None:
     async def scene(controller: Controller) -> None:
-        room = 5
+        max_clients = 5
 
         def make(host: str, port: int) -> Client:
             return Client(
@@ -265,11 +268,11 @@
             )
             controller.tasks.start_soon(server.run, f"w{i}", 9)
         await anyio.sleep(0.01)
-        pool = ClientPool(make, lambda: room)
+        pool = ClientPool(make, lambda: max_clients)
         for i in range(20):
             assert (await pool.call(f"w{i}", 9, "GET", "/show", None, 1.0))[0] == 200
         assert [host for host, _ in pool.clients] == [f"w{i}" for i in range(15, 20)]
-        room = 2
+        max_clients = 2
         await pool.trim()
         assert [host for host, _ in pool.clients] == ["w18", "w19"]
         await anyio.sleep(0.1)
@@ -280,7 +283,7 @@
 
 
 class RateLimitedCloud:
-    """Lists `page_count` pages of machines, and answers 429 above `rps` requests a second."""
+    """A cloud with `page_count` pages of machines that answers 429 above `rps` requests a second."""
 
     def __init__(self, page_count: int, rps: int, clock: Callable[[], float]) -> None:
         self.page_count = page_count
@@ -307,7 +310,7 @@
         return 200, {"perches": [machine], "hasNext": page + 1 < self.page_count}
 
 
-def test_a_machine_list_of_more_pages_than_the_clouds_rate_is_read_whole() -> None:
+def test_machine_list_with_more_pages_than_the_clouds_rate_is_read_completely() -> None:
     rps = 5
     pages = 6 * rps
     listed: list[cloud.CloudMachine] = []
@@ -323,14 +326,16 @@
         autoscaling = AutoscalingLoop(context, routing, lambda: 1, service)
         await autoscaling._list_machines(autoscaler, clock())
         assert service.refused == 0
-        assert autoscaling.list_every_s >= 2 * pages / rps, "half of the rate is left for rentals"
+        assert autoscaling.list_every_s >= 2 * pages / rps, (
+            "less than half of the rate is left for rentals"
+        )
 
     run(scene)
     assert [machine.name for machine in listed] == [f"n-{i}" for i in range(pages)]
 
 
 def test_images_of_a_shard_of_4000_machines_fit_into_transactions() -> None:
-    """The key-value store refuses a transaction of more than 64 KiB, however often it is sent."""
+    """The key-value store refuses transactions of more than 64 KiB, so retries never help."""
     known = {f"n-{i:06d}": {f"img-{(i + k) % 60:02d}": 2.5 for k in range(12)} for i in range(1334)}
     values = {f"i/0/{i}": v for i, v in enumerate(image_index.pack(known, 16 * 1024))}
     groups = image_index.batches(values, 24, 56_000)
--- a/tests/test_controller_loops.py
+++ b/tests/test_controller_loops.py
@@ -1,4 +1,4 @@
-"""Decisions of the controller's loops that need no network."""
+"""Test decisions of the controller's loops that need no network."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .test_loopback import config
 
 
-def a_node() -> Controller:
+def new_controller() -> Controller:
     data = config([1, 2, 3, 4])
     data["siblings"] = [{"host_name": "c1", "site": "a", "addr": "127.0.0.1:5"}]
     return Controller(settings.parse(data))
@@ -34,8 +34,8 @@
     (kazi-bodi, hunt-13e3-7).
     """
 
-    async def play() -> None:
-        node = a_node()
+    async def scenario() -> None:
+        node = new_controller()
         s = node.settings
         owner = ShardOwner(
             1, 7, 2, s.lease_s, s.heartbeat_interval_s, 5.0, 5, node.context.random, 0.0
@@ -48,51 +48,63 @@
         await node.shard_claims.reconcile_shard(1, 11.0)
         node.peer_liveness.peer_status["c1"] = (12.0, PeerStatus(0.0, {}, {}))
         await node.shard_claims.reconcile_shard(1, 12.0)
-        assert 1 in node.context.held_shards, "its home is back, but not steady yet"
+        assert 1 in node.context.held_shards, (
+            "released before its preferred controller was up for long enough"
+        )
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_isolated_controller_stops_answering_agents_in_time() -> None:
-    """Others may have cancelled what runs here: their leases must end within the time a cancellation has."""
+    """Others may have cancelled tasks that run here.
+
+    The leases of their agents must end within the time allowed for a cancellation.
+    """
 
-    async def play() -> None:
-        node = a_node()
+    async def scenario() -> None:
+        node = new_controller()
         lease, state, follow = node.controller_lease, node.cancellation_state, node.store_watch
         st = node.settings
         follow.read_at = lease.renewed_at = 100.0
-        assert state.isolated(100.0), "its key was not in what it read: others count it as gone"
+        assert state.isolated(100.0), "its key was not in what it read, so others count it as gone"
         node.context.store_cache.entries[CONTROLLER_PREFIX + "c0"] = ({}, 1)
         assert not state.isolated(105.0)
         early = 100.0 + st.cancel_s - st.lease_s
         assert state.isolated(early), (
-            "the other one may tell at once: a release before this one, or not heard of yet"
+            "the other one may acknowledge at once: it runs an earlier release, or is not known yet"
         )
         state.cancellation_barrier.peer_present("c1", True, 0)
         assert not state.isolated(early) and state.isolated(100.0 + st.options.cut_off_s)
         del node.context.store_cache.entries[CONTROLLER_PREFIX + "c0"]
         follow.read_at = lease.renewed_at = 101.0
         assert state.isolated(100.0 + st.options.cut_off_s), (
-            "its key has gone: that it reads is no contact any more"
+            "its key is gone, so its reads no longer count as contact"
         )
         node.peer_liveness.peer_status["c1"] = (119.5, PeerStatus(60.0, {}, {}))
         assert state.isolated(165.0), (
-            "that it is heard proves nothing: what was cancelled before an outage may be told in it"
+            "a reachable peer proves nothing: it may acknowledge earlier cancellations in an outage"
         )
         life, node.context.clock = state.cancellation_barrier.incarnation, lambda: 119.5
-        said = {"seen": 1, "life": "x", "at": 1.0, "up": 99.0, "read": True, "echo": [life, 119.0]}
-        node.peer_links.deliver("c1", [["k", 1, 0, 0, True, said, 1]])
+        gossip = {
+            "seen": 1,
+            "life": "x",
+            "at": 1.0,
+            "up": 99.0,
+            "read": True,
+            "echo": [life, 119.0],
+        }
+        node.peer_links.deliver("c1", [["k", 1, 0, 0, True, gossip, 1]])
         assert state.isolated(119.0 + st.options.cut_off_s), (
-            "it has answered, and owes until so long after what it has answered"
+            "the peer has echoed, so contact counts from the echoed time"
         )
         assert not state.isolated(119.0 + st.options.cut_off_s - 0.1)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_newer_holder_supersedes_the_current_one() -> None:
-    async def play() -> None:
-        node = a_node()
+    async def scenario() -> None:
+        node = new_controller()
         s = node.settings
         node.context.held_shards[0] = HeldShard(
             0,
@@ -106,15 +118,18 @@
         node.peer_links.deliver("c1", [["n", 1, 0, 0, True, [0.0, {0: 8}, {}], 0]])
         assert 0 not in node.context.held_shards
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_first_sync_of_a_new_source_holds_every_permit() -> None:
-    """An owner that gets an empty one drops its permits and forgets the runs it has sent (kazi-bodi-grown rough: ran_twice)."""
+    """An owner that receives an empty sync drops its permits and forgets the runs it has sent.
+
+    This broke `ran_twice` (kazi-bodi-grown rough).
+    """
     sent: list[Any] = []
 
-    async def play() -> None:
-        node = a_node()
+    async def scenario() -> None:
+        node = new_controller()
         s = node.settings
         held = node.context.held_shards[0] = HeldShard(
             0,
@@ -142,7 +157,7 @@
         async def first_write(held: HeldShard, source: JobSource) -> None:
             sent.extend(
                 node.context.outbound.collect("c1", 1, lambda shard: "c1")
-            )  # the link may be quicker than the engine
+            )  # the link may send before the first decision
 
         writer = node.allocation_writer
         writer.reader.read_key = read_one  # type: ignore[method-assign]
@@ -153,18 +168,20 @@
         ) = read, current, first_write  # type: ignore[method-assign]
         await writer.run(held)
 
-    anyio.run(play)
+    anyio.run(scenario)
     (to_part_1,) = [m for m in sent if m[0] == "s" and m[3] == 1]
     assert to_part_1[4] and peer_messages.permit_key(AttemptId("j-000001", 3, 11)) in to_part_1[5]
 
 
 def test_write_budget_unused_by_other_controllers_is_lent() -> None:
-    """Many short jobs of one team waited for one controller's slice while the others' were unused."""
-    node = a_node()
+    """Many short jobs of one team waited for one controller's share of the write budget, while the
+    shares of the others were unused.
+    """
+    node = new_controller()
     own = node.settings.store_write_rps * 0.92 / 2
     now = time.monotonic()
     node.peer_liveness.update_write_share(now)
-    assert node.context.store.writes.rate == own, "a controller that can't be heard may be writing"
+    assert node.context.store.writes.rate == own, "an unreachable controller may be writing"
     node.peer_liveness.peer_status["c1"] = (now, PeerStatus(0.0, {}, {}, 0.0))
     node.peer_liveness.update_write_share(now)
     assert own < node.context.store.writes.rate < 2 * own
@@ -174,17 +191,17 @@
 
 
 def test_small_writes_do_not_starve_a_large_one_and_patient_writers_yield() -> None:
-    """Every submission took the next operation that was free; the writer of permits, which needs
-    two at least, never had them.
+    """Every submission took the next free operation; the writer of permits, which needs at least
+    two, never got them.
     """
 
-    async def play() -> None:
-        budget = RateLimiter(20.0)
-        budget.tokens = 0.0
+    async def scenario() -> None:
+        limiter = RateLimiter(20.0)
+        limiter.tokens = 0.0
         order: list[str] = []
 
         async def take(name: str, n: float, reserve: float = 0.0, patience: float = 60.0) -> None:
-            await budget.acquire(n, reserve=reserve, patience=patience)
+            await limiter.acquire(n, reserve=reserve, patience=patience)
             order.append(name)
 
         async with anyio.create_task_group() as tg:
@@ -198,14 +215,17 @@
                 tg.start_soon(take, "later", 1)
         assert order.index("writer") == 4 and order[-4:] == ["patient"] * 4
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_a_controllers_key_is_never_written_without_its_lease() -> None:
-    """A claim that finds the lease gone while a renewal is on its way: untethered, the key would outlive the process for ever."""
+    """A claim may find the lease gone while a renewal is under way.
 
-    async def play() -> None:
-        node = a_node()
+    A key written without a lease would outlive the process for ever.
+    """
+
+    async def scenario() -> None:
+        node = new_controller()
         member, written = node.controller_lease, []
         member.lease_id, node.context.cancelled_revision = 7, 5
 
@@ -232,35 +252,38 @@
             await member.lease_loop()
         assert written == [(7, True)]
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_finished_job_is_reported_without_waiting_for_peers() -> None:
-    """Only a cancellation has to: cancelling a job that had ended took a second while a controller
-    was away.
+    """Only a cancellation has to wait for peers.
+
+    Cancelling a job that had ended took a second while a controller was down.
     """
 
-    async def play() -> None:
-        node = a_node()
+    async def scenario() -> None:
+        node = new_controller()
         node.context.store_cache.ended_jobs["j-000001"] = EndedJob("done", 3, 9)
         node.context.store_cache.ended_jobs["j-000002"] = EndedJob("withdrawn", 0, 9)
         with anyio.fail_after(0.5):
             assert (await node.job_requests.cancel("j-000001")).status == 200
-        assert (await node.job_requests.poll("j-000002")).status == 503, "nobody has read of it yet"
+        assert (await node.job_requests.poll("j-000002")).status == 503, (
+            "no peer has read of the cancellation yet"
+        )
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 @pytest.mark.parametrize(
     "addr", ["x", "x:", ":1", "x:99999", "x:²", "a" * 80 + ":80", "é b:80", "127.0.0.1:1"]
 )
-def test_invalid_agent_address_ends_nothing(addr: str) -> None:
-    """The agent sends it: `int` of it raised inside the process's own task group, and ended the
-    process.
+def test_invalid_agent_address_does_not_end_the_process(addr: str) -> None:
+    """The agent sends the address: `int` of it raised in the process's own task group, and ended
+    the process.
     """
 
-    async def play() -> None:
-        node = a_node()
+    async def scenario() -> None:
+        node = new_controller()
         s = node.settings
         owner = ShardOwner(
             0, 7, 2, s.lease_s, s.heartbeat_interval_s, 5.0, 5, node.context.random, 0.0
@@ -271,14 +294,17 @@
             await node.agent_commands.send(owner, m, {})
         assert not m.command_pending
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_deleted_member_key_is_rewritten_and_the_short_contact_age_holds_until_a_read() -> None:
-    """Others count a controller without a key as ended, and so for how long it may go on; it must not go on for longer."""
+    """Others count a controller without a key as ended, which also limits how long it may continue.
+
+    It must not continue for longer than that.
+    """
 
-    async def play() -> None:
-        node = a_node()
+    async def scenario() -> None:
+        node = new_controller()
         member, shown = node.controller_lease, []
         member.lease_id, member.key_written_at, node.store_watch.read_at = 7, 100.0, 101.0
         node.context.store_cache.ready = True
@@ -299,4 +325,4 @@
             await member.lease_loop()
         assert shown == [7]
 
-    anyio.run(play)
+    anyio.run(scenario)
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -24,8 +24,8 @@
     w = run_with_faults(seed)
     left = w.live()
     assert not left, f"not finished: {left}"
-    permits = w.store.permits()
-    assert not permits, f"permits left over: {permits}"
+    left_over = w.store.permits()
+    assert not left_over, f"permits left over: {left_over}"
     assert not any(x.tasks for x in w.workers.values()), "agents still hold tasks"
     assert w.starts > 10
 
@@ -54,7 +54,7 @@
 def test_decision_model_reports_a_missing_guard(
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without one guard the model must report a broken rule; otherwise its checks are ineffective."""
+    """Without one guard the model must report a broken rule; otherwise it checks nothing."""
     if guard == "silence counts as gone":
         real = ShardOwner.advance_time
 
--- a/tests/test_determinism.py
+++ b/tests/test_determinism.py
@@ -57,9 +57,9 @@
         "PYTHONHASHSEED": hash_seed,
         **({"PYTHONPYCACHEPREFIX": str(compiled)} if compiled else {}),
     }
-    home = Path(__file__).parent.parent
+    root = Path(__file__).parent.parent
     return subprocess.run(
-        [sys.executable, "-c", code], cwd=home, env=env, capture_output=True, text=True, check=True
+        [sys.executable, "-c", code], cwd=root, env=env, capture_output=True, text=True, check=True
     ).stdout
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,8 +1,8 @@
-"""Repeated leader changes, also of all controllers and in outages; jobs cancelled during a claim; a
-state service that refuses one controller.
+"""Test repeated leader changes of whole controllers.
 
-Over whole controllers. The rules are checked all along; each scene also says what must not be lost,
-and is played once without the guard that keeps it.
+Covered are changes of all controllers and during outages, jobs cancelled during a claim, and a
+state service that refuses one controller. The rules are checked throughout; each scene also checks
+what must not be lost, and runs once without the guard that prevents the loss.
 """
 
 from __future__ import annotations
@@ -30,14 +30,15 @@
 
 
 @pytest.fixture(autouse=True)
-def long_enough(monkeypatch: pytest.MonkeyPatch) -> None:
+def long_leases(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(parameters, "LEASE_S", LEASE)
     monkeypatch.setattr(parameters, "CANCEL_S", CANCEL)
 
 
-class Tokens:
-    """The fencing tokens that each agent accepts. None accepts a lower one, and their epochs are
-    claimed ones.
+class TokenChecker:
+    """A check of the fencing tokens that agents accept.
+
+    No agent accepts a lower token than before, and the epoch of each token has been claimed.
     """
 
     def __init__(self, p: SimulatedCluster) -> None:
@@ -53,17 +54,18 @@
             }
             for w in self.p.workers.values():
                 if w.token < self.seen.get(w.name, 0):
-                    self.p.broken.append(f"{w.name} went back to a lower token")
+                    self.p.broken.append(f"{w.name} accepted a lower token than before")
                 if w.token and w.token >> 20 not in claimed:
                     self.p.broken.append(
-                        f"{w.name} bears a token of an epoch that nobody has claimed"
+                        f"{w.name} has a token of an epoch that no controller has claimed"
                     )
                 self.seen[w.name] = w.token
 
 
-async def settled(p: SimulatedCluster, within: float = 30.0) -> None:
-    """Wait until the preferred controller holds each shard, and the shard's holder answers every
-    agent.
+async def wait_until_settled(p: SimulatedCluster, within: float = 30.0) -> None:
+    """Wait until every shard is held and its holder answers every agent.
+
+    Record a broken rule if that takes longer than `within` seconds.
     """
     with anyio.move_on_after(within):
         while True:
@@ -83,12 +85,15 @@
             if sorted(held) == [0, 1, 2] and not late:
                 return
             await anyio.sleep(0.1)
-    p.broken.append(f"after {within} s: parts {sorted(held)}, answered by others: {late}")
+    p.broken.append(
+        f"after {within} s: shards held {sorted(held)}, agents answered by others: {late}"
+    )
+
 
+async def ten_crashes(p: SimulatedCluster, rng: Random) -> None:
+    """Crash a random controller ten times within two minutes.
 
-async def ten(p: SimulatedCluster, rng: Random) -> None:
-    """Ten crashes within two minutes, each restarted within a second or after its shard was
-    acquired.
+    Each restarts within a second, or after its shard was acquired by another.
     """
     for _ in range(10):
         name = rng.choice([n for n in p.names if n not in p.down])
@@ -96,15 +101,16 @@
         await anyio.sleep(rng.uniform(6.0, 12.0))
 
 
-async def ten_inside(p: SimulatedCluster, rng: Random) -> None:
-    """Half of them during an outage of a minute."""
+async def ten_crashes_in_outage(p: SimulatedCluster, rng: Random) -> None:
+    """Crash a random controller ten times, about half of them during an outage of a minute."""
     p.tasks.start_soon(p.outage, 60.0)
-    await ten(p, rng)
+    await ten_crashes(p, rng)
 
 
-async def over_and_back(p: SimulatedCluster, rng: Random) -> None:
-    """Each controller is down until another holds its shard, restarts, and crashes again once it
-    has the shard back.
+async def failover_and_failback(p: SimulatedCluster, rng: Random) -> None:
+    """Crash c0, c1 and c0 in turn, each until another controller holds its shard.
+
+    The next crash follows once the restarted controller has its shard back.
     """
     for name in ("c0", "c1", "c0"):
         await p.crash(name, 6.0)
@@ -113,50 +119,51 @@
                 await anyio.sleep(0.05)
 
 
-async def one_returns(p: SimulatedCluster, rng: Random) -> None:
-    """All crash within a second; one restarts at once, the others after their shards were acquired."""
+async def one_restarts_first(p: SimulatedCluster, rng: Random) -> None:
+    """Crash all within a second; one restarts at once, the others after losing their shards."""
     for name, s in zip(rng.sample(p.names, 3), (0.3, 12.0, 25.0), strict=True):
         p.tasks.start_soon(p.crash, name, s)
         await anyio.sleep(0.3)
     await anyio.sleep(40.0)
 
 
-async def all_away(p: SimulatedCluster, rng: Random) -> None:
-    """All are down for longer than a lease: nothing runs any more, and the new incarnations learn
-    it from the records.
+async def all_down_beyond_lease(p: SimulatedCluster, rng: Random) -> None:
+    """Keep all controllers down for longer than a lease.
+
+    No task runs any more, and the new incarnations learn that from the records.
     """
     for name in p.names:
         p.tasks.start_soon(p.crash, name, LEASE + 3.0 + rng.random())
     await anyio.sleep(LEASE + 20.0)
 
 
-async def all_within(p: SimulatedCluster, rng: Random) -> None:
-    """All are down for a second, three times, every few seconds."""
+async def all_down_briefly(p: SimulatedCluster, rng: Random) -> None:
+    """Crash all controllers for up to a second, three times, every few seconds."""
     for _ in range(3):
         for name in p.names:
             p.tasks.start_soon(p.crash, name, rng.choice([0.1, 0.5, 0.9]))
         await anyio.sleep(rng.uniform(1.5, 4.0))
 
 
-async def all_inside(p: SimulatedCluster, rng: Random) -> None:
-    """The same during an outage that lasts for longer than a lease."""
+async def all_down_in_outage(p: SimulatedCluster, rng: Random) -> None:
+    """Crash all controllers repeatedly during an outage that lasts longer than a lease."""
     p.tasks.start_soon(p.outage, LEASE + 6.0)
     await anyio.sleep(3.0)
-    await all_within(p, rng)
+    await all_down_briefly(p, rng)
     await anyio.sleep(LEASE + 8.0)
 
 
-COURSES: dict[str, Callable[[SimulatedCluster, Random], Any]] = {
-    "ten": ten,
-    "ten inside an outage": ten_inside,
-    "over and back": over_and_back,
-    "one returns": one_returns,
-    "all away": all_away,
-    "all within a second": all_within,
-    "all inside an outage": all_inside,
+CRASH_PATTERNS: dict[str, Callable[[SimulatedCluster, Random], Any]] = {
+    "ten": ten_crashes,
+    "ten inside an outage": ten_crashes_in_outage,
+    "over and back": failover_and_failback,
+    "one returns": one_restarts_first,
+    "all away": all_down_beyond_lease,
+    "all within a second": all_down_briefly,
+    "all inside an outage": all_down_in_outage,
 }
-NO_LOSS = {"over and back", "one returns", "all within a second", "all inside an outage"}
-CLAIMS = {
+WITHOUT_TASK_LOSS = {"over and back", "one returns", "all within a second", "all inside an outage"}
+MIN_CLAIMS = {
     "ten": 10,
     "ten inside an outage": 6,
     "over and back": 5,
@@ -168,19 +175,19 @@
 
 
 def reads_no_cells() -> Any:
-    """Without: a new source does not know the starts that may be somewhere."""
+    """Remove the guard that a new source reads the allocations whose tasks may run somewhere."""
     return RecordLoader, "install_allocations", lambda self, team, found, now: None
 
 
 def answers_nobody() -> Any:
-    """Without: a restarted controller does not answer its agents before it holds their shard again."""
+    """Remove the guard that a restarted controller answers agents before it claims their shard."""
     return RenewalGrants, "answer_heartbeat", lambda self, r, me, newest, over, wall: None
 
 
 @pytest.mark.parametrize(
     ("course", "without", "breaks"),
     [
-        *((course, None, "") for course in COURSES),
+        *((course, None, "") for course in CRASH_PATTERNS),
         *(
             (course, reads_no_cells, "was lost|does not run")
             for course in ("ten", "over and back", "one returns", "all away")
@@ -191,13 +198,13 @@
 def test_leader_changes_lose_no_shard_and_break_no_rule(
     course: str, without: Any, breaks: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Who answers which agent, what each incarnation concludes, and which tasks go on."""
+    """Checks who answers which agent, what each incarnation concludes, and which tasks continue."""
     if without is not None:
         monkeypatch.setattr(*without())
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(course)
-        tokens = Tokens(p)
+        tokens = TokenChecker(p)
         p.tasks.start_soon(tokens.watch)
         await start_background_load(p, 30.0)
         for i in range(8):
@@ -206,10 +213,10 @@
         await anyio.sleep(6.0)
         ran = {k for w in p.workers.values() for k in w.on_machine()}
         p.tasks.start_soon(p.flow, 60.0, 3.0, 200)
-        await COURSES[course](p, rng)
-        await settled(p)
-        assert p.claims() >= CLAIMS[course], p.claims()
-        if course in NO_LOSS:
+        await CRASH_PATTERNS[course](p, rng)
+        await wait_until_settled(p)
+        assert p.claims() >= MIN_CLAIMS[course], p.claims()
+        if course in WITHOUT_TASK_LOSS:
             stay = {k for k in ran if k[0] >= "j-000900"}
             p.broken += [
                 f"{k} was lost"
@@ -222,13 +229,11 @@
             f"{j} does not run" for j in ("j-000900", "j-000901", "j-000902") if j not in up
         ]
 
-    judged(scene, without, breaks)
+    check_scene(scene, without, breaks)
 
 
-def judged(scene: Any, without: Any, breaks: str) -> None:
-    """With the guard every rule holds; without it the scene breaks in the way that the guard is
-    there for.
-    """
+def check_scene(scene: Any, without: Any, breaks: str) -> None:
+    """Check that every rule holds with the guard, and that the scene breaks `breaks` without it."""
     if without is None:
         play(scene)
     else:
@@ -239,41 +244,38 @@
         )
 
 
-# -- cancelled in the seconds in which one controller's work changes hands ---------------------------------------------------------------
+# -- jobs cancelled while the work of one controller moves to another --------------------------
 
 
 async def ends(p: SimulatedCluster) -> None:
-    """No source for a while: the controller crashes, and its shard is acquired once its lease
-    expires.
-    """
+    """Leave no source for a while: c0 crashes, and its shard is acquired once its lease expires."""
     p.tasks.start_soon(p.crash, "c0", 9.0)
 
 
 async def stands_still(p: SimulatedCluster) -> None:
-    """Two sources: the controller stalls, its shard is acquired, and it resumes believing for a
-    moment that it holds it.
+    """Create two sources: c0 stalls while its shard is acquired.
+
+    When it resumes, it believes for a moment that it still holds the shard.
     """
     for other in ("state", "cloud", "user", "c1", "c2", *p.workers):
         p.net.cut("c0", other, HOLD, 9.0)
 
 
 async def all_end(p: SimulatedCluster) -> None:
-    """No source at all: all controllers crash, and the shard's preferred one restarts last."""
+    """Leave no source at all: all controllers crash, and the one preferred for shard 0 is last."""
     for name, s in (("c1", 2.0), ("c2", 2.5), ("c0", 9.0)):
         p.tasks.start_soon(p.crash, name, s)
 
 
 async def out_of_touch(p: SimulatedCluster) -> None:
-    """The new source can't reach a shard's owner: the holders of the team's shard and of the
-    machines are partitioned.
-    """
+    """Partition the controllers, so that the new source can't reach the owners of the machines."""
     for a, b in (("c0", "c1"), ("c1", "c2"), ("c0", "c2")):
         p.net.cut(a, b, RESET, 2.0 * CANCEL)
     await ends(p)
 
 
 def owners_know_nothing() -> Any:
-    """Without: an owner stops tasks of ended jobs only when the source says so."""
+    """Remove the guard that an owner stops tasks of ended jobs without the source's request."""
     real = ShardRoles.acquire
 
     def take(self: ShardRoles, shard: int, epoch: int) -> None:
@@ -303,10 +305,11 @@
 def test_job_cancelled_during_a_claim_ends_in_time_and_starts_nowhere(
     how: Any, step: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At a step of the claim users cancel half of the running jobs, of every team, wherever their
+    """At a step of the claim, users cancel half of the running jobs of every team, wherever their
     tasks and sources are.
 
-    Tasks of acknowledged cancellations are gone in time and start nowhere; the other half runs on.
+    Tasks of acknowledged cancellations are gone in time and start nowhere; the other half
+    continues.
     """
     if without is not None:
         monkeypatch.setattr(*without())
@@ -335,19 +338,23 @@
         await anyio.sleep(1.2)
         hook.go_on.set()
         await anyio.sleep(2.0 * CANCEL)
-        p.broken += [f"not told: {n}" for n in range(900, 908) if f"j-{n:06d}" not in p.cancelled]
+        p.broken += [
+            f"cancellation not acknowledged: {n}"
+            for n in range(900, 908)
+            if f"j-{n:06d}" not in p.cancelled
+        ]
         await anyio.sleep(CANCEL)
         up = {k[0] for w in p.workers.values() for k in w.on_machine()}
         p.broken += [f"{n} does not run" for n in range(908, 916) if f"j-{n:06d}" not in up]
 
-    judged(scene, without, "ran_cancelled")
+    check_scene(scene, without, "ran_cancelled")
 
 
-# -- the state service refuses the leader alone, then everybody, and answers slowly; users cancel and ask all the while ------------------
+# -- the state service refuses the leader, then everybody, and is slow; users cancel and poll --
 
 
 def names_nothing() -> Any:
-    """Without: controllers name no cancellations to one another, and echo no gossip."""
+    """Remove the guard that controllers gossip about cancellations and echo gossip."""
     real = CancellationBarrier.gossip_for
     return (
         CancellationBarrier,
@@ -373,10 +380,10 @@
     """One controller is refused for less or more than its lease, with open watches; then an outage
     lasts longer than `cancel_s`.
 
-    All leases get their full time after it: no controller releases a shard, no task loses its
-    lease, and cancellations written before the outage are acknowledged within seconds. Where an
-    answer takes up to 1.6 s, more than leases are made for, shards may move and tasks be lost; no
-    rule is broken.
+    All leases get their full time after the outage: no controller releases a shard, no task loses
+    its lease, and cancellations written before the outage are acknowledged within seconds. Where an
+    answer takes up to 1.6 s, more than the leases are designed for, shards may move and tasks may
+    be lost, but no rule is broken.
     """
     if without is not None:
         monkeypatch.setattr(*without())
@@ -389,7 +396,7 @@
             reply = await inner(q)
             while (
                 q.path == "/watch" and name in self.refused
-            ):  # an open watch waits as it would in an outage
+            ):  # an open watch hangs as in an outage
                 await anyio.sleep(0.1)
             return reply
 
@@ -417,16 +424,22 @@
         claims = p.claims()
         await anyio.sleep(8.0)
         p.broken += [
-            f"told late: {n}" for n in (900, 901) if f"j-{n:06d}" not in p.cancelled and not slowly
+            f"cancellation acknowledged late: {n}"
+            for n in (900, 901)
+            if f"j-{n:06d}" not in p.cancelled and not slowly
         ]
         for n in cancels:
             p.tasks.start_soon(p.withdraw, f"j-{n:06d}")
             await anyio.sleep(CANCEL / 6)
         await anyio.sleep(20.0)
-        p.broken += [f"not told: {n}" for n in range(900, 908) if f"j-{n:06d}" not in p.cancelled]
+        p.broken += [
+            f"cancellation not acknowledged: {n}"
+            for n in range(900, 908)
+            if f"j-{n:06d}" not in p.cancelled
+        ]
         p.net.cuts = {k: c for k, c in p.net.cuts.items() if c.mode != SLOW}
         if p.claims() != claims and alone < 4.0 and not slowly:
-            p.broken.append("a part was let go of, though every lease had its full time again")
+            p.broken.append("a shard was released, although every lease had its full time again")
         if p.fleet.killed_by_lease and not slowly:
             p.broken.append(f"{p.fleet.killed_by_lease} tasks were lost by a lease")
         p.broken += [f"not answered: {j}" for j in await p.all_answered(20.0)]
@@ -434,4 +447,4 @@
         up = {k[0] for w in p.workers.values() for k in w.on_machine()}
         p.broken += [f"{n} does not run" for n in range(908, 916) if f"j-{n:06d}" not in up]
 
-    judged(scene, without, "ran_cancelled")
+    check_scene(scene, without, "ran_cancelled")
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Attribution of failures to a job that fails everywhere, a single task or a single machine."""
+"""Test the attribution of failures to a job, a single task or a single machine."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     starts = play_outcomes(s, 300, lambda job, task, machine, now: "error")
     js = s.jobs["j-000001"]
     assert js.failing_everywhere and not s.unmet_demand.demand(300.0, 300.0), (
-        "no machine is rented for it"
+        "machines are rented for a job that fails everywhere"
     )
     assert len({m for at, _, _, m in starts if at < 5.0}) >= 2
     assert len([at for at, *_ in starts if at > 5.0]) <= 7, (
-        "tried one task at a time, ever more seldom"
+        "expected one task at a time with growing delays"
     )
-    assert s.store.queue_order(js)[0] == 2.0, "it stands behind everybody else"
+    assert s.store.queue_order(js)[0] == 2.0, "expected the end of the queue for a failing job"
 
 
 def test_job_that_works_again_resumes_at_once() -> None:
@@ -34,7 +34,7 @@
     starts = play_outcomes(s, 100, lambda job, task, machine, now: "done", first=30)
     assert "j-000001" in s.store.jobs_to_end or "j-000001" not in s.jobs
     assert len(starts) == 12 and starts[-1][0] - starts[0][0] < 5.0, (
-        "once one has worked, the rest follow"
+        "once one task has succeeded, the rest must start"
     )
 
 
@@ -47,10 +47,10 @@
     js = s.jobs["j-000001"]
     assert js.done_count == 59 and not js.failing_everywhere
     assert max(at for at, _, task, _ in starts if task != 7) < 10.0, (
-        "the others did not wait for it"
+        "other tasks waited for the failing one"
     )
     assert 4 <= sum(1 for _, _, task, _ in starts if task == 7) <= 9, (
-        "the bad one rests longer each time"
+        "expected a growing delay for the failing task"
     )
 
 
@@ -60,7 +60,7 @@
     s.on_job(a_job("j-000002", task_count=4, submitted_at=1.0), "j-000002", 6, 0.0)
     s.decide(0.0)
     assert s.jobs["j-000001"].within_guarantee and not s.jobs["j-000002"].within_guarantee, (
-        "both together are more than the guarantee"
+        "both jobs together exceed the guarantee"
     )
     play_outcomes(s, 5, lambda job, task, machine, now: "error" if job == "j-000001" else "running")
     assert not s.jobs["j-000001"].within_guarantee and s.jobs["j-000002"].within_guarantee
@@ -73,8 +73,8 @@
     ):
         failed_on(o, job, machine, seq)
     one = o.machines["n-1"]
-    assert o.inventory.unusable(one, 5.0), "until it is settled nothing new goes there"
-    assert not o.machine_update(one, 5.0).faulty, "but it is not given back yet"  # type: ignore[union-attr]
+    assert o.inventory.unusable(one, 5.0), "a suspect machine must get no new tasks"
+    assert not o.machine_update(one, 5.0).faulty, "a suspect machine must not be returned yet"  # type: ignore[union-attr]
     for job in ("j-1", "j-2"):
         o.on_source_update(
             0,
@@ -84,7 +84,9 @@
         )
     assert not one.quarantined_until and not one.failures_by_job
     failed_on(o, "j-1", "n-1", 9, broken=1)
-    assert not one.failures_by_job, "nor does a later try speak against it"
+    assert not one.failures_by_job, (
+        "a later failure of a broken job must not count against the machine"
+    )
 
 
 def test_machine_on_which_two_healthy_jobs_fail_is_returned() -> None:
@@ -92,7 +94,7 @@
     failed_on(o, "j-1", "n-1", 1)
     failed_on(o, "j-2", "n-1", 2)
     assert o.attempt_update(o.permits[agents.AttemptId("j-2", 0, 2)]).machine_suspect, (
-        "its source does not blame the job for it"
+        "the failure must not count against the job"
     )
     o.epoch_confirmed_at = 99.0
     o.advance_time(30.0)
--- a/tests/test_fault_schedules.py
+++ b/tests/test_fault_schedules.py
@@ -1,6 +1,6 @@
-"""Random overlapping faults: every rule holds, and every job is answered for when they are over.
+"""Test random overlapping faults: every rule holds, and every job is answered once they are over.
 
-More by `python -m tests.simulation.fault_schedules --seeds 300`.
+Run more with `python -m tests.simulation.fault_schedules --seeds 300`.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("seed", range(300, 304))
 def test_slow_state_service_gives_no_stale_or_early_answer(seed: int) -> None:
-    """No controller takes back "done" or "withdrawn", or acknowledges early; every request is
+    """No controller reverts "done" or "withdrawn", or acknowledges early, and every request is
     answered once the faults are over.
     """
     run_schedule(seed, ("slow", "refuse", "outage", "late_writes"))
@@ -85,17 +85,17 @@
 def test_tasks_that_end_under_different_leaders_are_counted_once(
     seed: int, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Of three tasks one ends under each of three leaders, with late writes in between.
+    """One of three tasks ends under each of three leaders, with late writes in between.
 
-    No task that has ended and been recorded starts again, and the job is done when all have ended.
-    Where an end is counted twice the simulation has to report it.
+    No task whose end is recorded starts again, and the job is done when all tasks have ended. If an
+    end is counted twice, the simulation must report it.
     """
     if not kept:
         real = JobState.mark_done
 
         def count_first_end_twice(
             self: JobState, task: int
-        ) -> None:  # the first end is counted once more
+        ) -> None:  # counts the first end once more
             before = self.done_count
             real(self, task)
             self.done_count += before == 0 and self.task_count == 3
@@ -120,9 +120,7 @@
         await anyio.sleep(45.0)
         missing = await cluster.all_answered(ANSWERED_WITHIN_S)
         assert not missing
-        assert all(cluster.told.get(j) == "done" for j in jobs), (
-            "every one of them is told to be done"
-        )
+        assert all(cluster.told.get(j) == "done" for j in jobs), "a job was not reported as done"
         assert all(cluster.fleet.begun[j, 0] == 1 for j in jobs), (
             "a task that had ended was started again"
         )
@@ -136,8 +134,8 @@
 
 @pytest.mark.parametrize("mode", [HOLD, RESET])
 def test_partitioned_leader_gives_no_stale_answer_and_accepts_nothing(mode: str) -> None:
-    """Only agents and users reach the leader; jobs are cancelled through the others, and its
-    cancelled tasks end in time.
+    """Only agents and users reach the leader; jobs are cancelled through the others, and the
+    leader's cancelled tasks end in time.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -165,9 +163,11 @@
                 status, _ = await cluster.users["c0"].call(
                     "POST", "/api/jobs", cluster.spec(950, gait="array"), 4.0
                 )
-                assert status in (429, 503), "what can't be written is not accepted"
+                assert status in (429, 503), "accepted a job that can't be written"
             await anyio.sleep(1.5)
-        assert len(cluster.cancelled) == 4, "told outside, once it must have stopped"
+        assert len(cluster.cancelled) == 4, (
+            "not acknowledged by the others once the leader must have stopped"
+        )
         await anyio.sleep(50.0)
         assert not await cluster.all_answered(ANSWERED_WITHIN_S)
 
@@ -177,8 +177,8 @@
 @pytest.mark.parametrize("own", [True, False])
 @pytest.mark.parametrize(("kind", "seed"), [("gap", "1"), ("gap", "2"), ("roll", "1")])
 def test_faults_that_have_not_begun_end_with_the_schedule(own: bool, kind: str, seed: str) -> None:
-    """A fault drawn late began its outage after `calm`, and the schedule failed as `forgotten`. So
-    it does without a task group of the faults' own.
+    """A fault drawn late began its outage after all faults had been ended, and the schedule failed
+    as `forgotten`. That still happens when the faults have no task group of their own.
     """
     after: list[str] = []
 
@@ -202,11 +202,11 @@
 
 
 def test_failing_schedule_is_shrunk_to_the_fewest_faults_that_still_fail() -> None:
-    """Two of fourteen faults break a rule together; other rules that fewer of them break don't
+    """Two of fourteen faults break a rule together; other rules that fewer of them break must not
     count.
     """
-    troubles, until = draw_schedule(1000, times=3)
-    a, b, c = troubles[1], troubles[-2], troubles[4]
+    faults, until = draw_schedule(1000, times=3)
+    a, b, c = faults[1], faults[-2], faults[4]
 
     def broken(days: list[FaultSchedule]) -> list[str]:
         return [
@@ -219,12 +219,12 @@
         ]
 
     assert minimize_schedule(
-        FaultSchedule(troubles, until), broken, broken_rule("['ran_twice: j-1']")
+        FaultSchedule(faults, until), broken, broken_rule("['ran_twice: j-1']")
     ) == ([a, b], until)
 
 
-def unguarded(*keys: str) -> Any:
-    """Writes without their guards on what is known of these keys."""
+def compare_and_swap_without(*keys: str) -> Any:
+    """Return a `compare_and_swap` without the guards on known keys with these prefixes."""
     real = KeyValueStore.compare_and_swap
 
     async def txn(self: KeyValueStore, guards: dict[str, int], *a: Any, **kw: Any) -> Any:
@@ -264,7 +264,7 @@
             "ran_twice",
             KeyValueStore,
             "compare_and_swap",
-            unguarded("c/", "p/shard/"),
+            compare_and_swap_without("c/", "p/shard/"),
         ),
         (
             501,
@@ -272,7 +272,7 @@
             "went_back",
             KeyValueStore,
             "compare_and_swap",
-            unguarded("p/job/"),
+            compare_and_swap_without("p/job/"),
         ),
         (
             501,
@@ -328,10 +328,12 @@
     without: Any,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What a list omits is gone only under a raised token, and silence proves it only for an agent
-    that accepted this owner's; writes are compare-and-swap; no user gets an answer from a stale
-    cache or an early acknowledgement; no agent is kept alive by an isolated controller, or for
-    longer than its token says.
+    """Each row removes one of these guards.
+
+    An attempt that a task list omits is gone only under a raised token, and silence proves it gone
+    only for an agent that accepted this owner's token. Writes are compare-and-swap. No user gets an
+    answer from a stale cache or an early acknowledgement. No agent is kept alive by an isolated
+    controller, or for longer than its token allows.
     """
     monkeypatch.setattr(where, name, without)
     with pytest.raises(AssertionError, match=rule):
@@ -340,8 +342,8 @@
 
 @pytest.mark.parametrize("seed", [5002])
 def test_random_machine_faults_leave_no_job_waiting(seed: int) -> None:
-    """Nothing is left waiting at the end of any random schedule.
+    """No job is left waiting at the end of any random schedule.
 
-    More by `python -m tests.simulation.fault_schedules --only mute --only hang ...`.
+    Run more with `python -m tests.simulation.fault_schedules --only mute --only hang ...`.
     """
     run_schedule(seed, (*MACHINE_KINDS, "crash", "alone", "late_writes"))
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,7 @@
-"""Messages, stored data and operator output equal the golden files (tests/golden/make.py)."""
+"""Check that messages, stored data and operator output equal the golden files.
+
+tests/golden/make.py writes them.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +10,11 @@
 
 from .golden import make
 
-MOST_SHOWN = 20
+MAX_SHOWN = 20
 
 
 def differences(golden: Any, now: Any, where: str = "") -> list[str]:
-    """Where two JSON values differ, by path."""
+    """Return the differences of two JSON values, each with its path."""
     if isinstance(golden, dict) and isinstance(now, dict):
         out = [f"{where}/{k}: gone" for k in golden if k not in now] + [
             f"{where}/{k}: new" for k in now if k not in golden
@@ -35,13 +38,13 @@
 
 
 def test_messages_and_stored_data_equal_the_golden_files() -> None:
-    """One test for all files: the scenes are played once."""
+    """One test covers all files, so that the scenes run only once."""
     found: list[str] = []
     for name in make.FILES:
         kept, now = make.path(name).read_text(), make.text(name)
         new = differences(json.loads(kept), json.loads(now), name)
-        found += new if new or kept == now else [f"{name}: written in another way"]
-    assert not found, "\n".join([f"{len(found)} differences", *found[:MOST_SHOWN]])
+        found += new if new or kept == now else [f"{name}: same data, but formatted differently"]
+    assert not found, "\n".join([f"{len(found)} differences", *found[:MAX_SHOWN]])
 
 
 def test_a_difference_is_named_by_its_path() -> None:
--- a/tests/test_http_parser.py
+++ b/tests/test_http_parser.py
@@ -1,4 +1,4 @@
-"""HTTP from bytes: compared with h11, split anywhere, and against malformed input."""
+"""Test HTTP parsing: compared with h11, with data split anywhere, and with malformed input."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def by_h11(data: bytes) -> tuple[str, str, bytes]:
-    """The reference: one whole request, read by h11."""
+    """Parse one whole request with h11, as the reference."""
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(data)
     head, body = conn.next_event(), b""
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (b"GET /x HTTP/1.1\r\n\r\n", 400),  # no host
+        (b"GET /x HTTP/1.1\r\n\r\n", 400),  # no Host header
         (b"GET /x HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n", 400),
         (b"GET /x HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n", 400),
         (
@@ -106,7 +106,7 @@
         ),
         (b"POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: -1\r\n\r\n", 400),
         (b"GET /a\nb HTTP/1.1\r\nhost: a\r\n\r\n", 400),
-        (b"\x16\x03\x01\x02\x00\x01\x00", 400),  # somebody speaks TLS to this port
+        (b"\x16\x03\x01\x02\x00\x01\x00", 400),  # a TLS handshake
         (b"GET /x HTTP/1.1\r\nhost: a\r\nx: " + b"y" * (MAX_HEAD + MAX_BODY), 431),
         (b"GET /" + b"x" * (MAX_HEAD + 1), 431),
         (b"GET /x HTTP/1.1\r\nhost: a\r\n" + b"a: b\r\n" * 5000, 431),
@@ -118,11 +118,11 @@
         (
             b"GET /x HTTP/1.1\r\nhost: a\r\n\r\n" * 40,
             400,
-        ),  # the protocol has no pipelining; a little does no harm
+        ),  # pipelining is unsupported; a few requests are tolerated
     ],
     ids=range(12),
 )
-def test_what_is_no_acceptable_request_is_refused(data: bytes, status: int) -> None:
+def test_unacceptable_request_is_refused(data: bytes, status: int) -> None:
     for size in (len(data), 997):
         reader = RequestReader()
         with pytest.raises(InvalidHttpError) as e:
@@ -144,7 +144,7 @@
     assert not r.done and r.eof() and bytes(r.body) == b"{}"
     r = ResponseReader()
     r.feed(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{}")
-    assert not r.done and not r.eof(), "cut short: nobody knows what it would have said"
+    assert not r.done and not r.eof(), "a truncated response must not count as complete"
     r.feed(b"1234567HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n")
     assert r.status == 404
 
@@ -184,8 +184,13 @@
         {"warningS": "soon"},
     ],
 )
-def test_a_report_of_another_form_is_malformed_and_no_fault(wrong: dict[str, object]) -> None:
-    """A number for `chicks` or a list for `stance` ended in an exception and 503; any `driftwood` was taken for true or false."""
+def test_malformed_heartbeat_is_rejected_without_another_exception(
+    wrong: dict[str, object],
+) -> None:
+    """A number for `chicks` or a list for `stance` raised an exception and gave 503.
+
+    Any value of `driftwood` was taken as true or false.
+    """
     import orjson
 
     with pytest.raises(InvalidHeartbeatError):
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards clients that do not behave."""
+"""Test the HTTP server with slow, half-open and too many clients, and an unresponsive server."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     return Reply(200, {"path": q.path})
 
 
-def test_slow_and_half_open_clients_are_closed_and_harm_no_one() -> None:
-    async def play() -> None:
+def test_slow_and_half_open_clients_are_closed_and_others_served() -> None:
+    async def check() -> None:
         (port,) = free_ports(1)
         async with anyio.create_task_group() as tg:
             tg.start_soon(
@@ -38,15 +38,15 @@
                     while True:
                         await stream.receive()
                 await stream.aclose()
-            # by a connection of its own: the first one's idle time ends at this very moment
+            # on a new connection, because the idle time of the first one ends at this moment
             assert (await Client("127.0.0.1", port).call("GET", "/b"))[1] == {"path": "/b"}
             tg.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(check)
 
 
 def test_connection_over_the_limit_is_told_when_to_retry() -> None:
-    async def play() -> None:
+    async def check() -> None:
         (port,) = free_ports(1)
         async with anyio.create_task_group() as tg:
             tg.start_soon(Server(ok, max_connections=2).run, "127.0.0.1", port)
@@ -61,19 +61,19 @@
                 await stream.aclose()
             await anyio.sleep(0.1)
             assert (await Client("127.0.0.1", port).call("GET", "/"))[0] == 200, (
-                "and is served once there is room"
+                "not served once there was capacity again"
             )
             tg.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(check)
 
 
-def test_a_silent_server_is_unreachable_in_time() -> None:
+def test_server_without_answer_is_unreachable_in_time() -> None:
     async def never(q: Request) -> Reply:
         await anyio.sleep(60)
         return Reply(200)
 
-    async def play() -> None:
+    async def check() -> None:
         (port,) = free_ports(1)
         async with anyio.create_task_group() as tg:
             tg.start_soon(Server(never, max_connections=2).run, "127.0.0.1", port)
@@ -82,4 +82,4 @@
                 await Client("127.0.0.1", port).call("GET", "/", timeout=0.3)
             tg.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(check)
--- a/tests/test_largest_jobs.py
+++ b/tests/test_largest_jobs.py
@@ -1,5 +1,6 @@
-"""The largest job of a class against a steady stream of small tasks of a higher priority, with no
-machine left to rent.
+"""Test that the largest job of a class starts despite a steady stream of small urgent tasks.
+
+No machine is left to rent.
 """
 
 from __future__ import annotations
@@ -14,13 +15,14 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_gang_of_whole_machines_begins(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Four of six machines of a zone at once; each time one was free, the next urgent task took it.
-    A controller crashes in between.
+def test_gang_of_whole_machines_starts(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The gang needs four of a zone's six machines at once, and a controller crashes in between.
+
+    Without the guard, the next urgent task takes each machine that becomes free.
     """
     for module in (allocations, permitting):
         monkeypatch.setattr(module, "OVERDUE_START_S", 30.0 if guarded else 1e9)
-    began: list[float] = []
+    waits_s: list[float] = []
 
     async def scene(p: SimulatedCluster) -> None:
         p.fleet.most = 12
@@ -35,7 +37,7 @@
             keeper="team-4",
             flightS=5.0,
         )
-        while p.now - at < 85.0 and not began:
+        while p.now - at < 85.0 and not waits_s:
             spec = p.spec(
                 n, gait="array", chicks=3, rank="urgent", keeper=f"team-{n % 4}", flightS=9.0
             )
@@ -47,19 +49,19 @@
                 p.tasks.start_soon(p.crash, "c1", 0.3)
             n += 1
             await anyio.sleep(0.45)
-            on = [
+            running_tasks = [
                 k
                 for w in p.fleet.workers.values()
                 for k, t in w.tasks.items()
                 if k[0] == "j-000900" and t.state == "running"
             ]
-            if len(on) == 4:
-                began.append(p.now - since)
-        await anyio.sleep(12.0)  # it was stopped again after 3 s by what it had been put before
+            if len(running_tasks) == 4:
+                waits_s.append(p.now - since)
+        await anyio.sleep(12.0)  # it was preempted after 3 s by the tasks that it had overtaken
 
     if guarded:
         play(scene, teams=5)
-        assert began[0] < 55.0
+        assert waits_s[0] < 55.0
     else:
         with pytest.raises(AssertionError, match="team-4: 0 of 1 served"):
             play(scene, teams=5)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""One controller over real sockets: submit, run, outage, cancel, repeat."""
+"""Test one controller over real sockets: submit, run, outage, cancel, and repeated requests."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
 
 
 def free_ports(n: int) -> list[int]:
-    """Ports below those that outgoing connections are given: such a one was taken again before the server was up.
+    """Return free ports below the range of outgoing connections.
 
-    Processes that test side by side draw from ranges of their own.
+    A port of that range was taken by a connection before the server was up. Parallel test processes
+    draw from ranges of their own.
     """
     ports: list[int] = []
     first = 15_000 + 1000 * (int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]) % 15)
@@ -69,13 +70,13 @@
 
 
 def spec(jid: str, gait: str, n: int, **kw: Any) -> dict[str, Any]:
-    of_this_job = {"id": jid, "gait": gait, "chicks": n}
-    return {**SUBMISSION, "flock": "f", "keeper": "team", "flightS": 0.3, **of_this_job, **kw}
+    job_fields = {"id": jid, "gait": gait, "chicks": n}
+    return {**SUBMISSION, "flock": "f", "keeper": "team", "flightS": 0.3, **job_fields, **kw}
 
 
 @dataclass
-class Place:
-    """A controller over real sockets, with simulated services around it."""
+class RunningController:
+    """A controller over real sockets, with simulated services."""
 
     s: settings.Settings
     state: FakeKeyValueStore
@@ -99,71 +100,75 @@
 
 
 @asynccontextmanager
-async def running(options: settings.Options | None = None) -> AsyncIterator[Place]:
+async def running(options: settings.Options | None = None) -> AsyncIterator[RunningController]:
     ports = free_ports(40)
     s = settings.parse(config(ports), options)
-    at = Place(s, FakeKeyValueStore(), FakeAgents({"c0": s.bind}, max(ports) + 1), Client(*s.bind))
+    env = RunningController(
+        s, FakeKeyValueStore(), FakeAgents({"c0": s.bind}, max(ports) + 1), Client(*s.bind)
+    )
     async with anyio.create_task_group() as tg:
-        at.fleet.tasks = tg
-        tg.start_soon(Server(at.state.handle, 100).run, *s.store)
-        tg.start_soon(Server(at.fleet.handle, 100).run, *s.cloud)
+        env.fleet.tasks = tg
+        tg.start_soon(Server(env.state.handle, 100).run, *s.store)
+        tg.start_soon(Server(env.fleet.handle, 100).run, *s.cloud)
         tg.start_soon(Controller(s).run)
         with anyio.fail_after(20):
             while True:
                 try:
-                    if (await at.call("GET", "/healthz"))[0] == 200:
+                    if (await env.call("GET", "/healthz"))[0] == 200:
                         break
                 except Exception:
                     pass
                 await anyio.sleep(0.05)
-        yield at
+        yield env
         tg.cancel_scope.cancel()
 
 
-def test_a_controller_on_loopback() -> None:
-    anyio.run(_play)
+def test_controller_on_loopback() -> None:
+    anyio.run(_submit_and_cancel)
 
 
-def test_jobs_that_ended_long_ago_leave_memory_and_are_still_known() -> None:
+def test_archived_jobs_leave_memory_and_are_still_known() -> None:
     anyio.run(_archive)
 
 
 async def _archive() -> None:
-    async with running(settings.Options(keep_ended=1)) as at:
+    async with running(settings.Options(keep_ended=1)) as env:
         for i in range(6):
-            assert await at.submit(spec(f"j-{i:06d}", "array", 1)) == 201
+            assert await env.submit(spec(f"j-{i:06d}", "array", 1)) == 201
         for i in range(6):
-            await at.until(f"j-{i:06d}", "done")
+            await env.until(f"j-{i:06d}", "done")
         with anyio.fail_after(20):
-            while sum(k.startswith("e/") for k in at.state.store.kv) < 5:
+            while sum(k.startswith("e/") for k in env.state.store.kv) < 5:
                 await anyio.sleep(0.05)
-        assert sum(k.startswith("p/job/") for k in at.state.store.kv) == 1, (
-            "what every controller reads when it starts stays small"
+        assert sum(k.startswith("p/job/") for k in env.state.store.kv) == 1, (
+            "more than one ended job is among the records that every controller reads at its start"
         )
         for i in range(6):
             path = f"/api/jobs/j-{i:06d}"
-            assert (await at.call("GET", path))[1]["stance"] == "done"
-            assert (await at.call("POST", "/api/jobs", spec(f"j-{i:06d}", "array", 1)))[0] == 200, (
-                "a late repeat is no new job"
-            )
-            assert (await at.call("POST", f"{path}/withdraw"))[1]["stance"] == "done"
-        assert (await at.call("GET", "/api/jobs/j-000099"))[0] == 404
-        assert (await at.call("POST", "/api/jobs/j-000099/withdraw"))[0] == 404
-
-
-async def _play() -> None:
-    async with running() as at:
-        s, state, fleet, call, until = at.s, at.state, at.fleet, at.call, at.until
-        work = [
+            assert (await env.call("GET", path))[1]["stance"] == "done"
+            assert (await env.call("POST", "/api/jobs", spec(f"j-{i:06d}", "array", 1)))[
+                0
+            ] == 200, "a late repeat was taken as a new job"
+            assert (await env.call("POST", f"{path}/withdraw"))[1]["stance"] == "done"
+        assert (await env.call("GET", "/api/jobs/j-000099"))[0] == 404
+        assert (await env.call("POST", "/api/jobs/j-000099/withdraw"))[0] == 404
+
+
+async def _submit_and_cancel() -> None:
+    async with running() as env:
+        s, state, fleet, call, until = env.s, env.state, env.fleet, env.call, env.until
+        submissions = [
             spec("j-000001", "array", 5),
             spec("j-000002", "group", 2),
             spec("j-000003", "daemon", 1),
         ]
-        for w in work:
+        for w in submissions:
             fleet.specs[w["id"]] = jobs.parse_submission(w, 0.0)
             assert (await call("POST", "/api/jobs", w))[0] == 201
-        assert (await call("POST", "/api/jobs", work[0]))[0] == 200, "a repeat is known"
-        assert (await call("POST", "/api/jobs", {**work[0], "chicks": 0}))[0] == 400
+        assert (await call("POST", "/api/jobs", submissions[0]))[0] == 200, (
+            "a repeat was not recognized"
+        )
+        assert (await call("POST", "/api/jobs", {**submissions[0], "chicks": 0}))[0] == 400
         assert (await call("POST", "/api/jobs", spec("j-000009", "group", 99)))[0] == 422
         assert (await call("GET", "/api/jobs/j-000099"))[0] == 404
         await until("j-000001", "done")
@@ -171,7 +176,7 @@
         await until("j-000003", "running")
         state.down = True
         assert (await call("GET", "/api/jobs/j-000001"))[1]["stance"] == "done", (
-            "a final state needs no state service"
+            "a final state must be answered without the state service"
         )
         assert (await call("GET", "/api/jobs/j-000003"))[0] == 503
         assert (await call("POST", "/api/jobs", spec("j-000004", "array", 1)))[0] == 503
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,5 +1,6 @@
-"""Maintenance orders and disruption budgets: the decisions by themselves, and over whole
-controllers with faults.
+"""Test maintenance orders and disruption budgets.
+
+The decisions are tested alone, and in whole controllers with faults.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 from .simulation.scene import play
 from .simulation.simulated_network import HOLD
 
-RULES = DisruptionBudgets(
+BUDGETS = DisruptionBudgets(
     {
         "default": {"down": 2, "share": 0.5, "team_down": 3, "quiet": [["22:30", "06:00"]]},
         "teams": {"a": {"floor": 1}},
@@ -46,58 +47,61 @@
 NOON, NIGHT = 12 * 3600.0, 23 * 3600.0
 
 
-def service(n: int, up: int, team_down: int = 0) -> EvictionRequest:
+def service_eviction(n: int, up: int, team_down: int = 0) -> EvictionRequest:
     return EvictionRequest("service", n, up, team_down, 0.0, float("inf"), 0.0)
 
 
 def test_more_specific_budget_applies() -> None:
     assert (
-        RULES.for_job("a", "x", "j-000002").min_available == 1
-        and RULES.for_job("b", "x", "j-000002").min_available == 0
+        BUDGETS.for_job("a", "x", "j-000002").min_available == 1
+        and BUDGETS.for_job("b", "x", "j-000002").min_available == 0
     )
     assert (
-        RULES.for_job("a", "c", "j-000002").max_unavailable == 5
-        and RULES.for_job("a", "c", "j-000001").min_available == 4
+        BUDGETS.for_job("a", "c", "j-000002").max_unavailable == 5
+        and BUDGETS.for_job("a", "c", "j-000001").min_available == 4
     )
 
 
 def test_unavailable_tasks_count_whatever_the_cause() -> None:
-    rule = RULES.for_job("b", "x", "j-000002")
-    assert denial_reason(rule, service(8, 8), (0, 0.0), NOON) == ""
-    assert denial_reason(rule, service(8, 7), (0, 0.0), NOON) == ""
-    assert "its replicas" in denial_reason(rule, service(8, 6), (0, 0.0), NOON), (
-        "two of them are down"
+    budget = BUDGETS.for_job("b", "x", "j-000002")
+    assert denial_reason(budget, service_eviction(8, 8), (0, 0.0), NOON) == ""
+    assert denial_reason(budget, service_eviction(8, 7), (0, 0.0), NOON) == ""
+    assert "its replicas" in denial_reason(budget, service_eviction(8, 6), (0, 0.0), NOON), (
+        "two replicas are down"
     )
-    assert denial_reason(rule, service(1, 1), (0, 0.0), NOON) == "", (
-        "one is always allowed, or nothing would ever move"
+    assert denial_reason(budget, service_eviction(1, 1), (0, 0.0), NOON) == "", (
+        "one eviction is always allowed, otherwise no machine could be drained"
     )
     assert "floor" in denial_reason(
-        RULES.for_job("a", "x", "j-000002"), service(1, 1), (0, 0.0), NOON
+        BUDGETS.for_job("a", "x", "j-000002"), service_eviction(1, 1), (0, 0.0), NOON
     )
-    assert "team's replicas" in denial_reason(rule, service(8, 8, 3), (0, 0.0), NOON)
-    assert "hour" in denial_reason(rule, service(8, 8), (0, 0.0), NIGHT)
-    assert denial_reason(rule, service(8, 8), (0, 0.0), 6 * 3600.0) == ""
+    assert "team's replicas" in denial_reason(budget, service_eviction(8, 8, 3), (0, 0.0), NOON)
+    assert "hour" in denial_reason(budget, service_eviction(8, 8), (0, 0.0), NIGHT)
+    assert denial_reason(budget, service_eviction(8, 8), (0, 0.0), 6 * 3600.0) == ""
 
 
 def test_gangs_and_lost_work_a_minute() -> None:
-    rule, spent = DisruptionBudgets().default, RecentDisruptions()
+    budget, recent = DisruptionBudgets().default, RecentDisruptions()
     gang = EvictionRequest("gang", 4, 0, 0, 4000.0, 500.0, 0.0)
-    assert denial_reason(rule, gang, spent.last_minute(0.0), NOON) == "", (
-        "larger than the budget, but the first of its minute"
+    assert denial_reason(budget, gang, recent.last_minute(0.0), NOON) == "", (
+        "larger than the budget, but the first eviction of its minute"
     )
-    spent.record(1, 4000.0, 0.0)
+    recent.record(1, 4000.0, 0.0)
     assert (
-        "lost work" in denial_reason(rule, gang, spent.last_minute(30.0), NOON)
-        and denial_reason(rule, gang, spent.last_minute(61.0), NOON) == ""
+        "lost work" in denial_reason(budget, gang, recent.last_minute(30.0), NOON)
+        and denial_reason(budget, gang, recent.last_minute(61.0), NOON) == ""
     )
     for i in range(4):
-        spent.record(1, 0.0, 70.0 + i)
-    assert "gangs" in denial_reason(rule, gang, spent.last_minute(80.0), NOON)
-    soon = dataclasses.replace(gang, remaining_s=60.0)
-    assert "by itself" in denial_reason(rule, soon, (0, 0.0), NOON)
+        recent.record(1, 0.0, 70.0 + i)
+    assert "gangs" in denial_reason(budget, gang, recent.last_minute(80.0), NOON)
+    ending_soon = dataclasses.replace(gang, remaining_s=60.0)
+    assert "by itself" in denial_reason(budget, ending_soon, (0, 0.0), NOON)
     assert (
-        denial_reason(rule, dataclasses.replace(soon, requested_for_s=130.0), (0, 0.0), NOON) == ""
-    ), "it should have ended by now"
+        denial_reason(
+            budget, dataclasses.replace(ending_soon, requested_for_s=130.0), (0, 0.0), NOON
+        )
+        == ""
+    ), "it should have ended by itself by now"
 
 
 @given(
@@ -143,7 +147,7 @@
             orders.parse_order("u-1", wrong)
 
 
-# -- the whole of it ---------------------------------------------------------------------------
+# -- whole controllers -------------------------------------------------------------------------
 
 
 def source_of(p: SimulatedCluster, jid: str) -> JobSource:
@@ -151,7 +155,7 @@
     return next(s for s in sources if s is not None and jid in s.jobs)
 
 
-async def place(p: SimulatedCluster, to: str, order: dict[str, Any]) -> int:
+async def place_order(p: SimulatedCluster, to: str, order: dict[str, Any]) -> int:
     return (await p.users[to].call("POST", "/upkeep", order, 5.0))[0]
 
 
@@ -163,8 +167,8 @@
     return False
 
 
-class Watch:
-    """The running replicas of each job at any time."""
+class ReplicaMonitor:
+    """Record of the least number of running replicas of each service job."""
 
     def __init__(self, p: SimulatedCluster) -> None:
         self.p = p
@@ -183,7 +187,7 @@
             await anyio.sleep(0.1)
 
 
-async def services(p: SimulatedCluster, n: int = 3) -> None:
+async def start_services(p: SimulatedCluster, n: int = 3) -> None:
     for i in range(n):
         await p.submit(p.spec(900 + i, gait="daemon", chicks=4))
     await anyio.sleep(8.0)
@@ -194,25 +198,25 @@
 
 def test_machines_are_drained_one_replica_at_a_time_and_returned() -> None:
     async def scene(p: SimulatedCluster) -> None:
-        await services(p)
-        watch = Watch(p)
+        await start_services(p)
+        monitor = ReplicaMonitor(p)
         p.tasks.start_soon(p.flow, 40.0, 0.6)
-        busy = [
+        busy_machines = [
             w.name
             for w in p.fleet.workers.values()
             if any(k[0].startswith("j-0009") for k in w.tasks)
         ][:4]
-        assert busy
-        order = {"id": "u-1", "machines": busy, "at_once": 4, "note": "test"}
+        assert busy_machines
+        order = {"id": "u-1", "machines": busy_machines, "at_once": 4, "note": "test"}
         status, would = await p.users["c1"].call("POST", "/upkeep/try", {**order, "id": None}, 5.0)
-        assert status == 200 and would["machines"] == len(busy) and would["teams"]  # type: ignore[index]
-        assert await place(p, "c0", order) == 201 and await place(p, "c2", order) == 200
-        assert await place(p, "c1", {**order, "at_once": 9}) == 409
-        assert await until_gone(p, busy, 90.0)
+        assert status == 200 and would["machines"] == len(busy_machines) and would["teams"]  # type: ignore[index]
+        assert await place_order(p, "c0", order) == 201 and await place_order(p, "c2", order) == 200
+        assert await place_order(p, "c1", {**order, "at_once": 9}) == 409
+        assert await until_gone(p, busy_machines, 90.0)
         await anyio.sleep(15.0)
         status, shown = await p.users["c1"].call("GET", "/upkeep", None, 5.0)
         assert shown["orders"][0]["state"] == "done", shown  # type: ignore[index]
-        assert min(watch.least.values()) >= 3, "one replica of a job at a time"
+        assert min(monitor.least.values()) >= 3, "more than one replica of a job was down at a time"
 
     play(scene, options=BUDGET)
 
@@ -221,15 +225,20 @@
     options = settings.Options(budget={"default": {"floor": 4}})
 
     async def scene(p: SimulatedCluster) -> None:
-        await services(p)
-        busy = [
+        await start_services(p)
+        busy_machines = [
             w.name
             for w in p.fleet.workers.values()
             if any(k[0].startswith("j-0009") for k in w.tasks)
         ]
-        assert await place(p, "c0", {"id": "u-1", "machines": busy, "at_once": 20}) == 201
+        assert (
+            await place_order(p, "c0", {"id": "u-1", "machines": busy_machines, "at_once": 20})
+            == 201
+        )
         await anyio.sleep(20.0)
-        assert all(n in p.fleet.machines for n in busy), "the floor keeps every replica where it is"
+        assert all(n in p.fleet.machines for n in busy_machines), (
+            "a machine was drained below the floor"
+        )
         _, shown = await p.users["c2"].call("GET", "/upkeep", None, 5.0)
         assert any("floor" in why for why in shown["stops_that_wait"]), shown  # type: ignore[index]
         assert any(
@@ -263,19 +272,22 @@
     """The controllers that rent, own or grant may crash at any step: the machines are drained, and
     two replicas of a job are never evicted at once.
 
-    No agent is lost here, so that replicas go down by the order alone.
+    No agent is lost here, so replicas are down only because of the order.
     """
 
     async def scene(p: SimulatedCluster) -> None:
         rng = Random(seed)
-        await services(p)
-        watch = Watch(p)
-        busy = [
+        await start_services(p)
+        monitor = ReplicaMonitor(p)
+        busy_machines = [
             w.name
             for w in p.fleet.workers.values()
             if any(k[0].startswith("j-0009") for k in w.tasks)
         ][:5]
-        assert await place(p, "c1", {"id": "u-1", "machines": busy, "at_once": 5}) == 201
+        assert (
+            await place_order(p, "c1", {"id": "u-1", "machines": busy_machines, "at_once": 5})
+            == 201
+        )
         for _ in range(3):
             await anyio.sleep(1.0 + 3.0 * rng.random())
             name = rng.choice(p.names)
@@ -283,8 +295,10 @@
                 p.tasks.start_soon(p.crash, name, 1.0 + 6.0 * rng.random())
             else:
                 p.net.cut(name, "state", HOLD, 6.0)
-        assert await until_gone(p, busy, 150.0), [n for n in busy if n in p.fleet.machines]
-        assert p.fleet.killed_by_lease > 0 or min(watch.least.values()) >= 3
+        assert await until_gone(p, busy_machines, 150.0), [
+            n for n in busy_machines if n in p.fleet.machines
+        ]
+        assert p.fleet.killed_by_lease > 0 or min(monitor.least.values()) >= 3
 
     play(scene, seed, options=BUDGET)
 
@@ -293,15 +307,15 @@
 def test_new_source_counts_grants_of_its_predecessor(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The owner is unreachable for a while: the eviction that was granted is still under way when
-    the next source looks.
+    """The owner is unreachable for a while, so the granted eviction is still in progress when the
+    next source starts.
     """
     if not guarded:
 
-        async def forgets(self: StoreReader, key: str) -> tuple[Any, int]:
+        async def read_nothing(self: StoreReader, key: str) -> tuple[Any, int]:
             return None, 0
 
-        monkeypatch.setattr(StoreReader, "read_key", forgets)
+        monkeypatch.setattr(StoreReader, "read_key", read_nothing)
         real = JobSource.next_write
 
         def plan(self: JobSource, most: int | None = None) -> Any:
@@ -317,16 +331,16 @@
         await anyio.sleep(6.0)
         source = source_of(p, "j-000900")
         js = source.jobs["j-000900"]
-        (one, other) = list(js.allocations.values())[:2]
-        source.grants.request_eviction(one, True, p.now)
+        (entry, other) = list(js.allocations.values())[:2]
+        source.grants.request_eviction(entry, True, p.now)
         source.grants.next_grant_at = 0.0
         source.grants.grant_evictions(p.now, 0.0)
-        key = one.attempt_id
+        key = entry.attempt_id
         assert source.grants.grants_by_team[js.team] == {key: False}
-        carried = source.grants._stop_granted
-        source.grants._stop_granted = lambda js, e: None  # type: ignore[method-assign]  # it is written, and its owner does not hear of it
+        original = source.grants._stop_granted
+        source.grants._stop_granted = lambda js, e: None  # type: ignore[method-assign]  # the owner never learns of it
         await anyio.sleep(1.0)
-        assert source.grants.grants_by_team[js.team] == {key: True} and carried is not None
+        assert source.grants.grants_by_team[js.team] == {key: True} and original is not None
         holder = next(
             n
             for n, node in p.nodes.items()
@@ -334,17 +348,17 @@
         )
         await p.crash(holder, 1.0)
         await anyio.sleep(8.0)
-        after = source_of(p, "j-000900")
-        assert after is not source
-        e = after.jobs["j-000900"].allocations.get(one.task)
-        assert (e is None or e.stop_grace_s is not None or e.attempt != one.attempt) == guarded, (
-            "it is stopped by the one that comes after"
+        new_source = source_of(p, "j-000900")
+        assert new_source is not source
+        e = new_source.jobs["j-000900"].allocations.get(entry.task)
+        assert (e is None or e.stop_grace_s is not None or e.attempt != entry.attempt) == guarded, (
+            "the new source must stop the task if and only if it read the grant"
         )
 
     play(scene, options=BUDGET)
 
 
-def test_order_is_rejected_while_a_release_without_orders_is_running() -> None:
+def test_order_is_rejected_while_a_controller_runs_a_release_without_orders() -> None:
     async def scene(p: SimulatedCluster) -> None:
         await anyio.sleep(1.0)
         for node in p.nodes.values():
@@ -353,10 +367,10 @@
                 {**value, "can": ["told"]},
                 version,
             )
-        assert await place(p, "c0", {"id": "u-1", "zone": "a"}) == 409
+        assert await place_order(p, "c0", {"id": "u-1", "zone": "a"}) == 409
         assert (
-            await place(p, "c0", {"id": "u-1"}) == 400
-            and await place(p, "c0", {"id": "../x", "zone": "a"}) == 400
+            await place_order(p, "c0", {"id": "u-1"}) == 400
+            and await place_order(p, "c0", {"id": "../x", "zone": "a"}) == 400
         )
 
     play(scene)
--- a/tests/test_permitting.py
+++ b/tests/test_permitting.py
@@ -1,4 +1,4 @@
-"""The job source's decisions and writes."""
+"""Test the job source's decisions and writes."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from .simulation.model_store import ModelStore
 
 
-def told(s: JobSource, part: int = 0, now: float = 1.0) -> tuple[int, int]:
-    """What the owner of a shard knows by now: requested candidates, and permits."""
+def owner_counts(s: JobSource, shard_index: int = 0, now: float = 1.0) -> tuple[int, int]:
+    """Return how many candidates and permits the owner of a shard knows of by now."""
     for (p, key), value in s.take_owner_updates(2, now).items():
-        BOARD[s, p, key] = value
-    want = BOARD.get((s, part, peer_messages.candidate_key("j-000001")))
+        OWNER_ENTRIES[s, p, key] = value
+    want = OWNER_ENTRIES.get((s, shard_index, peer_messages.candidate_key("j-000001")))
     permits = [
         v
-        for (src, p, k), v in BOARD.items()
-        if src is s and p == part and k[0] == peer_messages.PERMIT and v is not None
+        for (src, p, k), v in OWNER_ENTRIES.items()
+        if src is s and p == shard_index and k[0] == peer_messages.PERMIT and v is not None
     ]
     return (want.waiting_tasks if want is not None else 0), len(permits)
 
 
-BOARD: dict[tuple[JobSource, int, str], Any] = {}
+OWNER_ENTRIES: dict[tuple[JobSource, int, str], Any] = {}
 
 
 def one_permit_being_written() -> tuple[JobSource, PendingWrite]:
@@ -46,11 +46,11 @@
     s.on_job(a_job(task_count=2), "j-000001", 5, 0.0)
     s.on_owner_update(0, 3, True, offers(2), 1.0)
     s.decide(1.0)
-    assert told(s) == (2, 0)
+    assert owner_counts(s) == (2, 0)
     txn = s.next_write()
     assert txn is not None and txn.compare[JOB_PREFIX + "j-000001"] == 5
     s.on_committed(txn, 20, 1.1)
-    assert told(s) == (0, 2)
+    assert owner_counts(s) == (0, 2)
 
 
 def test_preempting_offer_is_taken_only_after_other_shards_had_time_to_offer() -> None:
@@ -59,15 +59,15 @@
     s.on_owner_update(0, 3, True, offers(1, victims=1), 0.02)
     s.decide(0.02)
     assert s.next_write() is None and s.holding_back_offers
-    s.on_owner_update(1, 3, True, offers(1, part=1), 0.04)
+    s.on_owner_update(1, 3, True, offers(1, shard_index=1), 0.04)
     s.decide(0.3)
     txn = s.next_write()
     assert txn is not None and [e.shard for e in txn.added] == [1], (
-        "plain room is the better answer"
+        "free capacity must be preferred to preemption"
     )
 
 
-def test_the_limit_counts_what_is_not_proven_gone() -> None:
+def test_team_limit_counts_tasks_not_proved_gone() -> None:
     s = source(limit=2.0)
     s.on_job(a_job(task_count=5), "j-000001", 5, 0.0)
     s.on_owner_update(0, 3, True, offers(5), 1.0)
@@ -75,7 +75,7 @@
     txn = s.next_write()
     assert txn is not None and len(txn.added) == 2
     s.on_committed(txn, 20, 1.0)
-    s.on_job(None, "j-000001", 0, 2.0)  # withdrawn: its tasks are still out there
+    s.on_job(None, "j-000001", 0, 2.0)  # cancelled; its tasks may still run
     s.on_job(a_job("j-000002", task_count=2), "j-000002", 6, 2.0)
     s.on_owner_update(0, 3, False, offers(2, first=50, job="j-000002"), 2.0)
     s.decide(2.0)
@@ -88,11 +88,11 @@
     s.on_owner_update(0, 3, True, offers(2), 1.0)
     s.decide(1.0)
     assert s.next_write() is None
-    s.on_owner_update(1, 3, True, offers(1, part=1), 1.1)
+    s.on_owner_update(1, 3, True, offers(1, shard_index=1), 1.1)
     s.decide(1.1)
     txn = s.next_write()
     assert txn is not None and len(txn.added) == 3 and len({e.attempt for e in txn.added}) == 1, (
-        "pieces of two parts, one attempt"
+        "one attempt must take tasks on two shards"
     )
 
 
@@ -100,12 +100,12 @@
     s = source()
     s.on_job(a_job(task_count=3, kind="gang", single_zone=True), "j-000001", 5, 0.0)
     s.on_owner_update(0, 3, True, offers(2), 1.0)
-    s.on_owner_update(1, 3, True, offers(2, part=1, zone="b"), 1.0)
+    s.on_owner_update(1, 3, True, offers(2, shard_index=1, zone="b"), 1.0)
     s.decide(1.0)
     assert s.next_write() is None
 
 
-def test_spread_leaves_half_of_the_zones_room() -> None:
+def test_spread_takes_only_half_of_the_tasks_in_one_zone() -> None:
     s = source()
     s.on_job(a_job(task_count=5, kind="service", spread_zones=True), "j-000001", 5, 0.0)
     s.on_owner_update(0, 3, True, offers(5), 1.0)
@@ -117,19 +117,19 @@
 def test_job_cancelled_during_the_write_is_not_started() -> None:
     s, txn = one_permit_being_written()
     assert s.writer.on_compare_failed(txn, [JOB_PREFIX + "j-000001"]) == []
-    assert s.next_write() is None and told(s) == (0, 0)
+    assert s.next_write() is None and owner_counts(s) == (0, 0)
 
 
-def test_write_of_unknown_outcome_that_landed_late_is_taken_from_the_record() -> None:
+def test_write_of_unknown_outcome_that_landed_late_is_read_from_the_record() -> None:
     s, txn = one_permit_being_written()
-    s.record_loader.install_allocations("t", {}, 2.0)  # read again: not there yet
+    s.record_loader.install_allocations("t", {}, 2.0)  # read again; the write has not landed yet
     assert s.jobs["j-000001"].allocations == {}
     ((key, value),) = [(k, v) for k, v in txn.puts.items()]
     s.record_loader.install_allocations(
         "t", {key: (value, 30)}, 3.0
-    )  # the next write failed its guard: it has landed after all
+    )  # the next write failed its compare: the first one has landed after all
     assert s.jobs["j-000001"].allocations[0].committed
-    assert told(s, now=3.0) == (0, 1)
+    assert owner_counts(s, now=3.0) == (0, 1)
 
 
 def test_a_hundred_thousand_tasks_fit_the_limits() -> None:
@@ -161,9 +161,9 @@
         assert s.jobs["j-000001"].done_count == done and not s.jobs["j-000001"].allocations
 
 
-def test_a_write_of_unknown_outcome_is_fenced_before_its_permits_are_given_anew() -> None:
-    """It may land after the record was read again; with a new permit in another chunk, one task
-    would have two.
+def test_write_of_unknown_outcome_is_fenced_before_its_permits_are_reissued() -> None:
+    """The write may land after the record was read again; with a new permit in another chunk, one
+    task would have two permits.
     """
     s, txn = one_permit_being_written()
     (key,) = txn.puts
@@ -177,7 +177,7 @@
         and fence.added == []
         and fence.puts == {key: {}}
         and fence.compare[key] == 0
-    ), "alone, and first"
+    ), "the fence must be written first and alone"
     s.on_committed(fence, 31, 2.1)
     again = s.next_write()
     assert (
@@ -188,10 +188,10 @@
 
 
 def test_cost_of_a_change_does_not_depend_on_other_jobs() -> None:
-    """Counted, not timed: one task's exit among many jobs and allocations, through its write to the
-    owners' updates.
+    """Counts visits, not time: one task's exit among many jobs and allocations, from its write to
+    the owners' updates.
     """
-    visits, told_keys = [], []
+    visits, update_counts = [], []
     for size in (10, 400):
         s = JobSource(0, EPOCH, [Team("t", 0, 0, 0, 0)], ("a",), 4096, 8)
         for i in range(size):
@@ -222,15 +222,15 @@
             3.1,
         )
         settle(s, 3.1, rev)
-        told_keys.append(len(s.take_owner_updates(3, 3.1)))
+        update_counts.append(len(s.take_owner_updates(3, 3.1)))
         visits.append(s.store.visit_count - before)
-    assert visits[1] <= 1.5 * visits[0] and told_keys == [7, 7]
+    assert visits[1] <= 1.5 * visits[0] and update_counts == [7, 7]
 
 
 def test_short_write_budget_serves_the_highest_priority_first() -> None:
-    """Permits of replicas stood behind those of a guest's many single jobs."""
+    """Permits of replicas were queued behind those of a guest's many single jobs."""
     s = JobSource(0, EPOCH, [Team("guest", 0, 0, 0, 0), Team("t", 0, 0, 4, 10)], ("a", "b"), 400, 8)
-    board: dict[str, Any] = {}
+    all_offers: dict[str, Any] = {}
     for i in range(200):
         s.on_job(
             a_job(f"j-1{i:05d}", task_count=1, team="guest", priority=3, gpus=0.0),
@@ -238,8 +238,8 @@
             5,
             0.0,
         )
-        board |= offers(1, first=i + 1, job=f"j-1{i:05d}")
-    s.on_owner_update(0, 3, True, board, 1.0)
+        all_offers |= offers(1, first=i + 1, job=f"j-1{i:05d}")
+    s.on_owner_update(0, 3, True, all_offers, 1.0)
     s.decide(1.0)
     s.on_job(a_job("j-000001", task_count=2, kind="service", priority=0), "j-000001", 6, 1.0)
     s.on_owner_update(0, 3, False, offers(2, first=900), 1.1)
@@ -262,7 +262,10 @@
 
 
 def test_a_replica_does_not_wait_for_an_array_that_holds_its_teams_limit() -> None:
-    """It waited for 124 s until the first of the array's tasks was done (ardgael-loans-ops, inc-4b3c)."""
+    """The replica waited for 124 s until the first of the array's tasks was done.
+
+    Seen in ardgael-loans-ops, inc-4b3c.
+    """
     s = source(limit=4.0)
     s.on_job(a_job("j-000002", task_count=6, priority=3), "j-000002", 5, 0.0)
     s.on_owner_update(0, 3, True, offers(4, first=10, job="j-000002"), 0.5)
@@ -276,7 +279,7 @@
     s.decide(3.0)
     array = s.jobs["j-000002"]
     stopped = [e for e in array.allocations.values() if e.stop_grace_s is not None]
-    assert len(stopped) == 1, "one place is enough"
+    assert len(stopped) == 1, "one preempted task frees enough"
     e = stopped[0]
     s.on_owner_update(
         0,
@@ -289,14 +292,18 @@
     assert txn is not None
     s.on_committed(txn, 51, 3.2)
     s.on_owner_update(0, 3, False, offers(1, first=20, job="j-000002") | offers(1, first=30), 3.3)
-    assert s.quotas.candidate_count(array, 3.3) == 0, "what was made free is kept for the replica"
+    assert s.quotas.candidate_count(array, 3.3) == 0, (
+        "the freed capacity must be kept for the replica"
+    )
     s.decide(3.4)
     assert len(s.jobs["j-000001"].allocations) == 1
 
 
 def test_jobs_waiting_for_long_take_turns_ahead_of_others() -> None:
-    """An array with its first task, a gang whole; never before services and guarantees, and not for
-    ever: it may never fit.
+    """An array takes its turn with its first task, a gang with all tasks.
+
+    Neither ever goes before services and guarantees, and a turn ends, because the job may never
+    fit.
     """
     s = source(limit=0.0)
     s.on_job(a_job("j-000001", task_count=50, priority=3), "j-000001", 5, 0.0)
@@ -326,7 +333,7 @@
     )
     s.decide(242.0)
     assert first() == ["j-000004", "j-000003", "j-000002", "j-000001"], (
-        "others' turn, whether or not it has found room"
+        "the turn must end whether or not the job was placed"
     )
     s.decide(363.0)
     s.on_owner_update(0, 3, True, offers(1), 363.5)
@@ -344,15 +351,15 @@
     )
     assert (
         first()[-1] == "j-000001" and s.quotas.candidate_count(s.jobs["j-000001"], 365.0) == 49
-    ), "it has begun: the rest in its turn"
+    ), "a started array must wait in normal order with its other tasks"
 
 
 def test_late_write_fails_its_compare_even_when_its_record_was_empty_meanwhile() -> None:
-    """It compares with an absent record. The record was fenced, used, emptied and deleted: it was
-    absent again, and the late write landed.
+    """The late write compares with an absent record. The record was fenced, used, emptied and
+    deleted, so it was absent again, and the late write landed.
 
-    Its permit was unknown to all, for a task that ran elsewhere or was done (share of such writes
-    on a bad day: 0.6).
+    Its permit was unknown to all, for a task that ran elsewhere or was done (0.6 of such writes on
+    a bad day).
     """
     store = ModelStore()
     rev, _ = store.txn({}, {JOB_PREFIX + "j-000001": 1, f"{SHARD_PREFIX}0": {"node": "c0"}}, [])
@@ -389,5 +396,5 @@
     ), "no permit is left"
     _, failed = store.txn(late.compare, late.puts, late.deletes)
     assert failed and all(f.startswith("c/") for f in failed), (
-        "nothing but its own cell's version stands against it"
+        "only the revision of its own chunk may prevent the write"
     )
--- a/tests/test_served_by_class.py
+++ b/tests/test_served_by_class.py
@@ -1,4 +1,4 @@
-"""Who counts as served, from what a played day leaves behind."""
+"""Test which jobs count as served, from the log and result of a simulated day."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 }
 
 
-def test_half_of_everyone() -> None:
+def test_class_and_team_below_half_served_fail() -> None:
     found = job_log.read_jobs(LOG.splitlines())
     table = served_by_class.table({"classes": CLASSES}, found)
     rows = {text.split()[1]: text for text in table.lines[1:] if not text.startswith("largest")}
@@ -47,15 +47,18 @@
     assert job_log.read_jobs(older.splitlines()) == job_log.read_jobs(LOG.splitlines())
 
 
-def test_a_class_that_was_never_accepted_shows_without_any_line_of_the_log() -> None:
+def test_class_without_any_log_line_is_reported() -> None:
     table = served_by_class.table(
         {"classes": {"w": {"jobs": 4, "accepted": 1, "started": 1, "done": 1, "cancelled": 0}}}, {}
     )
     assert table.least_share == 0.25 and table.lines[1].endswith("FAILS")
 
 
-def test_the_largest_of_a_class_are_judged_by_themselves() -> None:
-    """Thirty small gangs are served at once; of the three largest one begins late, with its last task, and one never ends."""
+def test_largest_jobs_of_a_class_are_checked_separately() -> None:
+    """Thirty small gangs are served at once.
+
+    Of the three largest, one starts late because of its last task, and one never ends.
+    """
     log = [
         f" {i}.0 c0 info accepted job=j-1{i:05d} team=a kind=gang tasks=1 class=z"
         for i in range(30)
@@ -76,7 +79,7 @@
         "z", [job for job in found.values() if job.class_name == "z"]
     )
     assert (largest.served_share, largest.longest_wait_s) == (0.75, 250.0), (
-        "of 33 jobs the four largest count"
+        "of 33 jobs, the four largest must count"
     )
     table = served_by_class.table({"classes": {}}, found)
     assert table.least_share == 0.0 and table.lines[-1].endswith("FAILS")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is wrong is named, what is unknown is ignored."""
+"""Test settings: invalid fields are named in the error, and unknown ones are ignored."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .test_loopback import config
 
 
-def test_unknown_fields_are_ignored_and_wrong_ones_named() -> None:
+def test_unknown_fields_are_ignored_and_invalid_ones_named() -> None:
     good = config([1, 2, 3, 4])
     assert settings.parse({**good, "new": 1}).name == "c0"
     for path, value in (
@@ -22,9 +22,9 @@
         ("deployment.state.rps", "many"),
     ):
         bad = json.loads(json.dumps(good))
-        *way, last = path.split(".")
+        *parents, last = path.split(".")
         at = bad
-        for w in way:
+        for w in parents:
             at = at[w]
         at[last] = value
         with pytest.raises(SettingsError, match=path.replace(".", r"\.")):
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -1,5 +1,7 @@
-"""Controllers restart in 0.1 to 0.5 s at every step of a claim, a machine restarts without its
-tasks, a claim's answer is lost.
+"""Test shard claims under crashes and lost answers.
+
+Controllers restart in 0.1 to 0.5 s at every step of a claim, a machine restarts without its tasks,
+and the answer to a claim is lost.
 """
 
 from __future__ import annotations
@@ -36,7 +38,7 @@
             if step == "lease gone":
                 await anyio.sleep(0.3)
                 ttl, _ = cluster.state.leases[lease := cluster.state.tied[f"{SHARD_PREFIX}0"]]
-                # Workers that come elsewhere would have the part taken before that
+                # Otherwise agents that report to another controller would cause an earlier takeover
                 cluster.state.leases[lease] = (
                     ttl,
                     cluster.now - 1.0,
@@ -65,7 +67,7 @@
             ]
             since = cluster.now if in_store in holders else since
             longest = max(longest, cluster.now - since)
-        assert longest < 8.0, f"nobody held the part for {longest:.1f} s"
+        assert longest < 8.0, f"no controller held the shard for {longest:.1f} s"
         await anyio.sleep(25.0)
         assert sorted(s for n in cluster.nodes.values() for s in n.context.held_shards) == [0, 1, 2]
         assert cluster.fleet.killed_by_lease == 0 and await cluster.all_answered(10.0) == []
@@ -73,9 +75,10 @@
     play(scene)
 
 
-def test_tasks_of_a_machine_that_restarts_at_once_are_not_taken_to_run() -> None:
-    """The same name and address with numbers from the beginning: its old heartbeats are no measure
-    for the new ones.
+def test_tasks_of_a_machine_that_restarts_at_once_do_not_count_as_running() -> None:
+    """The machine restarts with the same name and address, and its sequence numbers start again.
+
+    Its new heartbeats must not be compared with the old ones.
     """
 
     async def scene(cluster: SimulatedCluster) -> None:
@@ -92,20 +95,20 @@
                 for key, pm in h.owner.permits.items():
                     assert (
                         pm.gone or pm.refused or key in cluster.fleet.workers[pm.machine].tasks
-                    ), f"{key} is taken to run on {pm.machine}"
+                    ), f"{key} counts as running on {pm.machine}"
 
     play(scene)
 
 
 class Never(dict[int, int]):
-    """No claim of unknown outcome is held: each is made again."""
+    """A removed guard: no claim of unknown outcome is held, so each is made again."""
 
     def get(self, key: int, default: Any = None) -> Any:
         return 1 << 62
 
 
 class Forgets(dict[int, int]):
-    """The epochs that this process has held are forgotten."""
+    """A removed guard: the epochs that this process has held are forgotten."""
 
     def get(self, key: int, default: Any = None) -> Any:
         return 0
@@ -123,10 +126,10 @@
 def test_claim_with_lost_answer_is_held_at_once_and_no_epoch_is_held_twice(
     lost: float, late: float, without: Any, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All three controllers crash one after another, with answers of the state service lost, or
-    with late writes.
+    """All three controllers crash one after another, with lost answers of the state service or with
+    late writes.
     """
-    real, real_take = ShardClaims.__init__, ShardRoles.acquire
+    real, real_acquire = ShardClaims.__init__, ShardRoles.acquire
     taken: list[tuple[str, int, int]] = []
 
     def init(self: ShardClaims, *a: Any, **kw: Any) -> None:
@@ -134,12 +137,12 @@
         if without is not None:
             self.epochs = without()
 
-    def take(self: ShardRoles, shard: int, epoch: int) -> None:
+    def record_acquire(self: ShardRoles, shard: int, epoch: int) -> None:
         taken.append((self.context.settings.name, shard, epoch))
-        real_take(self, shard, epoch)
+        real_acquire(self, shard, epoch)
 
     monkeypatch.setattr(ShardClaims, "__init__", init)
-    monkeypatch.setattr(ShardRoles, "acquire", take)
+    monkeypatch.setattr(ShardRoles, "acquire", record_acquire)
     claims: list[int] = []
 
     async def scene(cluster: SimulatedCluster) -> None:
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -1,4 +1,4 @@
-"""The shard owner's proofs and fencing tokens, one by one."""
+"""Test the shard owner's proofs and fencing tokens, one at a time."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
     return [{"chick": "j-000001/0", "hatch": 5, "stance": state, "cause": why}]
 
 
-JOB_NEWS = {peer_messages.job_key(KEY.job_id): JobUpdate(RECORD, [2.0, 1.0, 8.0], 1)}
+JOB_ENTRY = {peer_messages.job_key(KEY.job_id): JobUpdate(RECORD, [2.0, 1.0, 8.0], 1)}
 
 
 def permit(stop: float | None = None, epoch: int = EPOCH, ticket: int = 0) -> dict[str, Any]:
-    return {**JOB_NEWS, peer_messages.permit_key(KEY): PermitUpdate("n-1", epoch, ticket, stop)}
+    return {**JOB_ENTRY, peer_messages.permit_key(KEY): PermitUpdate("n-1", epoch, ticket, stop)}
 
 
 def candidate(n: int = 1) -> dict[str, Any]:
     return {
-        **JOB_NEWS,
+        **JOB_ENTRY,
         peer_messages.candidate_key(KEY.job_id): CandidateUpdate(n, [1.0, 0.0, 2.0, 0.0], None, []),
     }
 
@@ -61,7 +61,7 @@
 
 
 def started(direct: bool) -> tuple[ShardOwner, Any]:
-    """An owner that has sent a run and got no answer."""
+    """Return an owner that has sent a run and received no answer, and its machine."""
     o = owner()
     base = EPOCH << TOKEN_BITS
     m = o.on_heartbeat(report(1, base), 0.0)
@@ -83,10 +83,10 @@
     o.commands_for(m, 1.0)
     assert m.token > base
     o.on_heartbeat(report(3, m.token), 2.0)
-    assert state(o) == "gone", "the worker has taken a higher token: the late run will be dropped"
+    assert state(o) == "gone", "the agent has accepted a higher token, so it will drop the late run"
 
 
-def test_an_unanswered_direct_command_raises_the_token() -> None:
+def test_unanswered_direct_command_raises_the_token() -> None:
     o, m = started(direct=True)
     before = m.token
     o.on_direct_answer(m, None, 1.5)
@@ -108,13 +108,13 @@
 
 
 def test_silence_proves_nothing_for_an_agent_that_never_accepted_the_token() -> None:
-    """Another owner may be answering it: its lease may be fresh."""
+    """Another owner may be answering the agent, so its lease may be fresh."""
     o = owner()
     o.on_heartbeat(report(1, 3 << TOKEN_BITS, listed("running")), 0.0)
     o.on_source_update(0, True, permit(epoch=3), 0.0)
     o.advance_time(500.0)
     assert state(o) == "running"
-    assert o.unprovable_machines(500.0) == ["n-1"], "the cloud is asked"
+    assert o.unprovable_machines(500.0) == ["n-1"], "the cloud must be asked about the machine"
     o.on_machines_deleted(["n-1"])
     assert state(o) == "gone"
 
@@ -131,8 +131,9 @@
 
 
 def test_stalled_controller_proves_nothing_by_its_clock() -> None:
-    """Another may have answered its agents meanwhile: only a read begun after their lease shows
-    that none could.
+    """Another controller may have answered its agents meanwhile.
+
+    Only a read that began after the end of their lease proves that none could.
     """
     o, m = started(direct=False)
     o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
@@ -145,9 +146,7 @@
 
 
 def test_unread_heartbeats_are_not_silence() -> None:
-    """After a stall of 30 s the capacity of machines whose heartbeats are still to be read stays in
-    use.
-    """
+    """After a stall of 30 s, machines whose heartbeats are still unread must stay in use."""
     o, m = started(direct=False)
     o.epoch_confirmed_at = 40.0
     o.on_event_loop_stall(30.0, 32.0)
@@ -169,8 +168,8 @@
     assert owner().on_heartbeat(report(1, (EPOCH + 1) << TOKEN_BITS), 0.0) is None
 
 
-def test_an_exit_is_not_forgotten_before_it_is_recorded() -> None:
-    """After reap the same run would start the task again."""
+def test_exit_is_kept_until_it_is_recorded() -> None:
+    """After a reap, the same run command would start the task again."""
     o, m = started(direct=False)
     o.on_heartbeat(report(2, m.token, listed("ended", "done")), 1.0)
     assert o.commands_for(m, 1.0) == []
@@ -209,8 +208,8 @@
 
 
 def test_permit_takes_the_capacity_of_its_renewed_reservation() -> None:
-    """A write that took longer than the hold time was refused by a reservation for the very same
-    candidate.
+    """A write that took longer than the hold time was refused because of a reservation for the very
+    same candidate.
     """
     o = owner()
     m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
@@ -232,7 +231,9 @@
 
 
 def test_late_answer_does_not_revive_a_gone_machine() -> None:
-    """It returned without heartbeats, last in their order, where the sweep ends before it."""
+    """The machine came back without heartbeats and last in their order, where the sweep of expired
+    machines ends before it.
+    """
     o = owner()
     m = o.on_heartbeat(report(1, EPOCH << TOKEN_BITS), 0.0)
     assert m is not None
@@ -242,23 +243,23 @@
 
 
 def test_silence_after_a_stall_proves_nothing_until_the_agent_reports_again() -> None:
-    """A new incarnation may have started meanwhile, and answer the agent with this one's tokens
-    (coordination.restart_recovery).
+    """A new incarnation of the controller may have started during the stall, and may answer the
+    agent with this one's tokens (coordination.restart_recovery).
     """
-    for back in (False, True):
+    for reported_again in (False, True):
         o, m = started(direct=False)
         o.on_heartbeat(report(2, m.token, listed("running")), 1.0)
         o.on_event_loop_stall(9.0, 10.0)
-        if back:
+        if reported_again:
             o.on_heartbeat(report(3, m.token, listed("running")), 10.5)
         o.epoch_confirmed_at = 99.0
         o.advance_time(50.0)
-        assert (state(o) == "gone") == back
+        assert (state(o) == "gone") == reported_again
 
 
 def test_exhausted_token_space_proves_nothing_by_a_token_that_was_not_raised() -> None:
-    """An agent that takes heartbeats' answers but no commands costs a token each; then a new epoch
-    is asked for.
+    """Each command that an agent does not answer uses up a token, although it takes the answers to
+    its heartbeats. When the tokens of an epoch are exhausted, a new epoch is requested.
     """
     o = ShardOwner(0, EPOCH, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0, 2)
     o.machine_types = {"t": MACHINE_TYPE}
--- a/tests/test_short_job_load.py
+++ b/tests/test_short_job_load.py
@@ -1,4 +1,7 @@
-"""Many short jobs, some of them cancelled: all are served, few bytes are sent, and ended jobs leave memory."""
+"""Test a load of many short jobs, some of them cancelled.
+
+All are served, few bytes are sent, and ended jobs leave memory.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +23,10 @@
 from .simulation.scene import play
 from .simulation.simulated_network import SimulatedNetwork
 
-KEPT_ENDED_JOBS = 20  # jobs that are over and stay in memory
+KEPT_ENDED_JOBS = 20  # ended jobs that stay in memory
 
 
-# Remember a bounded number
+# Attributes that keep a bounded number of job ids
 BOUNDED_MEMORIES = {
     "recently_ended": 200,
     "arrivals": 500,
@@ -32,17 +35,18 @@
     "channels": 60,
     "failed_attempts": 200,
 }
-# (channels: what was last said to a shard that was held here for a while and let go)
+# (channels: the last messages to a shard that was held here for a while and released)
 
 
 def short_job_scene(
     seed: int, duration_s: float, crash: bool, seen: dict[str, Any]
 ) -> Callable[[SimulatedCluster], Any]:
-    """Four jobs a second for `duration_s`. Users cancel some at once, during placement or as they
-    end; a leader may crash midway.
+    """Return a scene with four jobs a second for `duration_s`, which records its results in `seen`.
+
+    Users cancel some jobs at once, during placement or as they end; a leader may crash midway.
     """
 
-    async def one(cluster: SimulatedCluster, rng: Random, n: int) -> None:
+    async def submit_one(cluster: SimulatedCluster, rng: Random, n: int) -> None:
         spec = cluster.spec(n, gait="array", chicks=1, flightS=rng.choice([1.0, 3.0]))
         after = rng.choice([0.0, 0.02, 0.3, 2.5, 4.0])
         cancelled = rng.random() < 0.25
@@ -57,12 +61,12 @@
 
         def started(w: Any, key: Any) -> None:
             if key[0] in cluster.cancelled:
-                seen.setdefault("started after the telling", []).append(key)
+                seen.setdefault("started after its cancellation", []).append(key)
             real(w, key)
 
         cluster.fleet.started = started  # type: ignore[method-assign]
         for n in range(1, int(4 * duration_s) + 1):
-            cluster.tasks.start_soon(one, cluster, rng, n)
+            cluster.tasks.start_soon(submit_one, cluster, rng, n)
             if crash and n == int(2 * duration_s):
                 cluster.tasks.start_soon(cluster.crash, rng.choice(cluster.names), 6.0)
             await anyio.sleep(0.25)
@@ -70,11 +74,11 @@
         assert not await cluster.all_answered(ANSWERED_WITHIN_S)
         store = cluster.state.store
         seen["changes"] = Counter(e.key.split("/")[0] for e in store.log)
-        seen["bytes"] = carried[0]
+        seen["bytes"] = bytes_sent[0]
         archived = {k[2:] for k in store.kv if k.startswith("e/")}
         await anyio.sleep(
             max(0.0, 130.0 - (cluster.now - begun - duration_s))
-        )  # when the newest one could have had to begin at last
+        )  # the latest time at which the newest job could have had to start
         over = {
             name: Counter({k: len(ids & archived) for k, ids in job_ids_in_memory(node).items()})
             for name, node in cluster.nodes.items()
@@ -86,45 +90,45 @@
             len(node.context.store_cache.ended_jobs) for node in cluster.nodes.values()
         )
 
-    carried = [0]
-    real_carry = SimulatedNetwork.transmit
+    bytes_sent = [0]
+    real_transmit = SimulatedNetwork.transmit
 
-    def carry(self: SimulatedNetwork, stream: Any, data: bytes | None) -> None:
-        carried[0] += len(data or b"")
-        real_carry(self, stream, data)
+    def count_and_transmit(self: SimulatedNetwork, stream: Any, data: bytes | None) -> None:
+        bytes_sent[0] += len(data or b"")
+        real_transmit(self, stream, data)
 
-    seen["carry"] = carry
+    seen["carry"] = count_and_transmit
     return scene
 
 
 def assert_short_job_load(
     seed: int, duration_s: float, crash: bool, monkeypatch: pytest.MonkeyPatch
 ) -> dict[str, Any]:
-    """Play the load, and assert what has to hold for it with any seed."""
+    """Run the load, and assert what must hold for it with any seed."""
     seen: dict[str, Any] = {}
     scene = short_job_scene(seed, duration_s, crash, seen)
     monkeypatch.setattr(SimulatedNetwork, "transmit", seen.pop("carry"))
     cluster = play(scene, seed, options=settings.Options(keep_ended=KEPT_ENDED_JOBS))
-    assert all(a.accepted is not None for a in cluster.asked.values()), "every one is accepted"
+    assert all(a.accepted is not None for a in cluster.asked.values()), "a job was not accepted"
     rest = [j for j in cluster.specs if j not in cluster.cancelled]
     assert all(cluster.served(j) for j in rest) and len(rest) >= 0.7 * len(cluster.specs), (
-        "all that nobody cancelled is done"
+        "a job that was not cancelled is not done"
     )
     assert len(cluster.cancelled) > 0.05 * len(cluster.specs)
     assert not cluster.state.store.permits() and not any(
         w.tasks for w in cluster.workers.values()
-    ), "nothing is left of any"
-    assert "started after the telling" not in seen
-    assert seen["ended"] <= KEPT_ENDED_JOBS, "jobs that are over leave the memory"
+    ), "permits or tasks are left over"
+    assert "started after its cancellation" not in seen
+    assert seen["ended"] <= KEPT_ENDED_JOBS, "ended jobs must leave the memory"
     assert {k: n for k, n in seen["over"].items() if n > BOUNDED_MEMORIES.get(k, 0)} == {}, (
         "nothing else remembers them"
     )
     changes = sum(seen["changes"].values()) / len(cluster.specs)
     assert changes <= 7.5, (
-        "submission, end, archive (two), and shares of a chunk: for one job, and its key anew"
+        "expected: submission, end, archive (two), the key rewritten, and shares of chunk writes"
     )
     assert seen["bytes"] / len(cluster.specs) <= 16_000.0, (
-        "on all links together, the quiet time and its questions included"
+        "more bytes per job on all links, idle time and its polls included"
     )
     return seen
 
@@ -137,6 +141,8 @@
 
 
 def never_archived(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Stop the archiver."""
+
     async def idle(self: Archiver) -> None:
         await anyio.sleep_forever()
 
@@ -144,7 +150,7 @@
 
 
 def remembered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A source that keeps what it knew of an ended job."""
+    """Make a source keep the ids of ended jobs."""
     real = AllocationStore.on_job
 
     def on_job(self: AllocationStore, job: Any, job_id: str, *a: Any, **kw: Any) -> None:
@@ -155,12 +161,12 @@
 
 
 @pytest.mark.parametrize(
-    ("without", "says"),
+    ("without", "message"),
     [(never_archived, "leave the memory"), (remembered, "nothing else remembers")],
 )
 def test_short_job_load_detects_jobs_that_stay_in_memory(
-    without: Callable[[pytest.MonkeyPatch], None], says: str, monkeypatch: pytest.MonkeyPatch
+    without: Callable[[pytest.MonkeyPatch], None], message: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     without(monkeypatch)
-    with pytest.raises(AssertionError, match=says):
+    with pytest.raises(AssertionError, match=message):
         assert_short_job_load(3, 20.0, False, monkeypatch)
--- a/tests/test_simulation_checks.py
+++ b/tests/test_simulation_checks.py
@@ -1,4 +1,4 @@
-"""The simulated cluster's own checks report what they are there for, and nothing else."""
+"""Test that the simulated cluster's own checks report the intended faults and nothing else."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def test_largest_jobs_check_fails_for_unserved_and_for_late_jobs() -> None:
-    """Thirty small gangs are served; of the four largest three can't be (their team's limit is used
-    up), or begin after 240 s.
+    """Thirty small gangs are served. Three of the four largest are not, because their team's limit
+    is used up, or start only after 240 s.
     """
-    for hours, says in ((False, "largest of group: 1 of 4 served"), (True, "began at")):
+    for late, message in ((False, "largest of group: 1 of 4 served"), (True, "began at")):
 
-        async def scene(cluster: SimulatedCluster, hours: bool = hours) -> None:
+        async def scene(cluster: SimulatedCluster, late: bool = late) -> None:
             await cluster.submit(
                 cluster.spec(900, gait="daemon", chicks=12, keeper="team-3", flock="service")
             )
@@ -38,20 +38,20 @@
                         keeper="team-3" if n else "team-0",
                     ),
                 )
-            await anyio.sleep(250.0 if hours else 50.0)
-            if hours:
+            await anyio.sleep(250.0 if late else 50.0)
+            if late:
                 await cluster.withdraw("j-000900")
                 await anyio.sleep(50.0)
 
-        with pytest.raises(AssertionError, match=says):
+        with pytest.raises(AssertionError, match=message):
             play(scene)
 
 
 def test_left_waiting_reports_only_jobs_that_limits_and_capacity_allow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Not those that the team's limit holds back, nor those that fit only in a full zone, nor a
-    gang without enough capacity.
+    """Jobs held back by their team's limit, jobs that fit only in a full zone, and gangs without
+    enough capacity must not be reported.
     """
     real = TeamQuotas.candidate_count
     monkeypatch.setattr(
@@ -70,7 +70,7 @@
         await cluster.submit(cluster.spec(902, gait="daemon", chicks=1, marsh="a"))
         await cluster.submit(
             cluster.spec(904, gait="daemon", chicks=8, marsh="b")
-        )  # with 900 beyond the limit of 16
+        )  # together with 900 over the limit of 16
         await cluster.submit(
             cluster.spec(903, gait="group", chicks=9, together=True, flightS=100.0)
         )
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -1,4 +1,7 @@
-"""The status report: all controllers' views in one answer, what is wrong first, bounded in size."""
+"""Test the status report.
+
+It combines all controllers' views in one answer, lists problems first, and is bounded in size.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +24,8 @@
 from .test_loopback import config
 
 
-def three() -> list[Controller]:
-    """Three controllers that know of one another; c0 and c1 are connected."""
+def three_controllers() -> list[Controller]:
+    """Return three controllers that know of one another."""
     nodes = []
     for me in range(3):
         data = config([1, 2, 3, 4])
@@ -57,34 +60,34 @@
     return held
 
 
-def carry(a: Controller, b: Controller) -> None:
+def exchange_status_messages(a: Controller, b: Controller) -> None:
     now = time.monotonic()
     for one, other in ((a, b), (b, a)):
         for m in one.status_report.collect(other.settings.name, now):
             other.status_report.deliver(one.settings.name, m)
 
 
-def ask(a: Controller, b: Controller, chosen: dict[str, str]) -> Any:
+def request_status(a: Controller, b: Controller, filters: dict[str, str]) -> Any:
     async def run() -> Any:
         out: list[Any] = []
         for link in a.peer_links.links.values():
             link.connected = link.name == b.settings.name
 
-        async def asking() -> None:
-            out.append(await a.status_report.answer(chosen))
+        async def request_answer() -> None:
+            out.append(await a.status_report.answer(filters))
 
         async with anyio.create_task_group() as tg:
-            tg.start_soon(asking)
+            tg.start_soon(request_answer)
             while not out:
-                carry(a, b)
+                exchange_status_messages(a, b)
                 await anyio.sleep(0.01)
         return orjson.loads(orjson.dumps(out[0]))
 
     return anyio.run(run)
 
 
-def test_any_controller_shows_the_whole_fleet_and_marks_what_is_old() -> None:
-    a, b, c = three()
+def test_any_controller_reports_the_whole_fleet_and_marks_stale_views() -> None:
+    a, b, c = three_controllers()
     held = hold(b, 1)
     assert held.source is not None
     held.source.on_job(a_job("j-000001", task_count=12), "j-000001", 5, 0.0)
@@ -97,7 +100,7 @@
     )
     hold(c, 2)
     a.status_report.peer_reports["c2"] = (time.monotonic() - 34.0, c.shard_status.report())
-    data = ask(a, b, {})
+    data = request_status(a, b, {})
     lines = status.format_text(data, {})
     assert lines[0].startswith("wrong now:")
     shown = "\n".join(lines)
@@ -111,12 +114,14 @@
         "shard 0 is held by no controller that can be reached" in first and "shard 2" not in first
     )
     assert "died lately:" in shown and "error" in shown[shown.index("died lately:") :]
-    only = "\n".join(status.format_text(ask(a, b, {"job": "j-000002"}), {"job": "j-000002"}))
-    assert "job j-000002" in only and "job j-000001 (array" not in only
+    filtered = "\n".join(
+        status.format_text(request_status(a, b, {"job": "j-000002"}), {"job": "j-000002"})
+    )
+    assert "job j-000002" in filtered and "job j-000001 (array" not in filtered
 
 
 def test_shard_status_is_bounded_whatever_is_waiting() -> None:
-    (node, *_) = three()
+    (node, *_) = three_controllers()
     held = hold(node, 0)
     assert held.source is not None
     for i in range(3000):
@@ -131,8 +136,8 @@
     assert sum(jobs for jobs, _ in view["queue"].values()) == 3000
 
 
-def test_log_names_a_condition_once_when_raised_and_once_when_cleared() -> None:
-    (node, *_) = three()
+def test_condition_is_reported_while_it_holds_and_not_after() -> None:
+    (node, *_) = three_controllers()
     held = hold(node, 0)
     assert held.source is not None
     held.source.on_job(a_job("j-000001", task_count=4), "j-000001", 5, 0.0)
@@ -144,7 +149,7 @@
     assert "broken j-000001" not in after and set(after) <= set(before)
 
 
-def test_what_died_says_where_and_why() -> None:
+def test_failed_attempt_records_its_machine_and_reason() -> None:
     s = source()
     s.on_job(a_job(task_count=1, kind="service"), "j-000001", 5, 0.0)
     play_outcomes(s, 3, lambda job, task, machine, now: "running")
@@ -165,24 +170,24 @@
     ]
 
 
-def test_unhealthy_links_are_named_with_what_is_used_instead() -> None:
-    a, b, _ = three()
+def test_unhealthy_links_are_reported_with_their_relays() -> None:
+    a, b, _ = three_controllers()
     b.store_service.health.healthy, a_now = False, time.monotonic()
     b.relay_routes.update(
         "c0", {"life": "x", "can": ["state"], "good": ["state"], "hears": []}, a_now
     )
     b.agent_commands.failback.heartbeat_relayed("n-1", "c0", a_now)
-    lines = status.format_text(ask(a, b, {}), {})
+    lines = status.format_text(request_status(a, b, {}), {})
     assert any("c1 reaches the key-value store through c0 only" in line for line in lines)
     assert any("c1: 1 agents reach it through another controller only" in line for line in lines)
     old = {**b.shard_status.report()}
     del old["reach"]
     assert not any("through" in t for t in status.conditions(old).values()), (
-        "a release before says nothing of it"
+        "an earlier release sends no `reach`, so no relay must be reported"
     )
 
 
-def test_a_name_with_a_line_break_forges_no_line(capsys: pytest.CaptureFixture[str]) -> None:
+def test_line_break_in_a_value_forges_no_log_line(capsys: pytest.CaptureFixture[str]) -> None:
     log.error(
         "accepted",
         klass="x\nerror lease lost lease=9",
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -1,8 +1,7 @@
-"""Every team at its limit while jobs are cancelled whose machines are unreachable, and the leader
-changes.
+"""Test full team limits while jobs on unreachable machines are cancelled and the leader changes.
 
-Cancelled tasks count for their team until they are proved gone, under every source and by their own
-size; then their capacity is used again.
+Cancelled tasks count towards their team's limit, at their own size and also after a leader change,
+until they are proved gone. Then their capacity is used again.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 def over_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job's end takes its starts out of the count, wherever they may still be."""
+    """Remove the guard: a job's end takes its tasks out of the count, though they may still run."""
     real = AllocationStore.on_job
 
     def on_job(
@@ -37,7 +36,7 @@
 
 
 def over_is_small(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new source does not know the size of an ended job."""
+    """Remove the guard: a new source does not know the size of an ended job's tasks."""
     real = RecordLoader.install_allocations
 
     def install_cell(self: RecordLoader, team: str, found: dict[str, Any], now: float) -> None:
@@ -74,10 +73,14 @@
 def test_cancelled_tasks_count_towards_the_team_limit_until_proved_gone(
     how: str, s: float, change: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """cut, held: neither commands nor answers, lost or late; hang: within the lease of 10 s or beyond. change: both teams' sources end."""
+    """Cancelled tasks are on machines that are unreachable for `s` seconds.
+
+    With cut and held, commands and answers are lost or late. With hang, the agents hang within
+    their lease of 10 s or for longer. With change, the sources of both teams crash.
+    """
     if without is not None:
         without(monkeypatch)
-    used: list[float] = []
+    seconds_to_reuse: list[float] = []
 
     async def scene(p: SimulatedCluster) -> None:
         for team in range(2):  # at the limit of 16
@@ -94,18 +97,20 @@
                     )
                 )
         await anyio.sleep(7.0)
-        for team in range(2):  # these wait for the room of what is cancelled
+        for team in range(2):  # these wait for the capacity of the cancelled jobs
             for n in range(4):
                 await p.submit(
                     p.spec(920 + 2 * n + team, gait="array", chicks=4, flightS=3.0, pullGb=0.1)
                 )
         await anyio.sleep(2.0)
         big = {f"j-{n:06d}" for n in (910, 911, 912, 913)}
-        theirs = [w.name for w in p.fleet.workers.values() if any(k[0] in big for k in w.tasks)]
+        unreachable = [
+            w.name for w in p.fleet.workers.values() if any(k[0] in big for k in w.tasks)
+        ]
         if how == "hang":
-            p.hang(theirs, s)
+            p.hang(unreachable, s)
         else:
-            for w in theirs:
+            for w in unreachable:
                 for c in p.names:
                     p.net.cut(c, w, SILENT if how == "cut" else HOLD, s)
         until = p.now + s
@@ -126,14 +131,14 @@
                 for i in range(sp.task_count)
             ):
                 await anyio.sleep(0.1)
-        used.append(p.now - until)
+        seconds_to_reuse.append(p.now - until)
         assert big <= p.cancelled.keys() and not p.starts_after_told()
         await anyio.sleep(40.0)
         assert not await p.all_answered(20.0)
 
     if without is None:
         play(scene, machines=12, teams=2)
-        assert used[0] < 12.0, "two rounds of 5 s are to be done"
+        assert seconds_to_reuse[0] < 12.0, "expected time for two runs of 5 s"
     else:
         with pytest.raises(AssertionError, match="quota"):
             play(scene, machines=12, teams=2)
--- a/tests/test_unresponsive_agents.py
+++ b/tests/test_unresponsive_agents.py
@@ -1,6 +1,7 @@
-"""Agents that hang, receive late or not at all, or reach no controller: commands, cancellations and leases.
+"""Test commands, cancellations and leases with unresponsive agents.
 
-A scene that is played without the guard it is there for has to break a rule.
+The agents hang, receive messages late or not at all, or reach no controller. A scene without the
+guard that it tests must break a rule.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def an_answer_to_a_command_is_a_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The answer to a command counts as a heartbeat whose lease has just been renewed."""
+    """Remove the guard: an answered command counts as a heartbeat that has renewed the lease."""
     real = ShardOwner.on_heartbeat
 
     def on_report(
@@ -47,15 +48,15 @@
         (25.0, False, an_answer_to_a_command_is_a_report),
     ],
 )
-def test_agent_that_cannot_report_gets_no_new_task_although_commands_reach_it(
+def test_agent_without_heartbeats_gets_no_new_task_although_commands_reach_it(
     s: float, change: bool, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Cancelled tasks there end by command; an answered command renews no lease, so nothing new
-    starts there until they report.
+    """Cancelled tasks on such agents end by command. An answered command renews no lease, so no
+    task starts there until the agents send heartbeats again.
     """
     if without is not None:
         without(monkeypatch)
-    given: list[Any] = []
+    late_starts: list[Any] = []
 
     async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
@@ -77,11 +78,13 @@
         if change:
             cluster.tasks.start_soon(cluster.crash, "c0", 20.0)
         await anyio.sleep(at + s - cluster.now)
-        given.extend(x for x in cluster.fleet.started_on if x[1] in machines and x[0] > at + 5.0)
+        late_starts.extend(
+            x for x in cluster.fleet.started_on if x[1] in machines and x[0] > at + 5.0
+        )
         await anyio.sleep(15.0)
         assert not cluster.starts_after_told()
         assert any(x[1] in machines and x[0] > at + s for x in cluster.fleet.started_on), (
-            "they are used again"
+            "the machines were not used again"
         )
         assert not await cluster.left_waiting(30.0)
 
@@ -90,13 +93,17 @@
     else:
         with contextlib.suppress(AssertionError):
             play(scene, machines=12)
-    assert bool(given) == (without is not None), "starts on machines that report to nobody"
+    assert bool(late_starts) == (without is not None), (
+        "tasks started on machines that reach no controller"
+    )
 
 
-@pytest.mark.parametrize("mute", [True, False])
-def test_lost_kill_command_is_sent_again(mute: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """By command where that reaches the machine again: it waits neither for a heartbeat nor for the
-    lease.
+@pytest.mark.parametrize("disconnected", [True, False])
+def test_lost_kill_command_is_sent_again(
+    disconnected: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The kill is sent as a command as soon as the machine is reachable again, without waiting for
+    a heartbeat or for the lease.
     """
     monkeypatch.setattr(parameters, "LEASE_S", 16.0)
     monkeypatch.setattr(parameters, "CANCEL_S", 46.0)
@@ -106,7 +113,7 @@
         await cluster.submit(cluster.spec(900, gait="daemon", chicks=8))
         await anyio.sleep(6.0)
         machines = {w.name for w in cluster.fleet.workers.values() if w.tasks}
-        if mute:
+        if disconnected:
             cluster.mute(machines, 30.0)
         for w in machines:
             for c in cluster.names:
@@ -117,22 +124,23 @@
             await anyio.sleep(0.1)
         seconds_until_gone.append(cluster.now - at)
         await anyio.sleep(30.0)
-        assert not cluster.state.store.permits(), "and is proved gone"
+        assert not cluster.state.store.permits(), "the tasks were not proved gone"
 
     play(scene, machines=6)
     assert seconds_until_gone[0] < 9.0, seconds_until_gone
 
 
 def no_run_is_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the newest list omits is gone, though its run may still arrive: its token is not raised."""
+    """Remove the guard: an attempt that the newest list omits is gone, without a raised token.
+
+    Its run command may still arrive.
+    """
     monkeypatch.setattr(PermitTable, "check_gone", check_gone_without_fencing_tokens)
     monkeypatch.setattr(ShardState, "raise_token", lambda self, m: True)
 
 
 def nothing_is_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No kill is sent: an agent that hung within its lease goes on, and the simulation has to
-    report it.
-    """
+    """Send no kill, so an agent that hung within its lease continues; the checks must report it."""
     real = CommandBuilder.commands_for
 
     def commands(self: CommandBuilder, *a: Any, **kw: Any) -> Any:
@@ -158,11 +166,11 @@
 def test_cancelled_tasks_end_in_time_when_agents_hang_or_receive_late(
     how: str, s: float, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Some tasks run there, some have just been sent; a lease is 10 s. command, answer: only those
-    are delayed, heartbeats come and go.
+    """Some tasks run on the agents, some have just been sent; a lease is 10 s. With command and
+    answer, only commands or their answers are delayed, and heartbeats work.
 
-    The tasks are gone in time from the acknowledgement, also where the machine goes on with what it
-    had; no attempt runs beside another.
+    The tasks are gone in time after the acknowledgement, also where the machine continues with its
+    tasks. No two attempts of a task run at once.
     """
     if without is not None:
         without(monkeypatch)
@@ -170,7 +178,7 @@
     async def scene(cluster: SimulatedCluster) -> None:
         for n in range(900, 904):
             await cluster.submit(cluster.spec(n, gait="daemon", chicks=4))
-        await anyio.sleep(6.0)  # all have the image
+        await anyio.sleep(6.0)  # all machines have the image
         for wave in range(2):
             running = [f"j-{900 + 2 * wave + i:06d}" for i in range(2)]
             machines = sorted(
@@ -191,7 +199,7 @@
                     for c in cluster.names:
                         cluster.net.cut(c, w, HOLD, s)
             at, sent = cluster.now, range(910 + 10 * wave, 918 + 10 * wave)
-            for n in sent:  # they are sent to these machines, too
+            for n in sent:  # their tasks are sent to these machines, too
                 cluster.tasks.start_soon(
                     cluster.submit,
                     cluster.spec(n, gait="daemon" if n % 2 else "array", chicks=2, flightS=8.0),
@@ -211,7 +219,7 @@
                 ]
         late_starts.extend(
             x for x in cluster.starts_after_told() if x[1] > 0.5
-        )  # what was on its way in that moment may still start
+        )  # runs that were in flight at that moment may still start
         await anyio.sleep(45.0 if without is not None else 8.0)
         assert len(cluster.cancelled) == 10 and not await cluster.left_waiting(30.0)
 
--- a/tests/test_zone_placement_faults.py
+++ b/tests/test_zone_placement_faults.py
@@ -1,4 +1,4 @@
-"""Jobs that are bound to a zone lose machines while capacity is short and the leader changes."""
+"""Test zone-bound jobs that lose machines while capacity is short and the leader changes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def only_its_own_starts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new source counts for a job's zones only what it has started itself."""
+    """Remove the guard: a new source counts only its own starts towards a job's zones."""
     epochs: dict[TeamQuotas, int] = {}
     real_init = JobSource.__init__
 
@@ -28,22 +28,22 @@
 
     real = TeamQuotas.zone_limits
 
-    def zone_room(self: TeamQuotas, js: JobState) -> Any:
+    def zone_limits_of_own_starts(self: TeamQuotas, js: JobState) -> Any:
         before = js.allocations_per_zone
-        mine = [
+        own_zones = [
             e.zone for e in js.allocations.values() if e.attempt >> ATTEMPT_BITS == epochs[self]
         ]
-        js.allocations_per_zone = {z: mine.count(z) for z in mine}
+        js.allocations_per_zone = {z: own_zones.count(z) for z in own_zones}
         found = real(self, js)
         js.allocations_per_zone = before
         return found
 
     monkeypatch.setattr(JobSource, "__init__", init)
-    monkeypatch.setattr(TeamQuotas, "zone_limits", zone_room)
+    monkeypatch.setattr(TeamQuotas, "zone_limits", zone_limits_of_own_starts)
 
 
 def by_the_letter(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Preemption is a circle: by priority within a guarantee, by guarantee above the priority."""
+    """Remove the guard: preemption is cyclic, by priority in a guarantee, by guarantee above it."""
     real = PreemptionPlanner.may_preempt
     monkeypatch.setattr(
         PreemptionPlanner, "may_preempt", lambda self, w, c: real(self, w, (*c[:4], False))
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seed", "room", "without", "rule"),
+    ("seed", "can_rent", "without", "rule"),
     [
         (2, False, None, ""),
         (3, False, None, ""),
@@ -60,23 +60,21 @@
     ],
 )
 def test_zone_bound_jobs_finish_in_their_zone_despite_lost_machines_and_slow_links(
-    seed: int, room: bool, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
+    seed: int, can_rent: bool, without: Any, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Gangs and arrays in one zone or a named zone; machines are lost, partitioned and hang, the
-    leader changes.
+    """Gangs and arrays are bound to one zone or to a named zone, while machines are lost,
+    partitioned or hang, and the leader changes.
 
-    No task begins outside its zone; all jobs end; what fits does not wait; no task is preempted
-    again and again.
+    No task starts outside its zone, all jobs end, no job waits that fits, and no task is preempted
+    over and over.
     """
     if without is not None:
         without(monkeypatch)
-    stopped: list[int] = []
+    max_starts: list[int] = []
 
     async def scene(cluster: SimulatedCluster) -> None:
-        if not room:
-            cluster.fleet.most = len(
-                cluster.fleet.machines
-            )  # and what is taken is not to be had again
+        if not can_rent:
+            cluster.fleet.most = len(cluster.fleet.machines)  # a lost machine can't be rented again
         n = 900
         bound: list[tuple[str, dict[str, Any]]] = [
             ("array", {"together": True}),
@@ -109,22 +107,22 @@
                 ),
             )
         await anyio.sleep(3.0)
-        busy = [
+        busy_machines = [
             w.name
             for w in cluster.fleet.workers.values()
             if any(900 <= int(k[0][2:]) < n for k in w.tasks)
         ]
-        taken = next(
+        lost_machine = next(
             w.name
             for w in cluster.fleet.workers.values()
             if any(k[0] == "j-000900" for k in w.tasks)
         )
-        busy.remove(taken)
-        cluster.fleet.machines.pop(taken).scope.cancel()
-        for w in busy[:2]:
+        busy_machines.remove(lost_machine)
+        cluster.fleet.machines.pop(lost_machine).scope.cancel()
+        for w in busy_machines[:2]:
             for c in cluster.names:
                 cluster.net.cut(c, w, SILENT, 14.0)
-        cluster.hang(busy[2:3], 7.0)
+        cluster.hang(busy_machines[2:3], 7.0)
         shard = cluster.nodes["c0"].context.shard_map.team_shard["team-0"]
         cluster.tasks.start_soon(
             cluster.crash,
@@ -135,12 +133,14 @@
         with anyio.move_on_after(100.0):
             while not all(cluster.served(j) for j in cluster.specs):
                 await anyio.sleep(0.5)
-        stopped.append(max(cluster.fleet.begun.values()))
-        assert all(cluster.served(j) for j in cluster.specs), "all of it ends"
+        max_starts.append(max(cluster.fleet.begun.values()))
+        assert all(cluster.served(j) for j in cluster.specs), "not all jobs ended"
 
     try:
         play(scene, seed, machines=8)
-        found = "" if stopped[0] <= 6 else f"to and fro: a task was started {stopped[0]} times"
+        found = (
+            "" if max_starts[0] <= 6 else f"to and fro: a task was started {max_starts[0]} times"
+        )
     except AssertionError as e:
         found = str(e)
     assert rule in found if rule else not found, found
@@ -152,7 +152,7 @@
 def test_single_zone_array_stays_in_its_zone_when_its_leader_and_a_machine_are_lost(
     how: str, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A task that is not proved gone holds its job's zone, under the new source as well."""
+    """A task that is not proved gone keeps its job bound to the zone, also for the new source."""
     if without is not None:
         without(monkeypatch)
     zones: set[str] = set()
@@ -161,9 +161,9 @@
         cluster.fleet.most = len(cluster.fleet.machines)
         await cluster.submit(cluster.spec(900, gait="array", chicks=6, flightS=30.0, together=True))
         await anyio.sleep(4.0)
-        mine = {w.name: w.zone for w in cluster.fleet.workers.values() if w.tasks}
-        zone = next(iter(mine.values()))
-        for w in cluster.fleet.workers.values():  # the rest of its zone is taken
+        own_zones = {w.name: w.zone for w in cluster.fleet.workers.values() if w.tasks}
+        zone = next(iter(own_zones.values()))
+        for w in cluster.fleet.workers.values():  # fill the rest of its zone
             if w.zone == zone:
                 n = sum(1 for x in cluster.asked) + 900
                 await cluster.submit(
@@ -178,7 +178,7 @@
             next(n for n in cluster.names if shard in cluster.nodes[n].context.held_shards),
             12.0,
         )
-        lost = min(mine)
+        lost = min(own_zones)
         if how == "taken":
             cluster.fleet.machines.pop(lost).scope.cancel()
         else:
