--- a/tests/job_sources.py
+++ b/tests/job_sources.py
@@ -1,4 +1,4 @@
-"""Jobs, job sources and offers for tests of the source's decisions, without any I/O."""
+"""Build jobs, job sources and offers for tests of the source's decisions, without any I/O."""
 
 from __future__ import annotations
 
@@ -47,10 +47,17 @@
 
 
 def offers(
-    n: int, part: int = 0, zone: str = "a", first: int = 1, victims: int = 0, job: str = "j-000001"
+    n: int,
+    shard_index: int = 0,
+    zone: str = "a",
+    first: int = 1,
+    victims: int = 0,
+    job: str = "j-000001",
 ) -> dict[str, Any]:
     return {
-        peer_messages.offer_key(first + i): OfferUpdate(job, f"n-{part}{i}", zone, 0.0, victims)
+        peer_messages.offer_key(first + i): OfferUpdate(
+            job, f"n-{shard_index}{i}", zone, 0.0, victims
+        )
         for i in range(n)
     }
 
@@ -58,19 +65,21 @@
 def play_outcomes(
     s: JobSource, seconds: int, outcome: Outcome, machines: int = 8, first: int = 0
 ) -> list[tuple[float, str, int, str]]:
-    """Run a source against owners that always have capacity. Returns each start: when, job, task,
-    machine.
+    """Run a source against owners that always have capacity.
+
+    Returns:
+        The time, job, task and machine of each start.
     """
     starts: list[tuple[float, str, int, str]] = []
     ticket = first * 1000
-    board: dict[str, Any] = {}
+    owner_entries: dict[str, Any] = {}
     for step in range(seconds * 2):
         now = first + step / 2
-        for (part, key), value in s.take_owner_updates(1, now).items():
-            if part == 0:
-                board[key] = value
+        for (shard_index, key), value in s.take_owner_updates(1, now).items():
+            if shard_index == 0:
+                owner_entries[key] = value
         changes: dict[str, Any] = {}
-        for key, value in board.items():
+        for key, value in owner_entries.items():
             if key[0] == peer_messages.CANDIDATE and value is not None:
                 for _ in range(value.waiting_tasks):
                     ticket += 1
