--- a/ploverhall/autoscaling/fleet_state.py
+++ b/ploverhall/autoscaling/fleet_state.py
@@ -14,7 +14,7 @@
 from ploverhall.maintenance.orders import MaintenanceOrder
 from ploverhall.protocol.cloud import CloudMachine, MachineType
 from ploverhall.protocol.jobs import Job
-from ploverhall.protocol.peer_messages import UNPROVABLE_MACHINES_KEY, MachineUpdate
+from ploverhall.protocol.peer_messages import UNOBSERVED_MACHINES_KEY, MachineUpdate
 from ploverhall.scheduling.machines import MachinePool
 from ploverhall.scheduling.objectives import Objectives
 
@@ -116,7 +116,7 @@
         self.machines_per_pool: dict[MachinePool, int] = {}
         self.missing_since: dict[str, float] = {}
         # By shard: the machines that have permits but whose state only the cloud can tell
-        self.unprovable_by_shard: dict[int, tuple[str, ...]] = {}
+        self.unobserved_by_shard: dict[int, tuple[str, ...]] = {}
         self.deleted: dict[str, float] = {}  # name -> when, oldest first
         self.list_count = 0  # complete lists of the cloud's machines that were applied
         self.request_count = 0
@@ -148,16 +148,16 @@
     # -- inputs ------------------------------------------------------------------------------
 
     def on_owner_update(self, shard: int, full: bool, changes: dict[str, Any], now: float) -> None:
-        """Apply a shard owner's update of its machines by name and of its unprovable machines.
+        """Apply a shard owner's update of its machines by name and of its unobserved machines.
 
         A value of None means that the machine's agent no longer sends heartbeats. With `full`,
-        `changes` holds all machines of the shard that send heartbeats. Unprovable machines are
+        `changes` holds all machines of the shard that send heartbeats. Unobserved machines are
         those that have permits but whose state only the cloud can tell.
         """
-        unprovable = changes.get(UNPROVABLE_MACHINES_KEY) or ()
-        if full or UNPROVABLE_MACHINES_KEY in changes:
-            self.unprovable_by_shard[shard] = tuple(unprovable)
-        for name in unprovable:
+        unobserved = changes.get(UNOBSERVED_MACHINES_KEY) or ()
+        if full or UNOBSERVED_MACHINES_KEY in changes:
+            self.unobserved_by_shard[shard] = tuple(unobserved)
+        for name in unobserved:
             if name not in self.deleted:
                 self.missing_since.setdefault(name, now)
         if full:
@@ -169,7 +169,7 @@
                 ):
                     self._on_agent_lost(machine, now)
         for name, value in changes.items():
-            if name == UNPROVABLE_MACHINES_KEY:
+            if name == UNOBSERVED_MACHINES_KEY:
                 continue
             if value is not None:
                 self._update_machine(shard, name, MachineUpdate(*value), now)
@@ -275,13 +275,13 @@
     def deleted_for(self, shard: int) -> list[str]:
         """Return the deleted machines to report to a shard's owner, sorted by name.
 
-        These are the latest deleted machines and all deleted ones among the shard's unprovable
+        These are the latest deleted machines and all deleted ones among the shard's unobserved
         machines. Without the latter, a machine deleted before the latest `MAX_DELETED_REPORTED`
         would never be reported, and would count against its team's limit forever.
         """
         latest = list(self.deleted)[-MAX_DELETED_REPORTED:]
-        unprovable = self.unprovable_by_shard.get(shard, ())
-        return sorted({*latest, *(name for name in unprovable if name in self.deleted)})
+        unobserved = self.unobserved_by_shard.get(shard, ())
+        return sorted({*latest, *(name for name in unobserved if name in self.deleted)})
 
     def draining_machines(self, shard: int) -> list[str]:
         """Return the machines of a shard that should take no new tasks, sorted by name."""
--- a/ploverhall/connectivity/heartbeat_failback.py
+++ b/ploverhall/connectivity/heartbeat_failback.py
@@ -37,7 +37,7 @@
 
     @property
     def redirected(self) -> bool:
-        """Whether the agent was redirected here and that redirect has not failed."""
+        """Return whether the agent was redirected here and that redirect has not failed."""
         return self.redirected_at > NEVER
 
     def redirect_failed(self, now: float) -> bool:
--- a/ploverhall/connectivity/link_health.py
+++ b/ploverhall/connectivity/link_health.py
@@ -2,7 +2,7 @@
 
 A link becomes unhealthy quickly, since requests on a failed link hang. To become healthy again it
 must answer for some time, and for longer if it keeps flapping, since its callers pay for every
-return to a link that fails again. Used by `controller.outbound` for each outside service.
+return to a link that fails again. Used by `controller.outbound` for each external service.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
     @property
     def failure_threshold_s(self) -> float:
-        """The seconds of failures or silence after which the link becomes unhealthy."""
+        """Return the seconds of failures or silence after which the link becomes unhealthy."""
         return max(MIN_FAILURE_S, FAILURE_RTT_MULTIPLE * self.typical_latency_s)
 
     def record_answer(self, latency_s: float, now: float) -> None:
--- a/ploverhall/connectivity/relay_routes.py
+++ b/ploverhall/connectivity/relay_routes.py
@@ -17,7 +17,7 @@
 MAX_BACKOFF_S = 8.0
 NEVER = -1e9  # earlier than any time of the steady clock
 MAX_INCARNATION_LENGTH = 40
-OUTSIDE_SERVICES = frozenset(("state", "cloud"))  # equal to relay_messages.STORE and CLOUD
+EXTERNAL_SERVICES = frozenset(("state", "cloud"))  # equal to relay_messages.STORE and CLOUD
 
 # Field names of a connectivity report
 INCARNATION_FIELD = "life"
@@ -35,7 +35,7 @@
     received_at: float = NEVER
     incarnation: str = ""  # of the peer's process
     relay_kinds: frozenset[str] = frozenset()  # kinds of requests that it relays
-    reachable_services: frozenset[str] = frozenset()  # outside services that it reaches directly
+    reachable_services: frozenset[str] = frozenset()  # external services that it reaches directly
     relays_in_use: dict[str, str] = field(default_factory=dict)  # by service: the relay it uses
     heard_peers: frozenset[str] = frozenset()  # peers whose messages it receives
     # By shard: the epoch at which the peer holds it while no agent of the shard reaches the peer
@@ -89,7 +89,7 @@
         avoid: frozenset[str] = frozenset(),
         hops: int = 2,
     ) -> str | None:
-        """Return the peer through which to relay requests to an outside service; None if none can.
+        """Return the peer through which to relay requests to an external service; None if none can.
 
         Prefers a peer that reaches the service directly. If there is none and `hops` is 2, chooses
         a peer that receives the messages of such a peer. Peers in `avoid` are excluded from both
@@ -149,14 +149,14 @@
         return name in self.peers and shard in self.peers[name].unreachable_shards
 
     def all_services_reachable(self, name: str, now: float) -> bool:
-        """Return whether a peer reaches all outside services directly.
+        """Return whether a peer reaches all external services directly.
 
         True as well for a peer that has never reported: its release may not send reports.
         """
         peer = self.peers.get(name)
         if peer is None or peer.received_at < 0:
             return True
-        return self.is_fresh(name, now) and peer.reachable_services >= OUTSIDE_SERVICES
+        return self.is_fresh(name, now) and peer.reachable_services >= EXTERNAL_SERVICES
 
     def record_success(self, name: str) -> None:
         """Record that a route through a peer worked, and reset the peer's backoff."""
--- a/ploverhall/controller/controller.py
+++ b/ploverhall/controller/controller.py
@@ -74,7 +74,7 @@
         self.context = ControllerContext(settings, runtime or Runtime())
         self.tasks: anyio.abc.TaskGroup
         self._compose_relay()
-        self._compose_outside_services()
+        self._compose_external_services()
         self._compose_agent_links()
         self._compose_coordination()
         self._compose_shard_claims()
@@ -99,7 +99,7 @@
             self._serve_relay,
         )
 
-    def _compose_outside_services(self) -> None:
+    def _compose_external_services(self) -> None:
         """Create the clients of the key-value store and the cloud, direct or relayed by a peer."""
         settings, context = self.settings, self.context
         self.store_service = ExternalService(
--- a/ploverhall/controller/job_requests.py
+++ b/ploverhall/controller/job_requests.py
@@ -44,7 +44,7 @@
 MAX_DELAYED_LOOKUPS = 1000
 # A submission whose write would wait for longer is refused at once, with the time to retry after
 MAX_SUBMISSION_WAIT_S = 1.5
-MAX_UNGUARANTEED_WAIT_S = 0.5  # of a team without guaranteed CPUs or GPUs
+MAX_UNGUARANTEED_SUBMISSION_WAIT_S = 0.5  # of a team without guaranteed CPUs or GPUs
 RECORD_OVERHEAD_BYTES = 64  # part of the store's limit for a value that is kept free
 LIMIT_TOLERANCE = 1e-6  # for sums of floating-point amounts
 
@@ -173,7 +173,7 @@
         writes, team = self.context.store.writes, self.context.teams[job.team]
         unguaranteed = team.guaranteed_cpus <= 0 and team.guaranteed_gpus <= 0
         wait_s = writes.delay(1) + self.pending_submissions / writes.rate
-        max_wait_s = MAX_UNGUARANTEED_WAIT_S if unguaranteed else MAX_SUBMISSION_WAIT_S
+        max_wait_s = MAX_UNGUARANTEED_SUBMISSION_WAIT_S if unguaranteed else MAX_SUBMISSION_WAIT_S
         return wait_s if wait_s > max_wait_s else None
 
     async def _store_submission(self, job: Job, record: Any) -> Reply:
--- a/ploverhall/controller/scheduling_loop.py
+++ b/ploverhall/controller/scheduling_loop.py
@@ -192,7 +192,7 @@
             self._update_from_autoscaler(self.context.autoscaler)
 
     def _update_autoscaler(self, held: HeldShard, now: float) -> None:
-        """Queue a shard's machine updates and unprovable machines for the autoscaler."""
+        """Queue a shard's machine updates and unobserved machines for the autoscaler."""
         channel = self.context.outbound.channel(
             peer_messages.OWNER_TO_AUTOSCALER,
             held.shard,
@@ -201,7 +201,7 @@
         )
         channel.update(held.owner.take_machine_updates(now))
         channel.put(
-            peer_messages.UNPROVABLE_MACHINES_KEY, held.owner.unprovable_machines(now) or None
+            peer_messages.UNOBSERVED_MACHINES_KEY, held.owner.unobserved_machines(now) or None
         )
 
     def _update_from_source(self, held: HeldShard, source: JobSource, now: float) -> None:
--- a/ploverhall/coordination/cancellation_barrier.py
+++ b/ploverhall/coordination/cancellation_barrier.py
@@ -243,15 +243,15 @@
 
     @property
     def legacy_answer_s(self) -> float:
-        """The `max_contact_age_s` of a controller while some peers run older releases, in seconds.
+        """Return the `max_contact_age_s` of a controller with peers of older releases, in seconds.
 
-        Never less than 1.
+        It is never less than 1.
         """
         return max(1.0, self.cancel_s - self.lease_s - LEGACY_EARLY_STOP_S)
 
     @property
     def max_contact_age_s(self) -> float:
-        """Seconds after its last contact at which this controller stops answering agents.
+        """Return how many seconds after its last contact this controller stops answering agents.
 
         It is `longest_answer_s` only if every peer delays acknowledgements, so not during a rolling
         upgrade.
@@ -264,19 +264,19 @@
 
     @property
     def longest_answer_s(self) -> float:
-        """The largest `max_contact_age_s` of any controller, in seconds."""
+        """Return the largest `max_contact_age_s` of any controller, in seconds."""
         return max(self.legacy_answer_s, self.cut_off_s)
 
     @property
     def all_leases_expired_s(self) -> float:
-        """Seconds after a controller's last contact until all its agents' leases have expired."""
+        """Return the seconds from a controller's last contact to the end of its agents' leases."""
         return (self.longest_answer_s + self.lease_s) * CLOCK_DRIFT + IN_FLIGHT_MARGIN_S
 
     # -- acknowledging cancellations -----------------------------------------------------------
 
     @property
     def ack_delay_s(self) -> float:
-        """Seconds for which an absent peer must have been owed nothing before it can be ignored.
+        """Return the seconds that an absent peer must be owed nothing before it can be ignored.
 
         A peer answers agents for at most `longest_answer_s` after its last contact, and its agents'
         leases last on from there. All of that must be over `cancel_s` after the acknowledgement.
--- a/ploverhall/coordination/isolation.py
+++ b/ploverhall/coordination/isolation.py
@@ -39,7 +39,7 @@
 
     @property
     def canary_return_s(self) -> float:
-        """The seconds within which a canary that nobody answers has sent a heartbeat here again."""
+        """Return the seconds until a canary that nobody answers has sent a heartbeat here again."""
         return (self.candidate_index + 1) * (
             AGENT_TIMEOUT_S + AGENT_RETRY_PAUSE_S
         ) + CANARY_RETURN_MARGIN_S
--- a/ploverhall/coordination/restart_recovery.py
+++ b/ploverhall/coordination/restart_recovery.py
@@ -42,7 +42,7 @@
 
     @property
     def informed_renewal_s(self) -> float:
-        """Seconds for which an agent may be answered after an answer by an informed controller.
+        """Return for how many seconds after an informed controller's answer agents may be answered.
 
         The limit follows from the cancellations that users may be told of in that time.
         """
--- a/ploverhall/maintenance/orders.py
+++ b/ploverhall/maintenance/orders.py
@@ -91,7 +91,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the order is stopped or done."""
+        """Return whether the order is stopped or done."""
         return self.state in (STOPPED, DONE)
 
     def record(self) -> dict[str, Any]:
--- a/ploverhall/protocol/peer_messages.py
+++ b/ploverhall/protocol/peer_messages.py
@@ -38,7 +38,7 @@
 # Keys that exist once on a channel
 # OWNER_TO_AUTOSCALER, beside the keys of the machines: the machines that have permits but whose
 # state only the cloud can tell
-UNPROVABLE_MACHINES_KEY = "?"
+UNOBSERVED_MACHINES_KEY = "?"
 DRAIN_KEY = "drain"  # AUTOSCALER_TO_OWNER: machines to drain
 CORDON_KEY = "empty"  # AUTOSCALER_TO_OWNER: machines under maintenance orders
 DELETED_KEY = "gone"  # AUTOSCALER_TO_OWNER: machines that were deleted
--- a/ploverhall/scheduling/machine_health.py
+++ b/ploverhall/scheduling/machine_health.py
@@ -1,6 +1,6 @@
 """Detection of machines that send heartbeats but should get no new work.
 
-`FailureAttribution` quarantines machines on which several jobs fail. `ReceptionMonitor` detects
+`MachineQuarantine` quarantines machines on which several jobs fail. `ReceptionMonitor` detects
 one-way partitions: machines that send heartbeats but do not receive what is sent to them. The shard
 owner calls this module with each heartbeat and each sweep. No I/O.
 """
@@ -25,8 +25,8 @@
 CONFIRMATION_MARGIN_S = 2.0
 
 
-class FailureAttribution:
-    """Attributes task failures to machines or to jobs, and quarantines machines."""
+class MachineQuarantine:
+    """Quarantines machines on which tasks of several different jobs have failed."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
--- a/ploverhall/scheduling/shard_owner.py
+++ b/ploverhall/scheduling/shard_owner.py
@@ -25,7 +25,7 @@
 from ploverhall.scheduling import shard_updates
 from ploverhall.scheduling.command_builder import CommandBuilder
 from ploverhall.scheduling.lease_monitor import LeaseMonitor
-from ploverhall.scheduling.machine_health import FailureAttribution, ReceptionMonitor
+from ploverhall.scheduling.machine_health import MachineQuarantine, ReceptionMonitor
 from ploverhall.scheduling.machines import Machine, Permit
 from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.placement import Placement
@@ -69,10 +69,10 @@
         self.source_updates: dict[tuple[int, str], Any] = self.placement.reservations.source_updates
         self.permit_table = PermitTable(self, self.placement.reservations)
         self.permits = self.permit_table.permits
-        self.failures = FailureAttribution(self)
+        self.quarantine = MachineQuarantine(self)
         self.reception = ReceptionMonitor(self)
         self.source_requests = SourceRequests(
-            self, self.permit_table, self.placement, self.failures
+            self, self.permit_table, self.placement, self.quarantine
         )
         self.lease_monitor = LeaseMonitor(self, self.permit_table, self.placement.reservations)
         self.command_builder = CommandBuilder(self, self.permit_table)
@@ -289,7 +289,7 @@
         elif (
             task.state == EXITED and task.reason == "error" and (old is None or old.state != EXITED)
         ):
-            self.failures.record_failure(machine, attempt_id.job_id, now)
+            self.quarantine.record_failure(machine, attempt_id.job_id, now)
 
     # -- time --------------------------------------------------------------------------------
 
@@ -320,7 +320,7 @@
         """
         forgotten = self.lease_monitor.sweep(now)
         self.reception.sweep(now)
-        self.failures.sweep(now)
+        self.quarantine.sweep(now)
         for machine in forgotten:
             self._forget_machine(machine)
             self.inventory.permits_by_machine.pop(machine.name, None)
@@ -332,7 +332,7 @@
         """Remove a machine from the inventory and from the monitors."""
         self.inventory.remove(machine)
         self.machines_by_heartbeat.pop(machine.name, None)
-        self.failures.forget(machine)
+        self.quarantine.forget(machine)
         self.reception.forget(machine)
 
     def on_machines_deleted(self, names: list[str]) -> None:
@@ -463,7 +463,7 @@
             for name, machine in changed.items()
         }
 
-    def unprovable_machines(self, now: float) -> list[str]:
+    def unobserved_machines(self, now: float) -> list[str]:
         """Return the names of machines whose state only the cloud can tell, sorted.
 
         They have permits that are not gone, but have not confirmed this owner's token and send no
--- a/ploverhall/scheduling/source_requests.py
+++ b/ploverhall/scheduling/source_requests.py
@@ -11,7 +11,7 @@
 from ploverhall.protocol import peer_messages
 from ploverhall.protocol.jobs import Job, from_record
 from ploverhall.protocol.peer_messages import CandidateUpdate, JobUpdate, PermitUpdate
-from ploverhall.scheduling.machine_health import FailureAttribution
+from ploverhall.scheduling.machine_health import MachineQuarantine
 from ploverhall.scheduling.machines import JobTraits
 from ploverhall.scheduling.permit_table import PermitTable
 from ploverhall.scheduling.placement import Placement
@@ -26,12 +26,12 @@
         state: ShardState,
         permit_table: PermitTable,
         placement: Placement,
-        failures: FailureAttribution,
+        quarantine: MachineQuarantine,
     ) -> None:
         self.state = state
         self.permit_table = permit_table
         self.placement = placement
-        self.failures = failures
+        self.quarantine = quarantine
         self.known_keys: dict[int, set[str]] = {}  # by source shard: keys on its state channel
 
     def update(self, source_shard: int, full: bool, changes: dict[str, Any], now: float) -> None:
@@ -92,7 +92,7 @@
             for permit in self.permit_table.permits_by_job.get(job_id, {}).values():
                 self.state.mark_changed(self.state.machines.get(permit.machine))
         if update.failing_everywhere and not (old is not None and old.failing_everywhere):
-            self.failures.clear_machines(job_id)
+            self.quarantine.clear_machines(job_id)
 
     def _forget_job(self, job_id: str) -> None:
         self.state.jobs.pop(job_id, None)
--- a/ploverhall/transport/connection_limit.py
+++ b/ploverhall/transport/connection_limit.py
@@ -1,11 +1,11 @@
 """Limit the connections of users and agents, so that each and the controller itself have sockets.
 
 Agents keep their connections open between two heartbeats. Where there are more agents than sockets,
-agents take turns with them: once agents hold more than `shared` connections, the next agent that is
-answered is told to close its connection (`Connection: close`) and connects again for its next
-heartbeat. The reconnects are thus spread over the heartbeat interval, as the heartbeats are. Idle
-connections of agents that now report elsewhere are closed, the longest idle first. Near the limit
-of accepted connections, users' connections are closed after their answers, too.
+agents take turns with them: once agents hold more than `keepalive_agents` connections, the next
+agent that is answered is told to close its connection (`Connection: close`) and connects again for
+its next heartbeat. The reconnects are thus spread over the heartbeat interval, as the heartbeats
+are. Idle connections of agents that now report elsewhere are closed, the longest idle first. Near
+the limit of accepted connections, users' connections are closed after their answers, too.
 
 Used by `transport.http_server.Server` for the connections that it accepts, and by
 `transport.client_pool.ClientPool` for the connections to agents. No connection is closed before a
@@ -25,7 +25,7 @@
 ACCEPTED_SHARE = 0.8  # accepted connections; any more are answered with 503
 NO_KEEPALIVE_SHARE = 0.75  # accepted connections; above this, all are closed after their answers
 AGENTS_SHARE = 0.7  # agents' connections; more are answered with 503, so that users find a socket
-SHARED_SHARE = 0.6  # agents' connections that are kept open between two heartbeats
+KEEPALIVE_AGENTS_SHARE = 0.6  # agents' connections that are kept open between two heartbeats
 TOTAL_SHARE = 0.9  # accepted plus kept outgoing connections; the rest is for store, cloud, peers
 MIN_ACCEPTED = 8  # accepted connections, even if the platform allows very few sockets
 
@@ -37,7 +37,7 @@
     accepted: int
     no_keepalive: int
     agents: int
-    shared: int
+    keepalive_agents: int
     total: int
 
     @classmethod
@@ -48,7 +48,7 @@
             accepted=accepted,
             no_keepalive=min(accepted, max(MIN_ACCEPTED, int(max_sockets * NO_KEEPALIVE_SHARE))),
             agents=min(accepted - 1, max(2, int(max_sockets * AGENTS_SHARE))),
-            shared=min(accepted - 2, max(1, int(max_sockets * SHARED_SHARE))),
+            keepalive_agents=min(accepted - 2, max(1, int(max_sockets * KEEPALIVE_AGENTS_SHARE))),
             total=max(accepted + 1, int(max_sockets * TOTAL_SHARE)),
         )
 
@@ -111,7 +111,7 @@
         if connection not in self.agents:
             return False
         self.evict(now)
-        return len(self.agents) > self.limits.shared
+        return len(self.agents) > self.limits.keepalive_agents
 
     def answered(self, connection: Connection, now: float) -> None:
         """Record that an answer was sent at `now`, and that the connection stays open."""
@@ -125,7 +125,8 @@
         """
         evicted = 0
         excess = max(
-            len(self.agents) - self.limits.shared, len(self.accepted) - self.limits.accepted
+            len(self.agents) - self.limits.keepalive_agents,
+            len(self.accepted) - self.limits.accepted,
         )
         while evicted < excess and self.idle:
             connection = next(iter(self.idle))
--- a/ploverhall/transport/http_server.py
+++ b/ploverhall/transport/http_server.py
@@ -166,7 +166,7 @@
         reader = RequestReader()
         while True:
             in_message = reader.message_begun
-            error = _feed(reader, await stream.receive(READ_BYTES))
+            error = _parse_received(reader, await stream.receive(READ_BYTES))
             while reader.ready:
                 reply = await self._serve_request(stream, connection, reader.ready.popleft())
                 if reply.close:
@@ -210,8 +210,8 @@
         await stream.send(encode(reply, head_only))
 
 
-def _feed(reader: RequestReader, data: bytes) -> InvalidHttpError | None:
-    """Parse bytes; return an error, to be answered after the complete requests before it."""
+def _parse_received(reader: RequestReader, data: bytes) -> InvalidHttpError | None:
+    """Parse received bytes; return an error to answer after the complete requests before it."""
     try:
         reader.feed(data)
     except InvalidHttpError as error:
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -153,7 +153,7 @@
     slots = [0] * 40
     for at in connects:
         slots[int((at - connects[0]) / (10 * REPORT_S) * 40) % 40] += 1
-    excess = 4 * MAX_SOCKETS - LIMITS.shared
+    excess = 4 * MAX_SOCKETS - LIMITS.keepalive_agents
     assert 0.9 * 10 * excess <= len(connects) <= 1.1 * 10 * excess, (
         "agents within the limit reconnect, or others more than once per heartbeat"
     )
@@ -161,7 +161,7 @@
     assert controller.count("agent")[1] == 0, "an agent was refused"
 
 
-@pytest.mark.parametrize("agents", [1, LIMITS.shared])
+@pytest.mark.parametrize("agents", [1, LIMITS.keepalive_agents])
 def test_limiter_changes_no_packet_below_the_limit(agents: int) -> None:
     async def scene(controller: Controller) -> None:
         for i in range(agents):
@@ -175,14 +175,14 @@
     """Otherwise active agents would reconnect each time while unused connections are idle."""
 
     async def scene(controller: Controller) -> None:
-        for i in range(LIMITS.shared):
+        for i in range(LIMITS.keepalive_agents):
             controller.tasks.start_soon(controller.agent, f"gone-{i}", 1)
         await anyio.sleep(2 * REPORT_S)
-        for i in range(LIMITS.shared):
+        for i in range(LIMITS.keepalive_agents):
             controller.tasks.start_soon(controller.agent, f"agent-{i}")
         await anyio.sleep(LEASE_S + 4 * REPORT_S)
         assert controller.limiter is not None
-        assert len(controller.limiter.idle) > 0.9 * LIMITS.shared
+        assert len(controller.limiter.idle) > 0.9 * LIMITS.keepalive_agents
         assert min(controller.limiter.idle.values()) > controller.loop.time() - 1.5 * REPORT_S
 
     controller = run(scene)
@@ -224,7 +224,9 @@
 def test_limits_leave_sockets_for_the_controllers_own_calls() -> None:
     for sockets in (10, 16, 50, 200, 500, 1686, 2377, 7600):
         limits = SocketLimits.of_platform(sockets)
-        assert 0 < limits.shared < limits.agents < limits.accepted < limits.total < sockets
+        assert (
+            0 < limits.keepalive_agents < limits.agents < limits.accepted < limits.total < sockets
+        )
         assert limits.agents < limits.no_keepalive <= limits.accepted == max(8, int(0.8 * sockets))
     for sockets in (50, 200, 500, 1686, 2377, 7600):
         limits = SocketLimits.of_platform(sockets)
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -114,7 +114,7 @@
     o.on_source_update(0, True, permit(epoch=3), 0.0)
     o.advance_time(500.0)
     assert state(o) == "running"
-    assert o.unprovable_machines(500.0) == ["n-1"], "the cloud must be asked about the machine"
+    assert o.unobserved_machines(500.0) == ["n-1"], "the cloud must be asked about the machine"
     o.on_machines_deleted(["n-1"])
     assert state(o) == "gone"
 
