--- a/tests/decision_model_runs.py
+++ b/tests/decision_model_runs.py
@@ -22,7 +22,7 @@
         if rng.random() < 0.3:
             w.schedule(fault_s * (0.3 + 0.6 * rng.random()), w.withdraw, f"j-{i:06d}")
     w.run(fault_s)
-    w.chaos = 0.0
+    w.fault_intensity = 0.0
     for node in w.nodes:
         if not node.up:
             w.crash(node, 0.1)
--- a/tests/removed_guards.py
+++ b/tests/removed_guards.py
@@ -21,7 +21,7 @@
     return FreshRead(self.context.clock())
 
 
-def told_at_once(self: JobAnswers, job_id: str) -> JobStatus | None:
+def final_without_barrier(self: JobAnswers, job_id: str) -> JobStatus | None:
     """Replace `JobAnswers.final`: report a job's end without checking which controllers know of it.
 
     Repeated submissions were once answered in this way.
@@ -34,7 +34,7 @@
     )
 
 
-def copies_are_news(monkeypatch: pytest.MonkeyPatch) -> None:
+def accept_stale_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
     """Make shard owners accept stale heartbeats, as if each were the newest."""
     real = ShardOwner.on_heartbeat
 
--- a/tests/simulation/decision_model.py
+++ b/tests/simulation/decision_model.py
@@ -46,7 +46,7 @@
         machines: int = 9,
         value_bytes: int = 4096,
         txn_ops: int = 8,
-        chaos: float = 1.0,
+        fault_intensity: float = 1.0,
         kinds: tuple[int, ...] = DEFAULT_KINDS,
         cut_off: float = 60.0,
         copies: float = 0.0,
@@ -54,7 +54,8 @@
         super().__init__()
         self.cut_off = cut_off  # the barrier's setting, for controllers that are cut off
         self.copies = copies  # share of heartbeats delivered again, up to three leases later
-        self.chaos, self.kinds = chaos, kinds  # `chaos` 0: no faults; `kinds` of faults to draw
+        # `fault_intensity` 0: no faults, else it scales message delays; `kinds` of faults to draw
+        self.fault_intensity, self.kinds = fault_intensity, kinds
         self.down_until = 0.0  # until then the store refuses all requests
         # Additional running time of some tasks, in seconds
         self.extra_s: dict[tuple[str, int], float] = {}
@@ -92,8 +93,8 @@
     # -- network and faults --------------------------------------------------------------------
 
     def delay(self, rng: Random | None = None) -> float:
-        """Draw a message's delay in seconds: mostly short, up to about 0.5 s at `chaos` 1."""
-        return 0.002 + ((rng or self.rng).random() ** 6) * 0.5 * self.chaos
+        """Draw a message's delay in seconds: mostly short, up to about 0.5 s at intensity 1."""
+        return 0.002 + ((rng or self.rng).random() ** 6) * 0.5 * self.fault_intensity
 
     def deferred(self, controller: ModelController, call: Any, *args: Any) -> bool:
         """Postpone a call if the controller's event loop is stalled, and return whether it is.
@@ -173,7 +174,7 @@
 
     def _watch_delivers(self, controller: ModelController) -> bool:
         drawn = self.rng.random() < 0.7
-        return (drawn and self.now >= controller.watch_hangs_until) or self.chaos <= 0
+        return (drawn and self.now >= controller.watch_hangs_until) or self.fault_intensity <= 0
 
     def _claim_shards(self, controller: ModelController) -> None:
         """Claim this controller's own shards, and those whose holder does not renew its lease."""
--- a/tests/simulation/model_controller.py
+++ b/tests/simulation/model_controller.py
@@ -257,7 +257,7 @@
         Frames arrive in order on one connection, and in any order on different connections.
         """
         model, generation = self.model, self.generation.get(peer.name, 0)
-        if model.cut(self, peer) or (model.chaos > 0 and model.rng.random() < 0.01):
+        if model.cut(self, peer) or (model.fault_intensity > 0 and model.rng.random() < 0.01):
             self.generation[peer.name] = generation + 1  # the next frame uses a new connection
             return
         number = generation * CONNECTION_NUMBERS + peer.starts
--- a/tests/simulation/model_faults.py
+++ b/tests/simulation/model_faults.py
@@ -52,7 +52,7 @@
         """Begin a fault now, and schedule the next one in 2 to 8 s."""
         model = self.model
         model.schedule(2.0 + 6.0 * model.rng.random(), self.inject)
-        if model.chaos > 0 and model.kinds:
+        if model.fault_intensity > 0 and model.kinds:
             self._begin[FaultKind(model.rng.choice(model.kinds))]()
 
     def _any_controller(self) -> ModelController:
--- a/tests/simulation/model_messages.py
+++ b/tests/simulation/model_messages.py
@@ -59,7 +59,7 @@
             if answered:
                 model.schedule(model.delay(), on_outcome, revision, failed, False)
 
-        if fate < ANSWERED_WRITES or model.chaos <= 0:
+        if fate < ANSWERED_WRITES or model.fault_intensity <= 0:
             model.schedule(model.delay(), execute, True)
             return
         if fate < EXECUTED_WRITES:  # executed late or at once, and the answer is lost
@@ -174,7 +174,7 @@
         elif (
             not late
             and model.now >= agent.hung_until
-            and not (model.chaos > 0 and model.rng.random() < LOST_HEARTBEAT_ANSWERS)
+            and not (model.fault_intensity > 0 and model.rng.random() < LOST_HEARTBEAT_ANSWERS)
         ):
             agent.on_answer(answer, sent, incarnation)
 
@@ -195,7 +195,7 @@
         model = self.model
         agent = model.workers[machine.name]
         starts = controller.starts
-        fate = model.rng.random() if model.chaos > 0 else 0.0
+        fate = model.rng.random() if model.fault_intensity > 0 else 0.0
 
         def on_answer(report: dict[str, Any] | None) -> None:
             if controller.starts != starts or controller.held.get(held.shard) is not held:
--- a/tests/test_cloud_machine_lists.py
+++ b/tests/test_cloud_machine_lists.py
@@ -28,7 +28,7 @@
     }
 
 
-def no_margin(monkeypatch: pytest.MonkeyPatch) -> None:
+def ignore_list_lag(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the guard: a machine missing from a list counts as gone, however old the list is."""
     real = Autoscaler.on_cloud_list
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("without", [None, no_margin])
+@pytest.mark.parametrize("without", [None, pytest.param(ignore_list_lag, id="no_margin")])
 def test_new_machines_missing_from_cloud_lists_do_not_count_as_gone(
     seed: int, without: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_decision_model.py
+++ b/tests/test_decision_model.py
@@ -90,7 +90,7 @@
 
         monkeypatch.setattr(ShardOwner, "advance_time", advance_time_with_confirmed_epoch)
         monkeypatch.setattr(ShardOwner, "on_event_loop_stall", lambda self, s, now: None)
-    w = DecisionModel(3, machines=16, chaos=0.0)
+    w = DecisionModel(3, machines=16, fault_intensity=0.0)
     team = next(t for t, shard in w.layout.team_shard.items() if shard == 2)
     for i in range(3):
         job = draw_job(Random(1), f"j-{i:06d}", 0.0)
@@ -112,7 +112,7 @@
     assert any(
         w.layout.shard_of_machine(x.zone, x.name) == 0 and x.tasks for x in w.workers.values()
     ), "no task runs on shard 0"
-    w.chaos = 1e-9  # watches may hang; nothing else goes wrong
+    w.fault_intensity = 1e-9  # watches may hang; nothing else goes wrong
     w.kinds = ()
     first.stalled_until, first.watch_hangs_until, source.watch_hangs_until = (
         w.now + 13.0,
@@ -130,7 +130,7 @@
 
 def cancel_in_partitioned_zone(guarded: bool) -> DecisionModel:
     """Partition a controller with its zone for longer than `cancel_s`, and cancel a job there."""
-    w = DecisionModel(5, machines=16, chaos=0.0, cut_off=100.0)
+    w = DecisionModel(5, machines=16, fault_intensity=0.0, cut_off=100.0)
     job = replace(
         draw_job(Random(1), "j-000001", 0.0),
         team="team-0",
@@ -143,7 +143,7 @@
     )
     w.submit(job)
     w.run(10.0)
-    w.chaos, w.kinds = 1e-9, ()
+    w.fault_intensity, w.kinds = 1e-9, ()
     w.partition_zone(w.nodes[1], 80.0)
     w.run(15.0)
     w.withdraw(job.id)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -174,12 +174,12 @@
 }
 
 
-def reads_no_cells() -> Any:
+def skip_loading_allocations() -> Any:
     """Remove the guard that a new source reads the allocations whose tasks may run somewhere."""
     return RecordLoader, "install_allocations", lambda self, team, found, now: None
 
 
-def answers_nobody() -> Any:
+def answer_no_heartbeat_before_claim() -> Any:
     """Remove the guard that a restarted controller answers agents before it claims their shard."""
     return RenewalGrants, "answer_heartbeat", lambda self, r, me, newest, over, wall: None
 
@@ -189,10 +189,20 @@
     [
         *((course, None, "") for course in CRASH_PATTERNS),
         *(
-            (course, reads_no_cells, "was lost|does not run")
+            pytest.param(
+                course,
+                skip_loading_allocations,
+                "was lost|does not run",
+                id=f"{course}-reads_no_cells-was lost|does not run",
+            )
             for course in ("ten", "over and back", "one returns", "all away")
         ),
-        ("all inside an outage", answers_nobody, "was lost"),
+        pytest.param(
+            "all inside an outage",
+            answer_no_heartbeat_before_claim,
+            "was lost",
+            id="all inside an outage-answers_nobody-was lost",
+        ),
     ],
 )
 def test_leader_changes_lose_no_shard_and_break_no_rule(
@@ -247,59 +257,68 @@
 # -- jobs cancelled while the work of one controller moves to another --------------------------
 
 
-async def ends(p: SimulatedCluster) -> None:
+async def crash_c0(p: SimulatedCluster) -> None:
     """Leave no source for a while: c0 crashes, and its shard is acquired once its lease expires."""
     p.tasks.start_soon(p.crash, "c0", 9.0)
 
 
-async def stands_still(p: SimulatedCluster) -> None:
-    """Create two sources: c0 stalls while its shard is acquired.
+async def hold_c0_messages(p: SimulatedCluster) -> None:
+    """Create two sources: hold all messages of c0 for 9 s, while its shard is acquired.
 
-    When it resumes, it believes for a moment that it still holds the shard.
+    When c0 is reachable again, it believes for a moment that it still holds the shard.
     """
     for other in ("state", "cloud", "user", "c1", "c2", *p.workers):
         p.net.cut("c0", other, HOLD, 9.0)
 
 
-async def all_end(p: SimulatedCluster) -> None:
+async def crash_all_controllers(p: SimulatedCluster) -> None:
     """Leave no source at all: all controllers crash, and the one preferred for shard 0 is last."""
     for name, s in (("c1", 2.0), ("c2", 2.5), ("c0", 9.0)):
         p.tasks.start_soon(p.crash, name, s)
 
 
-async def out_of_touch(p: SimulatedCluster) -> None:
+async def partition_controllers(p: SimulatedCluster) -> None:
     """Partition the controllers, so that the new source can't reach the owners of the machines."""
     for a, b in (("c0", "c1"), ("c1", "c2"), ("c0", "c2")):
         p.net.cut(a, b, RESET, 2.0 * CANCEL)
-    await ends(p)
+    await crash_c0(p)
 
 
-def owners_know_nothing() -> Any:
+def owners_ignore_ended_jobs() -> Any:
     """Remove the guard that an owner stops tasks of ended jobs without the source's request."""
     real = ShardRoles.acquire
 
-    def take(self: ShardRoles, shard: int, epoch: int) -> None:
+    def acquire_without_end_checks(self: ShardRoles, shard: int, epoch: int) -> None:
         real(self, shard, epoch)
         owner = self.context.held_shards[shard].owner
         owner.job_ended_in_store = lambda jid: False
         owner.source_requests.end_job = lambda jid: None  # type: ignore[method-assign]
 
-    return ShardRoles, "acquire", take
+    return ShardRoles, "acquire", acquire_without_end_checks
 
 
 @pytest.mark.parametrize(
     ("how", "step", "without"),
     [
-        (ends, "claim sent", None),
-        (ends, "cells read", None),
-        (ends, "source ready", None),
-        (stands_still, "claim landed", None),
-        (stands_still, "source ready", None),
-        (all_end, "claim sent", None),
-        (all_end, "cells read", None),
-        (out_of_touch, "claim landed", None),
-        (out_of_touch, "source ready", None),
-        (out_of_touch, "claim landed", owners_know_nothing),
+        pytest.param(crash_c0, "claim sent", None, id="ends-claim sent-None"),
+        pytest.param(crash_c0, "cells read", None, id="ends-cells read-None"),
+        pytest.param(crash_c0, "source ready", None, id="ends-source ready-None"),
+        pytest.param(hold_c0_messages, "claim landed", None, id="stands_still-claim landed-None"),
+        pytest.param(hold_c0_messages, "source ready", None, id="stands_still-source ready-None"),
+        pytest.param(crash_all_controllers, "claim sent", None, id="all_end-claim sent-None"),
+        pytest.param(crash_all_controllers, "cells read", None, id="all_end-cells read-None"),
+        pytest.param(
+            partition_controllers, "claim landed", None, id="out_of_touch-claim landed-None"
+        ),
+        pytest.param(
+            partition_controllers, "source ready", None, id="out_of_touch-source ready-None"
+        ),
+        pytest.param(
+            partition_controllers,
+            "claim landed",
+            owners_ignore_ended_jobs,
+            id="out_of_touch-claim landed-owners_know_nothing",
+        ),
     ],
 )
 def test_job_cancelled_during_a_claim_ends_in_time_and_starts_nowhere(
@@ -353,7 +372,7 @@
 # -- the state service refuses the leader, then everybody, and is slow; users cancel and poll --
 
 
-def names_nothing() -> Any:
+def gossip_no_cancellations() -> Any:
     """Remove the guard that controllers gossip about cancellations and echo gossip."""
     real = CancellationBarrier.gossip_for
     return (
@@ -371,7 +390,7 @@
         (8.0, False, None),
         (8.0, True, None),
         (0.5, False, None),
-        (0.5, False, names_nothing),
+        pytest.param(0.5, False, gossip_no_cancellations, id="0.5-False-names_nothing"),
     ],
 )
 def test_controller_refused_before_an_outage_keeps_its_shard_and_tasks(
--- a/tests/test_job_answers.py
+++ b/tests/test_job_answers.py
@@ -15,7 +15,7 @@
     UnknownJob,
 )
 
-from .removed_guards import fresh_read_without_reading, told_at_once
+from .removed_guards import final_without_barrier, fresh_read_without_reading
 from .simulation import parameters
 from .simulation.cluster import SimulatedCluster
 from .simulation.fault_schedules import ANSWERED_WITHIN_S
@@ -44,7 +44,7 @@
     (`ran_cancelled`).
     """
     if not guarded:
-        monkeypatch.setattr(JobAnswers, "final", told_at_once)
+        monkeypatch.setattr(JobAnswers, "final", final_without_barrier)
 
     async def scene(cluster: SimulatedCluster) -> None:
         wanted = [cluster.spec(n, gait="daemon", chicks=3) for n in range(1, 7)]
--- a/tests/test_job_answers_model.py
+++ b/tests/test_job_answers_model.py
@@ -24,7 +24,7 @@
 )
 from ploverhall.storage.store_cache import StoreCache
 
-from .removed_guards import told_at_once
+from .removed_guards import final_without_barrier
 from .simulation import decision_model, model_store
 
 
@@ -215,7 +215,7 @@
     ("name", "without"),
     [
         pytest.param("verified", verified_without_fresh_read, id="verified-unproved"),
-        ("final", told_at_once),
+        pytest.param("final", final_without_barrier, id="final-told_at_once"),
         pytest.param("verified", verified_without_archive, id="verified-straight_to_no"),
     ],
 )
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -100,15 +100,18 @@
     play(scene)
 
 
-class Never(dict[int, int]):
-    """A removed guard: no claim of unknown outcome is held, so each is made again."""
+class UnrecognizedClaims(dict[int, int]):
+    """Replace `ShardClaims.epochs`: no claim of unknown outcome is held, so each is made again.
+
+    The newest held epoch of each shard reads as 1 << 62, so no stored claim counts as newer.
+    """
 
     def get(self, key: int, default: Any = None) -> Any:
         return 1 << 62
 
 
-class Forgets(dict[int, int]):
-    """A removed guard: the epochs that this process has held are forgotten."""
+class ForgottenEpochs(dict[int, int]):
+    """Replace `ShardClaims.epochs`: the epochs that this process has held are forgotten."""
 
     def get(self, key: int, default: Any = None) -> Any:
         return 0
@@ -119,8 +122,10 @@
     [
         (0.5, 0.0, None, ""),
         (0.0, 0.6, None, ""),
-        (0.5, 0.0, Never, "claimed again"),
-        (0.0, 0.6, Forgets, "held twice"),
+        pytest.param(
+            0.5, 0.0, UnrecognizedClaims, "claimed again", id="0.5-0.0-Never-claimed again"
+        ),
+        pytest.param(0.0, 0.6, ForgottenEpochs, "held twice", id="0.0-0.6-Forgets-held twice"),
     ],
 )
 def test_claim_with_lost_answer_is_held_at_once_and_no_epoch_is_held_twice(
--- a/tests/test_short_job_load.py
+++ b/tests/test_short_job_load.py
@@ -140,7 +140,7 @@
     assert_short_job_load(seed, s, crash, monkeypatch)
 
 
-def never_archived(monkeypatch: pytest.MonkeyPatch) -> None:
+def stop_archiver(monkeypatch: pytest.MonkeyPatch) -> None:
     """Stop the archiver."""
 
     async def idle(self: Archiver) -> None:
@@ -149,7 +149,7 @@
     monkeypatch.setattr(Archiver, "loop", idle)
 
 
-def remembered(monkeypatch: pytest.MonkeyPatch) -> None:
+def keep_ended_job_ids(monkeypatch: pytest.MonkeyPatch) -> None:
     """Make a source keep the ids of ended jobs."""
     real = AllocationStore.on_job
 
@@ -162,7 +162,12 @@
 
 @pytest.mark.parametrize(
     ("without", "message"),
-    [(never_archived, "leave the memory"), (remembered, "nothing else remembers")],
+    [
+        pytest.param(stop_archiver, "leave the memory", id="never_archived-leave the memory"),
+        pytest.param(
+            keep_ended_job_ids, "nothing else remembers", id="remembered-nothing else remembers"
+        ),
+    ],
 )
 def test_short_job_load_detects_jobs_that_stay_in_memory(
     without: Callable[[pytest.MonkeyPatch], None], message: str, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_stale_heartbeats.py
+++ b/tests/test_stale_heartbeats.py
@@ -15,7 +15,7 @@
 
 from .decision_model_runs import any_seed_breaks, run_with_faults
 from .job_sources import a_job
-from .removed_guards import check_gone_without_fencing_tokens, copies_are_news
+from .removed_guards import accept_stale_heartbeats, check_gone_without_fencing_tokens
 from .scenarios import start_background_load
 from .simulation import model_agent, parameters
 from .simulation.cluster import SimulatedCluster
@@ -97,7 +97,7 @@
     guard: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if guard == "a copy counts as news":
-        copies_are_news(monkeypatch)
+        accept_stale_heartbeats(monkeypatch)
     else:
         real = ShardOwner.on_heartbeat
 
@@ -292,7 +292,7 @@
 @pytest.mark.parametrize("guard", ["copies are new", "what a list omits is gone"])
 def test_any_order_detects_a_missing_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if guard == "copies are new":
-        copies_are_news(monkeypatch)
+        accept_stale_heartbeats(monkeypatch)
     else:
         monkeypatch.setattr(PermitTable, "check_gone", check_gone_without_fencing_tokens)
     with pytest.raises(RuleBrokenError, match="ran_twice"):
--- a/tests/test_stale_heartbeats_at_failover.py
+++ b/tests/test_stale_heartbeats_at_failover.py
@@ -13,7 +13,7 @@
 from ploverhall.scheduling.shard_owner import ShardOwner
 
 from .removed_guards import (
-    copies_are_news,
+    accept_stale_heartbeats,
 )
 from .simulation.cluster import SimulatedCluster
 from .simulation.scene import play
@@ -65,9 +65,9 @@
         ("zone", None),
         pytest.param("zone", trust_silence_without_accepted_token, id="zone-silence_of_a_stranger"),
         ("heard", None),
-        ("heard", copies_are_news),
+        pytest.param("heard", accept_stale_heartbeats, id="heard-copies_are_news"),
         ("session", None),
-        ("session", copies_are_news),
+        pytest.param("session", accept_stale_heartbeats, id="session-copies_are_news"),
     ],
 )
 def test_stale_heartbeats_during_failover_break_no_rule(
--- a/tests/test_team_limits.py
+++ b/tests/test_team_limits.py
@@ -19,7 +19,7 @@
 from .simulation.simulated_network import HOLD, SILENT
 
 
-def over_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
+def release_quota_at_job_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the guard: a job's end takes its tasks out of the count, though they may still run."""
     real = AllocationStore.on_job
 
@@ -35,11 +35,13 @@
     monkeypatch.setattr(AllocationStore, "on_job", on_job)
 
 
-def over_is_small(monkeypatch: pytest.MonkeyPatch) -> None:
+def load_ended_jobs_without_size(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the guard: a new source does not know the size of an ended job's tasks."""
     real = RecordLoader.install_allocations
 
-    def install_cell(self: RecordLoader, team: str, found: dict[str, Any], now: float) -> None:
+    def install_without_sizes(
+        self: RecordLoader, team: str, found: dict[str, Any], now: float
+    ) -> None:
         small = {
             key: (
                 {
@@ -52,7 +54,7 @@
         }
         real(self, team, small, now)
 
-    monkeypatch.setattr(RecordLoader, "install_allocations", install_cell)
+    monkeypatch.setattr(RecordLoader, "install_allocations", install_without_sizes)
 
 
 @pytest.mark.parametrize(
@@ -65,9 +67,13 @@
         ("hang", 8.0, True, None),
         ("hang", 14.0, True, None),
         ("hang", 25.0, False, None),
-        ("cut", 14.0, False, over_is_gone),
-        ("hang", 8.0, True, over_is_gone),
-        ("cut", 8.0, True, over_is_small),
+        pytest.param(
+            "cut", 14.0, False, release_quota_at_job_end, id="cut-14.0-False-over_is_gone"
+        ),
+        pytest.param("hang", 8.0, True, release_quota_at_job_end, id="hang-8.0-True-over_is_gone"),
+        pytest.param(
+            "cut", 8.0, True, load_ended_jobs_without_size, id="cut-8.0-True-over_is_small"
+        ),
     ],
 )
 def test_cancelled_tasks_count_towards_the_team_limit_until_proved_gone(
--- a/tests/test_unresponsive_agents.py
+++ b/tests/test_unresponsive_agents.py
@@ -27,7 +27,7 @@
 from .simulation.simulated_network import HOLD, SILENT
 
 
-def an_answer_to_a_command_is_a_report(monkeypatch: pytest.MonkeyPatch) -> None:
+def count_command_answers_as_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the guard: an answered command counts as a heartbeat that has renewed the lease."""
     real = ShardOwner.on_heartbeat
 
@@ -45,7 +45,12 @@
         (6.0, False, None),
         (25.0, False, None),
         (25.0, True, None),
-        (25.0, False, an_answer_to_a_command_is_a_report),
+        pytest.param(
+            25.0,
+            False,
+            count_command_answers_as_heartbeats,
+            id="25.0-False-an_answer_to_a_command_is_a_report",
+        ),
     ],
 )
 def test_agent_without_heartbeats_gets_no_new_task_although_commands_reach_it(
@@ -130,7 +135,7 @@
     assert seconds_until_gone[0] < 9.0, seconds_until_gone
 
 
-def no_run_is_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
+def confirm_gone_without_token(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the guard: an attempt that the newest list omits is gone, without a raised token.
 
     Its run command may still arrive.
@@ -139,8 +144,11 @@
     monkeypatch.setattr(ShardState, "raise_token", lambda self, m: True)
 
 
-def nothing_is_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Send no kill, so an agent that hung within its lease continues; the checks must report it."""
+def send_no_kill(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Remove the guard that owners send kill commands.
+
+    An agent that hung within its lease then continues, and the checks must report it.
+    """
     real = CommandBuilder.commands_for
 
     def commands(self: CommandBuilder, *a: Any, **kw: Any) -> Any:
@@ -159,8 +167,20 @@
         ("deaf", 9.3, None, ""),
         ("command", 6.0, None, ""),
         ("answer", 6.0, None, ""),
-        ("command", 6.0, no_run_is_fenced, "started late"),
-        ("hang", 7.0, nothing_is_stopped, "ran_cancelled"),
+        pytest.param(
+            "command",
+            6.0,
+            confirm_gone_without_token,
+            "started late",
+            id="command-6.0-no_run_is_fenced-started late",
+        ),
+        pytest.param(
+            "hang",
+            7.0,
+            send_no_kill,
+            "ran_cancelled",
+            id="hang-7.0-nothing_is_stopped-ran_cancelled",
+        ),
     ],
 )
 def test_cancelled_tasks_end_in_time_when_agents_hang_or_receive_late(
--- a/tests/test_zone_placement_faults.py
+++ b/tests/test_zone_placement_faults.py
@@ -17,7 +17,7 @@
 from .simulation.simulated_network import SILENT, SLOW
 
 
-def only_its_own_starts(monkeypatch: pytest.MonkeyPatch) -> None:
+def count_only_own_starts(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the guard: a new source counts only its own starts towards a job's zones."""
     epochs: dict[TeamQuotas, int] = {}
     real_init = JobSource.__init__
@@ -42,7 +42,7 @@
     monkeypatch.setattr(TeamQuotas, "zone_limits", zone_limits_of_own_starts)
 
 
-def by_the_letter(monkeypatch: pytest.MonkeyPatch) -> None:
+def allow_cyclic_preemption(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the guard: preemption is cyclic, by priority in a guarantee, by guarantee above it."""
     real = PreemptionPlanner.may_preempt
     monkeypatch.setattr(
@@ -56,7 +56,9 @@
         (2, False, None, ""),
         (3, False, None, ""),
         (3, True, None, ""),
-        (2, False, by_the_letter, "to and fro"),
+        pytest.param(
+            2, False, allow_cyclic_preemption, "to and fro", id="2-False-by_the_letter-to and fro"
+        ),
     ],
 )
 def test_zone_bound_jobs_finish_in_their_zone_despite_lost_machines_and_slow_links(
@@ -149,7 +151,12 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "without"), [("taken", None), ("cut", None), ("taken", only_its_own_starts)]
+    ("how", "without"),
+    [
+        ("taken", None),
+        ("cut", None),
+        pytest.param("taken", count_only_own_starts, id="taken-only_its_own_starts"),
+    ],
 )
 def test_single_zone_array_stays_in_its_zone_when_its_leader_and_a_machine_are_lost(
     how: str, without: Any, monkeypatch: pytest.MonkeyPatch
