--- a/scripts/__init__.py
+++ b/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that repeat by one named command."""
+"""Repeatable measurements and test runs, each started by one command."""
--- a/scripts/__main__.py
+++ b/scripts/__main__.py
@@ -1,6 +1,6 @@
-"""Lists the scripts: `python -m scripts --help`.
+"""List the scripts: `python -m scripts --help`.
 
-Each is run by its own name, `python -m scripts.NAME`, and has its own `--help`.
+Each script is run as `python -m scripts.NAME` and has its own `--help`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def runnable() -> dict[str, str]:
-    """The names of the scripts, and the first line of what each says of itself."""
+    """Return the names of the scripts, each with the first line of its docstring."""
     paths = [path for path in FOLDER.glob("*.py") if not path.stem.startswith("__")]
     paths += FOLDER.glob("*/__main__.py")
     found = {}
@@ -28,11 +28,11 @@
 
 
 def main() -> int:
-    """Print the list."""
+    """Print the list of scripts."""
     lines = [f"  scripts.{name:<22}{first}" for name, first in runnable().items()]
     parser = argparse.ArgumentParser(
         prog="python -m scripts",
-        description="Measurements and trials, each by one named command.",
+        description="Measurements and test runs, each started by one command.",
         epilog="\n".join(["scripts:", *lines, "", "python -m scripts.NAME --help says more."]),
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
--- a/scripts/benchmark_hot_paths/__init__.py
+++ b/scripts/benchmark_hot_paths/__init__.py
@@ -1,8 +1,8 @@
-"""Processor time of the controller's hot paths, of this tree and an earlier revision.
+"""Measure the processor time of the controller's hot paths, in this tree and an earlier revision.
 
-- `messages`, `simulated_fleet`: what the measured code is given
+- `messages`, `simulated_fleet`: the inputs of the measured code
 - `heartbeat_benchmarks`, `scheduling_benchmarks`, `user_benchmarks`: the measured operations;
-  `user_load`: store, cloud and user of the last ones, in a process of their own
+  `user_load`: the store, cloud and user of `user_benchmarks`, in a process of their own
 - `operations`: all operations by name
-- `revisions`: taking a revision out of git, and measuring a tree; `table`: the printed table
+- `revisions`: extract a revision from git and measure a tree; `table`: the printed table
 """
--- a/scripts/benchmark_hot_paths/heartbeat_benchmarks.py
+++ b/scripts/benchmark_hot_paths/heartbeat_benchmarks.py
@@ -1,4 +1,4 @@
-"""Processor time of a heartbeat: through the HTTP server, and in the shard's owner."""
+"""Measure the processor time of a heartbeat, in the HTTP server and in the shard's owner."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def request_cost(_: int) -> float:
-    """One POST and its answer, microseconds of the server's processor time."""
+    """Return the server's processor time for one POST and its answer, in microseconds."""
     body = json.dumps(heartbeat_body("n-1", 1, 1, TASKS_A_MACHINE)).encode()
     data = (
         b"POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\n"
@@ -43,7 +43,11 @@
 
 
 async def _serve_requests(port: int, data: bytes) -> float:
-    """Processor time in seconds of a server that answers all requests of another process."""
+    """Answer all requests of another process.
+
+    Returns:
+        The processor time of the server in seconds.
+    """
 
     async def handler(request: Request) -> Reply:
         return Reply(200, {"crest": 41, "calls": []})
@@ -63,7 +67,7 @@
 
 
 def _send_requests(port: int, data: bytes) -> None:
-    """Send a request after the other, over all connections in turn."""
+    """Send the requests one after the other, using all connections in turn."""
     connections = [socket.create_connection(("127.0.0.1", port)) for _ in range(CONNECTIONS)]
     for index in range(REQUESTS):
         connection = connections[index % CONNECTIONS]
@@ -72,18 +76,18 @@
 
 
 def report_cost(size: int) -> float:
-    """One heartbeat that says nothing new."""
+    """Return the processor time of one heartbeat without changes, in microseconds."""
     owner = owner_with_idle_machines(size)
     _permit_tasks(owner)
     senders = min(size, HEARTBEATS_A_ROUND)
-    _heartbeat_round(owner, senders, 2)  # the first one brings the tasks
+    _heartbeat_round(owner, senders, 2)  # the first heartbeat reports the tasks as new
     rounds = range(3, 3 + MEASURED_ROUNDS)
     spent_s = sum(_heartbeat_round(owner, senders, sequence) for sequence in rounds)
     return spent_s / MEASURED_ROUNDS / senders * 1e6
 
 
 def _permit_tasks(owner: ShardOwner) -> None:
-    """Permit tasks on each machine, each of a job of its own."""
+    """Permit tasks on each machine, each task of a separate job."""
     for index, machine in enumerate(owner.machines.values()):
         for task in range(TASKS_A_MACHINE):
             attempt_id = AttemptId(f"j-{index * TASKS_A_MACHINE + task:06d}", task, 1)
@@ -104,7 +108,11 @@
 
 
 def _heartbeat_round(owner: ShardOwner, senders: int, sequence: int) -> float:
-    """One heartbeat of each sender; processor time in seconds until all answers are encoded."""
+    """Process one heartbeat of each sender.
+
+    Returns:
+        The processor time in seconds until all answers are encoded.
+    """
     token = EPOCH << TOKEN_BITS
     bodies = []
     for index in range(senders):
--- a/scripts/benchmark_hot_paths/messages.py
+++ b/scripts/benchmark_hot_paths/messages.py
@@ -1,4 +1,4 @@
-"""Heartbeats as agents write them, and a shard's owner that has machines."""
+"""Create heartbeats as agents send them, and a shard's owner that has machines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 def heartbeat_body(
     machine: str, sequence: int, token: int, task_count: int, first_job: int = 0
 ) -> dict[str, Any]:
-    """A heartbeat that lists running tasks, each of a job of its own from `first_job` on."""
+    """Return the body of a heartbeat that lists running tasks.
+
+    Each task belongs to a separate job; job numbers start at `first_job`.
+    """
     return {
         "perch": machine,
         "endpoint": "10.1.0.1:9000",
@@ -36,7 +39,7 @@
 
 
 def owner_with_idle_machines(machine_count: int) -> ShardOwner:
-    """A shard's owner with that many idle machines, each of which has sent a heartbeat."""
+    """Create a shard's owner with idle machines, each of which has sent one heartbeat."""
     owner = ShardOwner(0, EPOCH, 1, 10.0, 1.0, 5.0, 5, Random(1), 0.0)
     owner.machine_types = {
         MACHINE_TYPE: MachineType(
--- a/scripts/benchmark_hot_paths/revisions.py
+++ b/scripts/benchmark_hot_paths/revisions.py
@@ -1,4 +1,4 @@
-"""Takes a revision out of git, and measures a tree by its own copy of this script."""
+"""Extract a revision from git, and measure a tree with its own copy of this script."""
 
 from __future__ import annotations
 
@@ -16,20 +16,29 @@
 
 
 def module_name(tree: Path) -> str:
-    """The name of this script in a tree, which may be older than its name."""
+    """Return the module name of this script in a tree.
+
+    Trees from before the rename use the earlier name.
+    """
     path = tree / MODULE.replace(".", "/")
     exists = path.is_dir() or path.with_suffix(".py").exists()
     return MODULE if exists else MODULE_BEFORE_RENAME
 
 
 def extract(revision: str, folder: str) -> Path:
-    """Take what is measured of an earlier tree out of git."""
+    """Extract the measured folders of an earlier revision and return the root of the tree."""
     git_revisions.extract(revision, Path(folder), *MEASURED_FOLDERS)
     return Path(folder)
 
 
 def measure(tree: Path, operation: str, size: int) -> float:
-    """One figure of one tree, in a process of its own; its `--child` is the same in all trees."""
+    """Measure one operation of a tree in a separate process.
+
+    All trees have the same `--child` option.
+
+    Raises:
+        SystemExit: If the process fails, with its error output.
+    """
     args = [sys.executable, "-m", module_name(tree), "--child", operation, str(size)]
     env = {**os.environ, "PYTHONPATH": str(tree)}
     result = subprocess.run(args, env=env, cwd=tree, capture_output=True, text=True, check=False)
--- a/scripts/custom_days/day.py
+++ b/scripts/custom_days/day.py
@@ -7,7 +7,7 @@
 
 from scripts.custom_days.site_files import Site
 
-# Seconds after which a controller that ended is started again
+# Seconds after which a controller that has ended is restarted
 RESTART_DELAYS_S = (0.1, 0.2, 0.3, 0.5, 1.0, 3.0, 6.0)
 
 
@@ -16,10 +16,13 @@
     """A copy of a site with one day on it."""
 
     name: str
-    description: str  # what was changed, in a few words
+    description: str  # short summary of the changes to the site
     site: Site
 
 
 def day_table(name: str, seed: int, **more: Any) -> dict[str, Any]:
-    """A day as a site file lists it; `more` follows in its order: faults, jobs, variation."""
+    """Return a day as a site file lists it.
+
+    The keys of `more` (faults, jobs, variation) follow in the given order.
+    """
     return {"name": name, "slot": "scale", "light": True, "seed": seed, **more}
--- a/scripts/custom_days/results.py
+++ b/scripts/custom_days/results.py
@@ -1,4 +1,4 @@
-"""What is read from a played day's report and logs, and whether the day fails."""
+"""Read the figures of a played day from its report and logs, and decide whether the day failed."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def read_figures(report: Report, log: Path, day: Day) -> DayFigures:
-    """The figures of a played day, from its report and its controllers' logs."""
+    """Return the figures of a played day, from its report and its controllers' logs."""
     with log.open(errors="replace") as lines:
         jobs = read_jobs(lines)
     served = served_by_class.served_rows(report, jobs)
@@ -66,14 +66,14 @@
 
 
 def _score(log: Path, day_name: str) -> float | None:
-    """The bench's figure, from its line about the day."""
+    """Return the bench's figure from its output line about the day; None without such a line."""
     pattern = rb"^%s +\d+ +([0-9.]+) " % re.escape(day_name).encode()
     line = re.search(pattern, log.read_bytes(), re.MULTILINE)
     return float(line[1]) if line else None
 
 
 def _unplanned_restarts(report: Report) -> int:
-    """How often controllers ended by themselves, not by a fault of the day."""
+    """Return how often controllers ended for another reason than a fault of the day."""
     unplanned = 0
     for controller in report["node_stats"]:
         unplanned += int(controller["panics"])
@@ -82,7 +82,7 @@
 
 
 def has_failed(outcome: DayFigures | FailedRun) -> bool:
-    """Whether a day counts as failed."""
+    """Return whether a day counts as failed."""
     if isinstance(outcome, FailedRun):
         return True
     if outcome.rules_broken or outcome.unplanned_restarts:
--- a/scripts/custom_days/site_files.py
+++ b/scripts/custom_days/site_files.py
@@ -1,4 +1,4 @@
-"""Site files of the bench: reading one, and changing its size and zones."""
+"""Read a site file of the bench, and change the site's size and zones."""
 
 from __future__ import annotations
 
@@ -7,37 +7,41 @@
 from random import Random
 from typing import Any
 
-Site = dict[str, Any]  # a site file, as the bench reads it
+Site = dict[str, Any]  # a parsed site file of the bench
 
 COUNT_KEYS = ("count", "spot")
 MACHINE_TABLES = ("capacity", "machines")
 
 
 def load_site_without_days(path: Path) -> Site:
-    """A site without its own days."""
+    """Read a site file and drop its own days."""
     site = tomllib.loads(path.read_text())
     site.pop("day", None)
     return site
 
 
 def zone_names(site: Site) -> list[str]:
-    """The zones that have machines, sorted."""
+    """Return the zones that have machines, sorted."""
     return sorted({capacity["zone"] for capacity in site["capacity"]})
 
 
 def machine_count(site: Site) -> int:
-    """How many machines the site can have."""
+    """Return the maximum number of machines of the site."""
     return sum(capacity["count"] for capacity in site["capacity"])
 
 
 def job_class(site: Site, kind: str) -> dict[str, Any]:
-    """The first class of jobs of a kind."""
+    """Return the first class of jobs of a kind.
+
+    Raises:
+        StopIteration: If the site has no class of that kind.
+    """
     found: dict[str, Any] = next(job for job in site["jobs"] if job["kind"] == kind)
     return found
 
 
 def scale_site(site: Site, factor: float) -> None:
-    """Multiply the machines, the jobs at the start and the arrivals by a factor."""
+    """Multiply the machines, the initial jobs and the arrivals by a factor."""
     for entry in site.get("capacity", []) + site.get("machines", []):
         for key in COUNT_KEYS:
             if type(entry.get(key)) is int:
@@ -54,9 +58,10 @@
     zone_without_controller: bool,
     rng: Random,
 ) -> None:
-    """Put the same machines into other zones, unevenly.
+    """Move the machines of the site to other zones, unevenly.
 
-    The last zone has no controller if `zone_without_controller` and there is more than one.
+    The last zone has no controller if `zone_without_controller` is set and there is more than one
+    zone.
     """
     zones = [f"zone-{chr(ord('a') + index)}" for index in range(zone_count)]
     site["nodes"]["count"] = controller_count
@@ -72,7 +77,10 @@
 def _spread(
     entries: list[dict[str, Any]], keep_spot: bool, zones: list[str], weights: list[float]
 ) -> list[dict[str, Any]]:
-    """The same totals by type (and by `spot`, if kept), spread over the zones by weight."""
+    """Spread the entries over the zones by weight.
+
+    The totals by type (and by `spot`, if `keep_spot`) stay the same, except for rounding.
+    """
     totals: dict[tuple[str, Any], dict[str, int]] = {}
     for entry in entries:
         group = (entry["type"], entry["spot"] if keep_spot else None)
--- a/scripts/day_runs.py
+++ b/scripts/day_runs.py
@@ -1,7 +1,8 @@
-"""Plays days on the users' bench and keeps what was measured; shared by scripts that play days.
+"""Play simulated days on the users' bench and store what was measured.
 
-The figures of a day are a dataclass derived from `Figures`. They are kept as JSON beside the
-day's report, so that a day that was played before is not played again.
+Shared by the scripts that play days. The figures of a day are a dataclass derived from `Figures`.
+They are stored as JSON beside the day's report, so that a day that was played before is not
+played again.
 """
 
 from __future__ import annotations
@@ -15,30 +16,30 @@
 
 LOG_TAIL_CHARACTERS = 600
 
-Report = dict[str, Any]  # the bench's report, as it writes it
+Report = dict[str, Any]  # the bench's report as parsed JSON
 
 
 def column(title: str) -> Any:
-    """A field of `Figures` with its title in the table and in the kept JSON."""
+    """Return a field of `Figures` with its title in the table and in the stored JSON."""
     return field(metadata={"title": title})
 
 
 @dataclass(frozen=True)
 class Figures:
-    """What was measured of a played day; each field is made by `column`."""
+    """Figures measured on a played day; each field is declared with `column`."""
 
     @classmethod
     def titles(cls) -> list[str]:
-        """The titles of all columns, in order."""
+        """Return the titles of all columns, in order."""
         return [figure.metadata["title"] for figure in fields(cls)]
 
     @classmethod
     def from_row(cls, row: dict[str, Any]) -> Self:
-        """The figures from their titles and values."""
+        """Build the figures from a row that maps column titles to values."""
         return cls(**{figure.name: row[figure.metadata["title"]] for figure in fields(cls)})
 
     def to_row(self) -> dict[str, Any]:
-        """The values by the titles of their columns."""
+        """Return the values keyed by their column titles."""
         return {figure.metadata["title"]: getattr(self, figure.name) for figure in fields(self)}
 
 
@@ -61,22 +62,22 @@
 
     @property
     def input(self) -> Path:
-        """The site or day that the bench reads."""
+        """Return the path of the site or day file that the bench reads."""
         return self.folder / f"{self.day_name}.toml"
 
     @property
     def report(self) -> Path:
-        """The bench's report."""
+        """Return the path of the bench's report."""
         return self.folder / f"{self.day_name}.report"
 
     @property
     def log(self) -> Path:
-        """The output of the bench and the logs of all controllers."""
+        """Return the path of the bench's output, which includes the logs of all controllers."""
         return self.folder / f"{self.day_name}.log"
 
     @property
     def figures(self) -> Path:
-        """The figures that were read from report and log."""
+        """Return the path of the stored figures, which come from the report and the log."""
         return self.folder / f"{self.day_name}.json"
 
 
@@ -88,10 +89,13 @@
     figures_type: type[FiguresType],
     read_figures: Callable[[Report], FiguresType],
 ) -> FiguresType | FailedRun:
-    """Play one day in a checkout, unless its figures were kept before.
+    """Play one day in a checkout, unless its figures are stored already.
 
-    `command` is the bench's command line without the options for log and report. The log stays:
-    who calls removes it.
+    `command` is the bench's command line without the options for log and report. The log file is
+    kept; the caller removes it.
+
+    Returns:
+        The figures, or a `FailedRun` if the bench wrote no report.
     """
     if files.figures.exists():
         return figures_type.from_row(json.loads(files.figures.read_text()))
@@ -108,7 +112,10 @@
 
 
 def worst_service_availability(report: Report) -> float:
-    """The least share of a service's replicas that ran in any 30 s; 1 without services."""
+    """Return the lowest share of a service's replicas that ran in any 30 s.
+
+    The result is 1 if the day has no services.
+    """
     shares = [
         target["value"]
         for target in report["targets"]
@@ -118,10 +125,10 @@
 
 
 def tasks_killed_by_lease(report: Report) -> int:
-    """How many tasks ended because their machine's lease expired."""
+    """Return the number of tasks that ended because their machine's lease expired."""
     return int(report["fleet"]["tasks_killed_by_lease"])
 
 
 def rules_broken(report: Report) -> int:
-    """How many rules of the bench were broken."""
+    """Return the number of violations of the bench's rules."""
     return int(report["rules_broken"]["total"])
--- a/scripts/job_log.py
+++ b/scripts/job_log.py
@@ -1,7 +1,7 @@
-"""Jobs as the controllers' debug logs of a played day tell of them.
+"""Read jobs from the controllers' debug logs of a played day.
 
-*Served*: a job of an array or gang that completed, a service all of whose replicas ran at some
-time.
+A job is *served* if it is an array or gang that completed, or a service whose replicas all ran
+at some time.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 @dataclass
 class JobRecord:
-    """One accepted job, from the controllers' logs; times in seconds of the day."""
+    """One accepted job, read from the controllers' logs; times are seconds of the day."""
 
     team: str
     kind: str
     class_name: str
     task_count: int
     accepted_at: float = 0.0
-    began_at: float | None = None  # when its first task ran; of a gang, its last
+    began_at: float | None = None  # when its first task ran; for a gang, when its last task did
     tasks_run: set[str] = field(default_factory=set)
     tasks_completed: set[str] = field(default_factory=set)
     done: bool = False
     cancelled: bool = False
 
     def record_running(self, task: str, at_s: float) -> None:
-        """A task of it runs."""
+        """Record that a task of the job runs."""
         self.tasks_run.add(task)
         if self.began_at is None and (
             self.kind != "gang" or len(self.tasks_run) >= self.task_count
@@ -40,34 +40,41 @@
 
     @property
     def started(self) -> bool:
-        """Whether any task ran."""
+        """Return whether any task of the job ran."""
         return bool(self.tasks_run)
 
     @property
     def served(self) -> bool:
-        """Whether its users got what they asked for."""
+        """Return whether the job was served, as the module's docstring defines it."""
         return len(self.tasks_run) >= self.task_count if self.kind == "service" else self.done
 
     @property
     def counts(self) -> bool:
-        """Whether it is counted: not if it was cancelled before it was served."""
+        """Return whether the job is counted.
+
+        A job that was cancelled before it was served is not counted.
+        """
         return self.served or not self.cancelled
 
     @property
     def tasks_served(self) -> int:
-        """How many of its tasks were of use."""
+        """Return how many tasks of the job were served.
+
+        For a service these are the tasks that ran; for other jobs all tasks if the job completed,
+        otherwise the tasks that completed.
+        """
         if self.kind == "service":
             return len(self.tasks_run)
         return self.task_count if self.done else len(self.tasks_completed)
 
     @property
     def wait_s(self) -> float:
-        """Seconds from its acceptance until it began; infinite if it never did."""
+        """Return the seconds from acceptance until the job began; infinite if it never did."""
         return float("inf") if self.began_at is None else self.began_at - self.accepted_at
 
 
 def read_jobs(lines: Iterable[str]) -> dict[str, JobRecord]:
-    """All accepted jobs by id, from the log lines of all controllers."""
+    """Return all accepted jobs by id, read from the log lines of all controllers."""
     jobs: dict[str, JobRecord] = {}
     for line in lines:
         match = LOG_LINE.match(line)
@@ -84,13 +91,13 @@
 
 
 def _accepted_job(fields: dict[str, str], at_s: float) -> JobRecord:
-    """The job of a line about an acceptance."""
+    """Create the record of a job from the fields of its `accepted` log line."""
     class_name = fields.get("class", fields.get("klass", fields["kind"]))
     return JobRecord(fields["team"], fields["kind"], class_name, int(fields["tasks"]), at_s)
 
 
 def _record_event(job: JobRecord, event: str, fields: dict[str, str], at_s: float) -> None:
-    """Take a line about a known job into its record."""
+    """Update the record of a known job from one log line about it."""
     if event == "task":
         if fields.get("state") == "running":
             job.record_running(fields["task"], at_s)
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,10 +1,10 @@
-"""A pytest plugin for CI: tests listed in KNOWN-RED.txt run, and may fail.
+"""Pytest plugin for CI: tests listed in KNOWN-RED.txt run, but may fail.
 
     python -m pytest -q -p scripts.known_red -rxX
 
-Each line of the file is `TEST | CAUSE | ISSUE`, TEST being the whole node id as pytest prints it;
-empty lines and lines that begin with `#` are skipped. At most three tests may be listed. A listed
-test that does not exist, or a line in another form, ends the run with an error.
+Each line of the file is `TEST | CAUSE | ISSUE`, where TEST is the complete node id as pytest
+prints it. Empty lines and lines that begin with `#` are skipped. At most three tests may be
+listed. A listed test that does not exist, or a malformed line, ends the run with an error.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class KnownRed(NamedTuple):
-    """One test that fails for a real fault which is not mended yet."""
+    """A test that fails because of a real fault that is not fixed yet."""
 
     node_id: str
     cause: str
@@ -27,22 +27,26 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The listed tests. Raises ValueError for a line in another form, or too many tests."""
+    """Return the listed tests.
+
+    Raises:
+        ValueError: If a line is malformed or too many tests are listed.
+    """
     tests = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != len(KnownRed._fields) or not all(fields):
-            raise ValueError(f"{FILE_NAME}: not `TEST | CAUSE | ISSUE`: {line}")
+            raise ValueError(f"{FILE_NAME}: expected `TEST | CAUSE | ISSUE`, got: {line}")
         tests.append(KnownRed(*fields))
     if len(tests) > MAX_TESTS:
-        raise ValueError(f"{FILE_NAME}: {len(tests)} tests, at most {MAX_TESTS} may be listed")
+        raise ValueError(f"{FILE_NAME}: {len(tests)} tests listed, at most {MAX_TESTS} allowed")
     return tests
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark exactly the listed tests as expected to fail; they run all the same."""
+    """Mark exactly the listed tests as expected to fail; they still run."""
     path = Path(config.rootpath) / FILE_NAME
     try:
         listed = {test.node_id: test for test in parse(path.read_text())}
@@ -53,4 +57,4 @@
         if test is not None:
             item.add_marker(pytest.mark.xfail(reason=f"{test.cause} ({test.issue})", strict=False))
     if listed:
-        raise pytest.UsageError(f"{FILE_NAME}: no such test: {', '.join(listed)}")
+        raise pytest.UsageError(f"{FILE_NAME}: listed test does not exist: {', '.join(listed)}")
--- a/scripts/mixed_versions/__init__.py
+++ b/scripts/mixed_versions/__init__.py
@@ -1,6 +1,6 @@
-"""A rolling upgrade on loopback from an earlier revision, and one controller back.
+"""Test a rolling upgrade from an earlier revision on loopback, and a downgrade of one controller.
 
 - `controllers`: the controller processes, each in one of two versions
-- `clients`: requests to them; `users`: jobs, and what users were told of them
+- `clients`: requests to the controllers; `users`: jobs, and the answers that users got about them
 - `rolling_upgrade`: the cluster, its checks and the order of restarts
 """
--- a/scripts/mixed_versions/__main__.py
+++ b/scripts/mixed_versions/__main__.py
@@ -1,18 +1,19 @@
-"""Two versions of the controller side by side: whether an upgrade or the way back breaks rules.
+"""Run two versions of the controller side by side to check that upgrade and downgrade are safe.
 
     python -m scripts.mixed_versions --base REVISION
 
-Three real controller processes on loopback, beside stand-ins for the state service, the cloud and
-the agents. The cluster begins with the old version (REVISION, taken out of git) on all three.
-With each proportion of versions every controller is killed and started again; then the next one
-is brought to the new version. At last one is brought back to the old version. Jobs are submitted
-and cancelled all along.
+Three real controller processes run on loopback, beside fakes of the state service, the cloud and
+the agents. The cluster starts with the old version (REVISION, extracted from git) on all three.
+With each mix of versions every controller is killed and restarted; then the next one is brought
+to the new version. At the end one is brought back to the old version. Jobs are submitted and
+cancelled throughout.
 
-Checked: no task runs twice or on a wrong machine, no team is over its limit, nothing cancelled
+Checked: no task runs twice or on a wrong machine, no team is over its limit, and no cancelled job
 runs `cancel_s` after its user was told; every accepted job is answered by every controller, and
-no final state changes; what was not cancelled ends; after each step every controller hears every
-other; no controller logs an error or an invalid response, and none ends by itself. The exit code
-is 1 with the reasons if one of these fails, or if the run takes longer than three minutes.
+no final state changes; jobs that were not cancelled end; after each step every controller
+receives heartbeats from every other; no controller logs an error or an invalid response, and none
+exits by itself. The exit code is 1 and the reasons are printed if one of these checks fails, or
+if the run takes longer than three minutes.
 
 Both versions need the libraries in target/deps, or in the running interpreter.
 """
@@ -45,7 +46,7 @@
 
 
 def run_upgrade(base: str, seed: int, folder: Path) -> tuple[RollingUpgrade, list[str]]:
-    """Run the upgrade from a revision, with its files in a folder; what was found wrong."""
+    """Run the upgrade from a revision, with its files in a folder; return it and its violations."""
     old = folder / OLD
     old.mkdir()
     extract_with_libraries(base, old)
@@ -56,7 +57,7 @@
 
 
 def print_summary(upgrade: RollingUpgrade, violations: list[str]) -> None:
-    """The first violations, and what the cluster did."""
+    """Print the first violations, and totals of jobs, tasks and restarts."""
     for line in violations[:PRINTED_VIOLATIONS]:
         print(f"wrong: {line}")
     states = [submitted.final_state for submitted in upgrade.users.jobs.values()]
@@ -70,7 +71,7 @@
 
 
 def main() -> int:
-    """Run it; 1 with the reasons if anything is wrong."""
+    """Run the upgrade; return 1 if there are violations."""
     parser = argparse.ArgumentParser(
         prog="python -m scripts.mixed_versions",
         description=__doc__,
--- a/scripts/mixed_versions/clients.py
+++ b/scripts/mixed_versions/clients.py
@@ -1,4 +1,4 @@
-"""Requests to the controllers, by name."""
+"""Send requests to the controllers by name."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class Answer(NamedTuple):
-    """A controller's answer; status `NO_ANSWER` without one."""
+    """A controller's answer; the status is `NO_ANSWER` if there was none."""
 
     status: int
     body: Any = None
 
 
 class ControllerClients:
-    """A client for each controller."""
+    """Holds an HTTP client for each controller."""
 
     def __init__(self, addresses: dict[str, tuple[str, int]]) -> None:
         self._clients = {name: Client(*address) for name, address in addresses.items()}
 
     async def request(self, name: str, method: str, path: str, body: Any = None) -> Answer:
-        """One request to a controller."""
+        """Send one request to a controller and return its answer."""
         try:
             status, answer = await self._clients[name].call(method, path, body, REQUEST_TIMEOUT_S)
         except UnreachableError:
--- a/scripts/mixed_versions/controllers.py
+++ b/scripts/mixed_versions/controllers.py
@@ -19,7 +19,7 @@
 ZONES = ("a", "b", "a")
 CANCEL_S = 30.0
 HEARTBEAT_S = 0.5
-# Beginnings of log lines that no controller may write
+# Prefixes of log lines that no controller may write
 ERROR_LINES = (
     "error ",
     "warning state service: odd answer",  # older releases
@@ -28,7 +28,7 @@
 
 
 def extract_with_libraries(revision: str, folder: Path) -> None:
-    """Unpack a revision, with the libraries that this tree has."""
+    """Unpack a revision and link the libraries of this tree into it."""
     git_revisions.extract(revision, folder)
     libraries = git_revisions.ROOT / "target" / "deps"
     if libraries.exists():
@@ -37,7 +37,10 @@
 
 
 def controller_settings(name: str, ports: list[int]) -> dict[str, Any]:
-    """One controller's settings; the first six ports are the controllers'."""
+    """Return the settings of one controller.
+
+    The first six ports are used by the controllers, the others by the fakes.
+    """
     data = test_loopback.config(ports[4:])
     listen = {peer: f"127.0.0.1:{ports[3 + index]}" for index, peer in enumerate(NAMES)}
     zones = dict(zip(NAMES, ZONES, strict=True))
@@ -60,7 +63,7 @@
 
 
 class Controllers:
-    """The controller processes, each in one of two versions."""
+    """Manages the controller processes, each in one of two versions."""
 
     def __init__(self, trees: dict[str, Path], folder: Path, ports: list[int]) -> None:
         self.trees = trees
@@ -80,7 +83,7 @@
         return self.folder / f"{name}.log"
 
     def start(self, name: str, version: str) -> None:
-        """Start a controller; its log goes on where the last process ended."""
+        """Start a controller; its output is appended to the log of its previous process."""
         command = [
             sys.executable,
             str(self.trees[version] / "run.py"),
@@ -94,21 +97,21 @@
         self.versions[name] = version
 
     def kill(self, name: str) -> None:
-        """End a controller at once."""
+        """Kill a controller and wait until it has ended."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def kill_all(self) -> None:
-        """End whatever still runs."""
+        """Kill all controllers that are still running."""
         for name in self.processes:
             self.kill(name)
 
     def ended_by_themselves(self) -> list[str]:
-        """Controllers that have ended by themselves."""
+        """Return the controllers that have exited by themselves."""
         return [name for name, process in self.processes.items() if process.poll() is not None]
 
     def error_lines(self) -> list[str]:
-        """The error lines of the controllers' logs."""
+        """Return the error lines of the controllers' logs."""
         return [
             f"{name}: {line}"
             for name in NAMES
--- a/scripts/mixed_versions/rolling_upgrade.py
+++ b/scripts/mixed_versions/rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""The cluster, the order in which its controllers are restarted, and the checks meanwhile."""
+"""The cluster, the order in which its controllers are restarted, and the checks during the run."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 MACHINES = 9
 FIRST_AGENT_PORT = 27_000
-# A shard's lease is 4 s: the last one's shard is taken over meanwhile
+# A shard's lease is 4 s, so c2's shard is taken over while c2 is down
 DOWN_S = {"c0": 0.3, "c1": 1.0, "c2": 5.0}
-JUDGE_EVERY_S = 0.25
+CHECK_INTERVAL_S = 0.25
 HEALTHY_WITHIN_S = 15.0
 ANSWERED_WITHIN_S = 20.0
 ENDED_WITHIN_S = 30.0
@@ -37,7 +37,7 @@
 
 
 class RollingUpgrade:
-    """The cluster, its users, and what was found wrong."""
+    """Runs the cluster and its users, and collects the violations of the checks."""
 
     def __init__(self, controllers: Controllers, seed: int) -> None:
         self.controllers = controllers
@@ -50,27 +50,27 @@
         self.users = Users(self.clients, self.fleet, Random(seed))
         self.violations: list[str] = []
         self.restarts = 0
-        # Read by task_rules.check_machines, as are the three properties
+        # Read by task_rules.check_machines, like the three properties below
         self.cancelled = self.users.cancelled_at
         self.teams = {team.name: team for team in controllers.settings["c0"].teams}
 
     @property
     def now(self) -> float:
-        """Seconds on the fakes' clock."""
+        """Return the seconds on the fakes' clock."""
         return self.fleet.now
 
     @property
     def workers(self) -> dict[str, ModelAgent]:
-        """The agents, by machine."""
+        """Return the agents by machine."""
         return self.fleet.workers
 
     @property
     def specs(self) -> dict[str, jobs.Job]:
-        """The submitted jobs, by id."""
+        """Return the submitted jobs by id."""
         return self.fleet.specs
 
     async def run(self) -> list[str]:
-        """The whole run; what was found wrong."""
+        """Run the whole upgrade and return all violations."""
         async with anyio.create_task_group() as tasks:
             self.fleet.tasks = tasks
             any_settings = self.controllers.settings["c0"]
@@ -80,7 +80,7 @@
                 with anyio.move_on_after(WHOLE_RUN_S) as whole:
                     await self._run_cluster(tasks)
                 if whole.cancelled_caught:
-                    self.violations.append(f"not over within {WHOLE_RUN_S:g} s")
+                    self.violations.append(f"the run has not finished within {WHOLE_RUN_S:g} s")
                 self._check_processes()
             finally:
                 self.controllers.kill_all()
@@ -93,7 +93,7 @@
         ]
 
     async def _run_cluster(self, tasks: TaskGroup) -> None:
-        """Start everything, upgrade while jobs run, and wait for their ends."""
+        """Start everything, upgrade while jobs run, and wait until the jobs have ended."""
         for name in NAMES:
             self.controllers.start(name, OLD)
         for name in NAMES:
@@ -102,7 +102,7 @@
             self.fleet.boot({"marsh": ZONES[index % 2], "driftwood": False})
             for index in range(MACHINES)
         ]
-        tasks.start_soon(self._judge_machines)
+        tasks.start_soon(self._check_machines_periodically)
         submissions = anyio.CancelScope()
 
         async def submit_jobs() -> None:
@@ -115,13 +115,13 @@
         submissions.cancel()
         await self._check_all_ended()
         if self.cancelled:
-            judged_until = max(self.cancelled.values()) + CANCEL_S + 1.0
-            await anyio.sleep(max(0.0, judged_until - self.now))
+            check_until = max(self.cancelled.values()) + CANCEL_S + 1.0
+            await anyio.sleep(max(0.0, check_until - self.now))
 
-    # -- the order of restarts -----------------------------------------------------------------
+    # -- order of restarts --------------------------------------------------------------------
 
     async def _upgrade(self) -> None:
-        """From the old version to the new one, and one controller back."""
+        """Bring all controllers to the new version, and one back to the old version."""
         await self._restart_each()
         for name in NAMES:
             await self._restart(name, NEW)
@@ -155,21 +155,21 @@
     # -- checks --------------------------------------------------------------------------------
 
     def _check_processes(self) -> None:
-        """No controller may end by itself."""
+        """Record a violation for each controller that has exited by itself."""
         ended = self.controllers.ended_by_themselves()
-        self.violations += [f"ended by itself: {name}" for name in ended]
+        self.violations += [f"controller exited by itself: {name}" for name in ended]
 
-    async def _judge_machines(self) -> None:
+    async def _check_machines_periodically(self) -> None:
         """Check what runs on the machines, several times a second."""
         while True:
-            await anyio.sleep(JUDGE_EVERY_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             try:
                 check_machines(self)
             except RuleBrokenError as error:
                 self.violations.append(str(error))
 
     async def _wait_until_healthy(self, name: str) -> None:
-        """A controller that was started must serve soon."""
+        """Wait until a started controller is healthy; record a violation if it takes too long."""
         with anyio.move_on_after(HEALTHY_WITHIN_S):
             while (await self.clients.request(name, "GET", "/healthz")).status != 200:
                 await anyio.sleep(0.1)
@@ -178,7 +178,10 @@
         self.violations.append(f"{name} ({version}) not healthy within {HEALTHY_WITHIN_S:g} s")
 
     async def _check_connectivity(self) -> None:
-        """Soon no controller may miss the heartbeats of another, in its own view."""
+        """Wait until every controller receives the heartbeats of all others, in its own view.
+
+        Record a violation if that takes too long.
+        """
         not_receiving: list[str] = []
         with anyio.move_on_after(HEALTHY_WITHIN_S):
             while True:
@@ -187,11 +190,12 @@
                     return
                 await anyio.sleep(0.2)
         self.violations.append(
-            f"can't hear all others: {not_receiving} with {self.controllers.versions}"
+            f"controllers without heartbeats from all others: {not_receiving}, "
+            f"versions {self.controllers.versions}"
         )
 
     async def _receives_all(self, name: str) -> bool:
-        """Whether a controller shows that it receives all others."""
+        """Return whether a controller reports that it receives heartbeats from all others."""
         status, answer = await self.clients.request(name, "GET", "/status")
         if status != 200:
             return False
@@ -199,15 +203,19 @@
         return all(view is not None and not view["unheard"] for view in views)
 
     async def _check_all_answered(self) -> None:
-        """Every accepted job must be answered by every controller."""
+        """Record a violation if a controller does not answer for an accepted job."""
         left = await self.users.unanswered(ANSWERED_WITHIN_S)
         if left:
             self.violations.append(
-                f"not answered with {self.controllers.versions}: {len(left)}, as {left[:3]}"
+                f"accepted jobs not answered, versions {self.controllers.versions}: "
+                f"{len(left)}, such as {left[:3]}"
             )
 
     async def _check_all_ended(self) -> None:
-        """What was submitted must be accepted and end; services run on."""
+        """Wait until all submitted jobs are accepted and have ended.
+
+        Services run on and are left out. Record a violation if that takes too long.
+        """
         unfinished: list[str] = []
         with anyio.move_on_after(ENDED_WITHIN_S):
             while True:
@@ -216,4 +224,4 @@
                 if not unfinished:
                     return
                 await anyio.sleep(0.5)
-        self.violations.append(f"not ended: {len(unfinished)}, as {unfinished[:3]}")
+        self.violations.append(f"jobs not ended: {len(unfinished)}, such as {unfinished[:3]}")
--- a/scripts/mixed_versions/users.py
+++ b/scripts/mixed_versions/users.py
@@ -1,4 +1,4 @@
-"""Users who submit and cancel jobs at any controller, and check what they are told."""
+"""Users who submit and cancel jobs at any controller, and check the answers that they get."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 JOB_EVERY_S = 0.2
 CANCELLED_SHARE = 0.25
 RETRY_S = 0.5
-SERVICES = 2  # the first jobs are services, which stay
+SERVICES = 2  # the first jobs are services, which run until the end
 RUN_TIMES_S = (0.5, 3.0)
-# Kinds of jobs as the users' interface names them: gangs are groups, services daemons
+# Kinds of jobs in the users' interface, where a gang is `group` and a service is `daemon`
 SERVICE_KIND = "daemon"
 OTHER_KINDS = ("array", "array", "group")
 ACCEPTED = (200, 201)
-# Answers that a job which was accepted may not get
+# Statuses that a request about an accepted job must not get
 FORGOTTEN = (201, 400, 404, 422)
 
 
 @dataclass
 class SubmittedJob:
-    """One user's job, and the last that the user was told of it."""
+    """One user's job, and the last state that the user was told."""
 
     accepted: bool = False
     final_state: str | None = None
 
 
 class Users:
-    """The users, their jobs, and what they were told that was wrong."""
+    """Simulates the users, and collects violations in the answers about their jobs."""
 
     def __init__(self, clients: ControllerClients, fleet: FakeAgents, rng: Random) -> None:
         self.clients = clients
@@ -45,22 +45,30 @@
         self.rng = rng
         self.jobs: dict[str, SubmittedJob] = {}
         self.violations: list[str] = []
-        # When the first user was told that a job is cancelled
+        # When a user was first told that a job is cancelled, by job
         self.cancelled_at: dict[str, float] = {}
 
     async def request(self, job: str, name: str, method: str, path: str, body: Any = None) -> int:
-        """One request about a job; its answer must say no less than earlier answers said."""
+        """Send one request about a job, check the answer, and return its status.
+
+        A violation is recorded if the answer contradicts an earlier one: the job is no longer
+        known, or its final state has changed.
+        """
         submitted = self.jobs[job]
         was_accepted = submitted.accepted
         earlier_state = submitted.final_state
         status, answer = await self.clients.request(name, method, path, body)
         if was_accepted and status in FORGOTTEN:
-            self.violations.append(f"forgotten: {job} by {name}: {method} {status} {answer}")
+            self.violations.append(
+                f"accepted job forgotten: {job} by {name}: {method} {status} {answer}"
+            )
         if status not in ACCEPTED:
             return status
         state = answer["stance"]
         if earlier_state is not None and state != earlier_state:
-            self.violations.append(f"went back: {job} was {earlier_state}, is {state} by {name}")
+            self.violations.append(
+                f"final state of {job} changed: was {earlier_state}, is {state} by {name}"
+            )
         submitted.accepted = True
         if state in (jobs.DONE, jobs.CANCELLED):
             submitted.final_state = state
@@ -69,7 +77,7 @@
         return status
 
     async def submit_jobs(self, tasks: TaskGroup) -> None:
-        """Submit a small job now and then, until cancelled."""
+        """Submit a small job every `JOB_EVERY_S`, until cancelled."""
         number = 0
         while True:
             number += 1
@@ -79,7 +87,7 @@
             await anyio.sleep(JOB_EVERY_S)
 
     async def submit(self, job: str, kind: str, run_s: float) -> None:
-        """Submit a job of two tasks, at any controller; some are cancelled soon after."""
+        """Submit a job of two tasks at any controller; some jobs are cancelled soon after."""
         body = test_loopback.spec(job, kind, 2, flightS=run_s)
         self.fleet.specs[job] = jobs.parse_submission(body, 0.0)
         self.jobs[job] = SubmittedJob()
@@ -92,7 +100,7 @@
             await self.cancel(job)
 
     async def cancel(self, job: str) -> None:
-        """Cancel until told how the job has ended."""
+        """Repeat the cancellation of a job until a controller confirms it."""
         path = f"/api/jobs/{job}/withdraw"
         while await self.request(job, self._any_controller(), "POST", path, {}) != 200:
             await anyio.sleep(RETRY_S)
@@ -101,7 +109,11 @@
         return self.rng.choice(NAMES)
 
     async def unanswered(self, within_s: float) -> list[tuple[str, str]]:
-        """The accepted jobs that some controller does not answer for so long, and by whom."""
+        """Return the accepted jobs that a controller does not answer, with its name.
+
+        Every controller is asked again about its unanswered jobs until it answers for all of them
+        or `within_s` seconds have passed.
+        """
         left = [
             (job, name)
             for job, submitted in self.jobs.items()
@@ -120,7 +132,7 @@
         return left
 
     def unfinished(self) -> list[str]:
-        """The jobs whose users were not told of an end; services run on."""
+        """Return the jobs whose users were not told of an end; services are left out."""
         return [
             job
             for job, submitted in self.jobs.items()
--- a/scripts/partition_matrix.py
+++ b/scripts/partition_matrix.py
@@ -1,17 +1,18 @@
-"""Every partial network cut on a deployment of the users' bench: its cost, by version.
+"""Measure the cost of every partial network partition on a deployment of the bench, by version.
 
     python -m scripts.partition_matrix --bench FLEETBENCH --site SITE.toml --out DIR
         [--tree CHECKOUT]... [--only WORDS] [--at 150] [--jobs 4]
 
-One day a cut: a controller (the busiest or another) loses the state service, the workers or the
-whole network, in every mode the bench has for it, for 10, 40 and 90 s, from `--at` on. Days are
-played in each checkout given (`--tree`, the first is "before"), without charging the processor,
-so that a day mostly repeats; a day whose report lies in DIR already is not played again. `--pairs
-N` plays N days with two or three overlapping cuts drawn from a seed instead.
+Each day has one cut: a controller (the busiest or another) loses the state service, the workers
+or the whole network, in every mode that the bench has for it, for 10, 40 and 90 s, starting at
+`--at`. Days are played in each given checkout (`--tree`; the first is "before"), without charging
+the processor, so that a day is mostly repeatable. A day whose figures are already in DIR is not
+played again. `--pairs N` plays N days with two or three overlapping cuts drawn from a seed
+instead.
 
-What is counted, of a played day: tasks killed by their lease; the replicas' worst 30 s; the
-longest time between two permits in the cut and 20 s after it; the slowest accepted submission;
-answers of 503 to users; shards taken after the cut began.
+Measured on each played day: tasks killed by their lease; the replicas' worst 30 s; the longest
+time between two permits during the cut and the 20 s after it; the slowest accepted submission;
+answers of 503 to users; shards acquired after the cut began.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 )
 
 DEFAULT_JOBS = 4
-# What a controller may lose, and the modes the bench has for it
+# The connections that a controller may lose, and the bench's modes for each
 CUT_MODES = {
     "state": ("hold", "reset", "refuse"),
     "workers": ("hold", "reset"),
@@ -49,7 +50,7 @@
     "network": "",
 }
 DURATIONS_S = (10, 40, 90)
-RECOVERY_S = 20.0  # counted after the last cut
+RECOVERY_S = 20.0  # still measured after the last cut has ended
 # Older releases wrote `shard taken` for `shard acquired`
 EVENT_LINE = re.compile(rb" *([0-9.]+) \S+ \w+ (permit|shard acquired|shard taken) ")
 PERMIT_EVENT = b"permit"
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class ControllerCut:
-    """One controller loses a kind of connections."""
+    """A fault in which one controller loses one kind of connections."""
 
     kind: str
     mode: str
@@ -67,11 +68,11 @@
 
     @property
     def end_s(self) -> float:
-        """When it is over."""
+        """Return the time of the day at which the cut ends."""
         return self.at_s + self.duration_s
 
     def to_toml(self) -> str:
-        """As the bench's days name it."""
+        """Return the fault in the TOML form that the bench reads."""
         return (
             f'{{ at_s = {self.at_s:.1f}, kind = "node_cut", count = 1, '
             f"busiest = {str(self.busiest).lower()}, {LOST_CONNECTIONS[self.kind]}"
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True)
 class CutDay:
-    """One day with its faults, as the bench reads them."""
+    """One day with its faults, each in the TOML form that the bench reads."""
 
     name: str
     faults: tuple[str, ...]
@@ -89,7 +90,7 @@
     ends_at_s: float
 
     def to_toml(self) -> str:
-        """As the bench reads it."""
+        """Return the day in the TOML form that the bench reads."""
         faults = ",\n  ".join(self.faults)
         return (
             f'[[day]]\nname = "{self.name}"\nslot = "scale"\nlight = true\nseed = 901\n'
@@ -111,7 +112,7 @@
 
 
 def single_cut_days(at_s: float) -> list[CutDay]:
-    """Every kind, mode, place and duration, a day each."""
+    """Return one day for each kind, mode, choice of controller and duration."""
     days = []
     for kind, modes in CUT_MODES.items():
         for mode in modes:
@@ -125,12 +126,15 @@
 
 
 def overlapping_cut_days(count: int, at_s: float) -> list[CutDay]:
-    """Days with two or three cuts that overlap, the same for the same number."""
+    """Return days with two or three overlapping cuts.
+
+    Day number I is the same in every call with the same `at_s`.
+    """
     return [_overlapping_cut_day(index, at_s) for index in range(count)]
 
 
 def _overlapping_cut_day(index: int, at_s: float) -> CutDay:
-    """Day number `index`."""
+    """Return day number `index`, which also seeds its random choices."""
     rng = Random(index)
     cuts = [_random_cut(rng, at_s) for _ in range(rng.choice([2, 2, 3]))]
     faults = [cut.to_toml() for cut in sorted(cuts, key=lambda cut: cut.at_s)]
@@ -143,7 +147,7 @@
 
 
 def _random_cut(rng: Random, at_s: float) -> ControllerCut:
-    """A cut that begins within 15 s."""
+    """Draw a cut that begins within 15 s of `at_s`."""
     kind = rng.choice(["state", "state", "workers", "workers", "network"])
     return ControllerCut(
         kind,
@@ -157,7 +161,7 @@
 def play(
     bench: Path, site: Path, day: CutDay, checkout: Path, folder: Path
 ) -> CutFigures | FailedRun:
-    """Play one day in a checkout, unless its figures were kept before."""
+    """Play one day in a checkout, unless its figures are stored already."""
     files = DayFiles(folder, day.name)
     until_s = day.ends_at_s + 2 * RECOVERY_S
     command = [str(bench), "run", str(site), str(files.input)]
@@ -176,7 +180,7 @@
 
 
 def read_figures(report: Report, log: Path, day: CutDay) -> CutFigures:
-    """The figures of a played day, from its report and its controllers' logs."""
+    """Return the figures of a played day, from its report and its controllers' logs."""
     permits_at = [day.begins_at_s]
     shards_acquired = 0
     end_s = day.ends_at_s + RECOVERY_S
@@ -206,13 +210,13 @@
 
 
 def main() -> int:
-    """Play what is asked for and print the table."""
+    """Play the selected days and print the table."""
     parser = side_by_side.option_parser(__doc__, DEFAULT_JOBS)
     parser.add_argument(
         "--pairs",
         type=int,
         default=0,
-        help="drawn days with overlapping cuts instead of single ones",
+        help="number of random days with overlapping cuts, played instead of the single cuts",
     )
     parser.add_argument("--at", type=float, default=150.0)
     args = parser.parse_args()
--- a/scripts/restart_latency.py
+++ b/scripts/restart_latency.py
@@ -1,14 +1,15 @@
-"""How soon a controller that was killed serves again: a real process on loopback.
+"""Measure how soon a killed controller serves again, with a real process on loopback.
 
     python -m scripts.restart_latency [--after 0.1 0.3 1 3.9 4.1]
         [--times 3] [--machines 12] [--heartbeat 1.0]
 
-One controller, so nobody else answers meanwhile. Seconds from the start of the new process (which
-is `after` seconds after the end of the old one) to: listening (a connection is accepted), healthy
-(GET /healthz gives 200), the first agent (worker) answered, the first start after the end, all
-agents answered. The lowest and the highest of `--times` ends. The fakes are the tests' own; an
-agent whose heartbeat meets a refused connection tries again after 1 s, as the protocol has it.
-`--report` is an earlier name of `--heartbeat`.
+There is only one controller, so no other one answers in the meantime. The new process starts
+`--after` seconds after the old one was killed. Measured are the seconds from its start until it
+listens (a connection is accepted), is healthy (GET /healthz returns 200), has answered the first
+agent (worker), the first task has started, and all agents have been answered. The table shows the
+lowest and the highest values of `--times` restarts. The fake agents and the fake key-value store
+are those of the tests. An agent whose heartbeat is refused a connection retries after 1 s, as the
+protocol requires. `--report` is an earlier name of `--heartbeat`.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 
 @dataclass
 class RestartMarks:
-    """Seconds from the start of a process until each mark of it; in the order of `COLUMNS`."""
+    """Seconds from the start of a process until each milestone, in the order of `COLUMNS`."""
 
     listening: float | None = None
     healthy: float | None = None
@@ -56,18 +57,18 @@
     all_agents_answered: float | None = None
 
     def times(self) -> tuple[float | None, ...]:
-        """The times in the order of `COLUMNS`."""
+        """Return the times in the order of `COLUMNS`; None for one not reached yet."""
         return astuple(self)
 
     @property
     def complete(self) -> bool:
-        """Whether all marks were reached."""
+        """Return whether all milestones were reached."""
         return None not in self.times()
 
 
 @dataclass(frozen=True)
 class RestartDelay:
-    """The restarts that were measured with one delay."""
+    """The measured restarts with one delay."""
 
     delay_s: float
     restarts: list[RestartMarks]
@@ -75,15 +76,15 @@
 
 @dataclass(frozen=True)
 class ProcessStart:
-    """What was so when a new process was started."""
+    """The state of the fake agents and jobs when a new process was started."""
 
     at: float
-    next_job: str  # ids from this one on were submitted since
-    answered_at: dict[str, float]  # when each agent was answered last, by machine
+    next_job: str  # this id and higher ones are submitted after the start
+    answered_at: dict[str, float]  # send time of each agent's last answered heartbeat, by machine
 
 
 class RestartBenchmark:
-    """Fakes in this process, a controller in another."""
+    """Runs the fakes in this process and the controller in another one."""
 
     def __init__(self, machine_count: int, heartbeat_s: float) -> None:
         ports = test_loopback.free_ports(8)
@@ -126,7 +127,7 @@
         return measured
 
     async def measure_delay(self, delay_s: float, repetitions: int) -> RestartDelay:
-        """Several restarts with one delay."""
+        """Measure several restarts with one delay."""
         restarts = []
         for _ in range(repetitions):
             restarts.append(await self.measure_restart(delay_s))
@@ -134,7 +135,11 @@
         return RestartDelay(delay_s, restarts)
 
     async def measure_restart(self, delay_s: float) -> RestartMarks:
-        """Kill the process, start a new one after the delay, and time its marks."""
+        """Kill the process, start a new one after the delay, and time its milestones.
+
+        Raises:
+            TimeoutError: If not all milestones are reached within `ALL_MARKS_WITHIN_S`.
+        """
         self.kill_process()
         await anyio.sleep(delay_s)
         answered_at = {name: agent.answered_sent for name, agent in self.fleet.workers.items()}
@@ -148,7 +153,7 @@
         return marks
 
     async def _update_marks(self, marks: RestartMarks, begun: ProcessStart) -> None:
-        """Take in what the new process has reached since the last look."""
+        """Record the milestones that the new process has reached since the last check."""
         elapsed_s = self.fleet.now - begun.at
         if marks.listening is None and await self.is_listening():
             marks.listening = elapsed_s
@@ -163,40 +168,46 @@
             marks.first_task_started = elapsed_s
 
     def _agents_answered_since(self, begun: ProcessStart) -> int:
-        """How many agents had a heartbeat answered that they sent to the new process."""
+        """Return how many agents have been answered by the new process.
+
+        Only heartbeats that were sent after the start of the process count.
+        """
         return sum(
             agent.answered_sent > max(begun.answered_at.get(name, 0.0), begun.at)
             for name, agent in self.fleet.workers.items()
         )
 
     def _new_job_started_since(self, begun: ProcessStart) -> bool:
-        """Whether a task of a job runs that only the new process can have permitted."""
+        """Return whether a task has started that only the new process can have permitted.
+
+        The job of such a task was submitted after the start of the process.
+        """
         return any(
             at > begun.at and attempt_id[0] >= begun.next_job
             for at, attempt_id, _ in self.fleet.starts_of[-RECENT_STARTS:]
         )
 
     def start_process(self) -> None:
-        """Start a new process, as the platform starts it."""
+        """Start a new controller process, as the platform does."""
         command = [sys.executable, str(ROOT / "run.py"), "--config", str(self.settings_file)]
         self.process = subprocess.Popen(command, stderr=subprocess.DEVNULL)
 
     def kill_process(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has ended."""
         assert self.process is not None
         self.process.kill()
         self.process.wait()
 
     async def is_healthy(self) -> bool:
-        """Whether the controller says that it is healthy."""
+        """Return whether the controller reports itself as healthy."""
         return await self._status("/healthz") == 200
 
     async def is_listening(self) -> bool:
-        """Whether the controller gives any answer."""
+        """Return whether the controller gives any answer."""
         return await self._status("/") is not None
 
     async def _status(self, path: str) -> int | None:
-        """The status of an answer over a new connection; None without one."""
+        """Request a path over a new connection; return the status, None without an answer."""
         client = Client(*self.settings.bind, keep=0)
         try:
             status, _ = await client.call("GET", path, None, 1.0)
@@ -205,7 +216,7 @@
         return status
 
     async def submit_jobs(self) -> None:
-        """Submit a small job every 50 ms, whether it is accepted or not."""
+        """Submit a small job every 50 ms, whether or not it is accepted."""
         client = Client(*self.settings.bind)
         while True:
             self.job_count += 1
@@ -218,7 +229,7 @@
 
 
 def print_table(measured: list[RestartDelay]) -> None:
-    """A row for each delay: of each mark the soonest and the latest."""
+    """Print a row for each delay with the lowest and highest time of each milestone."""
     print("| back after s | " + " | ".join(COLUMNS) + " |\n| --- |" + " --- |" * len(COLUMNS))
     for delay in measured:
         times_by_mark = zip(*(marks.times() for marks in delay.restarts), strict=True)
@@ -230,7 +241,7 @@
 
 
 def option_parser() -> argparse.ArgumentParser:
-    """The options of this script."""
+    """Return the parser for the options of this script."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -242,12 +253,12 @@
 
 
 def main() -> int:
-    """Print the table; 1 if a rule was broken."""
+    """Print the table; return 1 if a rule was broken."""
     args = option_parser().parse_args()
     benchmark = RestartBenchmark(args.machines, args.heartbeat)
     print_table(anyio.run(benchmark.run, args.after, args.times))
     print(
-        f"rules broken, by the workers' own account: {len(benchmark.fleet.broken)}; "
+        f"rules broken, as counted by the fake agents: {len(benchmark.fleet.broken)}; "
         f"killed by a lease: {benchmark.fleet.killed_by_lease}"
     )
     return 1 if benchmark.fleet.broken else 0
--- a/scripts/served_by_class.py
+++ b/scripts/served_by_class.py
@@ -1,19 +1,19 @@
-"""Is at least half of each class and team served? From a played day's report and its debug logs.
+"""Check that at least half of each class and team is served, from a day's report and debug logs.
 
     fleetbench run SITE DAY --log debug --report day.json > day.log
     python -m scripts.served_by_class day.json day.log
 
-How it is counted. *Served*: a job of an array or gang that completed, a service all of whose
-replicas ran at some time. Jobs that their users cancelled before that count neither way. Classes
-are counted over all submissions, by the bench's report (completed: told so or not); teams over
-the jobs that a controller accepted, by the logs, since a submission that nobody accepted leaves
-its team's name nowhere. Tasks are shown beside jobs, so that a large job that starves shows among
-small ones. Ends with status 1 where a class or team has less than half of its jobs or tasks
-served, and says "near" below 0.65.
-
-*Largest*: of each class the tenth of its jobs with the most tasks, three at least, by the logs.
-Less than half of them served is a failed day, and so is one that has not begun within 240 s of
-its acceptance: a gang with all its tasks, any other job with one.
+A job is *served* if it is an array or gang that completed, or a service whose replicas all ran
+at some time. Jobs that their users cancelled before that are not counted at all. Classes are
+counted over all submissions, from the bench's report; there a job has completed whether or not
+its user was told so. Teams are counted over the jobs that a controller accepted, from the logs,
+since a submission that nobody accepted leaves no record of its team. Tasks are shown beside jobs,
+so that a starving large job is visible among small ones. Exits with status 1 if a class or team
+has less than half of its jobs or tasks served, and prints "near" below 0.65.
+
+The *largest* jobs of a class are the tenth of its jobs with the most tasks, at least three, from
+the logs. The day fails if less than half of them are served, or if one has not begun within
+240 s of its acceptance. A gang has begun when all its tasks run, any other job when one does.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 MAX_WAIT_S = 240.0
 FAILS_MARK = "FAILS"
 NEAR_MARK = "near"
-LARGEST_PART = 10  # the largest jobs are the tenth of a class
+LARGEST_PART = 10  # the largest jobs are one tenth of a class
 LARGEST_AT_LEAST = 3
 
 
 @dataclass(frozen=True)
 class ServedCounts:
-    """Jobs and tasks of a class or team; `cancelled` jobs count neither way."""
+    """Counts of the jobs and tasks of a class or team; `cancelled` jobs are left out."""
 
     submitted: int
     accepted: int
@@ -51,30 +51,30 @@
 
     @property
     def job_share(self) -> float:
-        """The share of jobs that were served; 1 without any."""
+        """Return the share of jobs that were served; 1 if there are none."""
         counted = self.submitted - self.cancelled
         return self.served / counted if counted > 0 else 1.0
 
     @property
     def task_share(self) -> float:
-        """The share of tasks that were served; 1 without any."""
+        """Return the share of tasks that were served; 1 if there are none."""
         return self.tasks_served / self.tasks if self.tasks else 1.0
 
 
 @dataclass(frozen=True)
 class ServedRow:
-    """How far a class or team was served."""
+    """A row of the table: the counts of one class or team."""
 
     name: str
     counts: ServedCounts
 
     @property
     def least_share(self) -> float:
-        """The lower of the shares of jobs and of tasks."""
+        """Return the lower of the shares of served jobs and of served tasks."""
         return min(self.counts.job_share, self.counts.task_share)
 
     def text(self) -> str:
-        """The row of the table."""
+        """Return the row as a line of the table."""
         counts = self.counts
         mark = ""
         if self.least_share < FAILING_SHARE:
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class LargestJobs:
-    """How far a class's largest jobs were served, and the longest that one took to begin."""
+    """The served share of a class's largest jobs, and the longest wait until one began."""
 
     class_name: str
     most_tasks: int
@@ -101,11 +101,11 @@
 
     @property
     def fails(self) -> bool:
-        """Whether too few were served, or one began too late."""
+        """Return whether too few of the jobs were served, or one began too late."""
         return self.served_share < FAILING_SHARE or self.longest_wait_s > MAX_WAIT_S
 
     def text(self) -> str:
-        """The row of the table."""
+        """Return the row as a line of the table."""
         mark = FAILS_MARK if self.fails else ""
         return (
             f"largest {self.class_name} (up to {self.most_tasks} tasks): "
@@ -115,14 +115,20 @@
 
 @dataclass(frozen=True)
 class Table:
-    """All lines, and the least share of any class or team (0 if a largest job began too late)."""
+    """All lines of the table, and the lowest share of any class, team or group of largest jobs.
+
+    The lowest share is 0 if one of the largest jobs began too late.
+    """
 
     lines: list[str]
     least_share: float
 
 
 def class_row(name: str, reported: dict[str, Any], jobs: list[JobRecord]) -> ServedRow:
-    """A class, by the bench's report; its tasks by the logs, if they name classes."""
+    """Return the row of a class, counted from the bench's report.
+
+    Its tasks are counted from the logs, if those name classes.
+    """
     is_service = "up" in reported
     counts = ServedCounts(
         submitted=reported["jobs"],
@@ -137,7 +143,7 @@
 
 
 def team_row(name: str, jobs: list[JobRecord]) -> ServedRow:
-    """A team, by the logs."""
+    """Return the row of a team, counted from the logs."""
     counts = ServedCounts(
         submitted=len(jobs),
         accepted=len(jobs),
@@ -159,9 +165,9 @@
 
 
 def largest_jobs(class_name: str, jobs: list[JobRecord]) -> LargestJobs:
-    """The largest jobs of a class, which has one at least.
+    """Return the row of the largest jobs of a class, which must have at least one job.
 
-    Those cancelled before they were served don't count.
+    Jobs that were cancelled before they were served are left out.
     """
     ranked = sorted(jobs, key=lambda job: (-job.task_count, job.accepted_at))
     count = max(LARGEST_AT_LEAST, math.ceil(len(ranked) / LARGEST_PART))
@@ -176,7 +182,7 @@
 
 
 def largest_jobs_rows(jobs: dict[str, JobRecord]) -> list[LargestJobs]:
-    """Every class with its largest jobs."""
+    """Return the row of the largest jobs of each class."""
     names = sorted({job.class_name for job in jobs.values()})
     return [
         largest_jobs(name, [job for job in jobs.values() if job.class_name == name])
@@ -185,7 +191,7 @@
 
 
 def served_rows(report: dict[str, Any], jobs: dict[str, JobRecord]) -> list[ServedRow]:
-    """Every class, then every team."""
+    """Return a row for each class, followed by a row for each team."""
     records = list(jobs.values())
     rows = [
         class_row(name, reported, [job for job in records if job.class_name == name])
@@ -197,7 +203,7 @@
 
 
 def table(report: dict[str, Any], jobs: dict[str, JobRecord]) -> Table:
-    """The rows of all classes and teams and of the largest jobs."""
+    """Return the table of all classes, teams and largest jobs."""
     head = (
         f"{'':24} {'asked':>6} {'accepted':>8} {'started':>7} {'cancelled':>9} {'served':>6} "
         f"{'share':>6} "
@@ -213,7 +219,7 @@
 
 
 def main() -> int:
-    """Print the table; status 1 where a class or team got less than a half."""
+    """Print the table; return 1 if a class or team got less than half."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/scripts/side_by_side.py
+++ b/scripts/side_by_side.py
@@ -1,4 +1,4 @@
-"""Days played in one checkout or several side by side: shared options, and a table row a day."""
+"""Play days in one or more checkouts side by side and print a table with a row for each day."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 
 def option_parser(description: str | None, default_jobs: int) -> argparse.ArgumentParser:
-    """The shared options: bench, site, checkouts, which days, and how many at once."""
+    """Return a parser for the shared options.
+
+    These are the bench, the site, the checkouts, the selection of days, and how many runs are
+    played at the same time.
+    """
     parser = argparse.ArgumentParser(
         description=description, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -27,9 +31,9 @@
         "--tree",
         action="append",
         type=Path,
-        help="a checkout to play; may be given twice, before and after",
+        help="a checkout to play; may be given twice, to compare before and after",
     )
-    parser.add_argument("--only", default="", help="days whose names hold this")
+    parser.add_argument("--only", default="", help="only days whose names contain this text")
     parser.add_argument("--jobs", type=int, default=default_jobs)
     return parser
 
@@ -41,17 +45,17 @@
     figures_type: type[FiguresType],
     play: Callable[[DayType, Path, Path], FiguresType | FailedRun],
 ) -> list[list[FiguresType | FailedRun]]:
-    """Play all days in all checkouts and print the table as it comes.
+    """Play all days in all checkouts and print each row of the table once it is complete.
 
     Args:
-        args: the values of the options of `option_parser`.
-        days: what is played, a row each.
-        day_columns: the cells that describe the day, by title.
-        figures_type: the figures of a played day, which give the other columns.
-        play: plays a day in a checkout and keeps its figures in a folder.
+        args: The parsed options of `option_parser`.
+        days: The days to play, one row each.
+        day_columns: Functions that return the cells describing the day, by column title.
+        figures_type: The figures of a played day, which make up the other columns.
+        play: Plays a day in a checkout and stores its figures in a folder.
 
     Returns:
-        Of each day the outcomes in all checkouts, in their order.
+        For each day its outcomes in all checkouts, in the order of the checkouts.
     """
     checkouts = [checkout.resolve() for checkout in args.tree or [Path.cwd()]]
     output = args.out.resolve()
@@ -76,6 +80,6 @@
 
 
 def _figure_cells(titles: Sequence[str], outcomes: Sequence[Figures | FailedRun]) -> list[str]:
-    """A cell for each title with the figures of all checkouts."""
+    """Return one cell for each title, holding the figures of all checkouts."""
     rows = [{} if isinstance(outcome, FailedRun) else outcome.to_row() for outcome in outcomes]
     return [", ".join(str(row.get(title, UNKNOWN_CELL)) for row in rows) for title in titles]
--- a/scripts/style.py
+++ b/scripts/style.py
@@ -1,11 +1,11 @@
-"""Counts of what makes code hard to read, in this tree or a revision; two side by side.
+"""Count style problems in this tree or a revision, or compare two revisions.
 
     python -m scripts.style [--base REVISION] [REVISION]
 
 Counted over all Python files under version control: lines over 100 columns, files over 400 lines,
 functions over 40 lines, arguments and assigned names of one or two letters, `dict[str, Any]` and
-`list[Any]`, `fmt: skip`, and exception classes of the package outside `ploverhall/errors.py`. The
-package is shown by itself, then the whole tree. Nothing is judged.
+`list[Any]`, `fmt: skip`, and exception classes of the package outside `ploverhall/errors.py`.
+Prints the counts of the package, then those of the whole tree. No count fails the run.
 """
 
 from __future__ import annotations
@@ -23,21 +23,29 @@
 MAX_COLUMNS = 100
 MAX_FILE_LINES = 400
 MAX_FUNCTION_LINES = 40
-SHORT_NAME = 2
+MAX_SHORT_NAME_LETTERS = 2
 BARE_TYPES = ("dict[str, Any]", "list[Any]")
 
 LONG_LINES = f"lines over {MAX_COLUMNS} columns"
 LONG_FILES = f"files over {MAX_FILE_LINES} lines"
 LONG_FUNCTIONS = f"functions over {MAX_FUNCTION_LINES} lines"
 SHORT_NAMES = "names of one or two letters"
-BARE = "bare dict[str, Any] and list[Any]"
-SKIPS = "fmt: skip"
-ERRORS = "exceptions outside errors.py"
-KINDS = (LONG_LINES, LONG_FILES, LONG_FUNCTIONS, SHORT_NAMES, BARE, SKIPS, ERRORS)
+BARE_CONTAINERS = "bare dict[str, Any] and list[Any]"
+FORMAT_SKIPS = "fmt: skip"
+MISPLACED_ERRORS = "exceptions outside errors.py"
+KINDS = (
+    LONG_LINES,
+    LONG_FILES,
+    LONG_FUNCTIONS,
+    SHORT_NAMES,
+    BARE_CONTAINERS,
+    FORMAT_SKIPS,
+    MISPLACED_ERRORS,
+)
 
 
 def sources(revision: str | None) -> dict[str, str]:
-    """The Python files under version control, by path: of a revision, or as they are now."""
+    """Return the Python files under version control by path: of a revision, or as they are now."""
     if revision is None:
         listed = git_output(
             "ls-files", "--cached", "--others", "--exclude-standard", "*.py"
@@ -54,34 +62,36 @@
 
 
 def count(files: dict[str, str]) -> Counter[str]:
-    """The counts of some files together."""
+    """Count all kinds of problems over the given files."""
     counts: Counter[str] = Counter()
     for path, text in files.items():
         lines = text.splitlines()
         counts[LONG_LINES] += sum(len(line) > MAX_COLUMNS for line in lines)
         counts[LONG_FILES] += len(lines) > MAX_FILE_LINES
-        counts[SKIPS] += sum("# fmt: skip" in line for line in lines)
+        counts[FORMAT_SKIPS] += sum("# fmt: skip" in line for line in lines)
         tree = ast.parse(text)
-        counts[LONG_FUNCTIONS] += sum(length > MAX_FUNCTION_LINES for length in functions(tree))
+        counts[LONG_FUNCTIONS] += sum(
+            length > MAX_FUNCTION_LINES for length in function_lengths(tree)
+        )
         counts[SHORT_NAMES] += sum(is_short(name) for name in bound_names(tree))
-        counts[BARE] += sum(
+        counts[BARE_CONTAINERS] += sum(
             isinstance(node, ast.Subscript) and ast.unparse(node) in BARE_TYPES
             for node in ast.walk(tree)
         )
         if path.startswith(PACKAGE) and path != ERRORS_MODULE:
-            counts[ERRORS] += sum(is_exception(node) for node in ast.walk(tree))
+            counts[MISPLACED_ERRORS] += sum(is_exception(node) for node in ast.walk(tree))
     return counts
 
 
-def functions(tree: ast.AST) -> Iterator[int]:
-    """The length of each function in lines, its signature and docstring included."""
+def function_lengths(tree: ast.AST) -> Iterator[int]:
+    """Yield the length of each function in lines, including signature and docstring."""
     for node in ast.walk(tree):
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
             yield (node.end_lineno or node.lineno) - node.lineno + 1
 
 
 def bound_names(tree: ast.AST) -> Iterator[str]:
-    """Arguments, and names that are assigned, targets of loops and comprehensions included."""
+    """Yield arguments and assigned names, including targets of loops and comprehensions."""
     for node in ast.walk(tree):
         if isinstance(node, ast.arg):
             yield node.arg
@@ -90,12 +100,12 @@
 
 
 def is_short(name: str) -> bool:
-    """Whether a name has one or two letters; `_` is no name."""
-    return len(name) <= SHORT_NAME and name.strip("_") != ""
+    """Return whether a name has one or two letters; `_` does not count as a name."""
+    return len(name) <= MAX_SHORT_NAME_LETTERS and name.strip("_") != ""
 
 
 def is_exception(node: ast.AST) -> bool:
-    """Whether this is a class derived from an exception, by the name of its base."""
+    """Return whether the node is an exception class, judged by the names of its bases."""
     return isinstance(node, ast.ClassDef) and any(
         ast.unparse(base).endswith(("Error", "Exception")) for base in node.bases
     )
@@ -106,8 +116,12 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("revision", nargs="?", help="instead of the files as they are now")
-    parser.add_argument("--base", metavar="REVISION", help="a revision to show beside it")
+    parser.add_argument(
+        "revision", nargs="?", help="revision to count instead of the current files"
+    )
+    parser.add_argument(
+        "--base", metavar="REVISION", help="another revision to show for comparison"
+    )
     args = parser.parse_args()
     columns = {args.revision or "this tree": sources(args.revision)}
     if args.base:
